--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -149,7 +149,7 @@
 	for (uint32_t i = 0; i < BLOCKS; i++)
 		request.need.blocks[i] =
 			id_mix(i < BLOCKS / 2 ? 0 : bench->next, i);
-	ledger_ask(bench->ledger, &request);
+	ledger_submit(bench->ledger, &request);
 }
 
 static void report(struct bench *bench, uint64_t runner)
--- a/coord/backpressure.c
+++ b/coord/backpressure.c
@@ -157,8 +157,8 @@
 	return changed;
 }
 
-unsigned int backpressure_hear(struct backpressure *table, int64_t now,
-			       const struct backpressure_fact *fact)
+unsigned int backpressure_merge(struct backpressure *table, int64_t now,
+				const struct backpressure_fact *fact)
 {
 	bool says = fact->leaving || fact->limit >= 0.0 || fact->cold_usec > 0;
 	struct item *item = says ? item_get(table, fact->server)
@@ -208,8 +208,8 @@
 	};
 }
 
-uint32_t backpressure_tell(struct backpressure *table, int64_t now,
-			   struct backpressure_fact *facts, uint32_t most)
+uint32_t backpressure_export(struct backpressure *table, int64_t now,
+			     struct backpressure_fact *facts, uint32_t most)
 {
 	uint32_t all = g_hash_table_size(table->items);
 	uint32_t start = all > most ? table->turn % all : 0;
@@ -331,7 +331,7 @@
 }
 
 void backpressure_prune(struct backpressure *table, int64_t now,
-			backpressure_lives_fn lives, void *ctx)
+			backpressure_exists_fn lives, void *ctx)
 {
 	GHashTableIter iter;
 	struct item *item;
--- a/coord/circuit.c
+++ b/coord/circuit.c
@@ -15,7 +15,7 @@
 		return true;
 	if (now < circuit->until)
 		return false;
-	circuit->state = CIRCUIT_TRIAL;
+	circuit->state = CIRCUIT_HALF_OPEN;
 	circuit->until = now + CIRCUIT_TRIAL_USEC;
 	return true;
 }
--- a/coord/claim.c
+++ b/coord/claim.c
@@ -37,7 +37,7 @@
 	bool doubt;    /* a writer is no longer in asked */
 	bool taken;    /* the last writer asked has said that it has it */
 	uint32_t rank; /* of the writer to ask next */
-	int64_t patience_end;
+	int64_t decide_by;
 	struct timer poll;
 	struct timer end;
 };
@@ -127,12 +127,12 @@
 {
 	struct claims *claims = ask->claims;
 	uint64_t writer = claims->writers[ask->rank % CLAIM_WRITERS];
-	int64_t patience = ask->patience_end - clock_now(claims->clock);
+	int64_t decide_usec = ask->decide_by - clock_now(claims->clock);
 	struct asked *asked;
 
 	if (!writer)
 		writer = claims->writers[0];
-	if (patience <= 0)
+	if (decide_usec <= 0)
 		return;
 	timer_start(&ask->poll, TAKEN_USEC);
 	ask->taken = false;
@@ -148,7 +148,7 @@
 			    .incarnation = ask->claim.id.owner.incarnation,
 			    .attempt = asked->attempt,
 			    .key = ask->claim.key,
-			    .patience = (uint64_t)patience,
+			    .decide_usec = (uint64_t)decide_usec,
 		    });
 }
 
@@ -249,10 +249,10 @@
 		.id = {.owner = {from, message->incarnation},
 		       .request = message->request},
 	};
-	int64_t patience = (int64_t)MIN(message->patience,
-					(uint64_t)CLAIM_TIMEOUT_MAX_USEC);
+	int64_t decide_usec = (int64_t)MIN(message->decide_usec,
+					   (uint64_t)CLAIM_TIMEOUT_MAX_USEC);
 	enum claim_reply_kind reply = claim_writer_take(
-		claims->writer, &claim, message->attempt, patience, &winner);
+		claims->writer, &claim, message->attempt, decide_usec, &winner);
 
 	claims_reply(claims, &claim.id, message->attempt, reply, &winner);
 }
@@ -364,7 +364,7 @@
 	ask->claim.key = key;
 	ask->claim.id.owner = (struct owner){self->id, self->incarnation};
 	ask->claim.id.request = request;
-	ask->patience_end = now + timeout_us - MIN(MARGIN_USEC, timeout_us / 4);
+	ask->decide_by = now + timeout_us - MIN(MARGIN_USEC, timeout_us / 4);
 	timer_init(&ask->poll, claims->clock, ask_poll, ask);
 	timer_init(&ask->end, claims->clock, ask_end, ask);
 	/* Fires before an answer is looked at that came while this process
--- a/coord/claim_codec.c
+++ b/coord/claim_codec.c
@@ -109,7 +109,7 @@
 	msgpack_pack_uint64(&packer, message->attempt);
 	if (ask) {
 		msgpack_pack_uint64(&packer, message->key);
-		msgpack_pack_uint64(&packer, message->patience);
+		msgpack_pack_uint64(&packer, message->decide_usec);
 		return;
 	}
 	msgpack_pack_int(&packer, (int)message->reply);
@@ -136,7 +136,7 @@
 	};
 	if (values[0] == CLAIM_MESSAGE_ASK) {
 		message->key = values[4];
-		message->patience = values[5];
+		message->decide_usec = values[5];
 		return true;
 	}
 	if (values[0] != CLAIM_MESSAGE_REPLY || count < REPLY_FIELDS ||
--- a/coord/claim_codec.h
+++ b/coord/claim_codec.h
@@ -54,7 +54,7 @@
 	uint64_t incarnation; /* of the instance that asks */
 	uint64_t attempt;     /* counts the asks; echoed in the reply */
 	uint64_t key;	      /* ask only */
-	uint64_t patience;    /* ask only: microseconds to decide within */
+	uint64_t decide_usec; /* ask only: microseconds to decide within */
 	enum claim_reply_kind reply;
 	struct owner winner; /* reply only */
 };
--- a/coord/claim_writer.c
+++ b/coord/claim_writer.c
@@ -213,7 +213,7 @@
 	group->answered = true;
 	if (code == RESULT_OK) {
 		writer->failures = 0;
-		log_tail_hurry(writer->tail);
+		log_tail_retry_now(writer->tail);
 		return;
 	}
 	writer_failed(writer, code);
--- a/coord/fold.c
+++ b/coord/fold.c
@@ -70,7 +70,7 @@
 	fold_refused_update(f);
 	fold_tail_update(f);
 	fold_guess(f);
-	fold_again_check(f);
+	fold_reappend_check(f);
 	spread_tick(f);
 }
 
@@ -111,7 +111,7 @@
 		return;
 	timer_stop(&f->tick);
 	applies_clear(f);
-	fold_again_cancel(f);
+	fold_reappend_cancel(f);
 	fold_pending_clear(f);
 	log_tail_destroy(f->tail);
 	g_ptr_array_free(f->applies, TRUE);
--- a/coord/fold_again.c
+++ b/coord/fold_again.c
@@ -8,7 +8,7 @@
 #define WINDOW_MIN 32u
 
 /* Outlives the fold when an answer is still to come. */
-struct fold_again {
+struct fold_reappend {
 	struct fold *fold;
 };
 
@@ -76,7 +76,7 @@
 
 static void again_done(void *ctx, enum result_code code, uint64_t offset)
 {
-	struct fold_again *again = ctx;
+	struct fold_reappend *again = ctx;
 	struct fold *f = again->fold;
 
 	g_free(again);
@@ -91,7 +91,7 @@
 static void again_send(struct fold *f)
 {
 	struct fold_record record = {
-		.kind = RECORD_AGAIN,
+		.kind = RECORD_REAPPEND,
 		.revision = f->revision,
 		.through = log_tail_position(f->tail),
 		.tag = fold_tag_next(f),
@@ -100,7 +100,7 @@
 	};
 
 	g_strlcpy(record.author, f->author, sizeof(record.author));
-	f->again = g_new0(struct fold_again, 1);
+	f->again = g_new0(struct fold_reappend, 1);
 	f->again->fold = f;
 	msgpack_sbuffer_clear(&f->out);
 	record_pack(&f->out, &record);
@@ -110,7 +110,7 @@
 			f->out.size, again_done, f->again);
 }
 
-void fold_again_check(struct fold *f)
+void fold_reappend_check(struct fold *f)
 {
 	int64_t now = clock_now(f->clock);
 
@@ -120,15 +120,15 @@
 	if (f->again || f->revision == REVISION_NONE || !f->known ||
 	    f->folded != f->revision || !fold_is_reader(f) ||
 	    !log_tail_running(f->tail) || log_tail_failures(f->tail) ||
-	    log_tail_position(f->tail) != f->log_next || now < f->again_next)
+	    log_tail_position(f->tail) != f->log_next || now < f->reappend_next)
 		return;
 	if (!again_due(f))
 		return;
-	f->again_next = now + RETRY_USEC;
+	f->reappend_next = now + RETRY_USEC;
 	again_send(f);
 }
 
-void fold_again_cancel(struct fold *f)
+void fold_reappend_cancel(struct fold *f)
 {
 	if (f->again)
 		f->again->fold = NULL;
--- a/coord/fold_apply.c
+++ b/coord/fold_apply.c
@@ -111,7 +111,7 @@
 			a->found = true;
 			a->offset = offset;
 		}
-		log_tail_hurry(f->tail);
+		log_tail_retry_now(f->tail);
 		apply_check(a);
 		return;
 	}
--- a/coord/fold_codec.c
+++ b/coord/fold_codec.c
@@ -40,7 +40,7 @@
 	if (!fields || !codec_uints(fields, G_N_ELEMENTS(values), values))
 		return false;
 	if (values[0] != RECORD_FORMAT || values[1] < RECORD_PROPOSAL ||
-	    values[1] > RECORD_AGAIN)
+	    values[1] > RECORD_REAPPEND)
 		return false;
 	record->kind = values[1];
 	record->revision = values[2];
--- a/coord/fold_log.c
+++ b/coord/fold_log.c
@@ -101,7 +101,7 @@
 		return;
 	}
 	apply_seen(f, &record, offset);
-	if (record.kind == RECORD_AGAIN) {
+	if (record.kind == RECORD_REAPPEND) {
 		again_fold(f, &record, offset);
 		return;
 	}
@@ -210,7 +210,7 @@
 		return;
 	}
 	if (record_decode(f, record->data, record->size, &decoded) &&
-	    decoded.kind == RECORD_AGAIN)
+	    decoded.kind == RECORD_REAPPEND)
 		record_fold(f, record->offset, record->unix_us, record->data,
 			    record->size);
 	else
--- a/coord/fold_private.h
+++ b/coord/fold_private.h
@@ -19,7 +19,7 @@
 
 enum record_kind {
 	RECORD_PROPOSAL = 1,
-	RECORD_AGAIN, /* the file in force once more, under its revision */
+	RECORD_REAPPEND, /* the file in force once more, under its revision */
 };
 
 /* Names one append for good. */
@@ -120,8 +120,8 @@
 	int64_t log_read; /* when the last page came */
 	int64_t reappend_after;
 	int64_t dropped_since; /* when it was seen to be gone; 0 if not */
-	int64_t again_next;
-	struct fold_again *again; /* append in flight */
+	int64_t reappend_next;
+	struct fold_reappend *again; /* append in flight */
 
 	GArray *audits; /* struct fold_audit by offset */
 	uint64_t audit_next;
@@ -182,10 +182,10 @@
 /* Brings the fold up to what peers have in force. */
 void fold_catch_up(struct fold *f);
 
-/* fold_again.c */
+/* fold_reappend.c */
 /* Appends the file in force again when its record is old or gone. */
-void fold_again_check(struct fold *f);
-void fold_again_cancel(struct fold *f);
+void fold_reappend_check(struct fold *f);
+void fold_reappend_cancel(struct fold *f);
 
 /* fold_audit.c */
 void audit_add(struct fold *f, const struct fold_audit *audit);
--- a/coord/lease.c
+++ b/coord/lease.c
@@ -395,7 +395,7 @@
 	lease_work(lease);
 }
 
-void lease_give_up(struct leases *leases, uint64_t task)
+void lease_release(struct leases *leases, uint64_t task)
 {
 	struct lease *lease = lease_find(leases, task);
 	bool held;
--- a/coord/ledger.c
+++ b/coord/ledger.c
@@ -156,7 +156,7 @@
 
 	if (reborn) {
 		ledger->incarnation = self->incarnation;
-		holder_reborn(ledger);
+		holder_reset(ledger);
 	}
 	for (guint i = 0; i < ledger->cells->len; i++) {
 		struct cell *cell = g_ptr_array_index(ledger->cells, i);
--- a/coord/ledger_holder.c
+++ b/coord/ledger_holder.c
@@ -236,7 +236,7 @@
 	}
 }
 
-void holder_reborn(struct ledger *ledger)
+void holder_reset(struct ledger *ledger)
 {
 	GArray *lost = g_array_new(FALSE, FALSE, sizeof(struct tag));
 	GHashTableIter iter;
--- a/coord/ledger_item.c
+++ b/coord/ledger_item.c
@@ -217,7 +217,7 @@
 	timer_start(&item->timer, 0);
 }
 
-void ledger_ask(struct ledger *ledger, const struct ledger_request *request)
+void ledger_submit(struct ledger *ledger, const struct ledger_request *request)
 {
 	const struct service *service;
 	struct item *item;
@@ -307,7 +307,7 @@
 	return why == RESULT_BACKEND_REFUSED && item->stream[0] == '\0';
 }
 
-void ledger_again(struct ledger *ledger, uint64_t request, enum result_code why,
+void ledger_retry(struct ledger *ledger, uint64_t request, enum result_code why,
 		  uint32_t tokens_so_far)
 {
 	struct item *item = item_find(ledger, request);
--- a/coord/ledger_parts.h
+++ b/coord/ledger_parts.h
@@ -252,6 +252,6 @@
 /* A service may have other pools now: asks go to its cell. */
 void holder_relink(struct ledger *ledger);
 /* The own incarnation was raised: what was granted before is lost. */
-void holder_reborn(struct ledger *ledger);
+void holder_reset(struct ledger *ledger);
 
 #endif
--- a/coord/limit.c
+++ b/coord/limit.c
@@ -157,7 +157,7 @@
 }
 
 static void account_allot(struct limits *limits, struct limit_account *account,
-			  int64_t now, const struct limit_ask *ask,
+			  int64_t now, const struct limit_request *ask,
 			  double share)
 {
 	account->allotment = ask->allotment;
@@ -226,8 +226,8 @@
 	account->asked_at = now;
 }
 
-bool limit_take(struct limits *limits, int64_t now, const struct limit_ask *ask,
-		struct limit_refusal *refusal)
+bool limit_take(struct limits *limits, int64_t now,
+		const struct limit_request *ask, struct limit_refusal *refusal)
 {
 	struct limit_account *account;
 	double share;
--- a/coord/limit_account.h
+++ b/coord/limit_account.h
@@ -85,7 +85,7 @@
 	bool urgent[2];
 };
 
-/* Of limit_tell.c: after units were used, here or near. */
+/* Of limit_export.c: after units were used, here or near. */
 void limit_mark_urgent(struct limits *limits,
 		       const struct limit_account *account);
 
--- a/coord/limit_tell.c
+++ b/coord/limit_tell.c
@@ -1,5 +1,5 @@
 /*
- * limit_tell.c - what instances tell each other of the use of allotments
+ * limit_export.c - what instances tell each other of the use of allotments
  */
 #include "common/clock.h"
 #include "limit_account.h"
@@ -102,8 +102,8 @@
 	return false;
 }
 
-uint32_t limit_tell(struct limits *limits, int64_t now, bool sums,
-		    struct limit_entry *entries, uint32_t most)
+uint32_t limit_export(struct limits *limits, int64_t now, bool sums,
+		      struct limit_entry *entries, uint32_t most)
 {
 	uint32_t all = limits->order.length;
 	uint32_t start = all > most ? limits->turn[sums] % all : 0;
@@ -125,7 +125,7 @@
 	return count;
 }
 
-void limit_told(struct limits *limits)
+void limit_exported(struct limits *limits)
 {
 	limits->urgent[false] = false;
 	limits->urgent[true] = false;
@@ -302,10 +302,10 @@
 	account->adopted_at = now;
 }
 
-void limit_hear(struct limits *limits, int64_t now,
-		const struct limit_source *source,
-		const struct limit_entry *entry,
-		const struct limit_allotment *allotment)
+void limit_merge(struct limits *limits, int64_t now,
+		 const struct limit_source *source,
+		 const struct limit_entry *entry,
+		 const struct limit_allotment *allotment)
 {
 	struct limit_account *account =
 		account_get(limits, now, entry->account);
--- a/coord/log_tail.c
+++ b/coord/log_tail.c
@@ -191,7 +191,7 @@
 	return tail->running;
 }
 
-void log_tail_hurry(struct log_tail *tail)
+void log_tail_retry_now(struct log_tail *tail)
 {
 	if (!tail->running || tail->read)
 		return;
--- a/coord/member.c
+++ b/coord/member.c
@@ -186,8 +186,8 @@
 	return wire->b < lowest->view.id;
 }
 
-static void buried_receive(struct membership *m, struct peer *from,
-			   const struct wire *wire)
+static void declared_dead_receive(struct membership *m, struct peer *from,
+				  const struct wire *wire)
 {
 	struct item row;
 
@@ -347,8 +347,8 @@
 		return;
 	}
 	p = peer_find(m, from);
-	if (wire.flags & WIRE_BURIED) {
-		buried_receive(m, p, &wire);
+	if (wire.flags & WIRE_DECLARED_DEAD) {
+		declared_dead_receive(m, p, &wire);
 		return;
 	}
 	p = sender_find(m, from, &wire);
--- a/coord/member_private.h
+++ b/coord/member_private.h
@@ -115,7 +115,7 @@
 #define WIRE_JOIN 8u   /* answer with the own row and hashes */
 /* The sender holds the receiver dead. a: how many of the data centre it
  * holds alive, b: the lowest of their ids. */
-#define WIRE_BURIED 16u
+#define WIRE_DECLARED_DEAD 16u
 
 enum item_kind {
 	ITEM_ROW,   /* id, incarnation, level, leaving */
--- a/coord/member_ring.c
+++ b/coord/member_ring.c
@@ -145,7 +145,7 @@
 	}
 }
 
-static bool peer_buried(const struct membership *m, const struct peer *p)
+static bool peer_declared_dead(const struct membership *m, const struct peer *p)
 {
 	return peer_local(m, p) && p->level == LEVEL_DEAD && p->confirmed &&
 	       !p->forgotten;
@@ -153,7 +153,7 @@
 
 /* After a cut within the data centre each side holds the other dead: all of
  * one side together ask about one of the other each heartbeat. */
-static void join_buried(struct membership *m)
+static void join_declared_dead(struct membership *m)
 {
 	guint members = ring_members(m)->len;
 	struct peer *found = NULL;
@@ -164,7 +164,7 @@
 	for (guint i = 0; i < m->peers->len; i++) {
 		struct peer *p = m->peers->pdata[i];
 
-		if (!peer_buried(m, p))
+		if (!peer_declared_dead(m, p))
 			continue;
 		count++;
 		if (g_rand_int_range(m->rand, 0, count) == 0)
@@ -186,7 +186,7 @@
 	p->noted = now;
 	wire_begin(m);
 	pack_row(m, p, false);
-	wire_send(m, p->view.id, WIRE_BEAT, buried ? WIRE_BURIED : 0,
+	wire_send(m, p->view.id, WIRE_BEAT, buried ? WIRE_DECLARED_DEAD : 0,
 		  buried ? ring->len : 0, buried ? lowest->view.id : 0);
 }
 
@@ -212,5 +212,5 @@
 	beat_successors(m);
 	beat_random(m);
 	join_candidates(m);
-	join_buried(m);
+	join_declared_dead(m);
 }
--- a/coord/order.c
+++ b/coord/order.c
@@ -157,7 +157,7 @@
 		if (seen)
 			continue;
 		site_stop(site);
-		lease_give_up(orders->leases, site_task(site));
+		lease_release(orders->leases, site_task(site));
 		g_ptr_array_remove_index(orders->sites, i - 1);
 	}
 }
--- a/coord/order_site.c
+++ b/coord/order_site.c
@@ -415,6 +415,6 @@
 		/* A later holder has been there: this lease is none. */
 		orders->stats.fenced++;
 		site_stop(site);
-		lease_give_up(orders->leases, site_task(site));
+		lease_release(orders->leases, site_task(site));
 	}
 }
--- a/coord/quarantine.c
+++ b/coord/quarantine.c
@@ -25,7 +25,7 @@
 
 struct quarantine {
 	struct quarantine_settings settings;
-	GHashTable *items; /* work_id to struct item */
+	GHashTable *items; /* request_fingerprint to struct item */
 	GQueue held;	   /* oldest first */
 	GQueue suspects;
 	struct proof proofs[PROOFS];
@@ -37,8 +37,8 @@
 	struct quarantine *quarantine = g_new0(struct quarantine, 1);
 
 	quarantine->settings = *settings;
-	quarantine->items = g_hash_table_new_full(work_id_hash, work_id_equal,
-						  NULL, g_free);
+	quarantine->items = g_hash_table_new_full(
+		fingerprint_hash, fingerprint_equal, NULL, g_free);
 	return quarantine;
 }
 
@@ -61,13 +61,13 @@
 }
 
 static struct item *item_find(const struct quarantine *quarantine,
-			      const struct work_id *work)
+			      const struct request_fingerprint *work)
 {
 	return g_hash_table_lookup(quarantine->items, work);
 }
 
 bool quarantine_holds(const struct quarantine *quarantine,
-		      const struct work_id *work)
+		      const struct request_fingerprint *work)
 {
 	const struct item *item = item_find(quarantine, work);
 
@@ -75,7 +75,8 @@
 }
 
 const struct quarantine_entry *
-quarantine_find(const struct quarantine *quarantine, const struct work_id *work)
+quarantine_find(const struct quarantine *quarantine,
+		const struct request_fingerprint *work)
 {
 	const struct item *item = item_find(quarantine, work);
 
@@ -112,7 +113,7 @@
 }
 
 static struct item *item_get(struct quarantine *quarantine,
-			     const struct work_id *work)
+			     const struct request_fingerprint *work)
 {
 	struct item *item = item_find(quarantine, work);
 
@@ -145,7 +146,7 @@
 
 	while (at < entry->count && entry->servers[at] < server)
 		at++;
-	if (entry->count >= QUARANTINE_ENDS_MAX ||
+	if (entry->count >= QUARANTINE_CRASHES_MAX ||
 	    (at < entry->count && entry->servers[at] == server))
 		return false;
 	for (uint32_t i = entry->count; i > at; i--)
@@ -155,13 +156,14 @@
 	return true;
 }
 
-void quarantine_prove(struct quarantine *quarantine, uint64_t mark, int64_t now)
+void quarantine_record_success(struct quarantine *quarantine, uint64_t mark,
+			       int64_t now)
 {
 	quarantine->proofs[mark % PROOFS] = (struct proof){mark, now, true};
 }
 
-bool quarantine_proved(const struct quarantine *quarantine, uint64_t mark,
-		       int64_t now)
+bool quarantine_has_succeeded(const struct quarantine *quarantine,
+			      uint64_t mark, int64_t now)
 {
 	const struct proof *proof = &quarantine->proofs[mark % PROOFS];
 
@@ -169,12 +171,13 @@
 	       now - proof->at < PROOF_USEC;
 }
 
-bool quarantine_blame(struct quarantine *quarantine, const struct work_id *work,
-		      uint64_t mark, uint64_t server, int64_t now)
+bool quarantine_record_crash(struct quarantine *quarantine,
+			     const struct request_fingerprint *work,
+			     uint64_t mark, uint64_t server, int64_t now)
 {
 	struct item *item;
 
-	if (quarantine_proved(quarantine, mark, now))
+	if (quarantine_has_succeeded(quarantine, mark, now))
 		return false;
 	item = item_get(quarantine, work);
 	if (!server_add(&item->entry, server))
@@ -183,7 +186,8 @@
 	return true;
 }
 
-bool quarantine_clear(struct quarantine *quarantine, const struct work_id *work)
+bool quarantine_clear(struct quarantine *quarantine,
+		      const struct request_fingerprint *work)
 {
 	struct item *item = item_find(quarantine, work);
 
@@ -197,7 +201,7 @@
 
 static bool is_sound(const struct quarantine_entry *entry)
 {
-	return entry->count <= QUARANTINE_ENDS_MAX &&
+	return entry->count <= QUARANTINE_CRASHES_MAX &&
 	       (entry->count > 0 || entry->epoch > 0);
 }
 
@@ -282,7 +286,7 @@
 }
 
 void quarantine_stored(struct quarantine *quarantine,
-		       const struct work_id *work, bool stored)
+		       const struct request_fingerprint *work, bool stored)
 {
 	struct item *item = item_find(quarantine, work);
 
--- a/coord/role.c
+++ b/coord/role.c
@@ -37,8 +37,8 @@
 		role->settings.dwell = ROLE_DWELL_USEC;
 	if (role->settings.smooth <= 0)
 		role->settings.smooth = role->settings.dwell / 3;
-	if (role->settings.patience <= 0)
-		role->settings.patience = role->settings.dwell / 6;
+	if (role->settings.stabilisation <= 0)
+		role->settings.stabilisation = role->settings.dwell / 6;
 	if (sane(role->settings.busy) <= 0)
 		role->settings.busy = ROLE_BUSY;
 	if (sane(role->settings.gain) <= 0)
@@ -101,7 +101,7 @@
 	if (wish != role->wanted)
 		role->wanted_since = now;
 	role->wanted = wish;
-	if (now - role->wanted_since < role->settings.patience ||
+	if (now - role->wanted_since < role->settings.stabilisation ||
 	    now < role->rest_until)
 		return ROLE_STAY;
 	if (wish != ROLE_STAY)
--- a/coord/work.c
+++ b/coord/work.c
@@ -4,12 +4,13 @@
 #include <string.h>
 #include <xxhash.h>
 
-struct work_id work_id_of(const struct work_part *parts, size_t count)
+struct request_fingerprint fingerprint_of(const struct fingerprint_part *parts,
+					  size_t count)
 {
 	GChecksum *sum = g_checksum_new(G_CHECKSUM_SHA256);
 	guint8 digest[32];
 	gsize size = sizeof(digest);
-	struct work_id id;
+	struct request_fingerprint id;
 
 	for (size_t i = 0; i < count; i++) {
 		uint64_t length = parts[i].size;
@@ -25,8 +26,8 @@
 	return id;
 }
 
-uint64_t work_mark_of(const struct work_part *parts, size_t count,
-		      uint64_t secret)
+uint64_t keyed_hash_of(const struct fingerprint_part *parts, size_t count,
+		       uint64_t secret)
 {
 	uint64_t mark = secret;
 
@@ -35,17 +36,18 @@
 	return mark;
 }
 
-bool work_id_same(const struct work_id *a, const struct work_id *b)
+bool fingerprint_same(const struct request_fingerprint *a,
+		      const struct request_fingerprint *b)
 {
 	return a->high == b->high && a->low == b->low;
 }
 
-unsigned int work_id_hash(const void *id)
+unsigned int fingerprint_hash(const void *id)
 {
-	return (unsigned int)((const struct work_id *)id)->low;
+	return (unsigned int)((const struct request_fingerprint *)id)->low;
 }
 
-int work_id_equal(const void *a, const void *b)
+int fingerprint_equal(const void *a, const void *b)
 {
-	return work_id_same(a, b);
+	return fingerprint_same(a, b);
 }
--- a/entry/directory_codec.c
+++ b/entry/directory_codec.c
@@ -26,7 +26,8 @@
 		msgpack_pack_false(packer);
 }
 
-void directory_ask_encode(const struct directory_ask *ask, GByteArray *out)
+void directory_request_encode(const struct directory_request *ask,
+			      GByteArray *out)
 {
 	msgpack_packer packer;
 
@@ -37,7 +38,7 @@
 	msgpack_pack_uint64(&packer, ask->since);
 }
 
-static const struct backend *news_next(const struct directory_news *news,
+static const struct backend *news_next(const struct directory_update *news,
 				       const struct directory *directory,
 				       uint32_t *cursor)
 {
@@ -63,7 +64,7 @@
 	bool_pack(packer, backend->listed);
 }
 
-static size_t news_count(const struct directory_news *news,
+static size_t news_count(const struct directory_update *news,
 			 const struct directory *directory)
 {
 	uint32_t cursor = 0;
@@ -74,8 +75,8 @@
 	return count;
 }
 
-void directory_news_encode(const struct directory_news *news,
-			   const struct directory *directory, GByteArray *out)
+void directory_update_encode(const struct directory_update *news,
+			     const struct directory *directory, GByteArray *out)
 {
 	const struct backend *backend;
 	msgpack_packer packer;
@@ -141,7 +142,7 @@
 static bool news_take(const msgpack_object *field, size_t count,
 		      const struct directory_codec_ops *ops, void *ctx)
 {
-	struct directory_news news;
+	struct directory_update news;
 
 	if (count != NEWS_FIELDS || !number_take(&field[1], &news.epoch) ||
 	    !number_take(&field[2], &news.since) ||
@@ -163,7 +164,7 @@
 static bool ask_take(const msgpack_object *field, size_t count,
 		     const struct directory_codec_ops *ops, void *ctx)
 {
-	struct directory_ask ask;
+	struct directory_request ask;
 
 	if (count != ASK_FIELDS || !number_take(&field[1], &ask.epoch) ||
 	    !number_take(&field[2], &ask.since))
--- a/entry/directory_sync.c
+++ b/entry/directory_sync.c
@@ -107,7 +107,7 @@
 {
 	const struct entry *entry = sync->entry;
 	GByteArray *bytes = g_byte_array_new();
-	struct directory_news news = {
+	struct directory_update news = {
 		.epoch = entry->incarnation,
 		.since = since,
 		.until = directory_changes(entry->directory),
@@ -115,7 +115,7 @@
 		.age_ms = own_age_ms(sync),
 	};
 
-	directory_news_encode(&news, entry->directory, bytes);
+	directory_update_encode(&news, entry->directory, bytes);
 	return bytes;
 }
 
@@ -126,7 +126,7 @@
 		   bytes->len);
 }
 
-static void on_ask(void *ctx, const struct directory_ask *ask)
+static void on_ask(void *ctx, const struct directory_request *ask)
 {
 	struct directory_sync *sync = ctx;
 	const struct entry *entry = sync->entry;
@@ -201,7 +201,7 @@
 }
 
 static void teller_take(struct directory_sync *sync,
-			const struct directory_news *news)
+			const struct directory_update *news)
 {
 	struct teller *teller = teller_find(sync, sync->from);
 
@@ -216,7 +216,7 @@
 	}
 }
 
-static void on_news(void *ctx, const struct directory_news *news)
+static void on_news(void *ctx, const struct directory_update *news)
 {
 	struct directory_sync *sync = ctx;
 
@@ -224,7 +224,7 @@
 		directory_begin(sync->entry->directory);
 }
 
-static void on_end(void *ctx, const struct directory_news *news)
+static void on_end(void *ctx, const struct directory_update *news)
 {
 	struct directory_sync *sync = ctx;
 	struct directory *directory = sync->entry->directory;
@@ -264,13 +264,13 @@
 static void ask_send(const struct directory_sync *sync, uint64_t to,
 		     const struct teller *teller)
 {
-	struct directory_ask ask = {
+	struct directory_request ask = {
 		.epoch = teller ? teller->epoch : 0,
 		.since = teller ? teller->until : 0,
 	};
 	GByteArray *bytes = g_byte_array_new();
 
-	directory_ask_encode(&ask, bytes);
+	directory_request_encode(&ask, bytes);
 	bytes_send(sync, to, bytes);
 	g_byte_array_unref(bytes);
 }
--- a/entry/main.c
+++ b/entry/main.c
@@ -53,7 +53,7 @@
 	entry_drain(entry);
 }
 
-static void on_turn(void *ctx, int64_t gap_usec)
+static void on_iteration(void *ctx, int64_t gap_usec)
 {
 	entry_paused(ctx, gap_usec);
 	log_flush();
@@ -76,7 +76,7 @@
 	entry->drain = drain_create(entry);
 	loop_on_signal(entry->loop, SIGTERM, on_signal, entry);
 	loop_on_signal(entry->loop, SIGINT, on_signal, entry);
-	loop_on_turn(entry->loop, on_turn, entry);
+	loop_on_iteration(entry->loop, on_iteration, entry);
 	log_event(LOG_NOTICE, "started", LOG_S("version", JT_VERSION),
 		  LOG_S("name", entry->settings.name),
 		  LOG_S("data_centre", entry->settings.data_centre),
--- a/entry/request_forward.c
+++ b/entry/request_forward.c
@@ -122,7 +122,7 @@
 	return !request->forwarded && forward_send(request, data_centre);
 }
 
-bool request_forward_again(struct request *request)
+bool request_forward_next(struct request *request)
 {
 	char data_centre[MEMBER_NAME_MAX];
 
--- a/entry/request_join.c
+++ b/entry/request_join.c
@@ -117,7 +117,7 @@
 			     "a request with this key was claimed before");
 		return;
 	}
-	if (request->away[0] && request_forward_again(request))
+	if (request->away[0] && request_forward_next(request))
 		return;
 	request_ask_later(request);
 }
--- a/entry/request_model.c
+++ b/entry/request_model.c
@@ -79,7 +79,7 @@
 	prefill_waste(request);
 	request->stream[0] = '\0';
 	request->state = REQUEST_ASKING;
-	ledger_again(request->entry->ledger, request->id, request->last_code,
+	ledger_retry(request->entry->ledger, request->id, request->last_code,
 		     request->tokens);
 }
 
--- a/entry/request_start.c
+++ b/entry/request_start.c
@@ -46,7 +46,7 @@
 
 	memcpy(ask.need.blocks, request->blocks, sizeof(ask.need.blocks));
 	request->state = REQUEST_ASKING;
-	ledger_ask(request->entry->ledger, &ask);
+	ledger_submit(request->entry->ledger, &ask);
 }
 
 void request_ask_later(struct request *request)
@@ -84,7 +84,7 @@
 			double rate, uint32_t sharers, int64_t *retry_after)
 {
 	struct limit_refusal refusal;
-	const struct limit_ask ask = {
+	const struct limit_request ask = {
 		.account = account,
 		.allotment = {rate, MAX(rate * RATE_BURST_SEC, 1.0)},
 		.units = 1.0,
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -176,7 +176,7 @@
 	lease_want(instances[0].leases, LOAD_MODEL);
 	run(RUN_USEC);
 	lease_want(instances[1].leases, LOAD_MODEL);
-	lease_give_up(instances[0].leases, LOAD_MODEL);
+	lease_release(instances[0].leases, LOAD_MODEL);
 	run(RUN_USEC);
 
 	instances_destroy();
--- a/forward/admit.c
+++ b/forward/admit.c
@@ -56,7 +56,7 @@
 }
 
 static void refused_log(const struct request *request,
-			const struct limit_ask *ask,
+			const struct limit_request *ask,
 			const struct limit_refusal *refusal)
 {
 	log_event(LOG_INFO, "over_allotment",
@@ -78,7 +78,7 @@
 	const struct forward_parts *parts = &request->forward->parts;
 	const struct caller_request *caller = &request->caller;
 	struct limit_refusal refusal;
-	struct limit_ask ask = {
+	struct limit_request ask = {
 		.account = organisation->id,
 		.allotment = organisation->allotment,
 		.units = organisation_units(organisation,
@@ -112,7 +112,7 @@
 	return !request->organisation || allotment_take(request);
 }
 
-void request_unadmit(struct request *request)
+void request_refund(struct request *request)
 {
 	/* A prompt that was read counts, whatever came of it. */
 	if (request->units > 0.0 && request->runs == 0 &&
--- a/forward/ended.c
+++ b/forward/ended.c
@@ -15,7 +15,7 @@
 	struct backend_info server;
 	uint64_t key;
 	char *health_path;
-	GArray *works; /* struct lost_work, not yet judged */
+	GArray *works; /* struct request_identity, not yet judged */
 	struct web_call *call;
 	struct timer timer;
 	int64_t began;
@@ -23,7 +23,7 @@
 };
 
 struct ended {
-	struct ended_parts parts;
+	struct crash_detector_parts parts;
 	GHashTable *checks; /* key to struct check */
 };
 
@@ -45,7 +45,7 @@
 	g_free(check);
 }
 
-struct ended *ended_create(const struct ended_parts *parts)
+struct ended *crash_detector_create(const struct crash_detector_parts *parts)
 {
 	struct ended *ended = g_new0(struct ended, 1);
 
@@ -55,7 +55,7 @@
 	return ended;
 }
 
-void ended_destroy(struct ended *ended)
+void crash_detector_destroy(struct ended *ended)
 {
 	if (!ended)
 		return;
@@ -70,21 +70,22 @@
 
 static void works_report(struct check *check)
 {
-	const struct ended_parts *parts = &check->ended->parts;
+	const struct crash_detector_parts *parts = &check->ended->parts;
 
 	for (guint i = 0; i < check->works->len; i++)
 		parts->fn(parts->ctx, &check->server,
-			  &g_array_index(check->works, struct lost_work, i));
+			  &g_array_index(check->works, struct request_identity,
+					 i));
 	g_array_set_size(check->works, 0);
 }
 
 static void check_log(const struct check *check, enum check_result result)
 {
-	const struct ended_parts *parts = &check->ended->parts;
+	const struct crash_detector_parts *parts = &check->ended->parts;
 
 	log_event(LOG_NOTICE, "server_checked",
 		  LOG_S("backend", check->server.id),
-		  LOG_D("born", check->server.born),
+		  LOG_D("born", check->server.started_ms),
 		  LOG_S("result", result_names[result]),
 		  LOG_D("requests", check->works->len),
 		  LOG_D("after_ms", (clock_now(parts->clock) - check->began) /
@@ -97,7 +98,7 @@
 {
 	check->sure = true;
 	works_report(check);
-	timer_start(&check->timer, ENDED_WATCH_USEC);
+	timer_start(&check->timer, CRASH_WATCH_USEC);
 }
 
 /* What the list says goes before an answer under the same id, which may be the
@@ -107,7 +108,8 @@
 {
 	const struct fleet *fleet = check->ended->parts.fleet;
 
-	if (fleet_born(fleet, check->server.id) > check->server.born)
+	if (fleet_started_ms(fleet, check->server.id) >
+	    check->server.started_ms)
 		return CHECK_ENDED;
 	if (result == CHECK_UNKNOWN && !fleet_find(fleet, check->key))
 		return CHECK_ENDED;
@@ -117,7 +119,7 @@
 static void on_checked(void *ctx, enum check_result result)
 {
 	struct check *check = ctx;
-	const struct ended_parts *parts = &check->ended->parts;
+	const struct crash_detector_parts *parts = &check->ended->parts;
 
 	check->call = NULL;
 	result = check_judge(check, result);
@@ -125,7 +127,7 @@
 	if (result == CHECK_ENDED)
 		check_settle(check);
 	else if (result == CHECK_ALIVE ||
-		 clock_now(parts->clock) - check->began >= ENDED_WATCH_USEC)
+		 clock_now(parts->clock) - check->began >= CRASH_WATCH_USEC)
 		check_drop(check);
 	else
 		timer_start(&check->timer, AGAIN_USEC);
@@ -134,7 +136,7 @@
 /* Waits for the end of the server's backoff. */
 static void check_ask(struct check *check)
 {
-	const struct ended_parts *parts = &check->ended->parts;
+	const struct crash_detector_parts *parts = &check->ended->parts;
 	const struct backend_ops *ops = parts->backends;
 	const struct backend *backend = fleet_find(parts->fleet, check->key);
 	int64_t now = clock_now(parts->clock);
@@ -171,7 +173,8 @@
 	check->server = *server;
 	check->key = key;
 	check->health_path = g_strdup(health_path);
-	check->works = g_array_new(FALSE, FALSE, sizeof(struct lost_work));
+	check->works =
+		g_array_new(FALSE, FALSE, sizeof(struct request_identity));
 	check->began = clock_now(ended->parts.clock);
 	timer_init(&check->timer, ended->parts.clock, on_timer, check);
 	g_hash_table_insert(ended->checks, &check->key, check);
@@ -187,8 +190,10 @@
 	return backend && backend_leaving(backend);
 }
 
-void ended_suspect(struct ended *ended, const struct backend_info *server,
-		   const char *health_path, const struct lost_work *lost)
+void crash_detector_check(struct ended *ended,
+			  const struct backend_info *server,
+			  const char *health_path,
+			  const struct request_identity *lost)
 {
 	uint64_t key = backend_key(server);
 	struct check *check = g_hash_table_lookup(ended->checks, &key);
--- a/forward/ended.h
+++ b/forward/ended.h
@@ -8,7 +8,7 @@
  *	connection. It has ended if nothing listens there any more, if another
  *	life answers or is listed, or if the list has dropped it and it does not
  *	answer. An answer clears it, and so does that it was leaving anyway.
- *	One that cannot be reached is asked again for ENDED_WATCH_USEC; if
+ *	One that cannot be reached is asked again for CRASH_WATCH_USEC; if
  *	nothing is sure by then, nothing is held against the request.
  *
  *	Requests lost at one life of a server share one check.
@@ -22,34 +22,36 @@
 
 /* A server that has fallen silent leaves the list three heartbeats, some four
  * seconds, after its last one. */
-#define ENDED_WATCH_USEC (6 * USEC_PER_SEC)
+#define CRASH_WATCH_USEC (6 * USEC_PER_SEC)
 
 struct ended;
 
 /* A request as it is known to coord/quarantine.h. */
-struct lost_work {
-	struct work_id work;
+struct request_identity {
+	struct request_fingerprint work;
 	uint64_t mark;
 };
 
 /* The life of the server ended while it ran the work. */
-typedef void (*ended_fn)(void *ctx, const struct backend_info *server,
-			 const struct lost_work *lost);
+typedef void (*crash_fn)(void *ctx, const struct backend_info *server,
+			 const struct request_identity *lost);
 
-struct ended_parts {
+struct crash_detector_parts {
 	struct clock *clock;
 	const struct fleet *fleet;
 	const struct backend_ops *backends; /* must outlive it */
-	ended_fn fn;
+	crash_fn fn;
 	void *ctx;
 };
 
-struct ended *ended_create(const struct ended_parts *parts);
+struct ended *crash_detector_create(const struct crash_detector_parts *parts);
 /* Checks under way are given up. */
-void ended_destroy(struct ended *ended);
+void crash_detector_destroy(struct ended *ended);
 /* A request of that work lost its connection to the server. health_path is the
  * service's. */
-void ended_suspect(struct ended *ended, const struct backend_info *server,
-		   const char *health_path, const struct lost_work *lost);
+void crash_detector_check(struct ended *ended,
+			  const struct backend_info *server,
+			  const char *health_path,
+			  const struct request_identity *lost);
 
 #endif
--- a/forward/feed.c
+++ b/forward/feed.c
@@ -233,7 +233,7 @@
 	feed->call = NULL;
 }
 
-void feed_hurry(struct feed *feed)
+void feed_restart(struct feed *feed)
 {
 	call_abandon(feed);
 	feed_next(feed);
--- a/forward/fleet.c
+++ b/forward/fleet.c
@@ -52,7 +52,7 @@
 	GPtrArray *all;
 	GPtrArray *charged;
 	GPtrArray *avoided;    /* and some that were reached since */
-	uint32_t near;	       /* servers in this data centre */
+	uint32_t local;	       /* servers in this data centre */
 	GHashTable *evacuated; /* data centre to struct evacuation */
 	GHashTable *regions;   /* data centre to the region's name */
 	uint32_t group;
@@ -75,17 +75,17 @@
 /* The latest one that was listed of an id. */
 struct life {
 	char id[BACKEND_TEXT_MAX];
-	int64_t born;
+	int64_t started_ms;
 };
 
 uint64_t backend_key(const struct backend_info *info)
 {
 	char text[BACKEND_TEXT_MAX + 24];
 
-	if (info->born == 0)
+	if (info->started_ms == 0)
 		return id_of(info->id);
 	g_snprintf(text, sizeof(text), "%s %" G_GINT64_FORMAT, info->id,
-		   info->born);
+		   info->started_ms);
 	return id_of(text);
 }
 
@@ -95,7 +95,7 @@
 	return strcmp(a->id, b->id) == 0 &&
 	       strcmp(a->address, b->address) == 0 &&
 	       strcmp(a->data_centre, b->data_centre) == 0 &&
-	       a->born == b->born && a->service == b->service &&
+	       a->started_ms == b->started_ms && a->service == b->service &&
 	       a->stage == b->stage && a->slots == b->slots &&
 	       a->leaving == b->leaving;
 }
@@ -208,7 +208,7 @@
 		  LOG_S("address", backend->info.address),
 		  LOG_S("data_centre", backend->info.data_centre),
 		  LOG_S("stage", stages[backend->info.stage]),
-		  LOG_D("born", backend->info.born),
+		  LOG_D("born", backend->info.started_ms),
 		  LOG_D("leaving", backend->info.leaving));
 }
 
@@ -243,11 +243,11 @@
 	const char *region = g_hash_table_lookup(fleet->regions, centre);
 
 	backend->region = region ? id_of(region) : 0;
-	fleet->near -= backend->near;
-	backend->near = strcmp(centre, fleet->data_centre) == 0;
-	fleet->near += backend->near;
+	fleet->local -= backend->local;
+	backend->local = strcmp(centre, fleet->data_centre) == 0;
+	fleet->local += backend->local;
 	backend->ours =
-		backend->near && backend->key % fleet->groups == fleet->group;
+		backend->local && backend->key % fleet->groups == fleet->group;
 	backend->evacuated = g_hash_table_contains(fleet->evacuated, centre);
 }
 
@@ -313,7 +313,7 @@
 		g_ptr_array_remove_fast(fleet->charged, backend);
 	if (backend->avoid_listed)
 		g_ptr_array_remove_fast(fleet->avoided, backend);
-	fleet->near -= backend->near;
+	fleet->local -= backend->local;
 	table_remove(fleet->table, backend->handle);
 }
 
@@ -328,7 +328,7 @@
 {
 	struct life *life = g_hash_table_lookup(fleet->lives, info->id);
 
-	if (info->born == 0)
+	if (info->started_ms == 0)
 		return;
 	if (!life) {
 		if (g_hash_table_size(fleet->lives) >= LIVES_MAX)
@@ -338,26 +338,26 @@
 		g_strlcpy(life->id, info->id, sizeof(life->id));
 		g_hash_table_insert(fleet->lives, life->id, life);
 	}
-	life->born = info->born;
+	life->started_ms = info->started_ms;
 }
 
-int64_t fleet_born(const struct fleet *fleet, const char *id)
+int64_t fleet_started_ms(const struct fleet *fleet, const char *id)
 {
 	const struct life *life = g_hash_table_lookup(fleet->lives, id);
 
-	return life ? life->born : 0;
+	return life ? life->started_ms : 0;
 }
 
 struct backend *fleet_put(struct fleet *fleet, const struct backend_info *info)
 {
 	struct backend *backend = fleet_find_id(fleet, info->id);
 
-	if (info->born < fleet_born(fleet, info->id)) {
+	if (info->started_ms < fleet_started_ms(fleet, info->id)) {
 		if (backend)
 			backend->listed = true;
 		return NULL;
 	}
-	if (backend && backend->info.born != info->born) {
+	if (backend && backend->info.started_ms != info->started_ms) {
 		backend_drop(fleet, backend);
 		backend = NULL;
 	}
@@ -588,14 +588,14 @@
 /* Whether half of the servers near cannot be reached. */
 static bool is_cut_off(const struct fleet *fleet, int64_t now)
 {
-	uint32_t lost = 0;
+	uint32_t unreachable = 0;
 
 	for (guint i = 0; i < fleet->avoided->len; i++) {
 		const struct backend *backend = fleet->avoided->pdata[i];
 
-		lost += backend->near && is_lost(backend, now);
+		unreachable += backend->local && is_lost(backend, now);
 	}
-	return lost * 2 >= MAX(fleet->near, 1u);
+	return unreachable * 2 >= MAX(fleet->local, 1u);
 }
 
 static void reached_drop(struct fleet *fleet)
@@ -610,8 +610,9 @@
 	}
 }
 
-uint32_t fleet_lost(struct fleet *fleet, struct backend_lost *lost,
-		    uint32_t most)
+uint32_t fleet_unreachable(struct fleet *fleet,
+			   struct unreachable_backend *unreachable,
+			   uint32_t most)
 {
 	int64_t now = clock_now(fleet->clock);
 	uint32_t count = 0;
@@ -621,25 +622,26 @@
 		const struct backend *backend = fleet->avoided->pdata[i];
 
 		if (is_lost(backend, now))
-			lost[count++] = (struct backend_lost){
+			unreachable[count++] = (struct unreachable_backend){
 				backend->key, backend->avoid_until - now};
 	}
 	return count > 0 && is_cut_off(fleet, now) ? 0 : count;
 }
 
-void fleet_hear_lost(struct fleet *fleet, uint64_t peer,
-		     const struct backend_lost *lost)
+void fleet_merge_unreachable(struct fleet *fleet, uint64_t peer,
+			     const struct unreachable_backend *unreachable)
 {
-	struct backend *backend = fleet_find(fleet, lost->key);
+	struct backend *backend = fleet_find(fleet, unreachable->key);
 	int64_t now = clock_now(fleet->clock);
-	int64_t until = now + MIN(lost->left_usec, AVOID_MAX_USEC);
+	int64_t until = now + MIN(unreachable->left_usec, AVOID_MAX_USEC);
 
 	if (!backend)
 		return;
-	if (backend->lost_by != peer && now < backend->lost_until)
+	if (backend->unreachable_reporter != peer &&
+	    now < backend->unreachable_until)
 		backend->avoid_until = MAX(backend->avoid_until, until);
-	backend->lost_by = peer;
-	backend->lost_until = until;
+	backend->unreachable_reporter = peer;
+	backend->unreachable_until = until;
 }
 
 bool backend_leaving(const struct backend *backend)
@@ -678,7 +680,7 @@
 	if (news)
 		log_event(LOG_NOTICE, "backend_cold",
 			  LOG_S("backend", backend->info.id),
-			  LOG_D("born", backend->info.born),
+			  LOG_D("born", backend->info.started_ms),
 			  LOG_D("ms", left_usec / USEC_PER_MSEC));
 	backend->cold_until = MAX(backend->cold_until, until);
 	return news;
@@ -711,29 +713,29 @@
 	       part_of(backend->peers.prefill_tokens);
 }
 
-double backend_trouble(const struct backend *backend, int64_t now)
+double backend_failure_score(const struct backend *backend, int64_t now)
 {
-	double age = (double)(now - backend->trouble_at);
+	double age = (double)(now - backend->failure_score_at);
 
-	return backend->trouble * exp2(-age / (double)TROUBLE_HALF_USEC);
+	return backend->failure_score * exp2(-age / (double)TROUBLE_HALF_USEC);
 }
 
 void backend_try(struct backend *backend, int64_t now)
 {
 	if (backend->avoided > 0)
 		backend->avoid_until = now + TRIAL_USEC;
-	if (backend_suspect(backend))
+	if (backend_refusing(backend))
 		backend->changing_until = now + REFUSED_REST_USEC;
 }
 
-bool backend_suspect(const struct backend *backend)
+bool backend_refusing(const struct backend *backend)
 {
 	return backend->refusals >= REFUSALS_MAX;
 }
 
 void backend_began(struct backend *backend)
 {
-	if (backend_suspect(backend))
+	if (backend_refusing(backend))
 		backend->changing_until = 0;
 	backend->refusals = 0;
 }
@@ -741,7 +743,7 @@
 void backend_run_refused(struct backend *backend, int64_t now)
 {
 	backend->refusals++;
-	if (!backend_suspect(backend))
+	if (!backend_refusing(backend))
 		return;
 	backend->changing_until =
 		MAX(backend->changing_until, now + REFUSED_REST_USEC);
@@ -750,15 +752,15 @@
 
 void backend_full(struct backend *backend, int64_t now, int64_t stale)
 {
-	int64_t rest = FULL_USEC << MIN(backend->fulls, 1u);
+	int64_t rest = FULL_USEC << MIN(backend->full_count, 1u);
 
 	backend->full_until = now + MAX(rest, stale);
-	backend->fulls++;
+	backend->full_count++;
 }
 
 void backend_granted(struct backend *backend)
 {
-	backend->fulls = 0;
+	backend->full_count = 0;
 }
 
 void backend_reached(struct backend *backend)
@@ -769,15 +771,16 @@
 
 void backend_succeeded(struct backend *backend, int64_t now)
 {
-	backend->trouble = backend_trouble(backend, now) * TROUBLE_SUCCESS;
-	backend->trouble_at = now;
+	backend->failure_score =
+		backend_failure_score(backend, now) * TROUBLE_SUCCESS;
+	backend->failure_score_at = now;
 	backend_reached(backend);
 }
 
 void backend_failed(struct backend *backend, int64_t now)
 {
-	backend->trouble = backend_trouble(backend, now) + 1.0;
-	backend->trouble_at = now;
+	backend->failure_score = backend_failure_score(backend, now) + 1.0;
+	backend->failure_score_at = now;
 }
 
 void backend_unreachable(struct backend *backend, int64_t now)
--- a/forward/forward.c
+++ b/forward/forward.c
@@ -69,15 +69,15 @@
 
 static void ended_open(struct forward *forward)
 {
-	const struct ended_parts parts = {
+	const struct crash_detector_parts parts = {
 		.clock = forward->parts.clock,
 		.fleet = forward->parts.fleet,
 		.backends = &forward->parts.backends,
-		.fn = quarantine_server_ended,
+		.fn = quarantine_server_crashed,
 		.ctx = forward,
 	};
 
-	forward->ended_servers = ended_create(&parts);
+	forward->crash_detector = crash_detector_create(&parts);
 }
 
 struct forward *forward_create(const struct forward_parts *parts)
@@ -111,7 +111,7 @@
 		request_break(request, "the process stops");
 	timer_stop(&forward->pump);
 	forward->parts.backends.watch(forward->parts.backends.ctx, NULL, NULL);
-	ended_destroy(forward->ended_servers);
+	crash_detector_destroy(forward->crash_detector);
 	table_destroy(forward->requests);
 	g_hash_table_destroy(forward->demand);
 	g_hash_table_destroy(forward->counted);
@@ -177,7 +177,7 @@
 	demand = g_new0(struct demand, 1);
 	demand->service = service;
 	demand->at = clock_now(forward->parts.clock);
-	median_init(&demand->rates.read, READ_RATE_START);
+	median_init(&demand->rates.read, PREFILL_RATE_START);
 	g_hash_table_insert(forward->demand, &demand->service, demand);
 	return demand;
 }
@@ -216,7 +216,7 @@
 		out->prompt_tokens_per_s =
 			demand_decayed(demand, now) / demand_sec(forward, now);
 		if (demand->rates.read.samples >= RATE_SAMPLES)
-			out->read_rate = demand->rates.read.value;
+			out->prefill_rate = demand->rates.read.value;
 	}
 	for (GList *link = forward->waiting.head; link; link = link->next) {
 		const struct request *request = link->data;
--- a/forward/gossip.c
+++ b/forward/gossip.c
@@ -35,7 +35,7 @@
 
 	address_print(from, address);
 	if (gossip_decode(&message, data, size, &err))
-		gossip_hear(gossip, address, &message);
+		gossip_receive(gossip, address, &message);
 	else
 		log_event(LOG_NOTICE, "datagram_malformed",
 			  LOG_S("from", address), LOG_S("reason", err.text));
@@ -71,7 +71,7 @@
 
 static void on_soon(struct timer *timer, void *ctx)
 {
-	gossip_tell_changes(ctx);
+	gossip_send_changes(ctx);
 }
 
 static void on_timer(struct timer *timer, void *ctx)
@@ -79,7 +79,7 @@
 	struct gossip *gossip = ctx;
 
 	peers_update(gossip);
-	gossip_tell_due(gossip);
+	gossip_send_due(gossip);
 	timer_start(timer, GOSSIP_USEC);
 }
 
@@ -128,8 +128,8 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, peer_free);
 	gossip->centres = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						centre_free);
-	gossip->near = g_ptr_array_new();
-	gossip->far = g_ptr_array_new();
+	gossip->local = g_ptr_array_new();
+	gossip->remote = g_ptr_array_new();
 	gossip->receivers = g_ptr_array_new();
 	gossip->last = g_array_new(FALSE, TRUE, sizeof(struct gossip_load));
 	gossip->socket = h2o_evloop_socket_create(loop_h2o(loop), fd,
@@ -138,16 +138,16 @@
 	h2o_socket_read_start(gossip->socket, on_readable);
 	gossip->at_once = (struct allowance){AT_ONCE_PER_SEC, AT_ONCE_SAVED,
 					     AT_ONCE_SAVED, gossip_now(gossip)};
-	gossip->at_once_far =
+	gossip->at_once_remote =
 		(struct allowance){AT_ONCE_FAR_PER_SEC, AT_ONCE_FAR_SAVED,
 				   AT_ONCE_FAR_SAVED, gossip_now(gossip)};
-	gossip->delay_near = (double)GOSSIP_USEC;
-	gossip->delay_far = (double)GOSSIP_USEC;
+	gossip->delay_local = (double)GOSSIP_USEC;
+	gossip->delay_remote = (double)GOSSIP_USEC;
 	timer_init(&gossip->soon, gossip->clock, on_soon, gossip);
 	timer_init(&gossip->timer, gossip->clock, on_timer, gossip);
 	timer_start(&gossip->timer, 0);
-	gossip_works_start(gossip);
-	gossip_uses_start(gossip);
+	gossip_quarantine_start(gossip);
+	gossip_usage_start(gossip);
 	return gossip;
 }
 
@@ -157,13 +157,13 @@
 		return;
 	timer_stop(&gossip->timer);
 	timer_stop(&gossip->soon);
-	gossip_works_stop(gossip);
-	gossip_uses_stop(gossip);
+	gossip_quarantine_stop(gossip);
+	gossip_usage_stop(gossip);
 	h2o_socket_read_stop(gossip->socket);
 	h2o_socket_close(gossip->socket);
 	g_ptr_array_unref(gossip->receivers);
-	g_ptr_array_unref(gossip->far);
-	g_ptr_array_unref(gossip->near);
+	g_ptr_array_unref(gossip->remote);
+	g_ptr_array_unref(gossip->local);
 	g_hash_table_destroy(gossip->peers);
 	g_hash_table_destroy(gossip->centres);
 	g_array_unref(gossip->last);
--- a/forward/gossip_codec.c
+++ b/forward/gossip_codec.c
@@ -16,7 +16,7 @@
 		.loads = g_array_new(FALSE, TRUE, sizeof(struct gossip_load)),
 		.works = g_array_new(FALSE, TRUE,
 				     sizeof(struct quarantine_entry)),
-		.uses = g_array_new(FALSE, TRUE, sizeof(struct limit_entry)),
+		.usage = g_array_new(FALSE, TRUE, sizeof(struct limit_entry)),
 		.facts = g_array_new(FALSE, TRUE,
 				     sizeof(struct backpressure_fact)),
 		.addresses =
@@ -37,10 +37,10 @@
 	g_array_unref(message->loads);
 	g_array_unref(message->addresses);
 	g_array_unref(message->works);
-	g_array_unref(message->uses);
+	g_array_unref(message->usage);
 	g_array_unref(message->facts);
 	message->facts = NULL;
-	message->uses = NULL;
+	message->usage = NULL;
 	message->loads = NULL;
 	message->works = NULL;
 	message->addresses = NULL;
@@ -78,7 +78,7 @@
 
 static void works_pack(msgpack_packer *packer, const GArray *works)
 {
-	guint count = MIN(works->len, GOSSIP_WORKS_MAX);
+	guint count = MIN(works->len, GOSSIP_QUARANTINE_MAX);
 
 	msgpack_pack_array(packer, count);
 	for (guint i = 0; i < count; i++)
@@ -86,14 +86,14 @@
 			  &g_array_index(works, struct quarantine_entry, i));
 }
 
-static void uses_pack(msgpack_packer *packer, const GArray *uses)
+static void uses_pack(msgpack_packer *packer, const GArray *usage)
 {
-	guint count = MIN(uses->len, GOSSIP_USES_MAX);
+	guint count = MIN(usage->len, GOSSIP_USAGE_MAX);
 
 	msgpack_pack_array(packer, count);
 	for (guint i = 0; i < count; i++) {
 		const struct limit_entry *use =
-			&g_array_index(uses, struct limit_entry, i);
+			&g_array_index(usage, struct limit_entry, i);
 
 		msgpack_pack_array(packer, USE_FIELDS);
 		msgpack_pack_uint64(packer, use->account);
@@ -134,7 +134,7 @@
 			  &g_array_index(facts, struct backpressure_fact, i));
 }
 
-static void ask_pack(msgpack_packer *packer, const struct permit_ask *ask)
+static void ask_pack(msgpack_packer *packer, const struct permit_request *ask)
 {
 	msgpack_pack_array(packer, ASK_FIELDS);
 	msgpack_pack_uint64(packer, ask->id);
@@ -152,13 +152,13 @@
 			   CLAMP(answer->retry_usec, 0, RETRY_USEC_MAX));
 }
 
-static void share_word_pack(msgpack_packer *packer,
-			    const struct share_word *word)
+static void mirror_status_pack(msgpack_packer *packer,
+			       const struct mirror_status *summary)
 {
 	msgpack_pack_array(packer, SHARE_FIELDS);
-	msgpack_pack_uint64(packer, word->next);
-	msgpack_pack_uint64(packer, word->changed);
-	msgpack_pack_int64(packer, word->age_usec);
+	msgpack_pack_uint64(packer, summary->next);
+	msgpack_pack_uint64(packer, summary->changed);
+	msgpack_pack_int64(packer, summary->age_usec);
 }
 
 static void address_pack(msgpack_packer *packer, const char *text)
@@ -177,11 +177,11 @@
 }
 
 static void changing_pack(msgpack_packer *packer,
-			  const struct gossip_word *word)
+			  const struct gossip_summary *summary)
 {
-	msgpack_pack_array(packer, word->changing_count);
-	for (uint32_t i = 0; i < word->changing_count; i++) {
-		const struct backend_change *change = &word->changing[i];
+	msgpack_pack_array(packer, summary->changing_count);
+	for (uint32_t i = 0; i < summary->changing_count; i++) {
+		const struct backend_change *change = &summary->changing[i];
 
 		msgpack_pack_array(packer, CHANGE_FIELDS);
 		msgpack_pack_uint64(packer, change->key);
@@ -191,74 +191,77 @@
 	}
 }
 
-static void lost_pack(msgpack_packer *packer, const struct gossip_word *word)
+static void lost_pack(msgpack_packer *packer,
+		      const struct gossip_summary *summary)
 {
-	msgpack_pack_array(packer, word->lost_count);
-	for (uint32_t i = 0; i < word->lost_count; i++) {
+	msgpack_pack_array(packer, summary->unreachable_count);
+	for (uint32_t i = 0; i < summary->unreachable_count; i++) {
 		msgpack_pack_array(packer, LOST_FIELDS);
-		msgpack_pack_uint64(packer, word->lost[i].key);
-		msgpack_pack_uint32(packer, (uint32_t)(word->lost[i].left_usec /
-						       USEC_PER_MSEC));
+		msgpack_pack_uint64(packer, summary->unreachable[i].key);
+		msgpack_pack_uint32(
+			packer, (uint32_t)(summary->unreachable[i].left_usec /
+					   USEC_PER_MSEC));
 	}
 }
 
 static uint8_t flags_of(const struct gossip_message *message)
 {
-	return (message->word.leaving ? FLAG_LEAVING : 0) |
-	       (message->word.storeless ? FLAG_STORELESS : 0) |
-	       (message->first.storeless ? FLAG_FIRST_STORELESS : 0);
+	return (message->summary.leaving ? FLAG_LEAVING : 0) |
+	       (message->summary.store_unreachable ? FLAG_STORE_UNREACHABLE
+						   : 0) |
+	       (message->first.store_unreachable ? FLAG_FIRST_STORELESS : 0);
 }
 
 static void word_pack(msgpack_packer *packer,
 		      const struct gossip_message *message)
 {
-	const struct gossip_word *word = &message->word;
+	const struct gossip_summary *summary = &message->summary;
 	guint addresses = MIN(message->addresses->len, GOSSIP_ADDRESSES_MAX);
 
 	pack_text(packer, message->name);
 	pack_text(packer, message->group);
-	msgpack_pack_uint64(packer, word->version);
-	msgpack_pack_uint64(packer, (uint64_t)word->demand);
-	msgpack_pack_uint32(packer, word->waiting);
-	msgpack_pack_uint64(packer, (uint64_t)word->read_rates);
-	msgpack_pack_uint32(packer, word->read_raters);
+	msgpack_pack_uint64(packer, summary->version);
+	msgpack_pack_uint64(packer, (uint64_t)summary->demand);
+	msgpack_pack_uint32(packer, summary->waiting);
+	msgpack_pack_uint64(packer, (uint64_t)summary->prefill_rates);
+	msgpack_pack_uint32(packer, summary->prefill_rate_count);
 	msgpack_pack_uint8(packer, flags_of(message));
-	changing_pack(packer, word);
-	msgpack_pack_array(packer, GOSSIP_SHARES);
-	for (int i = 0; i < GOSSIP_SHARES; i++)
-		share_word_pack(packer, &word->shares[i]);
+	changing_pack(packer, summary);
+	msgpack_pack_array(packer, GOSSIP_MIRRORS);
+	for (int i = 0; i < GOSSIP_MIRRORS; i++)
+		mirror_status_pack(packer, &summary->mirrors[i]);
 	pack_text(packer, message->first.name);
 	msgpack_pack_array(packer, addresses);
 	for (guint i = 0; i < addresses; i++)
 		address_pack(packer, g_array_index(message->addresses,
 						   struct gossip_address, i)
 					     .text);
-	uses_pack(packer, message->uses);
-	lost_pack(packer, word);
+	uses_pack(packer, message->usage);
+	lost_pack(packer, summary);
 	facts_pack(packer, message->facts);
 }
 
 void gossip_encode(const struct gossip_message *message, GByteArray *out)
 {
-	bool word = message->kind < GOSSIP_CHANGES;
+	bool summary = message->kind < GOSSIP_CHANGES;
 	msgpack_packer packer;
 
 	msgpack_packer_init(&packer, out, pack_append);
-	msgpack_pack_array(&packer, word ? WORD_FIELDS : CHANGES_FIELDS);
+	msgpack_pack_array(&packer, summary ? WORD_FIELDS : CHANGES_FIELDS);
 	msgpack_pack_int(&packer, GOSSIP_FORMAT);
 	msgpack_pack_int(&packer, (int)message->kind);
 	msgpack_pack_uint64(&packer, message->boot);
 	msgpack_pack_uint64(&packer, message->sequence);
-	if (message->kind == GOSSIP_WORKS)
+	if (message->kind == GOSSIP_QUARANTINE)
 		works_pack(&packer, message->works);
-	else if (message->kind == GOSSIP_USES)
-		uses_pack(&packer, message->uses);
-	else if (message->kind == GOSSIP_ASK)
+	else if (message->kind == GOSSIP_USAGE)
+		uses_pack(&packer, message->usage);
+	else if (message->kind == GOSSIP_PERMIT_REQUEST)
 		ask_pack(&packer, &message->ask);
-	else if (message->kind == GOSSIP_ANSWER)
+	else if (message->kind == GOSSIP_PERMIT_ANSWER)
 		answer_pack(&packer, &message->answer);
 	else
 		loads_pack(&packer, message->loads);
-	if (word)
+	if (summary)
 		word_pack(&packer, message);
 }
--- a/forward/gossip_codec.h
+++ b/forward/gossip_codec.h
@@ -38,21 +38,21 @@
 #define GOSSIP_ADDRESSES_MAX 1024u
 /* Fit a datagram that is not cut into pieces (1,400 bytes) when each names
  * three servers. */
-#define GOSSIP_WORKS_MAX 24u
+#define GOSSIP_QUARANTINE_MAX 24u
 
 /* Organisations told in one datagram; others follow in turn. Fit one of 1,400
  * bytes. */
-#define GOSSIP_USES_MAX 48u
+#define GOSSIP_USAGE_MAX 48u
 
 enum gossip_kind {
-	GOSSIP_OWN,	/* an instance's word, with its own loads */
-	GOSSIP_CENTRE,	/* with the loads of all its data centre */
-	GOSSIP_CHANGES, /* of its own loads since the last one */
-	GOSSIP_USES,	/* of allotments: its own to peers near, its data
-			   centre's to others */
-	GOSSIP_ASK,	/* for a permit */
-	GOSSIP_ANSWER,	/* to that */
-	GOSSIP_WORKS,	/* in the quarantine */
+	GOSSIP_OWN,	       /* an instance's word, with its own loads */
+	GOSSIP_CENTRE,	       /* with the loads of all its data centre */
+	GOSSIP_CHANGES,	       /* of its own loads since the last one */
+	GOSSIP_USAGE,	       /* of allotments: its own to peers near, its data
+				  centre's to others */
+	GOSSIP_PERMIT_REQUEST, /* for a permit */
+	GOSSIP_PERMIT_ANSWER,  /* to that */
+	GOSSIP_QUARANTINE,     /* in the quarantine */
 };
 
 /* A data centre's name, and which group of it. */
@@ -66,7 +66,7 @@
 /* What a data centre's lowest name is, for gossip_lowest(). */
 struct gossip_first {
 	char name[BACKEND_TEXT_MAX]; /* of those that reach the store, if any */
-	bool storeless;		     /* none does */
+	bool store_unreachable;	     /* none does */
 };
 
 struct gossip_address {
@@ -78,14 +78,14 @@
 	uint64_t boot;
 	uint64_t sequence;
 	GArray *loads; /* struct gossip_load */
-	GArray *works; /* struct quarantine_entry, of GOSSIP_WORKS only */
-	GArray *uses;  /* struct limit_entry, of words and GOSSIP_USES */
-	struct permit_ask ask;	     /* of GOSSIP_ASK only */
-	struct permit_answer answer; /* of GOSSIP_ANSWER only */
+	GArray *works; /* struct quarantine_entry, of GOSSIP_QUARANTINE only */
+	GArray *usage; /* struct limit_entry, of words and GOSSIP_USAGE */
+	struct permit_request ask;   /* of GOSSIP_PERMIT_REQUEST only */
+	struct permit_answer answer; /* of GOSSIP_PERMIT_ANSWER only */
 	/* What follows is empty in changes. */
 	char name[BACKEND_TEXT_MAX];
 	char group[GOSSIP_GROUP_MAX]; /* of the sender */
-	struct gossip_word word;
+	struct gossip_summary summary;
 	struct gossip_first first; /* of a data centre */
 	/* struct gossip_address: other instances; of a data centre all that
 	 * live there. */
--- a/forward/gossip_decode.c
+++ b/forward/gossip_decode.c
@@ -77,7 +77,7 @@
 static bool servers_read(const msgpack_object *object,
 			 struct quarantine_entry *entry)
 {
-	if (!is_array(object, QUARANTINE_ENDS_MAX))
+	if (!is_array(object, QUARANTINE_CRASHES_MAX))
 		return false;
 	entry->count = object->via.array.size;
 	for (uint32_t i = 0; i < entry->count; i++)
@@ -109,7 +109,7 @@
 
 static bool works_read(const msgpack_object *object, GArray *works)
 {
-	if (!is_array(object, GOSSIP_WORKS_MAX))
+	if (!is_array(object, GOSSIP_QUARANTINE_MAX))
 		return false;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
 		struct quarantine_entry entry = {0};
@@ -141,16 +141,16 @@
 	return true;
 }
 
-static bool uses_read(const msgpack_object *object, GArray *uses)
+static bool uses_read(const msgpack_object *object, GArray *usage)
 {
-	if (!is_array(object, GOSSIP_USES_MAX))
+	if (!is_array(object, GOSSIP_USAGE_MAX))
 		return false;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
 		struct limit_entry use;
 
 		if (!use_read(&object->via.array.ptr[i], &use))
 			return false;
-		g_array_append_val(uses, use);
+		g_array_append_val(usage, use);
 	}
 	return true;
 }
@@ -199,7 +199,7 @@
 	return true;
 }
 
-static bool ask_read(const msgpack_object *object, struct permit_ask *ask)
+static bool ask_read(const msgpack_object *object, struct permit_request *ask)
 {
 	return is_tuple(object, ASK_FIELDS) &&
 	       number_read(&object->via.array.ptr[0], UINT64_MAX, &ask->id) &&
@@ -226,8 +226,8 @@
 	return true;
 }
 
-static bool share_word_read(const msgpack_object *object,
-			    struct share_word *word)
+static bool mirror_status_read(const msgpack_object *object,
+			       struct mirror_status *summary)
 {
 	const msgpack_object *fields;
 	uint64_t age;
@@ -235,25 +235,26 @@
 	if (!is_tuple(object, SHARE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &word->next) ||
-	    !number_read(&fields[1], UINT64_MAX, &word->changed))
+	if (!number_read(&fields[0], UINT64_MAX, &summary->next) ||
+	    !number_read(&fields[1], UINT64_MAX, &summary->changed))
 		return false;
-	word->age_usec = -1;
+	summary->age_usec = -1;
 	if (fields[2].type == MSGPACK_OBJECT_NEGATIVE_INTEGER)
 		return true;
 	if (!number_read(&fields[2], INT64_MAX / 2, &age))
 		return false;
-	word->age_usec = (int64_t)age;
+	summary->age_usec = (int64_t)age;
 	return true;
 }
 
-static bool shares_read(const msgpack_object *object, struct gossip_word *word)
+static bool mirrors_read(const msgpack_object *object,
+			 struct gossip_summary *summary)
 {
-	if (!is_tuple(object, GOSSIP_SHARES))
+	if (!is_tuple(object, GOSSIP_MIRRORS))
 		return false;
-	for (int i = 0; i < GOSSIP_SHARES; i++)
-		if (!share_word_read(&object->via.array.ptr[i],
-				     &word->shares[i]))
+	for (int i = 0; i < GOSSIP_MIRRORS; i++)
+		if (!mirror_status_read(&object->via.array.ptr[i],
+					&summary->mirrors[i]))
 			return false;
 	return true;
 }
@@ -311,33 +312,36 @@
 }
 
 static bool changing_read(const msgpack_object *object,
-			  struct gossip_word *word)
+			  struct gossip_summary *summary)
 {
 	if (!is_array(object, GOSSIP_CHANGING_MAX))
 		return false;
-	word->changing_count = object->via.array.size;
-	for (uint32_t i = 0; i < word->changing_count; i++)
-		if (!change_read(&object->via.array.ptr[i], &word->changing[i]))
+	summary->changing_count = object->via.array.size;
+	for (uint32_t i = 0; i < summary->changing_count; i++)
+		if (!change_read(&object->via.array.ptr[i],
+				 &summary->changing[i]))
 			return false;
 	return true;
 }
 
-static bool lost_read(const msgpack_object *object, struct gossip_word *word)
+static bool lost_read(const msgpack_object *object,
+		      struct gossip_summary *summary)
 {
-	if (!is_array(object, GOSSIP_LOST_MAX))
+	if (!is_array(object, GOSSIP_UNREACHABLE_MAX))
 		return false;
-	word->lost_count = object->via.array.size;
-	for (uint32_t i = 0; i < word->lost_count; i++) {
+	summary->unreachable_count = object->via.array.size;
+	for (uint32_t i = 0; i < summary->unreachable_count; i++) {
 		const msgpack_object *one = &object->via.array.ptr[i];
 		uint64_t left;
 
 		if (!is_tuple(one, LOST_FIELDS) ||
 		    !number_read(&one->via.array.ptr[0], UINT64_MAX,
-				 &word->lost[i].key) ||
+				 &summary->unreachable[i].key) ||
 		    !number_read(&one->via.array.ptr[1], CHANGE_MSEC_MAX,
 				 &left))
 			return false;
-		word->lost[i].left_usec = (int64_t)left * USEC_PER_MSEC;
+		summary->unreachable[i].left_usec =
+			(int64_t)left * USEC_PER_MSEC;
 	}
 	return true;
 }
@@ -353,27 +357,27 @@
 
 	if (!unpack_text(&fields[0], message->name, sizeof(message->name)) ||
 	    !unpack_text(&fields[1], message->group, sizeof(message->group)) ||
-	    !number_read(&fields[2], UINT64_MAX, &message->word.version) ||
+	    !number_read(&fields[2], UINT64_MAX, &message->summary.version) ||
 	    !number_read(&fields[3], UINT32_MAX, &demand) ||
 	    !number_read(&fields[4], UINT32_MAX, &waiting) ||
 	    !number_read(&fields[5], RATES_MAX, &rates) ||
 	    !number_read(&fields[6], UINT32_MAX, &raters) ||
 	    !number_read(&fields[7], FLAGS_ALL, &flags) ||
-	    !changing_read(&fields[8], &message->word))
+	    !changing_read(&fields[8], &message->summary))
 		return false;
-	message->word.demand = (double)demand;
-	message->word.waiting = (uint32_t)waiting;
-	message->word.read_rates = (double)rates;
-	message->word.read_raters = (uint32_t)raters;
-	message->word.leaving = flags & FLAG_LEAVING;
-	message->word.storeless = flags & FLAG_STORELESS;
-	message->first.storeless = flags & FLAG_FIRST_STORELESS;
-	return shares_read(&fields[9], &message->word) &&
+	message->summary.demand = (double)demand;
+	message->summary.waiting = (uint32_t)waiting;
+	message->summary.prefill_rates = (double)rates;
+	message->summary.prefill_rate_count = (uint32_t)raters;
+	message->summary.leaving = flags & FLAG_LEAVING;
+	message->summary.store_unreachable = flags & FLAG_STORE_UNREACHABLE;
+	message->first.store_unreachable = flags & FLAG_FIRST_STORELESS;
+	return mirrors_read(&fields[9], &message->summary) &&
 	       unpack_text(&fields[10], message->first.name,
 			   sizeof(message->first.name)) &&
 	       addresses_read(&fields[11], message) &&
-	       uses_read(&fields[12], message->uses) &&
-	       lost_read(&fields[13], &message->word) &&
+	       uses_read(&fields[12], message->usage) &&
+	       lost_read(&fields[13], &message->summary) &&
 	       facts_read(&fields[14], message->facts);
 }
 
@@ -382,13 +386,13 @@
 		       struct gossip_message *message)
 {
 	switch (message->kind) {
-	case GOSSIP_WORKS:
+	case GOSSIP_QUARANTINE:
 		return works_read(body, message->works);
-	case GOSSIP_USES:
-		return uses_read(body, message->uses);
-	case GOSSIP_ASK:
+	case GOSSIP_USAGE:
+		return uses_read(body, message->usage);
+	case GOSSIP_PERMIT_REQUEST:
 		return ask_read(body, &message->ask);
-	case GOSSIP_ANSWER:
+	case GOSSIP_PERMIT_ANSWER:
 		return answer_read(body, &message->answer);
 	default:
 		return false;
@@ -406,7 +410,7 @@
 	    object->via.array.size < CHANGES_FIELDS ||
 	    !number_read(&fields[0], GOSSIP_FORMAT, &format) ||
 	    format != GOSSIP_FORMAT ||
-	    !number_read(&fields[1], GOSSIP_WORKS, &kind) ||
+	    !number_read(&fields[1], GOSSIP_QUARANTINE, &kind) ||
 	    !number_read(&fields[2], UINT64_MAX, &message->boot) ||
 	    !number_read(&fields[3], UINT64_MAX, &message->sequence))
 		return false;
--- a/forward/gossip_fields.h
+++ b/forward/gossip_fields.h
@@ -26,9 +26,9 @@
 /* Of all instances together, far beyond any engine. */
 #define RATES_MAX ((uint64_t)1 << 48)
 #define FLAG_LEAVING 1u
-#define FLAG_STORELESS 2u
+#define FLAG_STORE_UNREACHABLE 2u
 #define FLAG_FIRST_STORELESS 4u
-#define FLAGS_ALL (FLAG_LEAVING | FLAG_STORELESS | FLAG_FIRST_STORELESS)
+#define FLAGS_ALL (FLAG_LEAVING | FLAG_STORE_UNREACHABLE | FLAG_FIRST_STORELESS)
 /* Largest load that is taken for one: tokens of all requests that a data centre
  * may have at one server. */
 #define LOAD_MAX (1 << 30)
--- a/forward/gossip_hear.c
+++ b/forward/gossip_hear.c
@@ -1,5 +1,5 @@
 /*
- * gossip_hear.c - what becomes of a datagram of a peer
+ * gossip_receive.c - what becomes of a datagram of a peer
  */
 #include "common/log.h"
 #include "gossip_private.h"
@@ -18,19 +18,20 @@
 static void own_take(struct gossip *gossip, struct peer *peer,
 		     const struct gossip_message *message)
 {
-	peer->leaving = message->word.leaving;
-	if (peer_near(gossip, peer)) {
-		g_free(peer->word);
-		peer->word = g_memdup2(&message->word, sizeof(message->word));
+	peer->leaving = message->summary.leaving;
+	if (peer_is_local(gossip, peer)) {
+		g_free(peer->summary);
+		peer->summary =
+			g_memdup2(&message->summary, sizeof(message->summary));
 		loads_replace(gossip, peer->loads, message->loads);
 		gossip->centre_revision++;
 	}
 	for (guint i = 0; i < message->addresses->len; i++)
-		gossip_meet(gossip,
-			    g_array_index(message->addresses,
-					  struct gossip_address, i)
-				    .text,
-			    NULL);
+		gossip_add_peer(gossip,
+				g_array_index(message->addresses,
+					      struct gossip_address, i)
+					.text,
+				NULL);
 }
 
 /* All that live in another data centre. */
@@ -45,7 +46,7 @@
 
 		if (!peer)
 			peer = peer_add(gossip, address);
-		if (peer && !peer_near(gossip, peer))
+		if (peer && !peer_is_local(gossip, peer))
 			peer_heard(gossip, peer, message->group);
 	}
 }
@@ -55,7 +56,7 @@
 {
 	struct centre *centre;
 
-	if (peer_near(gossip, peer))
+	if (peer_is_local(gossip, peer))
 		return;
 	centre = centre_get(gossip, message->group);
 	if (centre->heard == GOSSIP_NEVER ||
@@ -64,10 +65,10 @@
 			  LOG_S("data_centre", centre->name),
 			  LOG_S("peer", message->name));
 	centre->heard = gossip_now(gossip);
-	centre->left = message->word.leaving && message->addresses->len == 0;
-	centre->total = message->word;
+	centre->left = message->summary.leaving && message->addresses->len == 0;
+	centre->total = message->summary;
 	centre->first = message->first;
-	peer->leaving = message->word.leaving;
+	peer->leaving = message->summary.leaving;
 	loads_replace(gossip, centre->loads, message->loads);
 	members_take(gossip, message);
 }
@@ -75,7 +76,7 @@
 static void changes_take(struct gossip *gossip, struct peer *peer,
 			 const struct gossip_message *message)
 {
-	if (peer_near(gossip, peer)) {
+	if (peer_is_local(gossip, peer)) {
 		loads_change(gossip, peer->loads, message->loads);
 		gossip->centre_revision++;
 	} else {
@@ -87,7 +88,7 @@
 static void word_take(struct gossip *gossip, struct peer *peer,
 		      const struct gossip_message *message)
 {
-	if (!peer_live(gossip, peer) && !message->word.leaving)
+	if (!peer_live(gossip, peer) && !message->summary.leaving)
 		log_event(LOG_INFO, "peer_live", LOG_S("peer", message->name),
 			  LOG_S("address", peer->address));
 	g_strlcpy(peer->name, message->name, sizeof(peer->name));
@@ -96,30 +97,32 @@
 		own_take(gossip, peer, message);
 	else
 		centre_take(gossip, peer, message);
-	gossip_facts_hear(gossip, message->facts);
+	gossip_facts_receive(gossip, message->facts);
 	/* A word of oneself to somebody elsewhere, as a stranger tells it, is
 	 * no sum of its data centre. */
-	if (message->kind == GOSSIP_CENTRE || peer_near(gossip, peer))
-		gossip_uses_hear(gossip, peer, message->uses);
-	gossip->ops.heard(gossip->ctx, peer->address, peer_near(gossip, peer),
-			  &message->word);
+	if (message->kind == GOSSIP_CENTRE || peer_is_local(gossip, peer))
+		gossip_usage_receive(gossip, peer, message->usage);
+	gossip->ops.heard(gossip->ctx, peer->address,
+			  peer_is_local(gossip, peer), &message->summary);
 }
 
 static bool is_permit(const struct gossip_message *message)
 {
-	return message->kind == GOSSIP_ASK || message->kind == GOSSIP_ANSWER;
+	return message->kind == GOSSIP_PERMIT_REQUEST ||
+	       message->kind == GOSSIP_PERMIT_ANSWER;
 }
 
-void gossip_hear(struct gossip *gossip, const char *from,
-		 const struct gossip_message *message)
+void gossip_receive(struct gossip *gossip, const char *from,
+		    const struct gossip_message *message)
 {
 	struct peer *peer = g_hash_table_lookup(gossip->peers, from);
 	bool starts;
 
 	/* Works are the same in whatever order they come. */
-	if (message->kind == GOSSIP_WORKS) {
-		gossip_works_hear(gossip, peer && peer_near(gossip, peer),
-				  message->works);
+	if (message->kind == GOSSIP_QUARANTINE) {
+		gossip_quarantine_receive(gossip,
+					  peer && peer_is_local(gossip, peer),
+					  message->works);
 		return;
 	}
 	if (!peer && (message->kind < GOSSIP_CHANGES || is_permit(message)))
@@ -127,7 +130,7 @@
 	/* They answer each other, by their numbers: of an instance elsewhere
 	 * nothing else may have come yet. */
 	if (peer && is_permit(message)) {
-		gossip_permit_hear(gossip, peer, message);
+		gossip_permit_receive(gossip, peer, message);
 		return;
 	}
 	if (!peer || !is_news(peer, message))
@@ -138,12 +141,12 @@
 	if (message->kind < GOSSIP_CHANGES) {
 		word_take(gossip, peer, message);
 		if (starts && peer_live(gossip, peer))
-			gossip_works_greet(gossip, peer);
+			gossip_quarantine_send(gossip, peer);
 		return;
 	}
 	peer->heard = gossip_now(gossip);
-	if (message->kind == GOSSIP_USES)
-		gossip_uses_hear(gossip, peer, message->uses);
+	if (message->kind == GOSSIP_USAGE)
+		gossip_usage_receive(gossip, peer, message->usage);
 	else
 		changes_take(gossip, peer, message);
 }
--- a/forward/gossip_loads.c
+++ b/forward/gossip_loads.c
@@ -133,8 +133,8 @@
 
 	loads_own(gossip, own);
 	list_add_all(out, index, own, 1);
-	for (guint i = 0; i < gossip->near->len; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	for (guint i = 0; i < gossip->local->len; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 
 		list_add_applied(gossip, out, index, peer->loads);
 	}
--- a/forward/gossip_peers.c
+++ b/forward/gossip_peers.c
@@ -22,7 +22,7 @@
 	struct peer *peer = data;
 
 	g_array_unref(peer->loads);
-	g_free(peer->word);
+	g_free(peer->summary);
 	g_free(peer);
 }
 
@@ -44,14 +44,14 @@
 	peer->met = gossip_now(gossip);
 	peer->heard = GOSSIP_NEVER;
 	peer->told = GOSSIP_NEVER;
-	peer->told_addresses = GOSSIP_NEVER;
+	peer->addresses_sent_at = GOSSIP_NEVER;
 	peer->loads = g_array_new(FALSE, FALSE, sizeof(struct applied));
 	g_hash_table_insert(gossip->peers, peer->address, peer);
 	return peer;
 }
 
-void gossip_meet(struct gossip *gossip, const char *address,
-		 const char *data_centre)
+void gossip_add_peer(struct gossip *gossip, const char *address,
+		     const char *data_centre)
 {
 	struct peer *peer = NULL;
 
@@ -75,25 +75,26 @@
 	group_print(peer->group, data_centre, gossip->groups, peer->key);
 }
 
-bool peer_near(const struct gossip *gossip, const struct peer *peer)
+bool peer_is_local(const struct gossip *gossip, const struct peer *peer)
 {
 	return strcmp(peer->group, gossip->group) == 0;
 }
 
 bool peer_live(const struct gossip *gossip, const struct peer *peer)
 {
-	int64_t stale = peer_near(gossip, peer) ? GOSSIP_STALE_USEC
-						: gossip_members_stale(gossip);
+	int64_t stale = peer_is_local(gossip, peer)
+				? GOSSIP_STALE_USEC
+				: gossip_members_stale(gossip);
 
 	return peer->heard != GOSSIP_NEVER && !peer->leaving &&
 	       gossip_now(gossip) - peer->heard < stale;
 }
 
-const struct gossip_word *peer_word(const struct peer *peer)
+const struct gossip_summary *peer_summary(const struct peer *peer)
 {
-	static const struct gossip_word none;
+	static const struct gossip_summary none;
 
-	return peer->word ? peer->word : &none;
+	return peer->summary ? peer->summary : &none;
 }
 
 void peer_heard(struct gossip *gossip, struct peer *peer, const char *group)
@@ -196,8 +197,8 @@
 	GHashTableIter iter;
 	struct peer *peer;
 
-	g_ptr_array_set_size(gossip->near, 0);
-	g_ptr_array_set_size(gossip->far, 0);
+	g_ptr_array_set_size(gossip->local, 0);
+	g_ptr_array_set_size(gossip->remote, 0);
 	gossip->live = 0;
 	g_hash_table_iter_init(&iter, gossip->peers);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&peer)) {
@@ -207,15 +208,15 @@
 		group_guess(gossip, peer);
 		if (!peer->group[0])
 			continue;
-		if (peer_near(gossip, peer)) {
-			g_ptr_array_add(gossip->near, peer);
+		if (peer_is_local(gossip, peer)) {
+			g_ptr_array_add(gossip->local, peer);
 			continue;
 		}
-		g_ptr_array_add(gossip->far, peer);
+		g_ptr_array_add(gossip->remote, peer);
 		/* Its own group tells of it now. */
 		loads_take_off(gossip, peer->loads);
-		g_free(peer->word);
-		peer->word = NULL;
+		g_free(peer->summary);
+		peer->summary = NULL;
 		if (live)
 			g_ptr_array_add(centre_get(gossip, peer->group)->peers,
 					peer);
@@ -229,8 +230,8 @@
 	uint64_t own = id_mix(to->key, gossip->key);
 	uint32_t before = 0;
 
-	for (guint i = 0; i < gossip->near->len && before < TELLERS; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	for (guint i = 0; i < gossip->local->len && before < TELLERS; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 
 		before += peer_live(gossip, peer) &&
 			  id_mix(to->key, peer->key) > own;
@@ -241,15 +242,15 @@
 /* Changes when an instance comes or goes. */
 static uint64_t keys_sum(const struct gossip *gossip)
 {
-	uint64_t sum = gossip->far->len + 1;
+	uint64_t sum = gossip->remote->len + 1;
 
-	for (guint i = 0; i < gossip->near->len; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	for (guint i = 0; i < gossip->local->len; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 
 		sum += peer_live(gossip, peer) ? peer->key : 0;
 	}
-	for (guint i = 0; i < gossip->far->len; i++)
-		sum += ((const struct peer *)gossip->far->pdata[i])->key;
+	for (guint i = 0; i < gossip->remote->len; i++)
+		sum += ((const struct peer *)gossip->remote->pdata[i])->key;
 	return sum;
 }
 
@@ -261,10 +262,10 @@
 		return;
 	gossip->receivers_of = sum;
 	g_ptr_array_set_size(gossip->receivers, 0);
-	for (guint i = 0; i < gossip->far->len; i++)
-		if (is_teller(gossip, gossip->far->pdata[i]))
+	for (guint i = 0; i < gossip->remote->len; i++)
+		if (is_teller(gossip, gossip->remote->pdata[i]))
 			g_ptr_array_add(gossip->receivers,
-					gossip->far->pdata[i]);
+					gossip->remote->pdata[i]);
 }
 
 void peers_update(struct gossip *gossip)
--- a/forward/gossip_permits.c
+++ b/forward/gossip_permits.c
@@ -16,10 +16,10 @@
 	g_array_append_vals(facts, some, count);
 }
 
-void gossip_facts_hear(struct gossip *gossip, const GArray *facts)
+void gossip_facts_receive(struct gossip *gossip, const GArray *facts)
 {
-	for (guint i = 0; gossip->ops.fact_heard && i < facts->len; i++)
-		gossip->ops.fact_heard(
+	for (guint i = 0; gossip->ops.fact_received && i < facts->len; i++)
+		gossip->ops.fact_received(
 			gossip->ctx,
 			&g_array_index(facts, struct backpressure_fact, i));
 }
@@ -67,7 +67,7 @@
 	if (here && may_be)
 		home_offer(&home, gossip->key, NULL);
 	if (here)
-		home_offer_peers(gossip, &home, gossip->near);
+		home_offer_peers(gossip, &home, gossip->local);
 	g_hash_table_iter_init(&iter, gossip->centres);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
 		if (group_within(centre->name, data_centre))
@@ -76,8 +76,8 @@
 		return home;
 	if (may_be)
 		home_offer(&home, gossip->key, NULL);
-	home_offer_peers(gossip, &home, gossip->near);
-	home_offer_peers(gossip, &home, gossip->far);
+	home_offer_peers(gossip, &home, gossip->local);
+	home_offer_peers(gossip, &home, gossip->remote);
 	return home;
 }
 
@@ -99,8 +99,9 @@
 	gossip_message_clear(message);
 }
 
-bool gossip_ask(struct gossip *gossip, const struct permit_ask *ask,
-		const char *data_centre, bool may_be)
+bool gossip_request_permit(struct gossip *gossip,
+			   const struct permit_request *ask,
+			   const char *data_centre, bool may_be)
 {
 	struct home home =
 		home_find(gossip, ask->fact.server, data_centre, may_be);
@@ -108,30 +109,30 @@
 
 	if (!home.peer)
 		return false;
-	message_begin(gossip, &message, GOSSIP_ASK);
+	message_begin(gossip, &message, GOSSIP_PERMIT_REQUEST);
 	message.ask = *ask;
 	message_send(gossip, &message, home.peer);
 	return true;
 }
 
 static void ask_hear(struct gossip *gossip, const struct peer *peer,
-		     const struct permit_ask *ask)
+		     const struct permit_request *ask)
 {
 	struct gossip_message message;
 
-	if (!gossip->ops.permit_asked)
+	if (!gossip->ops.permit_requested)
 		return;
-	message_begin(gossip, &message, GOSSIP_ANSWER);
+	message_begin(gossip, &message, GOSSIP_PERMIT_ANSWER);
 	message.answer.id = ask->id;
 	message.answer.server = ask->fact.server;
-	gossip->ops.permit_asked(gossip->ctx, ask, &message.answer);
+	gossip->ops.permit_requested(gossip->ctx, ask, &message.answer);
 	message_send(gossip, &message, peer);
 }
 
-void gossip_permit_hear(struct gossip *gossip, const struct peer *peer,
-			const struct gossip_message *message)
+void gossip_permit_receive(struct gossip *gossip, const struct peer *peer,
+			   const struct gossip_message *message)
 {
-	if (message->kind == GOSSIP_ASK)
+	if (message->kind == GOSSIP_PERMIT_REQUEST)
 		ask_hear(gossip, peer, &message->ask);
 	else if (gossip->ops.permit_answered)
 		gossip->ops.permit_answered(gossip->ctx, &message->answer);
--- a/forward/gossip_private.h
+++ b/forward/gossip_private.h
@@ -21,11 +21,11 @@
 	int64_t met;
 	int64_t heard; /* of it; GOSSIP_NEVER */
 	int64_t told;  /* GOSSIP_NEVER */
-	int64_t told_addresses;
-	uint64_t told_revision; /* of own loads, or the data centre's */
+	int64_t addresses_sent_at;
+	uint64_t sent_revision; /* of own loads, or the data centre's */
 	bool leaving;
 	/* Told by a near peer last, or NULL. */
-	struct gossip_word *word;
+	struct gossip_summary *summary;
 	GArray *loads; /* of a near peer, struct applied */
 };
 
@@ -35,7 +35,7 @@
 	char name[GOSSIP_GROUP_MAX];
 	int64_t heard;
 	bool left; /* nobody is there any more */
-	struct gossip_word total;
+	struct gossip_summary total;
 	struct gossip_first first;
 	GArray *loads;	  /* struct applied */
 	GPtrArray *peers; /* struct peer, those that live there */
@@ -73,28 +73,28 @@
 	uint32_t live;		  /* peers, as of then */
 	uint32_t centres_live;	  /* other groups, likewise */
 	uint32_t rank;		  /* gossip_rank(), likewise */
-	bool storeless;		  /* of the own word, as told last */
-	GPtrArray *near;	  /* struct peer of the same group */
-	GPtrArray *far;		  /* struct peer of others */
+	bool store_unreachable;	  /* of the own word, as told last */
+	GPtrArray *local;	  /* struct peer of the same group */
+	GPtrArray *remote;	  /* struct peer of others */
 	GPtrArray *receivers;	  /* those of far that this instance tells */
 	uint64_t receivers_of;	  /* sum of the peers' keys that they follow */
 	GArray *last;		  /* struct gossip_load, as told last */
 	uint64_t revision;	  /* of these, rises when they change */
 	uint64_t centre_revision; /* of the loads of the data centre */
 	int64_t changed_at;
-	struct allowance at_once;     /* to those that use the server */
-	struct allowance at_once_far; /* to others elsewhere */
+	struct allowance at_once;	 /* to those that use the server */
+	struct allowance at_once_remote; /* to others elsewhere */
 	struct gossip_traffic traffic;
-	double delay_near; /* mean time from a change to its telling, usec */
-	double delay_far;
-	struct timer soon; /* a change is told when it runs out */
-	GArray *news_own;  /* struct quarantine_entry, found here */
-	GArray *news_near; /* heard from peers near */
+	double delay_local; /* mean time from a change to its telling, usec */
+	double delay_remote;
+	struct timer soon;	/* a change is told when it runs out */
+	GArray *findings_own;	/* struct quarantine_entry, found here */
+	GArray *findings_local; /* heard from peers near */
 	struct timer works_soon;
 	struct timer works_timer;
 	uint32_t works_turn; /* which peer is told next */
 	struct timer uses_soon;
-	int64_t uses_told; /* apart from words */
+	int64_t usage_sent; /* apart from words */
 	uint64_t sequence;
 	uint32_t spread; /* which addresses to pass on next */
 	struct timer timer;
@@ -114,10 +114,10 @@
 /* Heard of lately, and not leaving. */
 bool peer_live(const struct gossip *gossip, const struct peer *peer);
 /* In the same group; also false when its group is not known. */
-bool peer_near(const struct gossip *gossip, const struct peer *peer);
+bool peer_is_local(const struct gossip *gossip, const struct peer *peer);
 bool centre_live(const struct gossip *gossip, const struct centre *centre);
 /* What a near peer told last; all zero when it has told nothing yet. */
-const struct gossip_word *peer_word(const struct peer *peer);
+const struct gossip_summary *peer_summary(const struct peer *peer);
 /* Drops what is too old, and sorts peers into near, far and receivers; with
  * many peers not at each call. */
 void peers_update(struct gossip *gossip);
@@ -139,15 +139,15 @@
 /* Follows the number of instances. */
 void groups_update(struct gossip *gossip);
 
-/* Of gossip_hear.c: takes in what came from an address. */
-void gossip_hear(struct gossip *gossip, const char *from,
-		 const struct gossip_message *message);
+/* Of gossip_receive.c: takes in what came from an address. */
+void gossip_receive(struct gossip *gossip, const char *from,
+		    const struct gossip_message *message);
 
 /* Of gossip_tell.c. */
 /* Tells those whose time it is. */
-void gossip_tell_due(struct gossip *gossip);
+void gossip_send_due(struct gossip *gossip);
 /* Tells of loads that have changed, as far as the allowances last. */
-void gossip_tell_changes(struct gossip *gossip);
+void gossip_send_changes(struct gossip *gossip);
 
 void peer_send(struct gossip *gossip, const struct peer *peer,
 	       const GByteArray *out);
@@ -158,30 +158,31 @@
 		   enum gossip_kind kind);
 
 /* Of gossip_works.c. */
-void gossip_works_start(struct gossip *gossip);
-void gossip_works_stop(struct gossip *gossip);
+void gossip_quarantine_start(struct gossip *gossip);
+void gossip_quarantine_stop(struct gossip *gossip);
 /* Tells a peer that has started, or was silent, at once. */
-void gossip_works_greet(struct gossip *gossip, const struct peer *peer);
+void gossip_quarantine_send(struct gossip *gossip, const struct peer *peer);
 /* Takes in the works that a peer told. */
-void gossip_works_hear(struct gossip *gossip, bool near, const GArray *works);
+void gossip_quarantine_receive(struct gossip *gossip, bool local,
+			       const GArray *works);
 
 /* Of gossip_uses.c. */
-void gossip_uses_start(struct gossip *gossip);
-void gossip_uses_stop(struct gossip *gossip);
+void gossip_usage_start(struct gossip *gossip);
+void gossip_usage_stop(struct gossip *gossip);
 /* Adds what is used of allotments here, or with sums in the data centre. */
-void gossip_uses_add(struct gossip *gossip, bool sums, GArray *uses);
+void gossip_usage_add(struct gossip *gossip, bool sums, GArray *usage);
 /* Takes in what a peer told of them. */
-void gossip_uses_hear(struct gossip *gossip, const struct peer *peer,
-		      const GArray *uses);
+void gossip_usage_receive(struct gossip *gossip, const struct peer *peer,
+			  const GArray *usage);
 
 /* Of gossip_permits.c. */
 /* Adds what servers ask for. */
 void gossip_facts_add(struct gossip *gossip, GArray *facts);
 /* Takes in what a peer told of them. */
-void gossip_facts_hear(struct gossip *gossip, const GArray *facts);
+void gossip_facts_receive(struct gossip *gossip, const GArray *facts);
 /* Answers a peer that asks, or takes its answer. */
-void gossip_permit_hear(struct gossip *gossip, const struct peer *peer,
-			const struct gossip_message *message);
+void gossip_permit_receive(struct gossip *gossip, const struct peer *peer,
+			   const struct gossip_message *message);
 
 /* Of gossip_view.c. */
 /* How long what another group told counts, and who it said lives there. */
@@ -192,15 +193,18 @@
 /* gossip_rank(), computed anew. */
 uint32_t gossip_rank_find(const struct gossip *gossip);
 /* The lowest name of this data centre. */
-void gossip_first_near(const struct gossip *gossip, bool storeless,
-		       bool leaving, struct gossip_first *first);
+void gossip_first_local(const struct gossip *gossip, bool store_unreachable,
+			bool leaving, struct gossip_first *first);
 /* What near peers told, added up with this instance's own word. */
-void gossip_total_near(const struct gossip *gossip, struct gossip_word *total);
+void gossip_total_local(const struct gossip *gossip,
+			struct gossip_summary *total);
 /* Adds the servers that change their role and those out of reach, as this
  * instance knows them; or the former as all near know them, for those
  * elsewhere. */
-void gossip_servers_own(const struct gossip *gossip, struct gossip_word *word);
-void gossip_servers_near(const struct gossip *gossip, struct gossip_word *word);
+void gossip_servers_own(const struct gossip *gossip,
+			struct gossip_summary *summary);
+void gossip_servers_local(const struct gossip *gossip,
+			  struct gossip_summary *summary);
 
 /* Of gossip_loads.c. */
 /* Takes off what a peer or data centre told. */
--- a/forward/gossip_tell.c
+++ b/forward/gossip_tell.c
@@ -40,14 +40,15 @@
  * not read the store learns of all peers from one. */
 static void address_add(struct gossip *gossip, struct gossip_message *message)
 {
-	guint size = gossip->near->len + gossip->far->len;
+	guint size = gossip->local->len + gossip->remote->len;
 
 	for (guint i = 0; i < MIN(size, ADDRESS_TRIES); i++) {
 		guint at = gossip->spread++ % size;
 		const struct peer *peer =
-			at < gossip->near->len
-				? gossip->near->pdata[at]
-				: gossip->far->pdata[at - gossip->near->len];
+			at < gossip->local->len
+				? gossip->local->pdata[at]
+				: gossip->remote
+					  ->pdata[at - gossip->local->len];
 
 		if (!peer_live(gossip, peer))
 			continue;
@@ -88,17 +89,17 @@
 	struct gossip_message message;
 
 	message_begin(gossip, &message, GOSSIP_OWN);
-	gossip->ops.word(gossip->ctx, &message.word);
-	gossip->storeless = message.word.storeless;
-	gossip_servers_own(gossip, &message.word);
+	gossip->ops.summary(gossip->ctx, &message.summary);
+	gossip->store_unreachable = message.summary.store_unreachable;
+	gossip_servers_own(gossip, &message.summary);
 	g_strlcpy(message.first.name, message.name, sizeof(message.first.name));
 	loads_own(gossip, message.loads);
 	address_add(gossip, &message);
-	gossip_uses_add(gossip, false, message.uses);
+	gossip_usage_add(gossip, false, message.usage);
 	gossip_facts_add(gossip, message.facts);
 	gossip_encode(&message, out);
 	loads_differ(gossip->last, message.loads, changes);
-	if (message.word.leaving || changes->len > 0)
+	if (message.summary.leaving || changes->len > 0)
 		loads_changed(gossip);
 	last_replace(gossip, message.loads);
 	gossip_message_clear(&message);
@@ -108,10 +109,10 @@
 static void members_add(const struct gossip *gossip,
 			struct gossip_message *message)
 {
-	if (!message->word.leaving)
+	if (!message->summary.leaving)
 		gossip_message_add(message, gossip->settings.address);
-	for (guint i = 0; i < gossip->near->len; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	for (guint i = 0; i < gossip->local->len; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 
 		if (peer_live(gossip, peer))
 			gossip_message_add(message, peer->address);
@@ -126,14 +127,14 @@
 	struct gossip_message message;
 
 	message_begin(gossip, &message, GOSSIP_CENTRE);
-	gossip_total_near(gossip, &message.word);
-	gossip_servers_near(gossip, &message.word);
-	gossip_first_near(gossip, message.word.storeless, message.word.leaving,
-			  &message.first);
+	gossip_total_local(gossip, &message.summary);
+	gossip_servers_local(gossip, &message.summary);
+	gossip_first_local(gossip, message.summary.store_unreachable,
+			   message.summary.leaving, &message.first);
 	loads_centre(gossip, message.loads);
 	if (members)
 		members_add(gossip, &message);
-	gossip_uses_add(gossip, true, message.uses);
+	gossip_usage_add(gossip, true, message.usage);
 	gossip_facts_add(gossip, message.facts);
 	gossip_encode(&message, out);
 	gossip_message_clear(&message);
@@ -152,7 +153,7 @@
 		return true;
 	if (!peer_live(gossip, peer))
 		every = TRY_USEC;
-	else if (peer->told_revision == gossip->revision)
+	else if (peer->sent_revision == gossip->revision)
 		every = MAX(every, IDLE_USEC);
 	return gossip_now(gossip) - peer->told >= every;
 }
@@ -163,13 +164,13 @@
 
 	if (gossip->ops.reads(gossip->ctx))
 		every = MIN(every, IDLE_USEC);
-	for (guint i = 0; i < gossip->near->len; i++) {
-		struct peer *peer = gossip->near->pdata[i];
+	for (guint i = 0; i < gossip->local->len; i++) {
+		struct peer *peer = gossip->local->pdata[i];
 
 		if (!near_due(gossip, peer, every))
 			continue;
 		peer->told = gossip_now(gossip);
-		peer->told_revision = gossip->revision;
+		peer->sent_revision = gossip->revision;
 		peer_send(gossip, peer, out);
 	}
 }
@@ -199,7 +200,7 @@
 {
 	int64_t every = gossip_interval(gossip, false);
 
-	if (peer->told_revision == gossip->centre_revision)
+	if (peer->sent_revision == gossip->centre_revision)
 		every = MAX(every, IDLE_USEC);
 	return peer->told == GOSSIP_NEVER ||
 	       gossip_now(gossip) - peer->told >= every;
@@ -213,8 +214,8 @@
 
 	for (guint i = 0; i < gossip->receivers->len; i++) {
 		struct peer *peer = gossip->receivers->pdata[i];
-		bool members = peer->told_addresses == GOSSIP_NEVER ||
-			       now - peer->told_addresses >=
+		bool members = peer->addresses_sent_at == GOSSIP_NEVER ||
+			       now - peer->addresses_sent_at >=
 				       gossip_members_interval(gossip);
 		GByteArray **out = members ? &whole : &brief;
 
@@ -223,14 +224,14 @@
 		if (!*out)
 			*out = centre_encode(gossip, members);
 		if (members)
-			peer->told_addresses = now;
+			peer->addresses_sent_at = now;
 		peer->told = now;
-		peer->told_revision = gossip->centre_revision;
+		peer->sent_revision = gossip->centre_revision;
 		peer_send(gossip, peer, *out);
 	}
 }
 
-void gossip_tell_due(struct gossip *gossip)
+void gossip_send_due(struct gossip *gossip)
 {
 	g_autoptr(GByteArray) out = own_encode(gossip);
 
@@ -260,17 +261,18 @@
 
 static void near_tell_at_once(struct gossip *gossip, const GByteArray *out)
 {
-	if (!allowance_take(gossip, &gossip->at_once, gossip->near->len)) {
-		delay_add(&gossip->delay_near, gossip_interval(gossip, true));
+	if (!allowance_take(gossip, &gossip->at_once, gossip->local->len)) {
+		delay_add(&gossip->delay_local, gossip_interval(gossip, true));
 		return;
 	}
-	delay_add(&gossip->delay_near, gossip_now(gossip) - gossip->changed_at);
-	for (guint i = 0; i < gossip->near->len; i++) {
-		struct peer *peer = gossip->near->pdata[i];
+	delay_add(&gossip->delay_local,
+		  gossip_now(gossip) - gossip->changed_at);
+	for (guint i = 0; i < gossip->local->len; i++) {
+		struct peer *peer = gossip->local->pdata[i];
 
 		if (!peer_live(gossip, peer))
 			continue;
-		peer->told_revision = gossip->revision;
+		peer->sent_revision = gossip->revision;
 		peer_send(gossip, peer, out);
 	}
 }
@@ -298,16 +300,18 @@
 {
 	bool concerns = changes_concern(gossip, changes, centre);
 	struct allowance *allowance =
-		concerns ? &gossip->at_once : &gossip->at_once_far;
+		concerns ? &gossip->at_once : &gossip->at_once_remote;
 
 	/* Where there are many groups their own servers are plenty. */
 	if (!concerns && !group_is_whole(centre->name))
 		return;
 	if (!allowance_take(gossip, allowance, centre->peers->len)) {
-		delay_add(&gossip->delay_far, gossip_interval(gossip, false));
+		delay_add(&gossip->delay_remote,
+			  gossip_interval(gossip, false));
 		return;
 	}
-	delay_add(&gossip->delay_far, gossip_now(gossip) - gossip->changed_at);
+	delay_add(&gossip->delay_remote,
+		  gossip_now(gossip) - gossip->changed_at);
 	for (guint i = 0; i < centre->peers->len; i++)
 		peer_send(gossip, centre->peers->pdata[i], out);
 }
@@ -324,7 +328,7 @@
 			centre_tell_at_once(gossip, centre, changes, out);
 }
 
-void gossip_tell_changes(struct gossip *gossip)
+void gossip_send_changes(struct gossip *gossip)
 {
 	g_autoptr(GArray) now =
 		g_array_new(FALSE, TRUE, sizeof(struct gossip_load));
--- a/forward/gossip_uses.c
+++ b/forward/gossip_uses.c
@@ -4,15 +4,15 @@
 #include "common/id.h"
 #include "gossip_private.h"
 
-void gossip_uses_add(struct gossip *gossip, bool sums, GArray *uses)
+void gossip_usage_add(struct gossip *gossip, bool sums, GArray *usage)
 {
-	struct limit_entry entries[GOSSIP_USES_MAX];
+	struct limit_entry entries[GOSSIP_USAGE_MAX];
 	uint32_t count;
 
-	if (!gossip->ops.uses)
+	if (!gossip->ops.usage)
 		return;
-	count = gossip->ops.uses(gossip->ctx, sums, entries, GOSSIP_USES_MAX);
-	g_array_append_vals(uses, entries, count);
+	count = gossip->ops.usage(gossip->ctx, sums, entries, GOSSIP_USAGE_MAX);
+	g_array_append_vals(usage, entries, count);
 }
 
 static void uses_send(struct gossip *gossip, bool sums, const GPtrArray *peers)
@@ -20,10 +20,10 @@
 	g_autoptr(GByteArray) out = g_byte_array_new();
 	struct gossip_message message;
 
-	message_begin(gossip, &message, GOSSIP_USES);
-	gossip_uses_add(gossip, sums, message.uses);
+	message_begin(gossip, &message, GOSSIP_USAGE);
+	gossip_usage_add(gossip, sums, message.usage);
 	gossip_encode(&message, out);
-	if (message.uses->len > 0)
+	if (message.usage->len > 0)
 		peers_send(gossip, peers, out);
 	gossip_message_clear(&message);
 }
@@ -32,42 +32,42 @@
 {
 	struct gossip *gossip = ctx;
 
-	gossip->uses_told = gossip_now(gossip);
-	uses_send(gossip, false, gossip->near);
+	gossip->usage_sent = gossip_now(gossip);
+	uses_send(gossip, false, gossip->local);
 	uses_send(gossip, true, gossip->receivers);
-	gossip->ops.uses_told(gossip->ctx);
+	gossip->ops.usage_sent(gossip->ctx);
 }
 
-void gossip_uses_changed(struct gossip *gossip)
+void gossip_usage_changed(struct gossip *gossip)
 {
-	int64_t since = gossip_now(gossip) - gossip->uses_told;
+	int64_t since = gossip_now(gossip) - gossip->usage_sent;
 
 	if (!timer_running(&gossip->uses_soon))
 		timer_start(&gossip->uses_soon,
-			    MAX(GOSSIP_USES_USEC - since, 0));
+			    MAX(GOSSIP_USAGE_USEC - since, 0));
 }
 
-void gossip_uses_hear(struct gossip *gossip, const struct peer *peer,
-		      const GArray *uses)
+void gossip_usage_receive(struct gossip *gossip, const struct peer *peer,
+			  const GArray *usage)
 {
 	const struct limit_source source = {
 		.id = peer->key,
-		.group = peer_near(gossip, peer) ? 0 : id_of(peer->group),
+		.group = peer_is_local(gossip, peer) ? 0 : id_of(peer->group),
 	};
 
-	for (guint i = 0; gossip->ops.use_heard && i < uses->len; i++)
-		gossip->ops.use_heard(
+	for (guint i = 0; gossip->ops.usage_received && i < usage->len; i++)
+		gossip->ops.usage_received(
 			gossip->ctx, &source,
-			&g_array_index(uses, struct limit_entry, i));
+			&g_array_index(usage, struct limit_entry, i));
 }
 
-void gossip_uses_start(struct gossip *gossip)
+void gossip_usage_start(struct gossip *gossip)
 {
 	timer_init(&gossip->uses_soon, gossip->clock, on_soon, gossip);
-	gossip->uses_told = gossip_now(gossip) - GOSSIP_USES_USEC;
+	gossip->usage_sent = gossip_now(gossip) - GOSSIP_USAGE_USEC;
 }
 
-void gossip_uses_stop(struct gossip *gossip)
+void gossip_usage_stop(struct gossip *gossip)
 {
 	timer_stop(&gossip->uses_soon);
 }
--- a/forward/gossip_view.c
+++ b/forward/gossip_view.c
@@ -30,15 +30,15 @@
 	return clock_now(gossip->clock);
 }
 
-int64_t gossip_interval(const struct gossip *gossip, bool near)
+int64_t gossip_interval(const struct gossip *gossip, bool local)
 {
-	uint32_t peers = near ? gossip->near->len : gossip->far->len;
-	uint32_t full = near ? FULL_RATE_NEAR : FULL_RATE_FAR;
+	uint32_t peers = local ? gossip->local->len : gossip->remote->len;
+	uint32_t full = local ? FULL_RATE_NEAR : FULL_RATE_FAR;
 
 	int64_t every = MIN(GOSSIP_USEC * (int64_t)MAX(peers / full, 1u),
-			    near ? SLOWEST_USEC : SLOWEST_FAR_USEC);
+			    local ? SLOWEST_USEC : SLOWEST_FAR_USEC);
 
-	if (near)
+	if (local)
 		return every;
 	return MAX(every, gossip->centres_live * GROUP_SHARE_USEC);
 }
@@ -61,9 +61,9 @@
 	return MAX(GOSSIP_STALE_USEC, gossip_members_interval(gossip) * 5 / 2);
 }
 
-int64_t gossip_delay(const struct gossip *gossip, bool near)
+int64_t gossip_delay(const struct gossip *gossip, bool local)
 {
-	return (int64_t)(near ? gossip->delay_near : gossip->delay_far);
+	return (int64_t)(local ? gossip->delay_local : gossip->delay_remote);
 }
 
 const struct gossip_traffic *gossip_traffic(const struct gossip *gossip)
@@ -86,17 +86,17 @@
 	return gossip->groups > 1;
 }
 
-bool gossip_here(const struct gossip *gossip, const char *address)
+bool gossip_is_local(const struct gossip *gossip, const char *address)
 {
 	const struct peer *peer = g_hash_table_lookup(gossip->peers, address);
 
 	return peer && group_within(peer->group, gossip->settings.data_centre);
 }
 
-bool gossip_parted(const struct gossip *gossip)
+bool gossip_partitioned(const struct gossip *gossip)
 {
-	int64_t parted =
-		MAX(GOSSIP_PARTED_USEC, gossip_interval(gossip, false) * 3);
+	int64_t parted = MAX(GOSSIP_PARTITIONED_USEC,
+			     gossip_interval(gossip, false) * 3);
 	int64_t now = gossip_now(gossip);
 	struct centre *centre;
 	GHashTableIter iter;
@@ -118,7 +118,7 @@
 static int first_compare(const struct gossip_first *a,
 			 const struct gossip_first *b)
 {
-	int order = (int)a->storeless - (int)b->storeless;
+	int order = (int)a->store_unreachable - (int)b->store_unreachable;
 
 	return order ? order : strcmp(a->name, b->name);
 }
@@ -131,7 +131,8 @@
 
 static struct gossip_first peer_as_first(const struct peer *peer)
 {
-	struct gossip_first first = {.storeless = peer_word(peer)->storeless};
+	struct gossip_first first = {
+		.store_unreachable = peer_summary(peer)->store_unreachable};
 
 	g_strlcpy(first.name, peer->name, sizeof(first.name));
 	return first;
@@ -139,12 +140,13 @@
 
 static uint32_t near_rank(const struct gossip *gossip)
 {
-	struct gossip_first own = {.storeless = gossip->storeless};
+	struct gossip_first own = {.store_unreachable =
+					   gossip->store_unreachable};
 	uint32_t rank = 0;
 
 	g_strlcpy(own.name, gossip->settings.name, sizeof(own.name));
-	for (guint i = 0; i < gossip->near->len; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	for (guint i = 0; i < gossip->local->len; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 		struct gossip_first one = peer_as_first(peer);
 
 		rank += is_candidate(gossip, peer) &&
@@ -153,11 +155,11 @@
 	return rank;
 }
 
-static bool copies_old(const struct gossip_word *word, int64_t usec)
+static bool copies_old(const struct gossip_summary *summary, int64_t usec)
 {
-	for (int i = 0; i < GOSSIP_SHARES; i++)
-		if (word->shares[i].age_usec < 0 ||
-		    word->shares[i].age_usec > usec)
+	for (int i = 0; i < GOSSIP_MIRRORS; i++)
+		if (summary->mirrors[i].age_usec < 0 ||
+		    summary->mirrors[i].age_usec > usec)
 			return true;
 	return false;
 }
@@ -167,12 +169,12 @@
 {
 	uint32_t count = 0;
 
-	for (guint i = 0; i < gossip->near->len; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	for (guint i = 0; i < gossip->local->len; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 
 		count += peer_live(gossip, peer) &&
-			 peer_word(peer)->storeless &&
-			 copies_old(peer_word(peer), usec);
+			 peer_summary(peer)->store_unreachable &&
+			 copies_old(peer_summary(peer), usec);
 	}
 	return count;
 }
@@ -184,7 +186,7 @@
 	struct centre *centre;
 	GHashTableIter iter;
 
-	gossip_first_near(gossip, gossip->storeless, false, &first);
+	gossip_first_local(gossip, gossip->store_unreachable, false, &first);
 	g_hash_table_iter_init(&iter, gossip->centres);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
 		if (centre_live(gossip, centre) &&
@@ -207,8 +209,8 @@
 {
 	uint32_t count = 0;
 
-	for (guint i = 0; i < gossip->near->len; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	for (guint i = 0; i < gossip->local->len; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 
 		count += peer->heard == GOSSIP_NEVER;
 	}
@@ -219,25 +221,26 @@
 {
 	*place = (struct reader_place){
 		.rank = gossip->rank,
-		.peers = gossip->near->len,
-		.unheard = unheard_count(gossip),
+		.peers = gossip->local->len,
+		.silent_peers = unheard_count(gossip),
 		.instances = gossip_instances(gossip),
-		.storeless = storeless_count(gossip, READER_PATIENCE_USEC),
+		.store_unreachable =
+			storeless_count(gossip, READER_STALENESS_USEC),
 		.delay_usec = gossip_grouped(gossip)
 				      ? gossip_interval(gossip, false)
 				      : 0,
 	};
 }
 
-void gossip_first_near(const struct gossip *gossip, bool storeless,
-		       bool leaving, struct gossip_first *first)
+void gossip_first_local(const struct gossip *gossip, bool store_unreachable,
+			bool leaving, struct gossip_first *first)
 {
 	bool found = !leaving;
 
 	g_strlcpy(first->name, gossip->settings.name, sizeof(first->name));
-	first->storeless = storeless;
-	for (guint i = 0; i < gossip->near->len; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	first->store_unreachable = store_unreachable;
+	for (guint i = 0; i < gossip->local->len; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 		struct gossip_first one = peer_as_first(peer);
 
 		if (!is_candidate(gossip, peer))
@@ -248,13 +251,13 @@
 	}
 }
 
-bool gossip_lowest(const struct gossip *gossip, bool storeless)
+bool gossip_lowest(const struct gossip *gossip, bool store_unreachable)
 {
 	struct gossip_first first;
 	struct centre *centre;
 	GHashTableIter iter;
 
-	gossip_first_near(gossip, storeless, false, &first);
+	gossip_first_local(gossip, store_unreachable, false, &first);
 	if (strcmp(first.name, gossip->settings.name) != 0)
 		return false;
 	g_hash_table_iter_init(&iter, gossip->centres);
@@ -265,59 +268,62 @@
 	return true;
 }
 
-static void changing_add(struct gossip_word *total,
-			 const struct gossip_word *word)
+static void changing_add(struct gossip_summary *total,
+			 const struct gossip_summary *summary)
 {
-	for (uint32_t i = 0; i < word->changing_count &&
+	for (uint32_t i = 0; i < summary->changing_count &&
 			     total->changing_count < GOSSIP_CHANGING_MAX;
 	     i++)
-		total->changing[total->changing_count++] = word->changing[i];
+		total->changing[total->changing_count++] = summary->changing[i];
 }
 
-void gossip_servers_own(const struct gossip *gossip, struct gossip_word *word)
+void gossip_servers_own(const struct gossip *gossip,
+			struct gossip_summary *summary)
 {
 	if (gossip->ops.servers)
-		gossip->ops.servers(gossip->ctx, word);
+		gossip->ops.servers(gossip->ctx, summary);
 }
 
-void gossip_servers_near(const struct gossip *gossip, struct gossip_word *word)
+void gossip_servers_local(const struct gossip *gossip,
+			  struct gossip_summary *summary)
 {
-	gossip_servers_own(gossip, word);
-	word->lost_count = 0;
-	for (guint i = 0; i < gossip->near->len; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	gossip_servers_own(gossip, summary);
+	summary->unreachable_count = 0;
+	for (guint i = 0; i < gossip->local->len; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 
 		if (peer_live(gossip, peer))
-			changing_add(word, peer_word(peer));
+			changing_add(summary, peer_summary(peer));
 	}
 }
 
-static void numbers_add(struct gossip_word *total,
-			const struct gossip_word *word)
+static void numbers_add(struct gossip_summary *total,
+			const struct gossip_summary *summary)
 {
-	total->demand += word->demand;
-	total->waiting += word->waiting;
-	total->read_rates += word->read_rates;
-	total->read_raters += word->read_raters;
+	total->demand += summary->demand;
+	total->waiting += summary->waiting;
+	total->prefill_rates += summary->prefill_rates;
+	total->prefill_rate_count += summary->prefill_rate_count;
 }
 
-void gossip_total_near(const struct gossip *gossip, struct gossip_word *total)
+void gossip_total_local(const struct gossip *gossip,
+			struct gossip_summary *total)
 {
-	gossip->ops.word(gossip->ctx, total);
-	for (guint i = 0; i < gossip->near->len; i++) {
-		const struct peer *peer = gossip->near->pdata[i];
+	gossip->ops.summary(gossip->ctx, total);
+	for (guint i = 0; i < gossip->local->len; i++) {
+		const struct peer *peer = gossip->local->pdata[i];
 
 		if (peer_live(gossip, peer))
-			numbers_add(total, peer_word(peer));
+			numbers_add(total, peer_summary(peer));
 	}
 }
 
-void gossip_total(const struct gossip *gossip, struct gossip_word *total)
+void gossip_total(const struct gossip *gossip, struct gossip_summary *total)
 {
 	struct centre *centre;
 	GHashTableIter iter;
 
-	gossip_total_near(gossip, total);
+	gossip_total_local(gossip, total);
 	g_hash_table_iter_init(&iter, gossip->centres);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
 		if (centre_live(gossip, centre))
--- a/forward/gossip_works.c
+++ b/forward/gossip_works.c
@@ -10,23 +10,23 @@
 	GByteArray *out = g_byte_array_new();
 	struct gossip_message message;
 
-	message_begin(gossip, &message, GOSSIP_WORKS);
+	message_begin(gossip, &message, GOSSIP_QUARANTINE);
 	g_array_append_vals(message.works, entries, count);
 	gossip_encode(&message, out);
 	gossip_message_clear(&message);
 	return out;
 }
 
-static void news_tell(struct gossip *gossip, GArray *news, bool near)
+static void news_tell(struct gossip *gossip, GArray *news, bool local)
 {
-	for (guint at = 0; at < news->len; at += GOSSIP_WORKS_MAX) {
+	for (guint at = 0; at < news->len; at += GOSSIP_QUARANTINE_MAX) {
 		g_autoptr(GByteArray) out = works_encode(
 			gossip,
 			&g_array_index(news, struct quarantine_entry, at),
-			MIN(news->len - at, GOSSIP_WORKS_MAX));
+			MIN(news->len - at, GOSSIP_QUARANTINE_MAX));
 
-		if (near)
-			peers_send(gossip, gossip->near, out);
+		if (local)
+			peers_send(gossip, gossip->local, out);
 		peers_send(gossip, gossip->receivers, out);
 	}
 	g_array_set_size(news, 0);
@@ -36,8 +36,8 @@
 {
 	struct gossip *gossip = ctx;
 
-	news_tell(gossip, gossip->news_own, true);
-	news_tell(gossip, gossip->news_near, false);
+	news_tell(gossip, gossip->findings_own, true);
+	news_tell(gossip, gossip->findings_local, false);
 }
 
 static void news_add(struct gossip *gossip, GArray *news,
@@ -48,20 +48,23 @@
 		timer_start(&gossip->works_soon, 0);
 }
 
-void gossip_work_changed(struct gossip *gossip,
-			 const struct quarantine_entry *entry)
+void gossip_quarantine_changed(struct gossip *gossip,
+			       const struct quarantine_entry *entry)
 {
-	news_add(gossip, gossip->news_own, entry);
+	news_add(gossip, gossip->findings_own, entry);
 }
 
-void gossip_works_hear(struct gossip *gossip, bool near, const GArray *works)
+void gossip_quarantine_receive(struct gossip *gossip, bool local,
+			       const GArray *works)
 {
-	for (guint i = 0; gossip->ops.work_heard && i < works->len; i++) {
+	for (guint i = 0; gossip->ops.quarantine_received && i < works->len;
+	     i++) {
 		const struct quarantine_entry *entry =
 			&g_array_index(works, struct quarantine_entry, i);
 
-		if (gossip->ops.work_heard(gossip->ctx, entry) && near)
-			news_add(gossip, gossip->news_near, entry);
+		if (gossip->ops.quarantine_received(gossip->ctx, entry) &&
+		    local)
+			news_add(gossip, gossip->findings_local, entry);
 	}
 }
 
@@ -80,12 +83,13 @@
 			     : NULL;
 }
 
-static uint32_t works_next(struct gossip *gossip,
-			   struct quarantine_entry entries[GOSSIP_WORKS_MAX])
+static uint32_t
+works_next(struct gossip *gossip,
+	   struct quarantine_entry entries[GOSSIP_QUARANTINE_MAX])
 {
 	if (!gossip->ops.works)
 		return 0;
-	return gossip->ops.works(gossip->ctx, entries, GOSSIP_WORKS_MAX);
+	return gossip->ops.works(gossip->ctx, entries, GOSSIP_QUARANTINE_MAX);
 }
 
 static void works_send(struct gossip *gossip, const struct peer *peer,
@@ -98,9 +102,9 @@
 
 /* By turns alone an instance that starts without a store hears of what is held
  * too late. */
-void gossip_works_greet(struct gossip *gossip, const struct peer *peer)
+void gossip_quarantine_send(struct gossip *gossip, const struct peer *peer)
 {
-	struct quarantine_entry entries[GOSSIP_WORKS_MAX];
+	struct quarantine_entry entries[GOSSIP_QUARANTINE_MAX];
 	uint32_t count = works_next(gossip, entries);
 
 	if (count > 0)
@@ -110,33 +114,33 @@
 static void on_timer(struct timer *timer, void *ctx)
 {
 	struct gossip *gossip = ctx;
-	struct quarantine_entry entries[GOSSIP_WORKS_MAX];
+	struct quarantine_entry entries[GOSSIP_QUARANTINE_MAX];
 	uint32_t count = works_next(gossip, entries);
 	const struct peer *peer = count > 0 ? peer_next(gossip) : NULL;
 
-	timer_start(timer, GOSSIP_WORKS_USEC);
+	timer_start(timer, GOSSIP_QUARANTINE_USEC);
 	if (peer)
 		works_send(gossip, peer, entries, count);
 }
 
-void gossip_works_start(struct gossip *gossip)
+void gossip_quarantine_start(struct gossip *gossip)
 {
-	gossip->news_own =
+	gossip->findings_own =
 		g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
-	gossip->news_near =
+	gossip->findings_local =
 		g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
 	timer_init(&gossip->works_soon, gossip->clock, on_soon, gossip);
 	timer_init(&gossip->works_timer, gossip->clock, on_timer, gossip);
 	/* Not all begin with the same peer. */
 	gossip->works_turn = (uint32_t)gossip->key;
 	if (gossip->ops.works)
-		timer_start(&gossip->works_timer, GOSSIP_WORKS_USEC);
+		timer_start(&gossip->works_timer, GOSSIP_QUARANTINE_USEC);
 }
 
-void gossip_works_stop(struct gossip *gossip)
+void gossip_quarantine_stop(struct gossip *gossip)
 {
 	timer_stop(&gossip->works_soon);
 	timer_stop(&gossip->works_timer);
-	g_array_unref(gossip->news_own);
-	g_array_unref(gossip->news_near);
+	g_array_unref(gossip->findings_own);
+	g_array_unref(gossip->findings_local);
 }
--- a/forward/node.c
+++ b/forward/node.c
@@ -31,11 +31,11 @@
 	return gossip_instances(node->gossip);
 }
 
-static int64_t interval_get(void *ctx, bool near)
+static int64_t interval_get(void *ctx, bool local)
 {
 	const struct node *node = ctx;
 
-	return gossip_delay(node->gossip, near);
+	return gossip_delay(node->gossip, local);
 }
 
 static void load_changed(void *ctx)
@@ -48,76 +48,78 @@
 static int64_t list_age_get(void *ctx)
 {
 	const struct node *node = ctx;
-	struct share_word word;
+	struct mirror_status summary;
 
-	share_word(node->shares[STREAM_LIST].share, &word);
-	return word.age_usec;
+	mirror_status(node->mirrors[STREAM_LIST].mirror, &summary);
+	return summary.age_usec;
 }
 
 static bool is_storeless(const struct node *node)
 {
-	return share_failing(node->shares[STREAM_LIST].share) ||
-	       share_failing(node->shares[STREAM_CONFIG].share);
+	return mirror_failing(node->mirrors[STREAM_LIST].mirror) ||
+	       mirror_failing(node->mirrors[STREAM_CONFIG].mirror);
 }
 
-static void word_fill(void *ctx, struct gossip_word *word)
+static void word_fill(void *ctx, struct gossip_summary *summary)
 {
 	struct node *node = ctx;
 	const struct catalog *catalog = forward_catalog(node->forward);
 	GHashTableIter iter;
 	struct catalog_service *service;
 
-	*word = (struct gossip_word){
+	*summary = (struct gossip_summary){
 		.leaving = node->draining,
-		.storeless = is_storeless(node),
+		.store_unreachable = is_storeless(node),
 	};
-	node_shares_word(node, word);
+	node_mirrors_status(node, summary);
 	if (!catalog)
 		return;
-	word->version = catalog->version;
+	summary->version = catalog->version;
 	g_hash_table_iter_init(&iter, catalog->services);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&service)) {
 		struct forward_demand demand;
 
 		forward_demand(node->forward, service->id, &demand);
-		word->demand += demand.prompt_tokens_per_s;
-		word->waiting += demand.waiting;
-		word->read_rates += demand.read_rate;
-		word->read_raters += demand.read_rate > 0.0;
+		summary->demand += demand.prompt_tokens_per_s;
+		summary->waiting += demand.waiting;
+		summary->prefill_rates += demand.prefill_rate;
+		summary->prefill_rate_count += demand.prefill_rate > 0.0;
 	}
 }
 
-static void servers_fill(void *ctx, struct gossip_word *word)
+static void servers_fill(void *ctx, struct gossip_summary *summary)
 {
 	const struct node *node = ctx;
 
-	word->lost_count = fleet_lost(node->fleet, word->lost, GOSSIP_LOST_MAX);
+	summary->unreachable_count = fleet_unreachable(
+		node->fleet, summary->unreachable, GOSSIP_UNREACHABLE_MAX);
 	if (node->roles)
-		word->changing_count = roles_moving(node->roles, word->changing,
-						    GOSSIP_CHANGING_MAX);
+		summary->changing_count = roles_moving(
+			node->roles, summary->changing, GOSSIP_CHANGING_MAX);
 }
 
 /* The first of a data centre reads the store itself; its waiting read may have
  * been lost when others know of a later version. */
-static void on_heard(void *ctx, const char *address, bool near,
-		     const struct gossip_word *word)
+static void on_heard(void *ctx, const char *address, bool local,
+		     const struct gossip_summary *summary)
 {
 	struct node *node = ctx;
 	const struct catalog *catalog = forward_catalog(node->forward);
 
-	node_shares_hear(node, address, word);
+	node_mirrors_merge(node, address, summary);
 	/* What those elsewhere reach says little of what is reached from here.
 	 */
-	for (uint32_t i = 0; near && i < word->lost_count; i++)
-		fleet_hear_lost(node->fleet, id_of(address), &word->lost[i]);
-	for (uint32_t i = 0; i < word->changing_count; i++)
-		fleet_change(node->fleet, &word->changing[i]);
-	if (word->version <= (catalog ? catalog->version : 0) ||
+	for (uint32_t i = 0; local && i < summary->unreachable_count; i++)
+		fleet_merge_unreachable(node->fleet, id_of(address),
+					&summary->unreachable[i]);
+	for (uint32_t i = 0; i < summary->changing_count; i++)
+		fleet_change(node->fleet, &summary->changing[i]);
+	if (summary->version <= (catalog ? catalog->version : 0) ||
 	    clock_now(node->clock) - node->hurried < HURRY_USEC ||
 	    gossip_rank(node->gossip) > 0)
 		return;
 	node->hurried = clock_now(node->clock);
-	share_hurry(node->shares[STREAM_CONFIG].share);
+	mirror_refresh(node->mirrors[STREAM_CONFIG].mirror);
 }
 
 static bool reads_store(void *ctx)
@@ -129,7 +131,8 @@
 
 bool node_decides(const struct node *node)
 {
-	return !node->draining && clock_now(node->clock) >= NODE_MEET_USEC &&
+	return !node->draining &&
+	       clock_now(node->clock) >= NODE_DISCOVERY_USEC &&
 	       gossip_lowest(node->gossip, is_storeless(node));
 }
 
@@ -141,7 +144,7 @@
 static double roles_demand(void *ctx)
 {
 	const struct node *node = ctx;
-	struct gossip_word total;
+	struct gossip_summary total;
 
 	gossip_total(node->gossip, &total);
 	return total.demand;
@@ -150,11 +153,12 @@
 static double roles_read_rate(void *ctx)
 {
 	const struct node *node = ctx;
-	struct gossip_word total;
+	struct gossip_summary total;
 
 	gossip_total(node->gossip, &total);
-	return total.read_raters > 0 ? total.read_rates / total.read_raters
-				     : READ_RATE_START;
+	return total.prefill_rate_count > 0
+		       ? total.prefill_rates / total.prefill_rate_count
+		       : PREFILL_RATE_START;
 }
 
 static const struct catalog *roles_catalog(void *ctx)
@@ -186,7 +190,7 @@
 static uint32_t waiting_get(void *ctx)
 {
 	const struct node *node = ctx;
-	struct gossip_word total;
+	struct gossip_summary total;
 
 	gossip_total(node->gossip, &total);
 	return total.waiting;
@@ -220,7 +224,7 @@
 		.loop = node->loop,
 		.counters = node->counters,
 		.rand = node->rand,
-		.mark_secret = secret_make(node->boot),
+		.keyed_hash_secret = secret_make(node->boot),
 		.backends = node->interface.backends,
 		.callers = node->interface.callers,
 		.instances = instances_count,
@@ -228,7 +232,7 @@
 		.list_age = list_age_get,
 		.waiting = waiting_get,
 		.load_changed = load_changed,
-		.work_changed = node_work_changed,
+		.work_changed = node_quarantine_changed,
 		.allotment_used = node_allotment_used,
 		.permit = node_permit,
 		.instances_ctx = node,
@@ -255,18 +259,18 @@
 static bool gossip_open(struct node *node, struct error *err)
 {
 	static const struct gossip_ops ops = {
-		.word = word_fill,
+		.summary = word_fill,
 		.heard = on_heard,
 		.reads = reads_store,
-		.work_heard = node_work_heard,
-		.works = node_works,
-		.uses = node_uses,
-		.uses_told = node_uses_told,
-		.use_heard = node_use_heard,
+		.quarantine_received = node_quarantine_received,
+		.works = node_quarantine_next,
+		.usage = node_usage,
+		.usage_sent = node_usage_sent,
+		.usage_received = node_usage_received,
 		.servers = servers_fill,
 		.facts = node_facts,
-		.fact_heard = node_fact_heard,
-		.permit_asked = node_permit_asked,
+		.fact_received = node_fact_received,
+		.permit_requested = node_permit_requested,
 		.permit_answered = node_permit_answered,
 	};
 	const struct gossip_settings settings = {
@@ -282,7 +286,7 @@
 		return false;
 	/* One that starts while the store is down learns from them. */
 	for (uint32_t i = 0; i < node->settings.seed_count; i++)
-		gossip_meet(node->gossip, node->settings.seeds[i], NULL);
+		gossip_add_peer(node->gossip, node->settings.seeds[i], NULL);
 	return true;
 }
 
@@ -297,8 +301,8 @@
 						 node_metrics, node, err);
 		if (!node->peers_server)
 			return false;
-		web_server_handle(node->peers_server, SHARE_PATH,
-				  node_share_serve, node);
+		web_server_handle(node->peers_server, MIRROR_PATH,
+				  node_mirror_serve, node);
 		if (gossip_open(node, err))
 			return true;
 		web_server_destroy(node->peers_server);
@@ -391,7 +395,7 @@
 		node_drain(node);
 }
 
-static void on_turn(void *ctx, int64_t gap_usec)
+static void on_iteration(void *ctx, int64_t gap_usec)
 {
 	if (gap_usec > STILL_USEC)
 		log_event(LOG_WARNING, "stood_still",
@@ -409,7 +413,7 @@
 	loop_on_signal(node->loop, SIGTERM, on_signal, node);
 	loop_on_signal(node->loop, SIGINT, on_signal, node);
 	loop_on_signal(node->loop, SIGHUP, on_signal, node);
-	loop_on_turn(node->loop, on_turn, node);
+	loop_on_iteration(node->loop, on_iteration, node);
 }
 
 static void node_teardown(struct node *node)
--- a/forward/node.h
+++ b/forward/node.h
@@ -16,7 +16,7 @@
 #define PEER_STREAM "instances"
 
 /* Where an instance serves its copies to others, by enum node_stream. */
-#define SHARE_PATH "/share/"
+#define MIRROR_PATH "/share/"
 
 enum node_stream {
 	STREAM_CONFIG,
@@ -24,19 +24,19 @@
 };
 
 /* One stream of the store that instances pass on to each other. */
-struct node_share {
+struct node_mirror {
 	struct node *node;
-	struct share *share;
+	struct mirror *mirror;
 	struct timer fetch_timer;
 	struct web_call *fetch;
 	char from[BACKEND_TEXT_MAX]; /* who told of a newer copy last */
 	/* Since when only other data centres have told of it; 0: not. */
-	int64_t far_since;
+	int64_t remote_since;
 };
 
 /* The work that is being written to the store, one at a time. */
 struct node_storing {
-	struct work_id work;
+	struct request_fingerprint work;
 	bool held; /* written, or else dropped */
 	bool under_way;
 	int64_t again_at; /* when a write that failed is repeated */
@@ -65,8 +65,8 @@
 	struct forward *forward;
 	struct gossip *gossip;
 	struct roles *roles;
-	struct node_share shares[GOSSIP_SHARES]; /* by enum node_stream */
-	struct timer share_timer;
+	struct node_mirror mirrors[GOSSIP_MIRRORS]; /* by enum node_stream */
+	struct timer mirrors_timer;
 	struct feed *peer_feed;
 	bool peers_listed;
 	uint32_t peers_lower; /* listed when it started, with lower names */
@@ -93,7 +93,7 @@
 #define PROGRAM "jtforward"
 
 /* Peers are heard of within this time of the start. */
-#define NODE_MEET_USEC (1 * USEC_PER_SEC)
+#define NODE_DISCOVERY_USEC (1 * USEC_PER_SEC)
 
 /* Whether this instance decides for the site: it has the lowest name of those
  * that live, and has had the time to meet them. */
@@ -104,42 +104,44 @@
 void node_feeds_start(struct node *node);
 void node_feeds_stop(struct node *node);
 /* What this instance has to tell of its copies, and what a peer told. */
-void node_shares_word(const struct node *node, struct gossip_word *word);
-void node_shares_hear(struct node *node, const char *address,
-		      const struct gossip_word *word);
+void node_mirrors_status(const struct node *node,
+			 struct gossip_summary *summary);
+void node_mirrors_merge(struct node *node, const char *address,
+			const struct gossip_summary *summary);
 /* Answers a peer's request for a copy: a web_handler_fn. */
-void node_share_serve(void *ctx, struct web_request *request);
+void node_mirror_serve(void *ctx, struct web_request *request);
 /* Takes this instance out of the store's list of peers. */
 void node_unregister(struct node *node);
 
 /* Of node_quarantine.c: works under which servers ended, to and from the other
  * instances and the store. */
 struct quarantine *node_quarantine_create(const struct node *node);
-void node_work_changed(void *ctx, const struct work_id *work);
-bool node_work_heard(void *ctx, const struct quarantine_entry *entry);
-uint32_t node_works(void *ctx, struct quarantine_entry *entries, uint32_t most);
+void node_quarantine_changed(void *ctx, const struct request_fingerprint *work);
+bool node_quarantine_received(void *ctx, const struct quarantine_entry *entry);
+uint32_t node_quarantine_next(void *ctx, struct quarantine_entry *entries,
+			      uint32_t most);
 /* Takes a record of the store's list of instances if it holds a work. */
-bool node_work_read(struct node *node, const struct feed_record *record);
+bool node_quarantine_read(struct node *node, const struct feed_record *record);
 /* Writes what is held and not stored yet, and reads what others wrote, where it
  * is up to this instance. To be called about every 100 ms. */
-void node_works_tick(struct node *node);
+void node_quarantine_tick(struct node *node);
 
 /* Of node_limits.c: what is used of allotments, to and from the others. */
 struct limits *node_limits_create(const struct node *node);
 void node_allotment_used(void *ctx);
-uint32_t node_uses(void *ctx, bool sums, struct limit_entry *entries,
-		   uint32_t most);
-void node_uses_told(void *ctx);
-void node_use_heard(void *ctx, const struct limit_source *source,
-		    const struct limit_entry *entry);
+uint32_t node_usage(void *ctx, bool sums, struct limit_entry *entries,
+		    uint32_t most);
+void node_usage_sent(void *ctx);
+void node_usage_received(void *ctx, const struct limit_source *source,
+			 const struct limit_entry *entry);
 
 /* Of node_permits.c: backpressure and permits, from and to the gossip. */
 enum permit node_permit(void *ctx, const struct backend *backend, uint64_t id,
 			int64_t *retry_usec);
-void node_permit_asked(void *ctx, const struct permit_ask *ask,
-		       struct permit_answer *answer);
+void node_permit_requested(void *ctx, const struct permit_request *ask,
+			   struct permit_answer *answer);
 void node_permit_answered(void *ctx, const struct permit_answer *answer);
-void node_fact_heard(void *ctx, const struct backpressure_fact *fact);
+void node_fact_received(void *ctx, const struct backpressure_fact *fact);
 uint32_t node_facts(void *ctx, struct backpressure_fact *facts, uint32_t most);
 /* Drops expired facts. To be called about every 100 ms. */
 void node_permits_tick(struct node *node);
--- a/forward/node_feeds.c
+++ b/forward/node_feeds.c
@@ -67,8 +67,8 @@
 		  LOG_S("reason", err->text));
 }
 
-static enum share_effect on_config(void *ctx, uint64_t offset, const char *key,
-				   const void *data, size_t size)
+static enum mirror_effect on_config(void *ctx, uint64_t offset, const char *key,
+				    const void *data, size_t size)
 {
 	struct node *node = ctx;
 	char centre[BACKEND_TEXT_MAX];
@@ -78,32 +78,32 @@
 
 	if (node->interface.decode_evacuation(key, centre))
 		return fleet_evacuate(node->fleet, centre, data != NULL)
-			       ? SHARE_CHANGED
-			       : SHARE_SAME;
+			       ? MIRROR_CHANGED
+			       : MIRROR_UNCHANGED;
 	if (strcmp(key, node->interface.config_key) != 0 || !data)
-		return SHARE_SAME;
+		return MIRROR_UNCHANGED;
 	catalog = node->interface.decode_catalog(data, size, &err);
 	if (!catalog) {
 		refused_log(node, "configuration", key, offset, &err);
-		return SHARE_CHANGED;
+		return MIRROR_CHANGED;
 	}
 	in_force = forward_set_catalog(node->forward, catalog);
 	catalog_unref(catalog);
 	/* Nobody who starts later is to get an older version from us. */
-	return in_force ? SHARE_CHANGED : SHARE_REFUSED;
+	return in_force ? MIRROR_CHANGED : MIRROR_REJECTED;
 }
 
 /* What somebody else wrote names no server, also where one was named. */
-static enum share_effect backend_refuse(struct node *node, uint64_t offset,
-					const struct feed_record *record,
-					const struct error *err)
+static enum mirror_effect backend_refuse(struct node *node, uint64_t offset,
+					 const struct feed_record *record,
+					 const struct error *err)
 {
 	bool known = fleet_find_id(node->fleet, record->key);
 
 	if (!refused_before(node, record->key, record->value, record->size))
 		refused_log(node, "backend server", record->key, offset, err);
 	fleet_remove(node->fleet, record->key);
-	return known ? SHARE_CHANGED : SHARE_SAME;
+	return known ? MIRROR_CHANGED : MIRROR_UNCHANGED;
 }
 
 static bool backend_read(struct node *node, const struct feed_record *record,
@@ -112,15 +112,17 @@
 	if (!node->interface.decode_backend(record->key, record->value,
 					    record->size, info, err))
 		return false;
-	if (info->born > 0 || fleet_born(node->fleet, record->key) == 0)
+	if (info->started_ms > 0 ||
+	    fleet_started_ms(node->fleet, record->key) == 0)
 		return true;
 	return error_set(err, RESULT_BAD_CONFIG,
 			 "no start told by a server that told one");
 }
 
 /* Servers write every second or so; most of it changes nothing. */
-static enum share_effect on_backend(void *ctx, uint64_t offset, const char *key,
-				    const void *data, size_t size)
+static enum mirror_effect on_backend(void *ctx, uint64_t offset,
+				     const char *key, const void *data,
+				     size_t size)
 {
 	struct node *node = ctx;
 	const struct feed_record record = {offset, key, data, size};
@@ -132,7 +134,7 @@
 
 	if (!data) {
 		fleet_remove(node->fleet, key);
-		return known ? SHARE_CHANGED : SHARE_SAME;
+		return known ? MIRROR_CHANGED : MIRROR_UNCHANGED;
 	}
 	if (!backend_read(node, &record, &info, &err))
 		return backend_refuse(node, offset, &record, &err);
@@ -140,12 +142,13 @@
 	put = fleet_put(node->fleet, &info);
 	if (!put) {
 		log_event(LOG_INFO, "entry_passed_over", LOG_S("backend", key),
-			  LOG_D("born", info.born), LOG_D("offset", offset));
-		return SHARE_REFUSED;
+			  LOG_D("born", info.started_ms),
+			  LOG_D("offset", offset));
+		return MIRROR_REJECTED;
 	}
 	if (backend_set_cold(put, clock_now(node->clock), info.cold_usec))
-		return SHARE_CHANGED;
-	return same ? SHARE_SAME : SHARE_CHANGED;
+		return MIRROR_CHANGED;
+	return same ? MIRROR_UNCHANGED : MIRROR_CHANGED;
 }
 
 static void on_config_begin(void *ctx)
@@ -209,51 +212,51 @@
 
 	timer_start(timer, TICK_USEC);
 	gossip_place(node->gossip, &place);
-	for (int i = 0; i < GOSSIP_SHARES; i++)
-		share_tick(node->shares[i].share, &place);
+	for (int i = 0; i < GOSSIP_MIRRORS; i++)
+		mirror_tick(node->mirrors[i].mirror, &place);
 	list_tick(node);
-	node_works_tick(node);
+	node_quarantine_tick(node);
 	node_permits_tick(node);
 }
 
-static bool copy_unpack(struct node_share *share, const void *body, size_t size,
-			struct error *err)
+static bool copy_unpack(struct node_mirror *mirror, const void *body,
+			size_t size, struct error *err)
 {
 	g_autoptr(GByteArray) whole =
 		message_expand(body, size, COPY_BYTES_MAX, err);
 
 	return whole &&
-	       share_unpack(share->share, whole->data, whole->len, err);
+	       mirror_decode(mirror->mirror, whole->data, whole->len, err);
 }
 
 static void on_fetched(void *ctx, const struct web_result *result, int status,
 		       const void *body, size_t size)
 {
-	struct node_share *share = ctx;
+	struct node_mirror *mirror = ctx;
 	struct error err;
 
-	share->fetch = NULL;
+	mirror->fetch = NULL;
 	if (!result->ok || status != 200)
 		log_event(LOG_NOTICE, "copy_not_fetched",
-			  LOG_S("peer", share->from), LOG_D("status", status),
+			  LOG_S("peer", mirror->from), LOG_D("status", status),
 			  LOG_S("reason", result->text));
-	else if (!copy_unpack(share, body, size, &err))
+	else if (!copy_unpack(mirror, body, size, &err))
 		log_event(LOG_WARNING, "copy_malformed",
-			  LOG_S("peer", share->from),
+			  LOG_S("peer", mirror->from),
 			  LOG_S("reason", err.text));
 }
 
 static void on_fetch(struct timer *timer, void *ctx)
 {
-	struct node_share *share = ctx;
-	struct node *node = share->node;
-	uint64_t from = share_position(share->share);
+	struct node_mirror *mirror = ctx;
+	struct node *node = mirror->node;
+	uint64_t from = mirror_position(mirror->mirror);
 	int64_t limit = from > 0 ? FETCH_USEC : FETCH_WHOLE_USEC;
 	g_autofree char *path =
-		g_strdup_printf(SHARE_PATH "%d?from=%" PRIu64,
-				(int)(share - node->shares), from);
+		g_strdup_printf(MIRROR_PATH "%d?from=%" PRIu64,
+				(int)(mirror - node->mirrors), from);
 	const struct web_call_spec spec = {
-		.address = share->from,
+		.address = mirror->from,
 		.method = "GET",
 		.path = path,
 		.connect_usec = FETCH_USEC,
@@ -261,50 +264,52 @@
 		.idle_usec = limit,
 	};
 
-	share->fetch = web_fetch(node->client, &spec, COPY_BYTES_MAX,
-				 on_fetched, share);
+	mirror->fetch = web_fetch(node->client, &spec, COPY_BYTES_MAX,
+				  on_fetched, mirror);
 }
 
-void node_shares_word(const struct node *node, struct gossip_word *word)
+void node_mirrors_status(const struct node *node,
+			 struct gossip_summary *summary)
 {
-	for (int i = 0; i < GOSSIP_SHARES; i++)
-		share_word(node->shares[i].share, &word->shares[i]);
+	for (int i = 0; i < GOSSIP_MIRRORS; i++)
+		mirror_status(node->mirrors[i].mirror, &summary->mirrors[i]);
 }
 
 /* A large data centre has copies from elsewhere by few, who pass them on. */
-static bool is_better_near(struct node_share *share, const char *address)
+static bool is_better_near(struct node_mirror *mirror, const char *address)
 {
-	const struct node *node = share->node;
+	const struct node *node = mirror->node;
 	int64_t now = clock_now(node->clock);
 
 	if (!gossip_grouped(node->gossip) ||
 	    gossip_rank(node->gossip) < FAR_FETCHERS ||
-	    gossip_here(node->gossip, address))
+	    gossip_is_local(node->gossip, address))
 		return false;
-	if (share->far_since == 0)
-		share->far_since = now;
-	return now - share->far_since < FAR_PATIENCE_USEC;
+	if (mirror->remote_since == 0)
+		mirror->remote_since = now;
+	return now - mirror->remote_since < FAR_PATIENCE_USEC;
 }
 
-void node_shares_hear(struct node *node, const char *address,
-		      const struct gossip_word *word)
+void node_mirrors_merge(struct node *node, const char *address,
+			const struct gossip_summary *summary)
 {
 	int64_t spread = MIN(gossip_live(node->gossip) * FETCH_SPREAD_USEC,
 			     FETCH_SPREAD_MAX_USEC);
 
-	for (int i = 0; i < GOSSIP_SHARES; i++) {
-		struct node_share *share = &node->shares[i];
+	for (int i = 0; i < GOSSIP_MIRRORS; i++) {
+		struct node_mirror *mirror = &node->mirrors[i];
 
-		if (!share_hear(share->share, &word->shares[i])) {
-			share->far_since = 0;
+		if (!mirror_merge_status(mirror->mirror,
+					 &summary->mirrors[i])) {
+			mirror->remote_since = 0;
 			continue;
 		}
-		share_offered(share->share);
-		if (share->fetch || is_better_near(share, address))
+		mirror_fetch_pending(mirror->mirror);
+		if (mirror->fetch || is_better_near(mirror, address))
 			continue;
-		g_strlcpy(share->from, address, sizeof(share->from));
-		if (!timer_running(&share->fetch_timer))
-			timer_start(&share->fetch_timer,
+		g_strlcpy(mirror->from, address, sizeof(mirror->from));
+		if (!timer_running(&mirror->fetch_timer))
+			timer_start(&mirror->fetch_timer,
 				    (int64_t)(g_rand_double(node->rand) *
 					      (double)spread));
 	}
@@ -327,27 +332,27 @@
 	return true;
 }
 
-void node_share_serve(void *ctx, struct web_request *request)
+void node_mirror_serve(void *ctx, struct web_request *request)
 {
 	struct node *node = ctx;
 	struct web_text path = web_request_path(request);
-	size_t at = strlen(SHARE_PATH);
+	size_t at = strlen(MIRROR_PATH);
 	int i = path.size == at + 1 ? path.data[at] - '0' : -1;
 	g_autoptr(GByteArray) out = NULL;
 	char from[32] = "0";
 
-	if (i < 0 || i >= GOSSIP_SHARES) {
+	if (i < 0 || i >= GOSSIP_MIRRORS) {
 		web_reply(request, 404, "text/plain", "no such copy\n", 13);
 		return;
 	}
 	web_request_param(request, "from", from, sizeof(from));
-	if (!serve_may(node, share_size(node->shares[i].share,
-					strtoull(from, NULL, 10)))) {
+	if (!serve_may(node, mirror_encoded_size(node->mirrors[i].mirror,
+						 strtoull(from, NULL, 10)))) {
 		web_reply(request, 503, "text/plain", "busy\n", 5);
 		return;
 	}
 	out = g_byte_array_new();
-	share_pack(node->shares[i].share, strtoull(from, NULL, 10), out);
+	mirror_encode(node->mirrors[i].mirror, strtoull(from, NULL, 10), out);
 	message_compress(out, COMPRESS_LEAST);
 	web_reply(request, 200, "application/msgpack", out->data, out->len);
 }
@@ -360,7 +365,7 @@
 	g_autofree char *text = NULL;
 	char *data_centre;
 
-	if (!record->value || node_work_read(node, record))
+	if (!record->value || node_quarantine_read(node, record))
 		return;
 	node->peers_lower += strcmp(record->key, node->settings.name) < 0;
 	text = g_strndup(record->value, record->size);
@@ -369,7 +374,7 @@
 		*data_centre++ = '\0';
 	if (data_centre && !setting_name_valid(data_centre))
 		data_centre = NULL;
-	gossip_meet(node->gossip, text, data_centre);
+	gossip_add_peer(node->gossip, text, data_centre);
 }
 
 static void on_peers_listed(void *ctx)
@@ -380,8 +385,8 @@
 		return;
 	node->peers_listed = true;
 	gossip_listed(node->gossip);
-	for (int i = 0; i < GOSSIP_SHARES; i++)
-		share_start(node->shares[i].share, node->peers_lower);
+	for (int i = 0; i < GOSSIP_MIRRORS; i++)
+		mirror_start(node->mirrors[i].mirror, node->peers_lower);
 }
 
 static void on_registered(void *ctx, enum result_code code)
@@ -431,21 +436,21 @@
 
 static void share_open(struct node *node, enum node_stream stream,
 		       const struct feed_settings *settings,
-		       const struct share_ops *ops)
+		       const struct mirror_ops *ops)
 {
-	struct node_share *share = &node->shares[stream];
+	struct node_mirror *mirror = &node->mirrors[stream];
 
-	share->node = node;
-	share->share = share_create(node->clock, &node->interface.feeds,
-				    settings, ops, node);
-	timer_init(&share->fetch_timer, node->clock, on_fetch, share);
+	mirror->node = node;
+	mirror->mirror = mirror_create(node->clock, &node->interface.feeds,
+				       settings, ops, node);
+	timer_init(&mirror->fetch_timer, node->clock, on_fetch, mirror);
 }
 
 void node_feeds_start(struct node *node)
 {
-	static const struct share_ops config_ops = {
+	static const struct mirror_ops config_ops = {
 		on_config_begin, on_config_end, on_config, NULL};
-	static const struct share_ops list_ops = {
+	static const struct mirror_ops list_ops = {
 		on_list_begin, on_list_end, on_backend, on_backend_repeats};
 	static const struct feed_ops peer_ops = {
 		.snapshot_end = on_peers_listed,
@@ -470,22 +475,22 @@
 	node->peer_feed = feed_create(node->clock, &node->interface.feeds,
 				      &peers, &peer_ops, node);
 	timer_init(&node->register_timer, node->clock, on_register, node);
-	timer_init(&node->share_timer, node->clock, on_tick, node);
+	timer_init(&node->mirrors_timer, node->clock, on_tick, node);
 	timer_start(&node->register_timer, 0);
-	timer_start(&node->share_timer, TICK_USEC);
+	timer_start(&node->mirrors_timer, TICK_USEC);
 }
 
 void node_feeds_stop(struct node *node)
 {
 	timer_stop(&node->register_timer);
-	timer_stop(&node->share_timer);
-	for (int i = 0; i < GOSSIP_SHARES; i++) {
-		struct node_share *share = &node->shares[i];
-
-		timer_stop(&share->fetch_timer);
-		if (share->fetch)
-			web_call_cancel(share->fetch);
-		share_destroy(share->share);
+	timer_stop(&node->mirrors_timer);
+	for (int i = 0; i < GOSSIP_MIRRORS; i++) {
+		struct node_mirror *mirror = &node->mirrors[i];
+
+		timer_stop(&mirror->fetch_timer);
+		if (mirror->fetch)
+			web_call_cancel(mirror->fetch);
+		mirror_destroy(mirror->mirror);
 	}
 	feed_destroy(node->peer_feed);
 	g_hash_table_destroy(node->refused);
--- a/forward/node_health.c
+++ b/forward/node_health.c
@@ -16,7 +16,7 @@
 	GHashTableIter iter;
 	uint64_t *id;
 
-	if (!gossip_parted(node->gossip))
+	if (!gossip_partitioned(node->gossip))
 		return false;
 	if (forward_waiting(node->forward) >= STRANDED_WAITING)
 		return true;
--- a/forward/node_limits.c
+++ b/forward/node_limits.c
@@ -22,29 +22,29 @@
 	struct node *node = ctx;
 
 	if (limit_urgent(node->limits))
-		gossip_uses_changed(node->gossip);
+		gossip_usage_changed(node->gossip);
 }
 
-uint32_t node_uses(void *ctx, bool sums, struct limit_entry *entries,
-		   uint32_t most)
+uint32_t node_usage(void *ctx, bool sums, struct limit_entry *entries,
+		    uint32_t most)
 {
 	struct node *node = ctx;
 
-	return limit_tell(node->limits, clock_now(node->clock), sums, entries,
-			  most);
+	return limit_export(node->limits, clock_now(node->clock), sums, entries,
+			    most);
 }
 
-void node_uses_told(void *ctx)
+void node_usage_sent(void *ctx)
 {
 	struct node *node = ctx;
 
-	limit_told(node->limits);
+	limit_exported(node->limits);
 }
 
 /* Of organisations that the configuration in force does not have, nothing is
  * kept. */
-void node_use_heard(void *ctx, const struct limit_source *source,
-		    const struct limit_entry *entry)
+void node_usage_received(void *ctx, const struct limit_source *source,
+			 const struct limit_entry *entry)
 {
 	struct node *node = ctx;
 	const struct catalog *catalog = forward_catalog(node->forward);
@@ -55,7 +55,7 @@
 						 entry->account);
 	if (!organisation || organisation->allotment.rate <= 0.0)
 		return;
-	limit_hear(node->limits, clock_now(node->clock), source, entry,
-		   &organisation->allotment);
+	limit_merge(node->limits, clock_now(node->clock), source, entry,
+		    &organisation->allotment);
 	node_allotment_used(node);
 }
--- a/forward/node_permits.c
+++ b/forward/node_permits.c
@@ -18,8 +18,8 @@
 
 static bool grant(struct node *node, uint64_t server, int64_t *retry_usec)
 {
-	if (clock_now(node->clock) < NODE_MEET_USEC) {
-		*retry_usec = NODE_MEET_USEC - clock_now(node->clock);
+	if (clock_now(node->clock) < NODE_DISCOVERY_USEC) {
+		*retry_usec = NODE_DISCOVERY_USEC - clock_now(node->clock);
 		return false;
 	}
 	return backpressure_grant(node->backpressure, clock_now(node->clock),
@@ -30,26 +30,26 @@
 			int64_t *retry_usec)
 {
 	struct node *node = ctx;
-	struct permit_ask ask = {.id = id};
+	struct permit_request ask = {.id = id};
 
 	if (!backpressure_find(node->backpressure, clock_now(node->clock),
 			       backend->key, &ask.fact))
 		return PERMIT_GRANTED;
-	if (gossip_ask(node->gossip, &ask, backend->info.data_centre,
-		       may_be_home(node)))
+	if (gossip_request_permit(node->gossip, &ask, backend->info.data_centre,
+				  may_be_home(node)))
 		return PERMIT_ASKED;
 	return grant(node, backend->key, retry_usec) ? PERMIT_GRANTED
 						     : PERMIT_DENIED;
 }
 
-void node_permit_asked(void *ctx, const struct permit_ask *ask,
-		       struct permit_answer *answer)
+void node_permit_requested(void *ctx, const struct permit_request *ask,
+			   struct permit_answer *answer)
 {
 	struct node *node = ctx;
 	const struct backend *backend =
 		fleet_find(node->fleet, ask->fact.server);
 
-	node_fact_heard(node, &ask->fact);
+	node_fact_received(node, &ask->fact);
 	answer->retry_usec = WRONG_HOME_USEC;
 	answer->granted =
 		backend &&
@@ -66,7 +66,7 @@
 		       answer->granted, answer->retry_usec);
 }
 
-void node_fact_heard(void *ctx, const struct backpressure_fact *fact)
+void node_fact_received(void *ctx, const struct backpressure_fact *fact)
 {
 	const struct node *node = ctx;
 	struct backpressure_fact heard = *fact;
@@ -79,8 +79,8 @@
 {
 	const struct node *node = ctx;
 
-	return backpressure_tell(node->backpressure, clock_now(node->clock),
-				 facts, most);
+	return backpressure_export(node->backpressure, clock_now(node->clock),
+				   facts, most);
 }
 
 static bool server_lives(void *ctx, uint64_t server)
--- a/forward/node_quarantine.c
+++ b/forward/node_quarantine.c
@@ -35,7 +35,7 @@
 struct quarantine *node_quarantine_create(const struct node *node)
 {
 	const struct quarantine_settings settings = {
-		.ends = node->settings.quarantine_ends,
+		.ends = node->settings.quarantine_crashes,
 		.held_max = HELD_MAX,
 		.suspects_max = SUSPECTS_MAX,
 	};
@@ -43,18 +43,18 @@
 	return quarantine_create(&settings);
 }
 
-void node_work_changed(void *ctx, const struct work_id *work)
+void node_quarantine_changed(void *ctx, const struct request_fingerprint *work)
 {
 	struct node *node = ctx;
 	const struct quarantine_entry *entry =
 		quarantine_find(node->quarantine, work);
 
 	if (entry)
-		gossip_work_changed(node->gossip, entry);
+		gossip_quarantine_changed(node->gossip, entry);
 }
 
 static void heard_log(const struct node *node, const char *from,
-		      const struct work_id *work)
+		      const struct request_fingerprint *work)
 {
 	const struct quarantine_entry *entry =
 		quarantine_find(node->quarantine, work);
@@ -65,7 +65,7 @@
 		  LOG_D("held", quarantine_holds(node->quarantine, work)));
 }
 
-bool node_work_heard(void *ctx, const struct quarantine_entry *entry)
+bool node_quarantine_received(void *ctx, const struct quarantine_entry *entry)
 {
 	struct node *node = ctx;
 
@@ -75,7 +75,8 @@
 	return true;
 }
 
-uint32_t node_works(void *ctx, struct quarantine_entry *entries, uint32_t most)
+uint32_t node_quarantine_next(void *ctx, struct quarantine_entry *entries,
+			      uint32_t most)
 {
 	const struct node *node = ctx;
 
@@ -84,13 +85,14 @@
 
 /* ---- the store ---- */
 
-static void key_print(const struct work_id *work, char key[KEY_SIZE])
+static void key_print(const struct request_fingerprint *work,
+		      char key[KEY_SIZE])
 {
 	(void)snprintf(key, KEY_SIZE, KEY_PREFIX "%016" PRIx64 "%016" PRIx64,
 		       work->high, work->low);
 }
 
-static bool key_read(const char *key, struct work_id *work)
+static bool key_read(const char *key, struct request_fingerprint *work)
 {
 	return strlen(key) == KEY_SIZE - 1 &&
 	       sscanf(key, KEY_PREFIX "%16" SCNx64 "%16" SCNx64, &work->high,
@@ -116,7 +118,7 @@
 	uint32_t count = g_strv_length(words);
 	guint64 number;
 
-	if (count < 2 || count > QUARANTINE_ENDS_MAX + 1 ||
+	if (count < 2 || count > QUARANTINE_CRASHES_MAX + 1 ||
 	    !g_ascii_string_to_unsigned(words[0], 16, 0, UINT32_MAX, &number,
 					NULL))
 		return false;
@@ -130,7 +132,7 @@
 	return true;
 }
 
-bool node_work_read(struct node *node, const struct feed_record *record)
+bool node_quarantine_read(struct node *node, const struct feed_record *record)
 {
 	struct quarantine_entry entry = {.stored = true};
 
@@ -190,13 +192,13 @@
 	int64_t now = clock_now(node->clock);
 
 	if (now - node->works_read < PARTED_READ_USEC || !node->registered ||
-	    !gossip_parted(node->gossip) || gossip_rank(node->gossip) > 0)
+	    !gossip_partitioned(node->gossip) || gossip_rank(node->gossip) > 0)
 		return;
 	node->works_read = now;
 	feed_poll(node->peer_feed);
 }
 
-void node_works_tick(struct node *node)
+void node_quarantine_tick(struct node *node)
 {
 	works_store(node);
 	works_fetch(node);
--- a/forward/node_settings.c
+++ b/forward/node_settings.c
@@ -48,11 +48,12 @@
 	node->settings.retry_slack = fresh.retry_slack;
 	node->settings.retry_window_sec = fresh.retry_window_sec;
 	node->settings.grace_sec = fresh.grace_sec;
-	node->settings.quarantine_ends = fresh.quarantine_ends;
+	node->settings.quarantine_crashes = fresh.quarantine_crashes;
 	budget = node_budget(&node->settings);
 	budgets_configure(node->budgets, &budget);
 	node->settings.limit_policy = fresh.limit_policy;
-	quarantine_configure(node->quarantine, node->settings.quarantine_ends);
+	quarantine_configure(node->quarantine,
+			     node->settings.quarantine_crashes);
 	limits_set_policy(node->limits, node->settings.limit_policy);
 	log_setup(node->clock, PROGRAM, fresh.log_level);
 	log_event(LOG_NOTICE, "settings_read", LOG_S("file", node->file));
--- a/forward/permit.c
+++ b/forward/permit.c
@@ -28,7 +28,7 @@
 
 	log_event(LOG_NOTICE, "backend_limit",
 		  LOG_S("backend", backend->info.id),
-		  LOG_D("born", backend->info.born),
+		  LOG_D("born", backend->info.started_ms),
 		  LOG_F("per_s", backpressure_limit(table, backend->key)),
 		  LOG_F("before", before), LOG_S("from", from));
 }
@@ -37,7 +37,7 @@
 {
 	log_event(LOG_NOTICE, "backend_leaves",
 		  LOG_S("backend", backend->info.id),
-		  LOG_D("born", backend->info.born),
+		  LOG_D("born", backend->info.started_ms),
 		  LOG_D("listed_leaving", backend->info.leaving),
 		  LOG_S("from", from));
 }
@@ -51,7 +51,7 @@
 	log_event(
 		LOG_NOTICE, "backend_backoff",
 		LOG_S("backend", backend->info.id),
-		LOG_D("born", backend->info.born),
+		LOG_D("born", backend->info.started_ms),
 		LOG_D("ms", (until - clock_now(parts->clock)) / USEC_PER_MSEC));
 }
 
@@ -100,8 +100,8 @@
 {
 	const struct forward_parts *parts = &forward->parts;
 	double before = backpressure_limit(parts->backpressure, fact->server);
-	unsigned int changed = backpressure_hear(parts->backpressure,
-						 clock_now(parts->clock), fact);
+	unsigned int changed = backpressure_merge(
+		parts->backpressure, clock_now(parts->clock), fact);
 
 	changes_apply(forward, fact->server, changed, before, "peer");
 }
@@ -157,7 +157,7 @@
 		permit_deny(request, backend, retry_usec, "limit");
 	if (permit != PERMIT_ASKED)
 		return permit;
-	request->asks++;
+	request->permit_attempts++;
 	request->permit_step = step;
 	request->permit_from = backend->key;
 	timer_start(&request->permit_timer, ANSWER_USEC);
--- a/forward/place.c
+++ b/forward/place.c
@@ -88,7 +88,7 @@
 
 int64_t place_stale(const struct place *place, const struct backend *backend)
 {
-	return backend->ours ? place->stale_near : place->stale_far;
+	return backend->ours ? place->stale_local : place->stale_remote;
 }
 
 /* Instances with the same view choose alike until they hear of each other, so
@@ -166,11 +166,11 @@
 	return choice.best;
 }
 
-static double distance(const struct backend *backend, double far)
+static double distance(const struct backend *backend, double remote)
 {
-	if (backend->near)
+	if (backend->local)
 		return backend->ours ? 0.0 : GROUP_FAR;
-	return far;
+	return remote;
 }
 
 static double plain_cost(const struct place *place,
@@ -181,7 +181,7 @@
 	return (double)backend_requests(backend) / slots +
 	       distance(backend, PLAIN_FAR) +
 	       (is_limited(place, backend) ? LIMITED_PART : 0.0) +
-	       TROUBLE_WEIGHT * backend_trouble(backend, place->now) +
+	       TROUBLE_WEIGHT * backend_failure_score(backend, place->now) +
 	       jitter(place, backend);
 }
 
@@ -277,7 +277,7 @@
 		       (double)MAX(decode->engine->memory_tokens, 1) +
 	       distance(backend, DECODE_FAR) +
 	       (is_limited(place, backend) ? LIMITED_PART : 0.0) +
-	       TROUBLE_WEIGHT * backend_trouble(backend, place->now) +
+	       TROUBLE_WEIGHT * backend_failure_score(backend, place->now) +
 	       jitter(place, backend);
 }
 
@@ -294,15 +294,16 @@
 			   const struct backend *backend, const void *wish)
 {
 	const struct backend *to = wish;
-	bool near =
+	bool local =
 		strcmp(backend->info.data_centre, to->info.data_centre) == 0;
 
 	if (backend->info.stage != STAGE_PREFILL)
 		return NOT_FIT;
 	return (double)backend_prefill_tokens(backend) +
-	       (near ? 0.0 : PREFILL_FAR_TOKENS) +
+	       (local ? 0.0 : PREFILL_FAR_TOKENS) +
 	       (is_limited(place, backend) ? PREFILL_LIMITED_TOKENS : 0.0) +
-	       PREFILL_TROUBLE_TOKENS * backend_trouble(backend, place->now) +
+	       PREFILL_TROUBLE_TOKENS *
+		       backend_failure_score(backend, place->now) +
 	       PREFILL_JITTER_TOKENS * jitter(place, backend);
 }
 
@@ -312,7 +313,7 @@
 	return place_least(place, STAGE_PREFILL, prefill_cost, to);
 }
 
-struct backend *place_reader(const struct place *place,
+struct backend *place_prompt(const struct place *place,
 			     const struct backend *to, uint32_t tokens,
 			     uint32_t most_ahead)
 {
--- a/forward/plain.c
+++ b/forward/plain.c
@@ -21,7 +21,7 @@
 #define QUEUE_SLOTS 5u
 
 /* Permits that are asked for one call. */
-#define PERMIT_ASKS_MAX 4u
+#define PERMIT_ATTEMPTS_MAX 4u
 
 static void plain_send(struct request *request, struct backend *backend);
 
@@ -51,7 +51,7 @@
 }
 
 /* Tries another server, or ends the request as code and why say. */
-static void plain_again(struct request *request, enum result_code code,
+static void plain_retry(struct request *request, enum result_code code,
 			const char *why)
 {
 	bool may = (request->runs == 0 || request_repeatable(request)) &&
@@ -92,7 +92,7 @@
 			  LOG_S("why", "error or unsigned answer"));
 		if (backend)
 			backend_failed(backend, now);
-		plain_again(request, RESULT_BACKEND_FAILED,
+		plain_retry(request, RESULT_BACKEND_FAILED,
 			    "error or unsigned answer");
 		return;
 	}
@@ -115,7 +115,7 @@
 	else if (backend)
 		backend_unreachable(backend, request_now(request));
 	request_uncount(request, end);
-	plain_again(request,
+	plain_retry(request,
 		    request->runs == 0 ? RESULT_NO_BACKEND
 		    : end->timed_out   ? RESULT_BACKEND_TIMEOUT
 				       : RESULT_BACKEND_FAILED,
@@ -135,7 +135,7 @@
 	else if (backend)
 		backend_failed(backend, request_now(request));
 	answer_clear(&request->answer);
-	plain_again(request, RESULT_BACKEND_REFUSED, "server is full");
+	plain_retry(request, RESULT_BACKEND_REFUSED, "server is full");
 }
 
 static void on_head(void *ctx, const struct backend_head *head)
@@ -229,7 +229,7 @@
 	struct backend *backend;
 
 	while (permit == PERMIT_DENIED) {
-		backend = request->asks < PERMIT_ASKS_MAX
+		backend = request->permit_attempts < PERMIT_ATTEMPTS_MAX
 				  ? server_choose(request, true)
 				  : NULL;
 		if (!backend) {
--- a/forward/rates.c
+++ b/forward/rates.c
@@ -23,7 +23,7 @@
 		median->value /= 1.0 + RATES_STEP;
 }
 
-double stream_work(uint32_t prompt, uint32_t output)
+double stream_cost(uint32_t prompt, uint32_t output)
 {
 	return ((double)prompt + (double)output / 2.0) *
 	       (double)MAX(output, 1u);
@@ -36,8 +36,8 @@
 	return CLAMP(work / rates->work.value, 1.0 / WEIGHT_MOST, WEIGHT_MOST);
 }
 
-void engine_rates_read(struct engine_rates *rates, uint32_t tokens,
-		       uint32_t ahead, int64_t usec)
+void engine_rates_add_prefill(struct engine_rates *rates, uint32_t tokens,
+			      uint32_t ahead, int64_t usec)
 {
 	if (tokens < TOKENS_LEAST || usec <= 0)
 		return;
--- a/forward/reader.c
+++ b/forward/reader.c
@@ -37,7 +37,7 @@
 {
 	bool is_early = now - state->fresh < LISTED_USEC;
 
-	if (is_early && place->unheard > place->peers / 2)
+	if (is_early && place->silent_peers > place->peers / 2)
 		return START_RANK_MAX;
 	return MIN(place->rank, START_RANK_MAX);
 }
@@ -45,9 +45,9 @@
 static int64_t start_patience(const struct reader_state *state,
 			      const struct reader_place *place, int64_t now)
 {
-	int64_t patience =
-		(int64_t)start_rank(state, place, now) * READER_RANK_USEC +
-		(state->listed ? START_USEC : LISTED_USEC);
+	int64_t patience = (int64_t)start_rank(state, place, now) *
+				   READER_RANK_STALENESS_USEC +
+			   (state->listed ? START_USEC : LISTED_USEC);
 
 	return patience * (place->delay_usec > 0 ? START_GROUPED : 1);
 }
@@ -74,30 +74,31 @@
 
 /* Beyond that of the first. Who could not read the list of instances is not
  * answered by the store, and knows few of those that ask with it. */
-static int64_t rank_patience(const struct reader_state *state,
-			     const struct reader_place *place)
+static int64_t rank_staleness(const struct reader_state *state,
+			      const struct reader_place *place)
 {
-	int64_t most = MAX(READER_RANK_USEC,
+	int64_t most = MAX(READER_RANK_STALENESS_USEC,
 			   (int64_t)place->instances * INSTANCE_USEC);
 
 	if (!state->listed)
-		return START_RANK_MAX * READER_RANK_USEC +
+		return START_RANK_MAX * READER_RANK_STALENESS_USEC +
 		       (int64_t)((double)most * drawn_part(state, place));
-	return READER_RANK_USEC + (int64_t)((double)most * ranked_part(place));
+	return READER_RANK_STALENESS_USEC +
+	       (int64_t)((double)most * ranked_part(place));
 }
 
-int64_t reader_patience(const struct reader_state *state,
-			const struct reader_place *place, int64_t now)
+int64_t reader_staleness_bound(const struct reader_state *state,
+			       const struct reader_place *place, int64_t now)
 {
 	if (!state->has_copy)
 		return start_patience(state, place, now);
 	/* No rank is sure before peers are known. What a reader holds is up to
 	 * two answers old. */
 	if (place->rank > 0 || (!state->listed && place->instances > 1))
-		return READER_PATIENCE_USEC + place->delay_usec +
-		       rank_patience(state, place) + 2 * state->lag;
+		return READER_STALENESS_USEC + place->delay_usec +
+		       rank_staleness(state, place) + 2 * state->lag;
 	/* A read that waits is begun at once by the first. */
-	return state->waits ? 0 : READER_PATIENCE_USEC;
+	return state->waits ? 0 : READER_STALENESS_USEC;
 }
 
 /* Instances that were refused at the same moment do not come again together. */
@@ -112,9 +113,9 @@
 static bool is_turn(const struct reader_state *state,
 		    const struct reader_place *place, int64_t now)
 {
-	int64_t old_at =
-		state->fresh + READER_PATIENCE_USEC + 2 * READER_RANK_USEC;
-	uint32_t turns = place->storeless + 1;
+	int64_t old_at = state->fresh + READER_STALENESS_USEC +
+			 2 * READER_RANK_STALENESS_USEC;
+	uint32_t turns = place->store_unreachable + 1;
 
 	if (!state->has_copy)
 		turns = MIN(turns, TURNS_WITHOUT_COPY);
@@ -128,7 +129,7 @@
 {
 	int64_t least = (int64_t)place->instances * INSTANCE_USEC;
 	int64_t since = now - state->failed;
-	bool once = state->failed < state->fresh + READER_PATIENCE_USEC;
+	bool once = state->failed < state->fresh + READER_STALENESS_USEC;
 
 	if (since < state->backoff)
 		return false;
@@ -136,7 +137,7 @@
 		return since >= pause_spread(state, PROBE_USEC);
 	if (state->has_copy && once)
 		return true;
-	if (place->storeless < STORELESS_LEAST)
+	if (place->store_unreachable < STORELESS_LEAST)
 		return since >= least;
 	return since >= MAX(TURN_USEC, least) && is_turn(state, place, now);
 }
@@ -144,7 +145,8 @@
 bool reader_is_due(const struct reader_state *state,
 		   const struct reader_place *place, int64_t now)
 {
-	bool is_old = now - state->fresh >= reader_patience(state, place, now);
+	bool is_old =
+		now - state->fresh >= reader_staleness_bound(state, place, now);
 
 	return state->failing ? may_retry(state, place, now, is_old) : is_old;
 }
--- a/forward/request.c
+++ b/forward/request.c
@@ -69,8 +69,8 @@
 		.regions = {request->route->regions,
 			    organisation ? organisation->regions : NULL},
 		.rand = parts->rand,
-		.stale_near = parts->interval(parts->instances_ctx, true),
-		.stale_far = parts->interval(parts->instances_ctx, false),
+		.stale_local = parts->interval(parts->instances_ctx, true),
+		.stale_remote = parts->interval(parts->instances_ctx, false),
 	};
 }
 
@@ -131,7 +131,7 @@
 		  LOG_D("decode_tokens", backend_decode_tokens(backend)),
 		  LOG_D("prefill_tokens", backend_prefill_tokens(backend)),
 		  LOG_F("trouble",
-			backend_trouble(backend, request_now(request))),
+			backend_failure_score(backend, request_now(request))),
 		  LOG_D("list_age_ms",
 			parts->list_age(parts->instances_ctx) / USEC_PER_MSEC),
 		  LOG_D("version", request->catalog->version),
@@ -243,7 +243,7 @@
 	timer_stop(&request->timer);
 	request_unread_drop(request);
 	stream_unwait(request);
-	request_unadmit(request);
+	request_refund(request);
 	resources_drop(request);
 	answer_clear(&request->answer);
 	event_cutter_clear(&request->cutter);
--- a/forward/request.h
+++ b/forward/request.h
@@ -59,10 +59,11 @@
 	enum permit_step permit_step;
 	uint64_t permit_from; /* key of the server */
 	struct timer permit_timer;
-	uint32_t asks; /* for a permit so far */
+	uint32_t permit_attempts; /* for a permit so far */
 	struct answer answer;
 	struct tried tried;
-	struct lost_work work; /* once request_work() was asked for it */
+	struct request_identity
+		work; /* once request_identify() was asked for it */
 	bool work_known;
 	bool lost_connection; /* in the middle of a call */
 	uint32_t sends;	 /* that may have reached a server, and count as such */
@@ -71,7 +72,7 @@
 	uint32_t rounds; /* through placing, for streams */
 	double weight;	 /* of a stream, engine_rates_weight() */
 	bool judged;	 /* looked at for an early refusal */
-	bool on_trial;	 /* at a decode server that refused others lately */
+	bool is_probe;	 /* at a decode server that refused others lately */
 	int replied_status;
 	bool replied; /* the head of an answer went to the caller */
 	struct charge decode;
@@ -109,7 +110,7 @@
 	struct table *requests;
 	GQueue waiting; /* streams without decode memory, by arrival */
 	struct timer pump;
-	struct ended *ended_servers;
+	struct ended *crash_detector;
 	double begin_usec; /* mean time from placing to the first event */
 	bool draining;
 	size_t unread;			  /* of all requests */
@@ -161,7 +162,7 @@
  * has ended the request. */
 bool request_admit(struct request *request);
 /* Gives back what a request took that has not run. */
-void request_unadmit(struct request *request);
+void request_refund(struct request *request);
 /* Its organisation's priority, or its route's; 0 is the highest. It orders
  * those that wait here; engines, which would preempt by it, are not told. */
 uint32_t request_urgency(const struct request *request);
@@ -232,9 +233,9 @@
 void request_unread_note(struct request *request);
 void request_unread_drop(struct request *request);
 
-/* Of suspect.c: an ended_fn with the forward as context. */
-void quarantine_server_ended(void *ctx, const struct backend_info *server,
-			     const struct lost_work *lost);
+/* Of suspect.c: an crash_fn with the forward as context. */
+void quarantine_server_crashed(void *ctx, const struct backend_info *server,
+			       const struct request_identity *lost);
 
 /* Of plain.c, stream.c and waiting.c. */
 void plain_start(struct request *request);
--- a/forward/roles.c
+++ b/forward/roles.c
@@ -262,15 +262,15 @@
 
 /* Taken for 33,000 tokens a second, whatever the engines read, seven of 37
  * servers that read 50,000 were made prefill servers too many in a burst. */
-static double read_rate(const struct roles *roles)
+static double prefill_rate(const struct roles *roles)
 {
-	return roles->parts.ops.read_rate(roles->parts.ctx);
+	return roles->parts.ops.prefill_rate(roles->parts.ctx);
 }
 
 static bool is_overloaded(const struct roles *roles, struct stages stages)
 {
 	return roles->mean_ticks >= MEAN_USEC / TICK_USEC &&
-	       stages.prefill * read_rate(roles) * OVERLOAD <
+	       stages.prefill * prefill_rate(roles) * OVERLOAD <
 		       mean_demand(roles);
 }
 
@@ -282,7 +282,7 @@
 	if (rate < DEMAND_LEAST)
 		rate = 0.0;
 	return roles_change(stages.prefill, stages.total, rate,
-			    read_rate(roles));
+			    prefill_rate(roles));
 }
 
 static bool is_short(struct stages stages)
@@ -329,7 +329,7 @@
 {
 	if (!roles->leasing)
 		return;
-	lease_give_up(roles->leases, roles->task);
+	lease_release(roles->leases, roles->task);
 	leases_destroy(roles->leases);
 	roles->leases = NULL;
 	roles->leasing = false;
--- a/forward/settings.c
+++ b/forward/settings.c
@@ -54,7 +54,7 @@
 	/* The least number that refuses no innocent request, see
 	 * coord/quarantine.h. */
 	{"quarantine-ends", "JT_QUARANTINE_ENDS", SETTING_U32,
-	 FIELD(quarantine_ends), 2, QUARANTINE_ENDS_MAX, "3", false, "N",
+	 FIELD(quarantine_crashes), 2, QUARANTINE_CRASHES_MAX, "3", false, "N",
 	 "servers that ended under a request, from which on it is refused"},
 	{"limits", "JT_LIMITS", SETTING_NAME, FIELD(limits), 0, 0, "counts",
 	 false, "POLICY",
--- a/forward/share.c
+++ b/forward/share.c
@@ -22,7 +22,7 @@
  * whole copy is sent. */
 #define CHANGES_MAX 4096u
 
-struct share {
+struct mirror {
 	struct clock *clock;
 	int64_t began;	 /* or the peers were listed */
 	int64_t offered; /* when a peer told of a copy last */
@@ -30,7 +30,7 @@
 	bool listed;
 	struct feed *feed;
 	struct feed_settings settings;
-	struct share_ops ops;
+	struct mirror_ops ops;
 	void *ctx;
 	GHashTable *values; /* key to struct value */
 	GHashTable *before; /* values before the snapshot being read, or NULL */
@@ -65,82 +65,82 @@
 	g_free(change->key);
 }
 
-static const struct change *change_at(const struct share *share, guint i)
+static const struct change *change_at(const struct mirror *mirror, guint i)
 {
-	return &g_array_index(share->changes, struct change, i);
+	return &g_array_index(mirror->changes, struct change, i);
 }
 
-static void change_note(struct share *share, const char *key, uint64_t offset)
+static void change_note(struct mirror *mirror, const char *key, uint64_t offset)
 {
 	struct change change = {g_strdup(key), offset};
-	guint at = share->changes->len;
+	guint at = mirror->changes->len;
 
 	if (at >= CHANGES_MAX) {
-		share->floor = change_at(share, CHANGES_MAX / 2)->offset + 1;
-		g_array_remove_range(share->changes, 0, CHANGES_MAX / 2 + 1);
-		at = share->changes->len;
+		mirror->floor = change_at(mirror, CHANGES_MAX / 2)->offset + 1;
+		g_array_remove_range(mirror->changes, 0, CHANGES_MAX / 2 + 1);
+		at = mirror->changes->len;
 	}
 	/* Those of a copy come in order, but for what was dropped. */
-	while (at > 0 && change_at(share, at - 1)->offset > offset)
+	while (at > 0 && change_at(mirror, at - 1)->offset > offset)
 		at--;
-	g_array_insert_val(share->changes, at, change);
+	g_array_insert_val(mirror->changes, at, change);
 }
 
-static void value_set(struct share *share, const char *key, const void *data,
+static void value_set(struct mirror *mirror, const char *key, const void *data,
 		      size_t size, uint64_t changed)
 {
 	struct value *value = g_new0(struct value, 1);
 
 	value->data = g_bytes_new(data, size);
 	value->changed = changed;
-	g_hash_table_replace(share->values, g_strdup(key), value);
+	g_hash_table_replace(mirror->values, g_strdup(key), value);
 }
 
 /* Keeps what a key had before the snapshot that is being read. */
-static bool value_restore(struct share *share, const char *key)
+static bool value_restore(struct mirror *mirror, const char *key)
 {
 	gpointer name;
 	gpointer value;
 
-	if (!share->before ||
-	    !g_hash_table_steal_extended(share->before, key, &name, &value))
+	if (!mirror->before ||
+	    !g_hash_table_steal_extended(mirror->before, key, &name, &value))
 		return false;
-	g_hash_table_replace(share->values, name, value);
+	g_hash_table_replace(mirror->values, name, value);
 	return true;
 }
 
-static bool is_repeated(const struct share *share, const struct value *known,
+static bool is_repeated(const struct mirror *mirror, const struct value *known,
 			const void *data, size_t size)
 {
 	gsize before;
 	const void *old = g_bytes_get_data(known->data, &before);
 
-	return share->ops.repeats &&
-	       share->ops.repeats(share->ctx, old, before, data, size);
+	return mirror->ops.repeats &&
+	       mirror->ops.repeats(mirror->ctx, old, before, data, size);
 }
 
-static void value_take(struct share *share, uint64_t offset, const char *key,
+static void value_take(struct mirror *mirror, uint64_t offset, const char *key,
 		       const void *data, size_t size)
 {
-	const struct value *known = g_hash_table_lookup(share->values, key);
-	enum share_effect effect;
+	const struct value *known = g_hash_table_lookup(mirror->values, key);
+	enum mirror_effect effect;
 	bool is_new;
 
-	if (data && known && is_repeated(share, known, data, size))
+	if (data && known && is_repeated(mirror, known, data, size))
 		return;
-	effect = share->ops.value(share->ctx, offset, key, data, size);
-	if (effect == SHARE_REFUSED && (known || value_restore(share, key)))
+	effect = mirror->ops.value(mirror->ctx, offset, key, data, size);
+	if (effect == MIRROR_REJECTED && (known || value_restore(mirror, key)))
 		return;
-	is_new = effect == SHARE_CHANGED || !known;
+	is_new = effect == MIRROR_CHANGED || !known;
 	if (is_new || !data)
-		change_note(share, key, offset);
+		change_note(mirror, key, offset);
 	if (data)
-		value_set(share, key, data, size,
+		value_set(mirror, key, data, size,
 			  is_new ? offset : known->changed);
 	else
-		g_hash_table_remove(share->values, key);
-	if (effect == SHARE_CHANGED)
-		share->changed = MAX(share->changed, offset + 1);
+		g_hash_table_remove(mirror->values, key);
+	if (effect == MIRROR_CHANGED)
+		mirror->changed = MAX(mirror->changed, offset + 1);
 }
 
 static void on_record(void *ctx, const struct feed_record *record)
@@ -155,207 +155,209 @@
 				     value_free);
 }
 
-static void before_drop(struct share *share)
+static void before_drop(struct mirror *mirror)
 {
-	if (share->before)
-		g_hash_table_destroy(share->before);
-	share->before = NULL;
+	if (mirror->before)
+		g_hash_table_destroy(mirror->before);
+	mirror->before = NULL;
 }
 
 static void on_begin(void *ctx)
 {
-	struct share *share = ctx;
+	struct mirror *mirror = ctx;
 
 	/* One that was broken off has not replaced anything. */
-	if (share->before)
-		g_hash_table_destroy(share->values);
+	if (mirror->before)
+		g_hash_table_destroy(mirror->values);
 	else
-		share->before = share->values;
-	share->values = values_create();
-	g_array_set_size(share->changes, 0);
-	if (share->ops.begin)
-		share->ops.begin(share->ctx);
+		mirror->before = mirror->values;
+	mirror->values = values_create();
+	g_array_set_size(mirror->changes, 0);
+	if (mirror->ops.begin)
+		mirror->ops.begin(mirror->ctx);
 }
 
 /* What is no longer in a snapshot has changed too, at an offset not known. */
 static void on_end(void *ctx)
 {
-	struct share *share = ctx;
+	struct mirror *mirror = ctx;
 
-	before_drop(share);
-	share->changed = MAX(share->changed, feed_position(share->feed));
-	share->floor = share->changed;
-	if (share->ops.end)
-		share->ops.end(share->ctx);
+	before_drop(mirror);
+	mirror->changed = MAX(mirror->changed, feed_position(mirror->feed));
+	mirror->floor = mirror->changed;
+	if (mirror->ops.end)
+		mirror->ops.end(mirror->ctx);
 }
 
-bool share_failing(const struct share *share)
+bool mirror_failing(const struct mirror *mirror)
 {
-	return feed_failing(share->feed);
+	return feed_failing(mirror->feed);
 }
 
-struct share *share_create(struct clock *clock, const struct feed_store *store,
-			   const struct feed_settings *settings,
-			   const struct share_ops *ops, void *ctx)
+struct mirror *mirror_create(struct clock *clock,
+			     const struct feed_store *store,
+			     const struct feed_settings *settings,
+			     const struct mirror_ops *ops, void *ctx)
 {
 	static const struct feed_ops feed_ops = {
 		.snapshot_begin = on_begin,
 		.snapshot_end = on_end,
 		.record = on_record,
 	};
-	struct share *share = g_new0(struct share, 1);
+	struct mirror *mirror = g_new0(struct mirror, 1);
 
-	share->clock = clock;
-	share->began = clock_now(clock);
-	share->settings = *settings;
-	share->settings.on_demand = true;
-	share->ops = *ops;
-	share->ctx = ctx;
-	share->values = values_create();
-	share->changes = g_array_new(FALSE, FALSE, sizeof(struct change));
-	g_array_set_clear_func(share->changes, change_clear);
-	share->feed =
-		feed_create(clock, store, &share->settings, &feed_ops, share);
-	return share;
+	mirror->clock = clock;
+	mirror->began = clock_now(clock);
+	mirror->settings = *settings;
+	mirror->settings.on_demand = true;
+	mirror->ops = *ops;
+	mirror->ctx = ctx;
+	mirror->values = values_create();
+	mirror->changes = g_array_new(FALSE, FALSE, sizeof(struct change));
+	g_array_set_clear_func(mirror->changes, change_clear);
+	mirror->feed =
+		feed_create(clock, store, &mirror->settings, &feed_ops, mirror);
+	return mirror;
 }
 
-void share_destroy(struct share *share)
+void mirror_destroy(struct mirror *mirror)
 {
-	if (!share)
+	if (!mirror)
 		return;
-	feed_destroy(share->feed);
-	before_drop(share);
-	g_hash_table_destroy(share->values);
-	g_array_unref(share->changes);
-	g_free(share);
+	feed_destroy(mirror->feed);
+	before_drop(mirror);
+	g_hash_table_destroy(mirror->values);
+	g_array_unref(mirror->changes);
+	g_free(mirror);
 }
 
-static bool has_copy(const struct share *share)
+static bool has_copy(const struct mirror *mirror)
 {
-	return feed_fresh(share->feed) != FEED_NEVER;
+	return feed_fresh(mirror->feed) != FEED_NEVER;
 }
 
-void share_start(struct share *share, uint32_t lower)
+void mirror_start(struct mirror *mirror, uint32_t lower)
 {
-	share->listed = true;
-	share->began = clock_now(share->clock);
-	if (!has_copy(share) && lower < SHARE_STARTERS)
-		feed_poll(share->feed);
+	mirror->listed = true;
+	mirror->began = clock_now(mirror->clock);
+	if (!has_copy(mirror) && lower < MIRROR_STARTUP_READERS)
+		feed_poll(mirror->feed);
 }
 
-void share_offered(struct share *share)
+void mirror_fetch_pending(struct mirror *mirror)
 {
-	share->offered = clock_now(share->clock);
+	mirror->offered = clock_now(mirror->clock);
 }
 
 /* Whether a first copy is about to come from a peer. */
-static bool is_coming(const struct share *share)
+static bool is_coming(const struct mirror *mirror)
 {
-	int64_t now = clock_now(share->clock);
+	int64_t now = clock_now(mirror->clock);
 
-	return !has_copy(share) && share->offered > 0 &&
-	       now - share->offered < OFFER_USEC &&
-	       now - share->began < OFFERS_USEC;
+	return !has_copy(mirror) && mirror->offered > 0 &&
+	       now - mirror->offered < OFFER_USEC &&
+	       now - mirror->began < OFFERS_USEC;
 }
 
-static struct reader_state reader_state(const struct share *share)
+static struct reader_state reader_state(const struct mirror *mirror)
 {
 	return (struct reader_state){
-		.has_copy = has_copy(share),
-		.fresh = has_copy(share) ? feed_fresh(share->feed)
-					 : share->began,
-		.listed = share->listed,
-		.waits = share->settings.wait_usec > 0,
-		.lag = feed_lag(share->feed),
-		.failing = feed_failing(share->feed),
-		.failed = feed_failed_at(share->feed),
-		.backoff = feed_backoff(share->feed),
-		.seed = share->settings.seed,
+		.has_copy = has_copy(mirror),
+		.fresh = has_copy(mirror) ? feed_fresh(mirror->feed)
+					  : mirror->began,
+		.listed = mirror->listed,
+		.waits = mirror->settings.wait_usec > 0,
+		.lag = feed_lag(mirror->feed),
+		.failing = feed_failing(mirror->feed),
+		.failed = feed_failed_at(mirror->feed),
+		.backoff = feed_backoff(mirror->feed),
+		.seed = mirror->settings.seed,
 	};
 }
 
 /* Once, when this instance begins to read for others. */
-static void read_log(struct share *share, const struct reader_state *state,
+static void read_log(struct mirror *mirror, const struct reader_state *state,
 		     const struct reader_place *place)
 {
-	int64_t now = clock_now(share->clock);
-	int64_t patience = reader_patience(state, place, now);
-	bool goes_on = share->read > 0 && now - share->read < READ_PAUSE_USEC;
+	int64_t now = clock_now(mirror->clock);
+	int64_t patience = reader_staleness_bound(state, place, now);
+	bool goes_on = mirror->read > 0 && now - mirror->read < READ_PAUSE_USEC;
 
-	share->read = now;
+	mirror->read = now;
 	if (!goes_on)
 		log_event(LOG_INFO, "store_read_begun",
-			  LOG_S("stream", share->settings.stream),
+			  LOG_S("stream", mirror->settings.stream),
 			  LOG_D("rank", place->rank),
-			  LOG_D("storeless", place->storeless),
+			  LOG_D("storeless", place->store_unreachable),
 			  LOG_D("age_ms", (now - state->fresh) / USEC_PER_MSEC),
 			  LOG_D("patience_ms", patience / USEC_PER_MSEC));
 }
 
-void share_tick(struct share *share, const struct reader_place *place)
+void mirror_tick(struct mirror *mirror, const struct reader_place *place)
 {
-	struct reader_state state = reader_state(share);
+	struct reader_state state = reader_state(mirror);
 
-	if (reader_is_due(&state, place, clock_now(share->clock)) &&
-	    !is_coming(share) && feed_poll(share->feed))
-		read_log(share, &state, place);
+	if (reader_is_due(&state, place, clock_now(mirror->clock)) &&
+	    !is_coming(mirror) && feed_poll(mirror->feed))
+		read_log(mirror, &state, place);
 }
 
-void share_hurry(struct share *share)
+void mirror_refresh(struct mirror *mirror)
 {
-	feed_hurry(share->feed);
+	feed_restart(mirror->feed);
 }
 
-void share_word(const struct share *share, struct share_word *word)
+void mirror_status(const struct mirror *mirror, struct mirror_status *word)
 {
-	int64_t fresh = feed_fresh(share->feed);
+	int64_t fresh = feed_fresh(mirror->feed);
 
-	word->next = feed_position(share->feed);
-	word->changed = share->changed;
+	word->next = feed_position(mirror->feed);
+	word->changed = mirror->changed;
 	word->age_usec =
-		fresh == FEED_NEVER ? -1 : clock_now(share->clock) - fresh;
+		fresh == FEED_NEVER ? -1 : clock_now(mirror->clock) - fresh;
 }
 
-bool share_hear(struct share *share, const struct share_word *word)
+bool mirror_merge_status(struct mirror *mirror,
+			 const struct mirror_status *word)
 {
 	if (word->age_usec < 0)
 		return false;
-	if (feed_fresh(share->feed) == FEED_NEVER ||
-	    word->changed > feed_position(share->feed))
+	if (feed_fresh(mirror->feed) == FEED_NEVER ||
+	    word->changed > feed_position(mirror->feed))
 		return true;
-	feed_advance(share->feed, word->next,
-		     clock_now(share->clock) - word->age_usec - HOP_USEC);
+	feed_advance(mirror->feed, word->next,
+		     clock_now(mirror->clock) - word->age_usec - HOP_USEC);
 	return false;
 }
 
-uint64_t share_position(const struct share *share)
+uint64_t mirror_position(const struct mirror *mirror)
 {
-	return feed_position(share->feed);
+	return feed_position(mirror->feed);
 }
 
 /* Whether what changed since from can be told. */
-static bool has_since(const struct share *share, uint64_t from)
+static bool has_since(const struct mirror *mirror, uint64_t from)
 {
-	return from > 0 && from >= share->floor;
+	return from > 0 && from >= mirror->floor;
 }
 
 /* The first of the changes from base on. */
-static guint changes_from(const struct share *share, uint64_t base)
+static guint changes_from(const struct mirror *mirror, uint64_t base)
 {
-	guint first = share->changes->len;
+	guint first = mirror->changes->len;
 
-	while (first > 0 && change_at(share, first - 1)->offset >= base)
+	while (first > 0 && change_at(mirror, first - 1)->offset >= base)
 		first--;
 	return first;
 }
 
 /* The value of a key that has not changed again since; NULL when there is none.
  */
-static const struct value *change_value(const struct share *share,
+static const struct value *change_value(const struct mirror *mirror,
 					const struct change *change)
 {
 	const struct value *value =
-		g_hash_table_lookup(share->values, change->key);
+		g_hash_table_lookup(mirror->values, change->key);
 
 	return value && value->changed == change->offset ? value : NULL;
 }
@@ -365,20 +367,20 @@
 	return value ? g_bytes_get_size(value->data) : 0;
 }
 
-size_t share_size(const struct share *share, uint64_t from)
+size_t mirror_encoded_size(const struct mirror *mirror, uint64_t from)
 {
 	const struct value *value;
 	GHashTableIter iter;
 	size_t size = 0;
 
-	if (has_since(share, from)) {
-		for (guint i = changes_from(share, from);
-		     i < share->changes->len; i++)
+	if (has_since(mirror, from)) {
+		for (guint i = changes_from(mirror, from);
+		     i < mirror->changes->len; i++)
 			size += value_size(
-				change_value(share, change_at(share, i)));
+				change_value(mirror, change_at(mirror, i)));
 		return size;
 	}
-	g_hash_table_iter_init(&iter, share->values);
+	g_hash_table_iter_init(&iter, mirror->values);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&value))
 		size += value_size(value);
 	return size;
@@ -397,55 +399,55 @@
 	msgpack_pack_uint64(packer, value->changed);
 }
 
-static void all_pack(const struct share *share, msgpack_packer *packer)
+static void all_pack(const struct mirror *mirror, msgpack_packer *packer)
 {
 	const struct value *value;
 	const char *key;
 	GHashTableIter iter;
 
-	msgpack_pack_array(packer, g_hash_table_size(share->values));
-	g_hash_table_iter_init(&iter, share->values);
+	msgpack_pack_array(packer, g_hash_table_size(mirror->values));
+	g_hash_table_iter_init(&iter, mirror->values);
 	while (g_hash_table_iter_next(&iter, (gpointer *)&key,
 				      (gpointer *)&value))
 		value_pack(packer, key, value);
 	msgpack_pack_array(packer, 0);
 }
 
-static void changes_pack(const struct share *share, uint64_t base,
+static void changes_pack(const struct mirror *mirror, uint64_t base,
 			 msgpack_packer *packer)
 {
-	guint first = changes_from(share, base);
+	guint first = changes_from(mirror, base);
 	uint32_t values = 0;
 	uint32_t dropped = 0;
 
-	for (guint i = first; i < share->changes->len; i++) {
-		const struct change *change = change_at(share, i);
+	for (guint i = first; i < mirror->changes->len; i++) {
+		const struct change *change = change_at(mirror, i);
 
-		values += change_value(share, change) != NULL;
-		dropped += !g_hash_table_contains(share->values, change->key);
+		values += change_value(mirror, change) != NULL;
+		dropped += !g_hash_table_contains(mirror->values, change->key);
 	}
 	msgpack_pack_array(packer, values);
-	for (guint i = first; i < share->changes->len; i++) {
-		const struct change *change = change_at(share, i);
-		const struct value *value = change_value(share, change);
+	for (guint i = first; i < mirror->changes->len; i++) {
+		const struct change *change = change_at(mirror, i);
+		const struct value *value = change_value(mirror, change);
 
 		if (value)
 			value_pack(packer, change->key, value);
 	}
 	msgpack_pack_array(packer, dropped);
-	for (guint i = first; i < share->changes->len; i++)
-		if (!g_hash_table_contains(share->values,
-					   change_at(share, i)->key))
-			pack_text(packer, change_at(share, i)->key);
+	for (guint i = first; i < mirror->changes->len; i++)
+		if (!g_hash_table_contains(mirror->values,
+					   change_at(mirror, i)->key))
+			pack_text(packer, change_at(mirror, i)->key);
 }
 
-void share_pack(const struct share *share, uint64_t from, GByteArray *out)
+void mirror_encode(const struct mirror *mirror, uint64_t from, GByteArray *out)
 {
-	uint64_t base = has_since(share, from) ? from : 0;
-	struct share_word word;
+	uint64_t base = has_since(mirror, from) ? from : 0;
+	struct mirror_status word;
 	msgpack_packer packer;
 
-	share_word(share, &word);
+	mirror_status(mirror, &word);
 	msgpack_packer_init(&packer, out, pack_append);
 	msgpack_pack_array(&packer, FIELDS);
 	msgpack_pack_uint64(&packer, word.next);
@@ -453,9 +455,9 @@
 	msgpack_pack_int64(&packer, word.age_usec);
 	msgpack_pack_uint64(&packer, base);
 	if (base == 0)
-		all_pack(share, &packer);
+		all_pack(mirror, &packer);
 	else
-		changes_pack(share, base, &packer);
+		changes_pack(mirror, base, &packer);
 }
 
 static bool value_is_sound(const msgpack_object *item)
@@ -490,7 +492,7 @@
 
 /* What a peer packed; the lists point into the unpacked bytes. */
 struct copy {
-	struct share_word word;
+	struct mirror_status word;
 	uint64_t base;
 	const msgpack_object *values;
 	const msgpack_object *dropped;
@@ -518,42 +520,42 @@
 	       list_is_sound(copy->dropped, key_is_sound);
 }
 
-static void copy_take(struct share *share, const struct copy *copy)
+static void copy_take(struct mirror *mirror, const struct copy *copy)
 {
 	const msgpack_object_array *values = &copy->values->via.array;
 	const msgpack_object_array *dropped = &copy->dropped->via.array;
 	char key[256];
 
 	if (copy->base == 0)
-		on_begin(share);
+		on_begin(mirror);
 	for (uint32_t i = 0; i < values->size; i++) {
 		const msgpack_object *item = values->ptr[i].via.array.ptr;
 
 		(void)unpack_text(&item[0], key, sizeof(key));
-		value_take(share, item[2].via.u64, key, item[1].via.bin.ptr,
+		value_take(mirror, item[2].via.u64, key, item[1].via.bin.ptr,
 			   item[1].via.bin.size);
 	}
 	for (uint32_t i = 0; i < dropped->size; i++) {
 		(void)unpack_text(&dropped->ptr[i], key, sizeof(key));
-		value_take(share, copy->word.next - 1, key, NULL, 0);
+		value_take(mirror, copy->word.next - 1, key, NULL, 0);
 	}
 	if (copy->base == 0) {
-		share->floor = copy->word.next;
-		before_drop(share);
-		if (share->ops.end)
-			share->ops.end(share->ctx);
+		mirror->floor = copy->word.next;
+		before_drop(mirror);
+		if (mirror->ops.end)
+			mirror->ops.end(mirror->ctx);
 	}
-	share->changed = copy->word.changed;
+	mirror->changed = copy->word.changed;
 }
 
 /* What changed since a base that we have not reached leaves a hole. */
-static bool copy_fits(const struct share *share, const struct copy *copy)
+static bool copy_fits(const struct mirror *mirror, const struct copy *copy)
 {
-	return copy->base == 0 || copy->base <= feed_position(share->feed);
+	return copy->base == 0 || copy->base <= feed_position(mirror->feed);
 }
 
-bool share_unpack(struct share *share, const void *data, size_t size,
-		  struct error *err)
+bool mirror_decode(struct mirror *mirror, const void *data, size_t size,
+		   struct error *err)
 {
 	struct copy copy = {0};
 	msgpack_unpacked unpacked;
@@ -564,12 +566,12 @@
 	if (good && !copy_read(&unpacked.data, &copy))
 		good = error_set(err, RESULT_BAD_MESSAGE,
 				 "no copy of the stream %s",
-				 share->settings.stream);
-	if (good && copy.values && copy_fits(share, &copy) &&
-	    feed_advance(share->feed, copy.word.next,
-			 clock_now(share->clock) - copy.word.age_usec -
+				 mirror->settings.stream);
+	if (good && copy.values && copy_fits(mirror, &copy) &&
+	    feed_advance(mirror->feed, copy.word.next,
+			 clock_now(mirror->clock) - copy.word.age_usec -
 				 HOP_USEC))
-		copy_take(share, &copy);
+		copy_take(mirror, &copy);
 	msgpack_unpacked_destroy(&unpacked);
 	return good;
 }
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -87,7 +87,7 @@
 }
 
 /* Back to placing, or the end when there is no way left. */
-void stream_again(struct request *request, enum result_code code,
+void stream_retry(struct request *request, enum result_code code,
 		  const char *why)
 {
 	bool may = !request_suspected(request) &&
@@ -124,8 +124,8 @@
 }
 
 /* Notes what a failed call tells about its server. */
-void stream_blame(struct request *request, struct backend *backend,
-		  const struct backend_end *end)
+void stream_record_failure(struct request *request, struct backend *backend,
+			   const struct backend_end *end)
 {
 	const struct answer *answer = &request->answer;
 	int64_t now = request_now(request);
@@ -178,7 +178,7 @@
 {
 	const struct answer *answer = &request->answer;
 
-	stream_blame(request, backend, end);
+	stream_record_failure(request, backend, end);
 	if (!backend)
 		return;
 	tried_add(&request->tried, backend->key);
@@ -199,7 +199,7 @@
 			backend_succeeded(backend, now);
 		request->kv_at = request->target;
 		request->prefilled_at = now;
-		engine_rates_read(
+		engine_rates_add_prefill(
 			forward_rates(request->forward, request->service->id),
 			request->caller.prompt_tokens, request->ahead,
 			now - request->asked_at);
@@ -215,7 +215,7 @@
 	prefill_blame(request, backend, end);
 	answer_clear(&request->answer);
 	if (request_suspected(request))
-		stream_again(request, RESULT_NO_BACKEND, end->text);
+		stream_retry(request, RESULT_NO_BACKEND, end->text);
 	else
 		prefill_place(request);
 }
@@ -299,11 +299,11 @@
 	while (permit == PERMIT_DENIED) {
 		decode = stream_decode(request);
 		if (!decode) {
-			stream_again(request, RESULT_NO_BACKEND, "server left");
+			stream_retry(request, RESULT_NO_BACKEND, "server left");
 			return;
 		}
 		request_place(request, &place);
-		backend = place_reader(&place, decode,
+		backend = place_prompt(&place, decode,
 				       request->caller.prompt_tokens,
 				       most_ahead(request));
 		if (!backend) {
@@ -337,7 +337,7 @@
 	const struct fleet *fleet = request->forward->parts.fleet;
 	const struct backend *backend = fleet_find_id(fleet, request->kv_at.id);
 
-	return backend && backend->info.born != request->kv_at.born;
+	return backend && backend->info.started_ms != request->kv_at.started_ms;
 }
 
 static bool result_fresh(const struct request *request)
@@ -438,7 +438,7 @@
 					     (uint32_t)engine->memory_tokens)));
 	if (!backend)
 		return NULL;
-	prefill = place_reader(&place, backend, request->caller.prompt_tokens,
+	prefill = place_prompt(&place, backend, request->caller.prompt_tokens,
 			       ahead);
 	if (prefill && backend_prefill_tokens(prefill) > ahead)
 		return NULL;
@@ -463,7 +463,7 @@
 	stream_unwait(request);
 	charge_add(request, &request->decode, backend, &load);
 	placed_log(request, "reserve", backend);
-	request->on_trial = backend_suspect(backend);
+	request->is_probe = backend_refusing(backend);
 	request->target = backend->info;
 	if (permit == PERMIT_GRANTED)
 		reserve_call(request, backend);
@@ -491,7 +491,7 @@
 
 	if (output == 0)
 		output = caller->output_max / 2;
-	work = stream_work(caller->prompt_tokens,
+	work = stream_cost(caller->prompt_tokens,
 			   MIN(output, MAX(caller->output_max, 1u)));
 	if (rates->work.samples == 0)
 		median_init(&rates->work, work);
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -135,8 +135,8 @@
 static void refusal_blame(struct request *request, struct backend *decode)
 {
 	struct backend *source = result_source(request);
-	bool decode_known = decode && backend_suspect(decode);
-	bool source_known = source && backend_suspect(source);
+	bool decode_known = decode && backend_refusing(decode);
+	bool source_known = source && backend_refusing(source);
 	int64_t now = request_now(request);
 
 	if (now - request->placed_at >= stream_reserve_usec(request))
@@ -145,7 +145,7 @@
 		backend_run_refused(decode, now);
 	if (source && !decode_known)
 		backend_run_refused(source, now);
-	if (source && backend_suspect(source))
+	if (source && backend_refusing(source))
 		request_drop_result(request);
 }
 
@@ -158,7 +158,7 @@
 			stream_full(request, backend);
 		refusal_blame(request, backend);
 	}
-	stream_again(request, RESULT_BACKEND_REFUSED, "server is full");
+	stream_retry(request, RESULT_BACKEND_REFUSED, "server is full");
 }
 
 static void run_whole(struct request *request, struct backend *backend)
@@ -181,7 +181,7 @@
 	    answer_may_pass(&request->answer) && !request_repeatable(request))
 		request_relay(request);
 	else
-		stream_again(request, RESULT_BACKEND_FAILED,
+		stream_retry(request, RESULT_BACKEND_FAILED,
 			     "error or unfinished answer");
 }
 
@@ -198,7 +198,7 @@
 	}
 	stream_failed_log(request, "run", end);
 	request_lost(request, end);
-	stream_blame(request, backend, end);
+	stream_record_failure(request, backend, end);
 	event_cutter_drop(&request->cutter);
 	if (answer->has_head && answer->head.not_run &&
 	    !answer->head.mismatched) {
@@ -208,7 +208,7 @@
 	request_uncount(request, end);
 	if (!end->not_run)
 		request_drop_result(request);
-	stream_again(request,
+	stream_retry(request,
 		     request->runs == 0 ? RESULT_NO_BACKEND
 		     : end->timed_out	? RESULT_BACKEND_TIMEOUT
 					: RESULT_STREAM_LOST,
@@ -250,10 +250,10 @@
 		return;
 	charge_drop(request, &request->prefill);
 	if (!decode ||
-	    (!request->on_trial &&
+	    (!request->is_probe &&
 	     !backend_usable(decode, request_now(request))) ||
 	    !request_may_send(request)) {
-		stream_again(request, RESULT_RETRY_BUDGET,
+		stream_retry(request, RESULT_RETRY_BUDGET,
 			     "server left, or no send left");
 		return;
 	}
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -14,34 +14,36 @@
 #define PARTS 5
 
 static void parts_fill(const struct caller_request *caller,
-		       struct work_part parts[PARTS])
+		       struct fingerprint_part parts[PARTS])
 {
 	const struct web_text texts[PARTS] = {caller->method, caller->host,
 					      caller->target, caller->who,
 					      caller->body};
 
 	for (int i = 0; i < PARTS; i++)
-		parts[i] = (struct work_part){texts[i].data, texts[i].size};
+		parts[i] =
+			(struct fingerprint_part){texts[i].data, texts[i].size};
 }
 
-static uint64_t request_mark(const struct request *request)
+static uint64_t request_keyed_hash(const struct request *request)
 {
-	struct work_part parts[PARTS];
+	struct fingerprint_part parts[PARTS];
 
 	parts_fill(&request->caller, parts);
-	return work_mark_of(parts, PARTS, request->forward->parts.mark_secret);
+	return keyed_hash_of(parts, PARTS,
+			     request->forward->parts.keyed_hash_secret);
 }
 
 /* What it is the same work as; worked out when it is first asked for. */
-static const struct lost_work *request_work(struct request *request)
+static const struct request_identity *request_identify(struct request *request)
 {
-	struct work_part parts[PARTS];
+	struct fingerprint_part parts[PARTS];
 
 	if (request->work_known)
 		return &request->work;
 	parts_fill(&request->caller, parts);
-	request->work.work = work_id_of(parts, PARTS);
-	request->work.mark = request_mark(request);
+	request->work.work = fingerprint_of(parts, PARTS);
+	request->work.mark = request_keyed_hash(request);
 	request->work_known = true;
 	return &request->work;
 }
@@ -57,11 +59,13 @@
 	request->lost_connection = true;
 	log_event(LOG_NOTICE, "connection_lost",
 		  LOG_S("request", request->caller.id),
-		  LOG_X("work", request_work(request)->work.high),
+		  LOG_X("work", request_identify(request)->work.high),
 		  LOG_S("backend", request->target.id),
-		  LOG_D("born", request->target.born), LOG_S("why", end->text));
-	ended_suspect(request->forward->ended_servers, &request->target,
-		      request->service->health_path, request_work(request));
+		  LOG_D("born", request->target.started_ms),
+		  LOG_S("why", end->text));
+	crash_detector_check(request->forward->crash_detector, &request->target,
+			     request->service->health_path,
+			     request_identify(request));
 }
 
 bool request_suspected(const struct request *request)
@@ -75,20 +79,21 @@
 	return entry && entry->count > 0;
 }
 
-void quarantine_server_ended(void *ctx, const struct backend_info *server,
-			     const struct lost_work *lost)
+void quarantine_server_crashed(void *ctx, const struct backend_info *server,
+			       const struct request_identity *lost)
 {
 	struct forward *forward = ctx;
 	const struct forward_parts *parts = &forward->parts;
-	bool news =
-		quarantine_blame(parts->quarantine, &lost->work, lost->mark,
-				 backend_key(server), clock_now(parts->clock));
+	bool news = quarantine_record_crash(parts->quarantine, &lost->work,
+					    lost->mark, backend_key(server),
+					    clock_now(parts->clock));
 	const struct quarantine_entry *entry =
 		quarantine_find(parts->quarantine, &lost->work);
 
 	forward->servers_ended->value++;
 	log_event(LOG_NOTICE, "server_ended", LOG_S("backend", server->id),
-		  LOG_D("born", server->born), LOG_X("work", lost->work.high),
+		  LOG_D("born", server->started_ms),
+		  LOG_X("work", lost->work.high),
 		  LOG_D("servers", entry ? entry->count : 0),
 		  LOG_D("held",
 			quarantine_holds(parts->quarantine, &lost->work)));
@@ -100,21 +105,23 @@
 {
 	const struct forward_parts *parts = &request->forward->parts;
 
-	if (!quarantine_clear(parts->quarantine, &request_work(request)->work))
+	if (!quarantine_clear(parts->quarantine,
+			      &request_identify(request)->work))
 		return;
 	log_event(LOG_NOTICE, "work_cleared",
 		  LOG_S("request", request->caller.id),
-		  LOG_X("work", request_work(request)->work.high),
+		  LOG_X("work", request_identify(request)->work.high),
 		  LOG_S("backend", request->target.id));
-	parts->work_changed(parts->instances_ctx, &request_work(request)->work);
+	parts->work_changed(parts->instances_ctx,
+			    &request_identify(request)->work);
 }
 
 void request_outlived(struct request *request)
 {
 	struct quarantine *quarantine = request->forward->parts.quarantine;
 
-	quarantine_prove(quarantine, request_mark(request),
-			 request_now(request));
+	quarantine_record_success(quarantine, request_keyed_hash(request),
+				  request_now(request));
 	if (!quarantine_empty(quarantine))
 		work_clear(request);
 }
@@ -125,11 +132,12 @@
 	const struct quarantine_entry *entry;
 
 	if (quarantine_empty(parts->quarantine) ||
-	    !quarantine_holds(parts->quarantine, &request_work(request)->work))
+	    !quarantine_holds(parts->quarantine,
+			      &request_identify(request)->work))
 		return false;
 	/* Held by instances that did not see it end well. */
-	if (quarantine_proved(parts->quarantine, request->work.mark,
-			      request_now(request))) {
+	if (quarantine_has_succeeded(parts->quarantine, request->work.mark,
+				     request_now(request))) {
 		work_clear(request);
 		return false;
 	}
--- a/include/coord/backpressure.h
+++ b/include/coord/backpressure.h
@@ -27,7 +27,7 @@
  *	none otherwise.
  *
  * RETURN VALUE
- *	backpressure_answer() and backpressure_hear() return what has changed,
+ *	backpressure_answer() and backpressure_merge() return what has changed,
  *	as a set of enum backpressure_change. backpressure_grant() returns true
  *	when one request may be sent; otherwise retry_usec says when to ask
  *	again, later for each caller that is told so.
@@ -86,16 +86,16 @@
 				 uint64_t server,
 				 const struct backpressure_signals *signals);
 /* Takes in what another instance told. */
-unsigned int backpressure_hear(struct backpressure *table, int64_t now,
-			       const struct backpressure_fact *fact);
+unsigned int backpressure_merge(struct backpressure *table, int64_t now,
+				const struct backpressure_fact *fact);
 /* The server is cold until then, with that limit, unless it is known to be so
  * for longer. */
 void backpressure_cold(struct backpressure *table, int64_t until,
 		       uint64_t server, double limit);
 /* Fills in facts that other instances may not know, a further part at each call
  * when there are more than most; returns how many. */
-uint32_t backpressure_tell(struct backpressure *table, int64_t now,
-			   struct backpressure_fact *facts, uint32_t most);
+uint32_t backpressure_export(struct backpressure *table, int64_t now,
+			     struct backpressure_fact *facts, uint32_t most);
 /* What is known of a server, also that it is cold; false when nothing is. */
 bool backpressure_find(const struct backpressure *table, int64_t now,
 		       uint64_t server, struct backpressure_fact *fact);
@@ -113,8 +113,8 @@
 
 /* Drops facts that have expired: limits that ended, and all about servers that
  * lives() does not know, after a minute without news. */
-typedef bool (*backpressure_lives_fn)(void *ctx, uint64_t server);
+typedef bool (*backpressure_exists_fn)(void *ctx, uint64_t server);
 void backpressure_prune(struct backpressure *table, int64_t now,
-			backpressure_lives_fn lives, void *ctx);
+			backpressure_exists_fn lives, void *ctx);
 
 #endif
--- a/include/coord/lease.h
+++ b/include/coord/lease.h
@@ -61,7 +61,7 @@
 /* Ends it with no further call of lost(). The next holder does not wait for the
  * term; where the engine does not check fencing numbers, it does wait for the
  * order's timeout. */
-void lease_give_up(struct leases *leases, uint64_t task);
+void lease_release(struct leases *leases, uint64_t task);
 /* Whether the lease is held now, by this process's own clock. */
 bool lease_valid(const struct leases *leases, uint64_t task, uint64_t *fence);
 
