--- a/include/coord/ledger.h
+++ b/include/coord/ledger.h
@@ -202,7 +202,7 @@
 void ledger_member(struct ledger *ledger, const struct member *member);
 
 /* Holder's side. */
-void ledger_ask(struct ledger *ledger, const struct ledger_request *request);
+void ledger_submit(struct ledger *ledger, const struct ledger_request *request);
 /* The caller went away while waiting: nothing will be granted after this. */
 void ledger_withdraw(struct ledger *ledger, uint64_t request);
 void ledger_progress(struct ledger *ledger, uint64_t request,
@@ -211,7 +211,7 @@
 		    enum release_reason reason);
 /* The attempt failed but the request goes on: other runners are asked for,
  * answered by granted or refused with attempt + 1. */
-void ledger_again(struct ledger *ledger, uint64_t request, enum result_code why,
+void ledger_retry(struct ledger *ledger, uint64_t request, enum result_code why,
 		  uint32_t tokens_so_far);
 
 /* After a duplicate answer whose owner is dead: takes the running stream over.
--- a/include/coord/limit.h
+++ b/include/coord/limit.h
@@ -23,9 +23,9 @@
  *
  *	LIMIT_EQUAL: the same with equal parts for all instances.
  *
- *	The embedder carries what limit_tell() gives to limit_hear() of others,
- *	by whatever way it has; lost, repeated and reordered entries do no harm
- *	as long as older entries of a source do not follow newer ones. Instances
+ *	The embedder carries what limit_export() gives to limit_merge() of
+ *others, by whatever way it has; lost, repeated and reordered entries do no
+ *harm as long as older entries of a source do not follow newer ones. Instances
  *	of one data centre tell each other their own use; elsewhere some of them
  *	tell the sum of their data centre, of whom one counts at a time.
  *
@@ -84,7 +84,7 @@
 };
 
 /* What is asked of an account. */
-struct limit_ask {
+struct limit_request {
 	uint64_t account;
 	struct limit_allotment allotment;
 	double units;
@@ -120,25 +120,25 @@
 const char *limit_policy_name(enum limit_policy policy);
 void limits_set_policy(struct limits *limits, enum limit_policy policy);
 
-bool limit_take(struct limits *limits, int64_t now, const struct limit_ask *ask,
-		struct limit_refusal *refusal);
+bool limit_take(struct limits *limits, int64_t now,
+		const struct limit_request *ask, struct limit_refusal *refusal);
 /* Gives back units that were taken for work that surely did not run. */
 void limit_return(struct limits *limits, int64_t now, uint64_t account,
 		  double units);
 
 /* Fills entries, in turn when there are more than most: own use, or with sums
  * that of the data centre. Returns how many. */
-uint32_t limit_tell(struct limits *limits, int64_t now, bool sums,
-		    struct limit_entry *entries, uint32_t most);
-void limit_hear(struct limits *limits, int64_t now,
-		const struct limit_source *source,
-		const struct limit_entry *entry,
-		const struct limit_allotment *allotment);
-/* Whether so much was used since limit_told() that others should hear of it
+uint32_t limit_export(struct limits *limits, int64_t now, bool sums,
+		      struct limit_entry *entries, uint32_t most);
+void limit_merge(struct limits *limits, int64_t now,
+		 const struct limit_source *source,
+		 const struct limit_entry *entry,
+		 const struct limit_allotment *allotment);
+/* Whether so much was used since limit_exported() that others should hear of it
  * before their next turn. */
 bool limit_urgent(const struct limits *limits);
-/* All that limit_tell() gave was told to all that are to hear it. */
-void limit_told(struct limits *limits);
+/* All that limit_export() gave was told to all that are to hear it. */
+void limit_exported(struct limits *limits);
 
 /* Accounts now in the table; bounded, the one used longest ago goes first. */
 uint32_t limits_count(const struct limits *limits);
--- a/include/coord/log_tail.h
+++ b/include/coord/log_tail.h
@@ -53,7 +53,7 @@
 void log_tail_stop(struct log_tail *tail);
 bool log_tail_running(const struct log_tail *tail);
 /* Reads again now instead of after the backoff; for a caller who waits. */
-void log_tail_hurry(struct log_tail *tail);
+void log_tail_retry_now(struct log_tail *tail);
 /* Offset of the next record to be handed over. */
 uint64_t log_tail_position(const struct log_tail *tail);
 /* Failed reads in a row; 0 when the last one was answered. */
--- a/include/coord/quarantine.h
+++ b/include/coord/quarantine.h
@@ -47,7 +47,7 @@
 #include "coord/work.h"
 
 /* Ends that an entry can name. */
-#define QUARANTINE_ENDS_MAX 8u
+#define QUARANTINE_CRASHES_MAX 8u
 
 struct quarantine;
 
@@ -59,10 +59,11 @@
 
 /* What is known of a work. */
 struct quarantine_entry {
-	struct work_id work;
-	uint32_t epoch;			       /* rises when it is cleared */
-	uint32_t count;			       /* of servers */
-	uint64_t servers[QUARANTINE_ENDS_MAX]; /* lives that ended, ascending */
+	struct request_fingerprint work;
+	uint32_t epoch;				  /* rises when it is cleared */
+	uint32_t count;				  /* of servers */
+	uint64_t servers[QUARANTINE_CRASHES_MAX]; /* lives that ended, ascending
+						   */
 	bool stored; /* it is written where it lasts */
 };
 
@@ -76,28 +77,29 @@
 bool quarantine_empty(const struct quarantine *quarantine);
 /* Whether it is to be refused. */
 bool quarantine_holds(const struct quarantine *quarantine,
-		      const struct work_id *work);
+		      const struct request_fingerprint *work);
 /* What is known of it, or NULL. */
 const struct quarantine_entry *
 quarantine_find(const struct quarantine *quarantine,
-		const struct work_id *work);
+		const struct request_fingerprint *work);
 uint32_t quarantine_held(const struct quarantine *quarantine);
 uint32_t quarantine_suspects(const struct quarantine *quarantine);
 
 /* A life of a server ended while it ran the work. True when that is news. */
-bool quarantine_blame(struct quarantine *quarantine, const struct work_id *work,
-		      uint64_t mark, uint64_t server, int64_t now);
+bool quarantine_record_crash(struct quarantine *quarantine,
+			     const struct request_fingerprint *work,
+			     uint64_t mark, uint64_t server, int64_t now);
 /* The server that ran the work has outlived it. */
-void quarantine_prove(struct quarantine *quarantine, uint64_t mark,
-		      int64_t now);
+void quarantine_record_success(struct quarantine *quarantine, uint64_t mark,
+			       int64_t now);
 /* Whether it did so within the last minute, here. */
-bool quarantine_proved(const struct quarantine *quarantine, uint64_t mark,
-		       int64_t now);
+bool quarantine_has_succeeded(const struct quarantine *quarantine,
+			      uint64_t mark, int64_t now);
 /* The same where the work may be suspected: true when it was, and is cleared.
  * A run that began before it was held clears it too: it does not end servers.
  */
 bool quarantine_clear(struct quarantine *quarantine,
-		      const struct work_id *work);
+		      const struct request_fingerprint *work);
 
 /* Takes in what another instance told, or what was stored. True when it is
  * news. An entry with too many servers, or that says nothing, is dropped. */
@@ -113,6 +115,6 @@
 			 struct quarantine_entry *entry);
 /* It has been written, or dropped. */
 void quarantine_stored(struct quarantine *quarantine,
-		       const struct work_id *work, bool stored);
+		       const struct request_fingerprint *work, bool stored);
 
 #endif
--- a/include/coord/retry.h
+++ b/include/coord/retry.h
@@ -33,7 +33,7 @@
 enum circuit_state {
 	CIRCUIT_CLOSED,
 	CIRCUIT_OPEN,
-	CIRCUIT_TRIAL,
+	CIRCUIT_HALF_OPEN,
 };
 
 struct circuit {
--- a/include/coord/role.h
+++ b/include/coord/role.h
@@ -29,7 +29,7 @@
 #include "common/clock.h"
 
 #define ROLE_DWELL_USEC (60 * USEC_PER_SEC)
-#define ROLE_PATIENCE_USEC (ROLE_DWELL_USEC / 6)
+#define ROLE_STABILISATION_USEC (ROLE_DWELL_USEC / 6)
 #define ROLE_CATCH_UP_SEC 30.0
 #define ROLE_BUSY 0.8
 #define ROLE_GAIN 0.1
@@ -37,11 +37,11 @@
 /* What is not given (0) takes the default: a sixth of dwell for patience, a
  * third for smooth. */
 struct role_settings {
-	int64_t dwell;	  /* microseconds from the end of a move to the next */
-	int64_t patience; /* microseconds that the reason must last */
-	int64_t smooth;	  /* microseconds, time constant */
-	double busy;	  /* 0 to 1 */
-	double gain;	  /* 0 to 1 */
+	int64_t dwell; /* microseconds from the end of a move to the next */
+	int64_t stabilisation; /* microseconds that the reason must last */
+	int64_t smooth;	       /* microseconds, time constant */
+	double busy;	       /* 0 to 1 */
+	double gain;	       /* 0 to 1 */
 };
 
 /* The cell now. Negative, infinite and absent figures count as 0. */
--- a/include/coord/work.h
+++ b/include/coord/work.h
@@ -20,22 +20,24 @@
 #include <stddef.h>
 #include <stdint.h>
 
-struct work_id {
+struct request_fingerprint {
 	uint64_t high;
 	uint64_t low;
 };
 
-struct work_part {
+struct fingerprint_part {
 	const void *data; /* may be NULL when size is 0 */
 	size_t size;
 };
 
-struct work_id work_id_of(const struct work_part *parts, size_t count);
-uint64_t work_mark_of(const struct work_part *parts, size_t count,
-		      uint64_t secret);
-bool work_id_same(const struct work_id *a, const struct work_id *b);
-/* For hash tables whose keys are struct work_id. */
-unsigned int work_id_hash(const void *id);
-int work_id_equal(const void *a, const void *b);
+struct request_fingerprint fingerprint_of(const struct fingerprint_part *parts,
+					  size_t count);
+uint64_t keyed_hash_of(const struct fingerprint_part *parts, size_t count,
+		       uint64_t secret);
+bool fingerprint_same(const struct request_fingerprint *a,
+		      const struct request_fingerprint *b);
+/* For hash tables whose keys are struct request_fingerprint. */
+unsigned int fingerprint_hash(const void *id);
+int fingerprint_equal(const void *a, const void *b);
 
 #endif
--- a/include/entry/directory_codec.h
+++ b/include/entry/directory_codec.h
@@ -23,12 +23,12 @@
 /* An age that says: never read. */
 #define DIRECTORY_AGE_NEVER UINT64_MAX
 
-struct directory_ask {
+struct directory_request {
 	uint64_t epoch; /* 0: all is wanted */
 	uint64_t since;
 };
 
-struct directory_news {
+struct directory_update {
 	uint64_t epoch;
 	uint64_t since;
 	uint64_t until;
@@ -36,19 +36,21 @@
 	uint64_t age_ms;
 };
 
-void directory_ask_encode(const struct directory_ask *ask, GByteArray *out);
+void directory_request_encode(const struct directory_request *ask,
+			      GByteArray *out);
 /* Takes the backends from the directory itself: those changed since, or all
  * that are listed when whole. */
-void directory_news_encode(const struct directory_news *news,
-			   const struct directory *directory, GByteArray *out);
+void directory_update_encode(const struct directory_update *news,
+			     const struct directory *directory,
+			     GByteArray *out);
 
 /* Calls ask, or news, backend for each, and end. False with nothing called when
  * the bytes are neither. */
 struct directory_codec_ops {
-	void (*ask)(void *ctx, const struct directory_ask *ask);
-	void (*news)(void *ctx, const struct directory_news *news);
+	void (*ask)(void *ctx, const struct directory_request *ask);
+	void (*news)(void *ctx, const struct directory_update *news);
 	void (*backend)(void *ctx, const struct backend *backend);
-	void (*end)(void *ctx, const struct directory_news *news);
+	void (*end)(void *ctx, const struct directory_update *news);
 };
 bool directory_decode(const void *data, size_t size,
 		      const struct directory_codec_ops *ops, void *ctx);
--- a/include/entry/request.h
+++ b/include/entry/request.h
@@ -263,7 +263,7 @@
 /* Other data centres (entry/request_forward.c): true when it was sent. */
 bool request_forward(struct request *request, const char *data_centre);
 /* To the next instance there, after one that did not answer. */
-bool request_forward_again(struct request *request);
+bool request_forward_next(struct request *request);
 /* refused: the own cell's home has just refused it, for want of room. */
 bool request_spill(struct request *request, bool refused);
 
--- a/include/forward/feed.h
+++ b/include/forward/feed.h
@@ -81,7 +81,7 @@
 bool feed_poll(struct feed *feed);
 /* Reads anew at once instead of waiting for an answer that may have been lost.
  */
-void feed_hurry(struct feed *feed);
+void feed_restart(struct feed *feed);
 /* How long a read that failed is not to be repeated; doubles with each failure
  * in a row. */
 int64_t feed_backoff(const struct feed *feed);
--- a/include/forward/fleet.h
+++ b/include/forward/fleet.h
@@ -37,8 +37,9 @@
 	char id[BACKEND_TEXT_MAX];
 	char address[BACKEND_TEXT_MAX]; /* "IP:port" */
 	char data_centre[BACKEND_TEXT_MAX];
-	int64_t born;	  /* start of this life, Unix milliseconds; 0: untold */
-	uint64_t service; /* id_of() its name */
+	int64_t started_ms; /* start of this life, Unix milliseconds; 0: untold
+			     */
+	uint64_t service;   /* id_of() its name */
 	enum backend_stage stage;
 	uint32_t slots;
 	bool leaving;
@@ -64,7 +65,7 @@
 	struct fleet *fleet;
 	uint64_t handle;
 	uint64_t key; /* backend_key(&info) */
-	bool near;    /* in this instance's data centre */
+	bool local;   /* in this instance's data centre */
 	bool ours;    /* and of this instance's group */
 	bool evacuated;
 	uint64_t region;	 /* id_of() its name; 0: not known */
@@ -72,15 +73,16 @@
 	bool charged;		 /* in fleet_charged() */
 	/* Below zero while a difference lacks its base. */
 	struct load_sum peers;
-	double trouble; /* failures, decayed to trouble_at */
-	int64_t trouble_at;
-	int64_t avoid_until;	/* could not be reached */
-	uint32_t avoided;	/* times in a row */
-	bool avoid_listed;	/* among those that were not reached */
-	uint64_t lost_by;	/* the peer that told last that it lost it */
-	int64_t lost_until;	/* when that peer will try again */
-	int64_t full_until;	/* has just refused a reservation */
-	uint32_t fulls;		/* refused in a row */
+	double failure_score; /* failures, decayed to failure_score_at */
+	int64_t failure_score_at;
+	int64_t avoid_until;	       /* could not be reached */
+	uint32_t avoided;	       /* times in a row */
+	bool avoid_listed;	       /* among those that were not reached */
+	uint64_t unreachable_reporter; /* the peer that told last that it lost
+					  it */
+	int64_t unreachable_until;     /* when that peer will try again */
+	int64_t full_until;	       /* has just refused a reservation */
+	uint32_t full_count;	       /* refused in a row */
 	int64_t changing_until; /* ordered to another role, or seems so */
 	int64_t limited_until;	/* a permit was denied */
 	uint32_t refusals;	/* reserved or prepared runs refused in a row */
@@ -98,7 +100,7 @@
 };
 
 /* A server that could not be reached, and for how long it is passed over. */
-struct backend_lost {
+struct unreachable_backend {
 	uint64_t key;
 	int64_t left_usec;
 };
@@ -154,7 +156,7 @@
 struct backend *fleet_find_id(const struct fleet *fleet, const char *id);
 /* Start of the latest life that was ever listed of that id, Unix milliseconds;
  * 0 when none was told. */
-int64_t fleet_born(const struct fleet *fleet, const char *id);
+int64_t fleet_started_ms(const struct fleet *fleet, const char *id);
 /* Servers of a service, in no order; NULL when there is none. */
 const GPtrArray *fleet_service(const struct fleet *fleet, uint64_t service);
 /* Those of a stage, of this instance's group or all others, in no order. */
@@ -176,13 +178,14 @@
 /* The servers that this instance itself could not reach and passes over now, at
  * most so many; returns how many. None while half of those of its data centre
  * are among them: then it is more likely cut off itself. */
-uint32_t fleet_lost(struct fleet *fleet, struct backend_lost *lost,
-		    uint32_t most);
+uint32_t fleet_unreachable(struct fleet *fleet,
+			   struct unreachable_backend *unreachable,
+			   uint32_t most);
 /* Passes over what two peers near could not reach of late; no trial is owed for
  * it. One alone may have lost only its own way there. peer is any number that
  * tells them apart. */
-void fleet_hear_lost(struct fleet *fleet, uint64_t peer,
-		     const struct backend_lost *lost);
+void fleet_merge_unreachable(struct fleet *fleet, uint64_t peer,
+			     const struct unreachable_backend *unreachable);
 /* According to the list or to its own answers. */
 bool backend_leaving(const struct backend *backend);
 /* It is leaving, or its data centre is evacuated. */
@@ -200,7 +203,7 @@
 uint32_t backend_decode_tokens(const struct backend *backend);
 uint32_t backend_prefill_tokens(const struct backend *backend);
 /* Failures of late, each losing half of its weight in a few seconds. */
-double backend_trouble(const struct backend *backend, int64_t now);
+double backend_failure_score(const struct backend *backend, int64_t now);
 /* Adds so many times the load to what this instance has under way there. */
 void backend_charge(struct backend *backend, const struct backend_load *load,
 		    int times);
@@ -218,7 +221,7 @@
  * it is passed over for a while. */
 void backend_began(struct backend *backend);
 void backend_run_refused(struct backend *backend, int64_t now);
-bool backend_suspect(const struct backend *backend);
+bool backend_refusing(const struct backend *backend);
 /* It answered, whatever it said. */
 void backend_reached(struct backend *backend);
 /* A request was answered well. */
--- a/include/forward/forward.h
+++ b/include/forward/forward.h
@@ -52,7 +52,7 @@
 typedef uint32_t (*forward_instances_fn)(void *ctx);
 
 /* How old the loads that instances tell may be, near and elsewhere. */
-typedef int64_t (*forward_interval_fn)(void *ctx, bool near);
+typedef int64_t (*forward_interval_fn)(void *ctx, bool local);
 
 /* How old the list of backend servers is; negative before the first. */
 typedef int64_t (*forward_age_fn)(void *ctx);
@@ -64,7 +64,8 @@
 typedef void (*forward_used_fn)(void *ctx);
 
 /* Something new is known of a work in the quarantine. */
-typedef void (*forward_work_fn)(void *ctx, const struct work_id *work);
+typedef void (*forward_work_fn)(void *ctx,
+				const struct request_fingerprint *work);
 
 /* Permission to send one request to a server with a limit. */
 enum permit {
@@ -86,7 +87,8 @@
 	struct limits *limits;
 	struct counter_set *counters;
 	GRand *rand;
-	uint64_t mark_secret; /* for work_mark_of(); no caller knows it */
+	uint64_t
+		keyed_hash_secret; /* for keyed_hash_of(); no caller knows it */
 	struct backend_ops backends;
 	struct caller_codec callers;
 	forward_instances_fn instances;
@@ -127,8 +129,8 @@
 /* What was asked of a service of engines lately, for the choice of roles. */
 struct forward_demand {
 	double prompt_tokens_per_s;
-	uint32_t waiting; /* for decode memory, now */
-	double read_rate; /* of a prefill server; 0: not seen often enough */
+	uint32_t waiting;    /* for decode memory, now */
+	double prefill_rate; /* of a prefill server; 0: not seen often enough */
 };
 void forward_demand(const struct forward *forward, uint64_t service,
 		    struct forward_demand *demand);
--- a/include/forward/gossip.h
+++ b/include/forward/gossip.h
@@ -24,14 +24,14 @@
  *	own. Who finds something new tells the peers near and its receivers
  *	elsewhere; who hears it from a peer near tells its own receivers, so
  *	two turns reach all. Lost datagrams, newcomers and healed cuts are made
- *	good by one datagram to one peer each GOSSIP_WORKS_USEC, in turn, and by
- *	one to each peer that starts or speaks again after a silence, at once.
+ *	good by one datagram to one peer each GOSSIP_QUARANTINE_USEC, in turn,
+ *and by one to each peer that starts or speaks again after a silence, at once.
  *	While nothing is suspected nothing of this is sent.
  *
  *	What is used of allotments (coord/limit.h) goes with the words: an
  *	instance's own to peers near, its data centre's to its receivers. Where
  *	much was used since, it is told in datagrams of its own, at most one to
- *	each of them every GOSSIP_USES_USEC.
+ *	each of them every GOSSIP_USAGE_USEC.
  *
  *	Facts of coord/backpressure.h are part of the periodic messages of
  *	instances and of data centres. The home of a server with a limit is the
@@ -71,30 +71,30 @@
 #define GOSSIP_STALE_USEC (2500 * USEC_PER_MSEC)
 
 /* Two words of an idle peer, and some. */
-#define GOSSIP_PARTED_USEC (1200 * USEC_PER_MSEC)
+#define GOSSIP_PARTITIONED_USEC (1200 * USEC_PER_MSEC)
 
 /* With n instances each of them is told so by another one each 0.5 s, so one
  * that was cut off knows all that matters well within the three seconds after
  * which it counts as back. */
-#define GOSSIP_WORKS_USEC (500 * USEC_PER_MSEC)
+#define GOSSIP_QUARANTINE_USEC (500 * USEC_PER_MSEC)
 
 /* So much of an allotment may be passed unheard of as is used within it: at
  * eight times an allotment that has a burst of one second, 0.8 bursts, of which
  * urgent tellings leave a part. */
-#define GOSSIP_USES_USEC (100 * USEC_PER_MSEC)
+#define GOSSIP_USAGE_USEC (100 * USEC_PER_MSEC)
 
 /* Servers that change their role at the same time; more are ordered only as
  * these are done, one each half second. */
 #define GOSSIP_CHANGING_MAX 48
 
 /* Servers told of as out of reach; 500 bytes. */
-#define GOSSIP_LOST_MAX 48
+#define GOSSIP_UNREACHABLE_MAX 48
 
 /* Facts in one message; others follow in the next. */
 #define GOSSIP_FACTS_MAX 48
 
 /* Streams whose copies are told of. */
-#define GOSSIP_SHARES 2
+#define GOSSIP_MIRRORS 2
 
 struct loop;
 struct gossip;
@@ -107,29 +107,29 @@
 };
 
 /* What an instance tells besides loads. */
-struct gossip_word {
+struct gossip_summary {
 	uint64_t version; /* of its catalog */
 	double demand;	  /* prompt tokens a second */
 	uint32_t waiting; /* requests without decode memory */
 	/* What instances saw of the rate at which prefill servers read, tokens
 	 * a second added up, and how many saw it. */
-	double read_rates;
-	uint32_t read_raters;
+	double prefill_rates;
+	uint32_t prefill_rate_count;
 	bool leaving;
-	bool storeless; /* the store does not answer it */
+	bool store_unreachable; /* the store does not answer it */
 	/* Servers ordered to another role, all of them: runs sent to one
 	 * that changes are refused, and their prompts were read in vain. */
 	struct backend_change changing[GOSSIP_CHANGING_MAX];
 	uint32_t changing_count;
-	struct share_word shares[GOSSIP_SHARES];
+	struct mirror_status mirrors[GOSSIP_MIRRORS];
 	/* Servers that could not be reached; of an instance only. Who is
 	 * told need not try them all one after the other. */
-	struct backend_lost lost[GOSSIP_LOST_MAX];
-	uint32_t lost_count;
+	struct unreachable_backend unreachable[GOSSIP_UNREACHABLE_MAX];
+	uint32_t unreachable_count;
 };
 
 /* A request for a permit to send one request to a server with a limit. */
-struct permit_ask {
+struct permit_request {
 	uint64_t id; /* chosen by the asker, returned in the answer */
 	struct backpressure_fact fact;
 };
@@ -151,38 +151,39 @@
 
 struct gossip_ops {
 	/* What this instance has to tell now, but for servers(). */
-	void (*word)(void *ctx, struct gossip_word *word);
+	void (*summary)(void *ctx, struct gossip_summary *summary);
 	/* What a peer told; near: it is in the same data centre. */
-	void (*heard)(void *ctx, const char *address, bool near,
-		      const struct gossip_word *word);
+	void (*heard)(void *ctx, const char *address, bool local,
+		      const struct gossip_summary *summary);
 	/* Whether this instance reads the store for others, who are to hear of
 	 * it more often. */
 	bool (*reads)(void *ctx);
 	/* A peer told of a work in the quarantine; true when that is news. NULL
 	 * where there is no quarantine. */
-	bool (*work_heard)(void *ctx, const struct quarantine_entry *entry);
+	bool (*quarantine_received)(void *ctx,
+				    const struct quarantine_entry *entry);
 	/* The next ones to tell, at most so many; returns how many. */
 	uint32_t (*works)(void *ctx, struct quarantine_entry *entries,
 			  uint32_t most);
-	/* What is used of allotments, as limit_tell(), that all have
-	 * heard of it, as limit_told(), and what somebody told of it. NULL
+	/* What is used of allotments, as limit_export(), that all have
+	 * heard of it, as limit_exported(), and what somebody told of it. NULL
 	 * where there are none. */
-	uint32_t (*uses)(void *ctx, bool sums, struct limit_entry *entries,
-			 uint32_t most);
-	void (*uses_told)(void *ctx);
-	void (*use_heard)(void *ctx, const struct limit_source *source,
-			  const struct limit_entry *entry);
+	uint32_t (*usage)(void *ctx, bool sums, struct limit_entry *entries,
+			  uint32_t most);
+	void (*usage_sent)(void *ctx);
+	void (*usage_received)(void *ctx, const struct limit_source *source,
+			       const struct limit_entry *entry);
 	/* Adds the servers that change their role and those out of reach, which
 	 * only words hold that are sent. NULL where none are told. */
-	void (*servers)(void *ctx, struct gossip_word *word);
-	/* Facts as of backpressure_tell(), and one that a peer told. NULL where
-	 * nothing is told. */
+	void (*servers)(void *ctx, struct gossip_summary *summary);
+	/* Facts as of backpressure_export(), and one that a peer told. NULL
+	 * where nothing is told. */
 	uint32_t (*facts)(void *ctx, struct backpressure_fact *facts,
 			  uint32_t most);
-	void (*fact_heard)(void *ctx, const struct backpressure_fact *fact);
+	void (*fact_received)(void *ctx, const struct backpressure_fact *fact);
 	/* A peer asks; fills in granted and retry_usec. NULL: no answers. */
-	void (*permit_asked)(void *ctx, const struct permit_ask *ask,
-			     struct permit_answer *answer);
+	void (*permit_requested)(void *ctx, const struct permit_request *ask,
+				 struct permit_answer *answer);
 	/* The answer to a permit that this instance asked for. */
 	void (*permit_answered)(void *ctx, const struct permit_answer *answer);
 };
@@ -195,8 +196,8 @@
 void gossip_destroy(struct gossip *gossip);
 /* A peer may be found there, in that data centre or, with NULL, anywhere; own
  * and known addresses are ignored. */
-void gossip_meet(struct gossip *gossip, const char *address,
-		 const char *data_centre);
+void gossip_add_peer(struct gossip *gossip, const char *address,
+		     const char *data_centre);
 /* All that are listed were met: sorts them now, and tells them in the next
  * turn.
  */
@@ -206,37 +207,39 @@
 uint32_t gossip_instances(const struct gossip *gossip);
 /* How often peers in the same data centre, or in others, are told of loads that
  * change when the allowance is spent. */
-int64_t gossip_interval(const struct gossip *gossip, bool near);
+int64_t gossip_interval(const struct gossip *gossip, bool local);
 /* This instance's load on a server of engines has changed: peers are told at
  * once as long as its allowance of datagrams lasts, otherwise at the interval.
  */
 void gossip_load_changed(struct gossip *gossip);
 /* Something new is known of a work: this instance's own finding, so all are
  * told at once. */
-void gossip_work_changed(struct gossip *gossip,
-			 const struct quarantine_entry *entry);
+void gossip_quarantine_changed(struct gossip *gossip,
+			       const struct quarantine_entry *entry);
 /* So much of an allotment was used here that others should hear of it soon. */
-void gossip_uses_changed(struct gossip *gossip);
+void gossip_usage_changed(struct gossip *gossip);
 /* Whether this instance is the server's home. An instance with may_be false is
  * no candidate. */
 bool gossip_is_home(const struct gossip *gossip, uint64_t server,
 		    const char *data_centre, bool may_be);
 /* Sends ask to the server's home; false when that is this instance. */
-bool gossip_ask(struct gossip *gossip, const struct permit_ask *ask,
-		const char *data_centre, bool may_be);
+bool gossip_request_permit(struct gossip *gossip,
+			   const struct permit_request *ask,
+			   const char *data_centre, bool may_be);
 /* How long a change has taken of late until peers near, or elsewhere, were told
  * of it, in microseconds: what they tell is about as old when it is used. */
-int64_t gossip_delay(const struct gossip *gossip, bool near);
+int64_t gossip_delay(const struct gossip *gossip, bool local);
 const struct gossip_traffic *gossip_traffic(const struct gossip *gossip);
 /* Whether the data centre is so large that its instances form groups. */
 bool gossip_grouped(const struct gossip *gossip);
 /* Whether the peer of that address is in this data centre. */
-bool gossip_here(const struct gossip *gossip, const char *address);
+bool gossip_is_local(const struct gossip *gossip, const char *address);
 /* Peers heard of lately. */
 uint32_t gossip_live(const struct gossip *gossip);
 /* Whether there are peers in other data centres, and none of them was heard of
- * for GOSSIP_PARTED_USEC: this data centre, or this instance, is cut off. */
-bool gossip_parted(const struct gossip *gossip);
+ * for GOSSIP_PARTITIONED_USEC: this data centre, or this instance, is cut off.
+ */
+bool gossip_partitioned(const struct gossip *gossip);
 /* Which instance this is among those that may read the store for others: how
  * many live peers of the same data centre come before it, and one more when the
  * first of another live data centre does. Those that the store does not answer
@@ -247,8 +250,8 @@
 /* Whether this instance has the lowest name of those live, itself included;
  * instances that reach the store come before those that do not, as storeless
  * says of this one. */
-bool gossip_lowest(const struct gossip *gossip, bool storeless);
+bool gossip_lowest(const struct gossip *gossip, bool store_unreachable);
 /* What peers told, added up, and this instance's own word. */
-void gossip_total(const struct gossip *gossip, struct gossip_word *total);
+void gossip_total(const struct gossip *gossip, struct gossip_summary *total);
 
 #endif
--- a/include/forward/place.h
+++ b/include/forward/place.h
@@ -44,8 +44,8 @@
 	GRand *rand;	  /* breaks ties */
 	uint32_t *visits; /* counts the servers that are looked at; or NULL */
 	/* How old what peers told of loads may be, near and elsewhere. */
-	int64_t stale_near;
-	int64_t stale_far;
+	int64_t stale_local;
+	int64_t stale_remote;
 };
 
 /* How old the view of the server's load may be. */
@@ -72,7 +72,7 @@
  * server, or NULL when the decode server had better read it itself, since more
  * than most_ahead tokens wait at the best prefill server and it is done sooner.
  */
-struct backend *place_reader(const struct place *place,
+struct backend *place_prompt(const struct place *place,
 			     const struct backend *to, uint32_t tokens,
 			     uint32_t most_ahead);
 /* Requests of so many tokens that the usable decode servers can run at a time,
--- a/include/forward/rates.h
+++ b/include/forward/rates.h
@@ -30,22 +30,22 @@
 
 /* Prompt tokens a second of a prefill server that none was seen of yet: of a
  * large model on one host. */
-#define READ_RATE_START 33000.0
+#define PREFILL_RATE_START 33000.0
 
 /* What engines of a service were seen to do. */
 struct engine_rates {
 	struct median read; /* prompt tokens a second of a prefill server */
-	struct median work; /* of a request, see stream_work() */
+	struct median work; /* of a request, see stream_cost() */
 };
 
 /* What a request takes of a decode server: memory held, in tokens, times tokens
  * to be generated meanwhile, a measure of time. Where memory is full more
  * callers are served in time if those go first that take little. */
-double stream_work(uint32_t prompt, uint32_t output);
+double stream_cost(uint32_t prompt, uint32_t output);
 /* That, as a multiple of what a request of the service mostly takes. */
 double engine_rates_weight(const struct engine_rates *rates, double work);
 /* A prompt of so many tokens was read, behind those that were ahead of it. */
-void engine_rates_read(struct engine_rates *rates, uint32_t tokens,
-		       uint32_t ahead, int64_t usec);
+void engine_rates_add_prefill(struct engine_rates *rates, uint32_t tokens,
+			      uint32_t ahead, int64_t usec);
 
 #endif
--- a/include/forward/roles.h
+++ b/include/forward/roles.h
@@ -38,7 +38,7 @@
 	/* Prompt tokens a second asked for at all instances. */
 	double (*demand)(void *ctx);
 	/* Prompt tokens a second that one prefill server reads. */
-	double (*read_rate)(void *ctx);
+	double (*prefill_rate)(void *ctx);
 	const struct catalog *(*catalog)(void *ctx);
 };
 
--- a/include/forward/settings.h
+++ b/include/forward/settings.h
@@ -43,7 +43,7 @@
 	double grace_sec; /* from SIGTERM to SIGKILL */
 	uint32_t connections_max;
 	/* Servers that ended under a request, from which on it is refused. */
-	uint32_t quarantine_ends;
+	uint32_t quarantine_crashes;
 	const char *limits; /* name of limit_policy */
 	enum limit_policy limit_policy;
 };
--- a/include/web/loop.h
+++ b/include/web/loop.h
@@ -27,7 +27,7 @@
 /* Called at the top of a turn, and before at the first callback after a wait.
  * gap_us is how far the present ran ahead since the last
  * turn, less the time waited on purpose: large after SIGSTOP and SIGCONT. */
-typedef void (*loop_turn_fn)(void *ctx, int64_t gap_us);
+typedef void (*loop_iteration_fn)(void *ctx, int64_t gap_us);
 
 /* Fields private. */
 struct loop_deferred {
@@ -44,7 +44,7 @@
 void loop_stop(struct loop *loop);
 void loop_on_signal(struct loop *loop, int signal, loop_signal_fn fn,
 		    void *ctx);
-void loop_on_turn(struct loop *loop, loop_turn_fn fn, void *ctx);
+void loop_on_iteration(struct loop *loop, loop_iteration_fn fn, void *ctx);
 /* Follows the clock and calls the turn hook, once after each wait. Timers may
  * fire in it. Server and client call it before their callbacks. */
 void loop_enter(struct loop *loop);
--- a/tests/coord/lease_trial.c
+++ b/tests/coord/lease_trial.c
@@ -93,7 +93,7 @@
 
 void holder_give_up(struct holder *holder)
 {
-	lease_give_up(holder->leases, TASK);
+	lease_release(holder->leases, TASK);
 	holder->wants = false;
 	holder->held = false;
 }
--- a/tests/coord/test_backpressure.c
+++ b/tests/coord/test_backpressure.c
@@ -51,23 +51,24 @@
 
 	named(table, 10 * USEC_PER_SEC, 5.0);
 	g_assert_cmpuint(0, ==,
-			 backpressure_hear(table, 10 * USEC_PER_SEC, &fact));
+			 backpressure_merge(table, 10 * USEC_PER_SEC, &fact));
 	fact.age_usec = 1000;
 	g_assert_cmpuint(BACKPRESSURE_LIMIT, ==,
-			 backpressure_hear(table, 11 * USEC_PER_SEC, &fact));
+			 backpressure_merge(table, 11 * USEC_PER_SEC, &fact));
 	g_assert_cmpfloat(backpressure_limit(table, SERVER), ==, 3.0);
 	fact.limit = BACKPRESSURE_UNLIMITED;
 	fact.age_usec = 0;
 	g_assert_cmpuint(BACKPRESSURE_LIMIT, ==,
-			 backpressure_hear(table, 12 * USEC_PER_SEC, &fact));
+			 backpressure_merge(table, 12 * USEC_PER_SEC, &fact));
 	/* That it ended is told too, or an older message would bring it back.
 	 */
-	g_assert_cmpuint(backpressure_tell(table, 12 * USEC_PER_SEC, &known, 1),
-			 ==, 1);
+	g_assert_cmpuint(
+		backpressure_export(table, 12 * USEC_PER_SEC, &known, 1), ==,
+		1);
 	g_assert_cmpfloat(known.limit, <, 0.0);
 	fact.server = OTHER;
 	g_assert_cmpuint(0, ==,
-			 backpressure_hear(table, 12 * USEC_PER_SEC, &fact));
+			 backpressure_merge(table, 12 * USEC_PER_SEC, &fact));
 	backpressure_destroy(table);
 }
 
@@ -130,9 +131,9 @@
 	int64_t now = 61 * USEC_PER_SEC;
 
 	named(table, 0, 5.0);
-	backpressure_hear(table, 0, &other);
+	backpressure_merge(table, 0, &other);
 	/* Nobody need be told of what all have heard. */
-	g_assert_cmpuint(backpressure_tell(table, now, facts, 4), ==, 0);
+	g_assert_cmpuint(backpressure_export(table, now, facts, 4), ==, 0);
 	backpressure_prune(table, USEC_PER_SEC, lives, &listed);
 	g_assert_cmpuint(backpressure_limited(table), ==, 2);
 	backpressure_prune(table, now, lives, &listed);
@@ -159,9 +160,9 @@
 	g_assert_true(backpressure_leaving(here, SERVER));
 	g_assert_false(backpressure_leaving(here, OTHER));
 	/* Others hear of it, which says nothing of its limit. */
-	g_assert_cmpuint(backpressure_tell(here, 3, &fact, 1), ==, 1);
+	g_assert_cmpuint(backpressure_export(here, 3, &fact, 1), ==, 1);
 	named(there, 1, 5.0);
-	g_assert_cmpuint(backpressure_hear(there, 4, &fact), ==,
+	g_assert_cmpuint(backpressure_merge(there, 4, &fact), ==,
 			 BACKPRESSURE_LEAVING);
 	g_assert_true(backpressure_leaving(there, SERVER));
 	g_assert_cmpfloat(backpressure_limit(there, SERVER), ==, 5.0);
@@ -183,7 +184,7 @@
 	g_assert_cmpint(backpressure_backoff(table, SERVER), ==,
 			10 + 3 * USEC_PER_SEC);
 	/* It is between the two alone. */
-	g_assert_cmpuint(backpressure_tell(table, 20, &fact, 1), ==, 0);
+	g_assert_cmpuint(backpressure_export(table, 20, &fact, 1), ==, 0);
 	backpressure_destroy(table);
 }
 
@@ -197,10 +198,10 @@
 		const struct backpressure_fact fact = {.server = i,
 						       .limit = 1.0};
 
-		backpressure_hear(table, 1, &fact);
+		backpressure_merge(table, 1, &fact);
 	}
 	for (int round = 0; round < 7; round++) {
-		uint32_t count = backpressure_tell(table, 1, facts, 16);
+		uint32_t count = backpressure_export(table, 1, facts, 16);
 
 		for (uint32_t i = 0; i < count; i++)
 			seen[facts[i].server]++;
@@ -239,13 +240,13 @@
 	int64_t now = 0;
 
 	backpressure_cold(here, 3 * USEC_PER_SEC, SERVER, 10.0);
-	g_assert_cmpuint(backpressure_tell(here, 0, &fact, 1), ==, 0);
+	g_assert_cmpuint(backpressure_export(here, 0, &fact, 1), ==, 0);
 	g_assert_true(backpressure_find(here, USEC_PER_SEC, SERVER, &fact));
 	g_assert_cmpint(fact.cold_usec, ==, 2 * USEC_PER_SEC);
-	backpressure_hear(home, 0, &fact);
+	backpressure_merge(home, 0, &fact);
 	g_assert_cmpuint(granted(home, &now, USEC_PER_SEC), <=, 10);
 	/* Heard again it lasts no longer, or it would never end. */
-	backpressure_hear(home, now, &fact);
+	backpressure_merge(home, now, &fact);
 	now = 2 * USEC_PER_SEC;
 	g_assert_cmpuint(granted(home, &now, USEC_PER_SEC), ==, 200);
 	backpressure_prune(home, now, lives, &(uint64_t){SERVER});
--- a/tests/coord/test_claim.c
+++ b/tests/coord/test_claim.c
@@ -288,7 +288,7 @@
 		.incarnation = 1,
 		.attempt = attempt,
 		.key = KEY,
-		.patience = 200 * USEC_PER_MSEC,
+		.decide_usec = 200 * USEC_PER_MSEC,
 	};
 	msgpack_sbuffer buffer;
 
--- a/tests/coord/test_lease.c
+++ b/tests/coord/test_lease.c
@@ -319,7 +319,7 @@
 
 	trial->engine.checks = true;
 	holder_start(holder);
-	lease_give_up(holder->leases, TASK + 1); /* never wanted */
+	lease_release(holder->leases, TASK + 1); /* never wanted */
 	lease_want(holder->leases, TASK);	 /* twice */
 	g_assert_false(lease_valid(holder->leases, TASK + 1, &fence));
 	g_assert_cmpuint(fence, ==, 7);
@@ -328,7 +328,7 @@
 	g_assert_cmpuint(fence, ==, trial->fence);
 	holder_give_up(holder);
 	g_assert_false(lease_valid(holder->leases, TASK, NULL));
-	lease_give_up(holder->leases, TASK);
+	lease_release(holder->leases, TASK);
 	trial_destroy(trial);
 }
 
--- a/tests/coord/test_quarantine.c
+++ b/tests/coord/test_quarantine.c
@@ -14,23 +14,24 @@
 	.suspects_max = 8,
 };
 
-static struct work_id work(uint64_t n)
+static struct request_fingerprint work(uint64_t n)
 {
-	return (struct work_id){n, n};
+	return (struct request_fingerprint){n, n};
 }
 
 /* Servers of a work that ended one after the other, seen by one instance. */
 static void end_servers(struct quarantine *quarantine, uint64_t n, int count)
 {
-	struct work_id id = work(n);
+	struct request_fingerprint id = work(n);
 
 	for (int i = 0; i < count; i++)
-		quarantine_blame(quarantine, &id, n, 1000 + (uint64_t)i, NOW);
+		quarantine_record_crash(quarantine, &id, n, 1000 + (uint64_t)i,
+					NOW);
 }
 
 static bool holds(const struct quarantine *quarantine, uint64_t n)
 {
-	struct work_id id = work(n);
+	struct request_fingerprint id = work(n);
 
 	return quarantine_holds(quarantine, &id);
 }
@@ -39,20 +40,21 @@
 static void test_third(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
-	struct work_id id = work(1);
+	struct request_fingerprint id = work(1);
 
 	g_assert_true(quarantine_empty(quarantine));
-	g_assert_true(quarantine_blame(quarantine, &id, 1, 5, NOW));
-	g_assert_false(quarantine_blame(quarantine, &id, 1, 5, NOW));
-	g_assert_true(quarantine_blame(quarantine, &id, 1, 4, NOW));
+	g_assert_true(quarantine_record_crash(quarantine, &id, 1, 5, NOW));
+	g_assert_false(quarantine_record_crash(quarantine, &id, 1, 5, NOW));
+	g_assert_true(quarantine_record_crash(quarantine, &id, 1, 4, NOW));
 	g_assert_false(holds(quarantine, 1));
 	g_assert_cmpuint(quarantine_suspects(quarantine), ==, 1);
-	g_assert_true(quarantine_blame(quarantine, &id, 1, 6, NOW));
+	g_assert_true(quarantine_record_crash(quarantine, &id, 1, 6, NOW));
 	g_assert_true(holds(quarantine, 1));
 	g_assert_cmpuint(quarantine_held(quarantine), ==, 1);
 	g_assert_cmpuint(quarantine_suspects(quarantine), ==, 0);
 	/* Nor does time release it. */
-	g_assert_false(quarantine_blame(quarantine, &id, 1, 6, NOW * 1000000));
+	g_assert_false(
+		quarantine_record_crash(quarantine, &id, 1, 6, NOW * 1000000));
 	g_assert_true(holds(quarantine, 1));
 	g_assert_false(holds(quarantine, 2));
 	quarantine_destroy(quarantine);
@@ -63,18 +65,18 @@
 static void test_proved(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
-	struct work_id id = work(1);
+	struct request_fingerprint id = work(1);
 
-	quarantine_prove(quarantine, 1, NOW);
+	quarantine_record_success(quarantine, 1, NOW);
 	end_servers(quarantine, 1, 3);
 	g_assert_true(quarantine_empty(quarantine));
-	g_assert_true(quarantine_proved(quarantine, 1, NOW));
-	g_assert_false(
-		quarantine_proved(quarantine, 1, NOW + 61 * USEC_PER_SEC));
-	g_assert_true(quarantine_blame(quarantine, &id, 1, 5,
-				       NOW + 61 * USEC_PER_SEC));
+	g_assert_true(quarantine_has_succeeded(quarantine, 1, NOW));
+	g_assert_false(quarantine_has_succeeded(quarantine, 1,
+						NOW + 61 * USEC_PER_SEC));
+	g_assert_true(quarantine_record_crash(quarantine, &id, 1, 5,
+					      NOW + 61 * USEC_PER_SEC));
 	/* Another one is blamed although its mark falls on the same slot. */
-	quarantine_prove(quarantine, 2, NOW);
+	quarantine_record_success(quarantine, 2, NOW);
 	end_servers(quarantine, 2 + 4096, 3);
 	g_assert_true(holds(quarantine, 2 + 4096));
 	quarantine_destroy(quarantine);
@@ -85,7 +87,7 @@
 static void test_cleared(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
-	struct work_id id = work(1);
+	struct request_fingerprint id = work(1);
 	struct quarantine_entry early;
 
 	g_assert_false(quarantine_clear(quarantine, &id));
@@ -128,7 +130,7 @@
 	struct quarantine_entry entry = {.work = work(1)};
 
 	g_assert_false(quarantine_merge(quarantine, &entry));
-	entry.count = QUARANTINE_ENDS_MAX + 1;
+	entry.count = QUARANTINE_CRASHES_MAX + 1;
 	g_assert_false(quarantine_merge(quarantine, &entry));
 	g_assert_true(quarantine_empty(quarantine));
 	quarantine_destroy(quarantine);
@@ -139,13 +141,13 @@
 {
 	struct quarantine *quarantine = quarantine_create(&small);
 	struct quarantine_entry entry;
-	struct work_id id = work(1);
+	struct request_fingerprint id = work(1);
 
 	end_servers(quarantine, 1, 2);
 	g_assert_false(quarantine_unstored(quarantine, &entry));
 	end_servers(quarantine, 1, 3);
 	g_assert_true(quarantine_unstored(quarantine, &entry));
-	g_assert_true(work_id_same(&entry.work, &id));
+	g_assert_true(fingerprint_same(&entry.work, &id));
 	quarantine_stored(quarantine, &id, true);
 	g_assert_false(quarantine_unstored(quarantine, &entry));
 	/* More servers say nothing that matters. */
@@ -199,7 +201,7 @@
 			all[g_test_rand_int_range(0, INSTANCES)];
 		struct quarantine *other =
 			all[g_test_rand_int_range(0, INSTANCES)];
-		struct work_id id =
+		struct request_fingerprint id =
 			work((uint64_t)g_test_rand_int_range(1, 20));
 		const struct quarantine_entry *entry =
 			quarantine_find(one, &id);
@@ -208,9 +210,9 @@
 		if (what == 0)
 			quarantine_clear(one, &id);
 		else if (what < 4)
-			quarantine_blame(one, &id, id.low,
-					 (uint64_t)g_test_rand_int_range(1, 9),
-					 NOW);
+			quarantine_record_crash(
+				one, &id, id.low,
+				(uint64_t)g_test_rand_int_range(1, 9), NOW);
 		else if (entry && one != other)
 			quarantine_merge(other, entry);
 	}
@@ -233,19 +235,24 @@
 /* The same bytes parted otherwise, or of another caller, are other work. */
 static void test_identity(void)
 {
-	const struct work_part one[] = {{"POST", 4}, {"/a", 2}, {"b", 1}};
-	const struct work_part moved[] = {{"POST", 4}, {"/", 1}, {"ab", 2}};
-	const struct work_part empty[] = {{"POST", 4}, {"/a", 2}, {NULL, 0}};
-	struct work_id a = work_id_of(one, 3);
-	struct work_id again = work_id_of(one, 3);
-	struct work_id b = work_id_of(moved, 3);
-	struct work_id c = work_id_of(empty, 3);
+	const struct fingerprint_part one[] = {
+		{"POST", 4}, {"/a", 2}, {"b", 1}};
+	const struct fingerprint_part moved[] = {
+		{"POST", 4}, {"/", 1}, {"ab", 2}};
+	const struct fingerprint_part empty[] = {
+		{"POST", 4}, {"/a", 2}, {NULL, 0}};
+	struct request_fingerprint a = fingerprint_of(one, 3);
+	struct request_fingerprint again = fingerprint_of(one, 3);
+	struct request_fingerprint b = fingerprint_of(moved, 3);
+	struct request_fingerprint c = fingerprint_of(empty, 3);
 
-	g_assert_true(work_id_same(&a, &again));
-	g_assert_false(work_id_same(&a, &b));
-	g_assert_false(work_id_same(&a, &c));
-	g_assert_cmpuint(work_mark_of(one, 3, 7), ==, work_mark_of(one, 3, 7));
-	g_assert_cmpuint(work_mark_of(one, 3, 7), !=, work_mark_of(one, 3, 8));
+	g_assert_true(fingerprint_same(&a, &again));
+	g_assert_false(fingerprint_same(&a, &b));
+	g_assert_false(fingerprint_same(&a, &c));
+	g_assert_cmpuint(keyed_hash_of(one, 3, 7), ==,
+			 keyed_hash_of(one, 3, 7));
+	g_assert_cmpuint(keyed_hash_of(one, 3, 7), !=,
+			 keyed_hash_of(one, 3, 8));
 }
 
 int main(int argc, char **argv)
--- a/tests/data_centres/calls.c
+++ b/tests/data_centres/calls.c
@@ -171,7 +171,7 @@
 	};
 
 	if (at->up)
-		ledger_ask(at->ledger, &request);
+		ledger_submit(at->ledger, &request);
 }
 
 static struct job *job_create(struct site *site, int centre,
--- a/tests/entry/test_directory_sync.c
+++ b/tests/entry/test_directory_sync.c
@@ -337,12 +337,12 @@
 static void test_malformed(void)
 {
 	GByteArray *bytes = g_byte_array_new();
-	struct directory_news news = {.epoch = 5, .until = 2, .whole = true};
+	struct directory_update news = {.epoch = 5, .until = 2, .whole = true};
 	struct world world;
 
 	world_setup(&world);
 	put(&world.nodes[0], "abc");
-	directory_news_encode(&news, world.nodes[0].entry.directory, bytes);
+	directory_update_encode(&news, world.nodes[0].entry.directory, bytes);
 	struct node *node = &world.nodes[2];
 
 	for (guint size = 0; size < bytes->len; size++)
--- a/tests/entry/test_turn.c
+++ b/tests/entry/test_turn.c
@@ -11,7 +11,7 @@
 	int turns;
 };
 
-static void on_turn(void *ctx, int64_t gap_us)
+static void on_iteration(void *ctx, int64_t gap_us)
 {
 	struct turns *turns = ctx;
 
@@ -38,7 +38,7 @@
 	turns.order = g_string_new(NULL);
 	timer_init(&timer, turns.run.clock, on_timer, &turns);
 	timer_start(&timer, 0);
-	loop_on_turn(turns.run.loop, on_turn, &turns);
+	loop_on_iteration(turns.run.loop, on_iteration, &turns);
 	loop_run(turns.run.loop);
 	g_assert_true(g_str_has_prefix(turns.order->str,
 				       "timer turn timer turn timer turn"));
--- a/tests/forward/copies_world.c
+++ b/tests/forward/copies_world.c
@@ -12,7 +12,7 @@
 	return clock_now(copies->site->clock);
 }
 
-static void call_begin(struct copy_share *own, uint64_t from, int64_t wait,
+static void call_begin(struct copy_mirror *own, uint64_t from, int64_t wait,
 		       bool snapshot, feed_page_fn fn, void *ctx)
 {
 	struct copies *copies = own->copies;
@@ -39,7 +39,7 @@
 	call_begin(ctx, from, wait_usec, false, fn, fn_ctx);
 }
 
-static void call_answer(struct copy_share *own)
+static void call_answer(struct copy_mirror *own)
 {
 	const struct copies *copies = own->copies;
 	struct copy_call call = own->call;
@@ -60,7 +60,7 @@
 	call.fn(call.ctx, RESULT_OK, &page);
 }
 
-static void call_refuse(struct copy_share *own)
+static void call_refuse(struct copy_mirror *own)
 {
 	struct copy_call call = own->call;
 
@@ -69,7 +69,7 @@
 	call.fn(call.ctx, RESULT_LOG_DOWN, NULL);
 }
 
-static void call_turn(struct copy_share *own)
+static void call_turn(struct copy_mirror *own)
 {
 	const struct copies *copies = own->copies;
 	const struct copy_call *call = &own->call;
@@ -84,31 +84,33 @@
 		call_answer(own);
 }
 
-static enum share_effect on_value(void *ctx, uint64_t offset, const char *key,
-				  const void *data, size_t size)
+static enum mirror_effect on_value(void *ctx, uint64_t offset, const char *key,
+				   const void *data, size_t size)
 {
-	struct copy_share *own = ctx;
+	struct copy_mirror *own = ctx;
 	uint64_t version;
 
 	g_assert_cmpuint(size, ==, sizeof(version));
 	memcpy(&version, data, size);
 	if (version <= own->version)
-		return version == own->version ? SHARE_SAME : SHARE_REFUSED;
+		return version == own->version ? MIRROR_UNCHANGED
+					       : MIRROR_REJECTED;
 	own->version = version;
-	return SHARE_CHANGED;
+	return MIRROR_CHANGED;
 }
 
 static void word_add(void *ctx, const struct instance *instance,
-		     struct gossip_word *word)
+		     struct gossip_summary *summary)
 {
 	struct copies *copies = ctx;
 	uint32_t i = (uint32_t)(instance - copies->site->instances);
 
 	for (int k = 0; k < COPY_STREAMS; k++) {
-		const struct share *share = copies->shares[i][k].share;
+		const struct mirror *mirror = copies->mirrors[i][k].mirror;
 
-		share_word(share, &word->shares[k]);
-		word->storeless = word->storeless || share_failing(share);
+		mirror_status(mirror, &summary->mirrors[k]);
+		summary->store_unreachable =
+			summary->store_unreachable || mirror_failing(mirror);
 	}
 }
 
@@ -121,17 +123,17 @@
 }
 
 static void on_heard(void *ctx, const struct instance *instance,
-		     const char *address, const struct gossip_word *word)
+		     const char *address, const struct gossip_summary *summary)
 {
 	struct copies *copies = ctx;
 	uint32_t i = (uint32_t)(instance - copies->site->instances);
 
 	for (int k = 0; k < COPY_STREAMS; k++) {
-		struct copy_share *own = &copies->shares[i][k];
+		struct copy_mirror *own = &copies->mirrors[i][k];
 
-		if (!share_hear(own->share, &word->shares[k]))
+		if (!mirror_merge_status(own->mirror, &summary->mirrors[k]))
 			continue;
-		share_offered(own->share);
+		mirror_fetch_pending(own->mirror);
 		if (own->fetch_at != 0)
 			continue;
 		own->fetch_at = now_of(copies) + FETCH_USEC;
@@ -146,11 +148,11 @@
 	return instance->gossip && instance->centre < copies->centres;
 }
 
-static void fetch_turn(struct copy_share *own)
+static void fetch_turn(struct copy_mirror *own)
 {
 	struct copies *copies = own->copies;
-	const struct copy_share *from =
-		&copies->shares[own->fetch_from][own->stream];
+	const struct copy_mirror *from =
+		&copies->mirrors[own->fetch_from][own->stream];
 	g_autoptr(GByteArray) out = NULL;
 	struct error err;
 
@@ -160,8 +162,8 @@
 	if (!copies_has(copies, own->fetch_from))
 		return;
 	out = g_byte_array_new();
-	share_pack(from->share, share_position(own->share), out);
-	g_assert_true(share_unpack(own->share, out->data, out->len, &err));
+	mirror_encode(from->mirror, mirror_position(own->mirror), out);
+	g_assert_true(mirror_decode(own->mirror, out->data, out->len, &err));
 }
 
 static void instance_turn(struct copies *copies, uint32_t i)
@@ -172,12 +174,12 @@
 
 	gossip_place(copies->site->instances[i].gossip, &place);
 	for (int k = 0; k < COPY_STREAMS; k++) {
-		struct copy_share *own = &copies->shares[i][k];
+		struct copy_mirror *own = &copies->mirrors[i][k];
 
 		call_turn(own);
 		fetch_turn(own);
 		if (ticks)
-			share_tick(own->share, &place);
+			mirror_tick(own->mirror, &place);
 	}
 }
 
@@ -203,7 +205,7 @@
 
 	for (uint32_t i = 0; i < copies->site->count; i++)
 		late += copies_has(copies, i) &&
-			copies->shares[i][0].version != copies->next;
+			copies->mirrors[i][0].version != copies->next;
 	return late;
 }
 
@@ -221,22 +223,22 @@
 
 static void shares_open(struct copies *copies, uint32_t i)
 {
-	static const struct share_ops ops = {NULL, NULL, on_value, NULL};
+	static const struct mirror_ops ops = {NULL, NULL, on_value, NULL};
 	const struct feed_settings settings[COPY_STREAMS] = {
 		{.stream = "configuration", .wait_usec = WAIT_USEC, .seed = i},
 		{.stream = "list", .seed = i},
 	};
 
 	for (uint32_t k = 0; k < COPY_STREAMS; k++) {
-		struct copy_share *own = &copies->shares[i][k];
+		struct copy_mirror *own = &copies->mirrors[i][k];
 		const struct feed_store store = {on_snapshot, on_read, own};
 
 		own->copies = copies;
 		own->owner = i;
 		own->stream = k;
-		own->share = share_create(copies->site->clock, &store,
-					  &settings[k], &ops, own);
-		share_start(own->share, i);
+		own->mirror = mirror_create(copies->site->clock, &store,
+					    &settings[k], &ops, own);
+		mirror_start(own->mirror, i);
 	}
 }
 
@@ -249,7 +251,7 @@
 	copies->next = 1;
 	for (uint32_t i = 0; i < count; i++)
 		shares_open(copies, i);
-	copies->site->word = word_add;
+	copies->site->summary = word_add;
 	copies->site->heard = on_heard;
 	copies->site->story = copies;
 	copies_run(copies, 6000);
@@ -267,10 +269,10 @@
 {
 	for (uint32_t i = 0; i < copies->site->count; i++)
 		for (int k = 0; k < COPY_STREAMS; k++) {
-			struct copy_share *own = &copies->shares[i][k];
+			struct copy_mirror *own = &copies->mirrors[i][k];
 
 			/* Calls outlive their share. */
-			share_destroy(own->share);
+			mirror_destroy(own->mirror);
 			if (own->call.fn)
 				call_refuse(own);
 		}
--- a/tests/forward/copies_world.h
+++ b/tests/forward/copies_world.h
@@ -26,11 +26,11 @@
 	bool snapshot;
 };
 
-struct copy_share {
+struct copy_mirror {
 	struct copies *copies;
 	uint32_t owner; /* index of its instance */
 	uint32_t stream;
-	struct share *share;
+	struct mirror *mirror;
 	struct copy_call call;
 	uint64_t version; /* in force */
 	int64_t fetch_at; /* 0: none */
@@ -46,7 +46,7 @@
 	int64_t answer_usec; /* that the store takes */
 	uint32_t calls;
 	uint32_t refusals;
-	struct copy_share shares[MOST][COPY_STREAMS];
+	struct copy_mirror mirrors[MOST][COPY_STREAMS];
 };
 
 /* count instances in five data centres, of which all but so many are cut off
--- a/tests/forward/fuzz_gossip.c
+++ b/tests/forward/fuzz_gossip.c
@@ -26,16 +26,17 @@
 			a->works->len * sizeof(struct quarantine_entry),
 			b->works->data,
 			b->works->len * sizeof(struct quarantine_entry));
-	g_assert_cmpuint(a->word.changing_count, ==, b->word.changing_count);
-	for (uint32_t i = 0; i < a->word.changing_count; i++)
-		g_assert_cmpint(a->word.changing[i].left_usec, ==,
-				b->word.changing[i].left_usec);
-	g_assert_cmpuint(a->uses->len, ==, b->uses->len);
-	for (guint i = 0; i < a->uses->len; i++) {
+	g_assert_cmpuint(a->summary.changing_count, ==,
+			 b->summary.changing_count);
+	for (uint32_t i = 0; i < a->summary.changing_count; i++)
+		g_assert_cmpint(a->summary.changing[i].left_usec, ==,
+				b->summary.changing[i].left_usec);
+	g_assert_cmpuint(a->usage->len, ==, b->usage->len);
+	for (guint i = 0; i < a->usage->len; i++) {
 		const struct limit_entry *one =
-			&g_array_index(a->uses, struct limit_entry, i);
+			&g_array_index(a->usage, struct limit_entry, i);
 		const struct limit_entry *other =
-			&g_array_index(b->uses, struct limit_entry, i);
+			&g_array_index(b->usage, struct limit_entry, i);
 
 		g_assert_cmpuint(one->account, ==, other->account);
 		g_assert_cmpint(one->used, ==, other->used);
@@ -43,7 +44,7 @@
 	}
 	g_assert_cmpstr(a->name, ==, b->name);
 	g_assert_cmpstr(a->first.name, ==, b->first.name);
-	g_assert_cmpuint(a->word.waiting, ==, b->word.waiting);
+	g_assert_cmpuint(a->summary.waiting, ==, b->summary.waiting);
 	g_assert_cmpuint(a->addresses->len, ==, b->addresses->len);
 }
 
@@ -82,11 +83,11 @@
 	g_strlcpy(message.name, "n1", sizeof(message.name));
 	g_strlcpy(message.group, "here", sizeof(message.group));
 	g_strlcpy(message.first.name, "n0", sizeof(message.first.name));
-	message.word.waiting = 3;
-	message.word.changing_count = (uint32_t)(i % 3);
-	message.word.changing[0] =
+	message.summary.waiting = 3;
+	message.summary.changing_count = (uint32_t)(i % 3);
+	message.summary.changing[0] =
 		(struct backend_change){7, STAGE_PREFILL, 5000000};
-	message.word.changing[1] =
+	message.summary.changing[1] =
 		(struct backend_change){8, STAGE_DECODE, 1000};
 	for (int k = g_test_rand_int_range(0, 4); k > 0; k--) {
 		struct gossip_load load = {(uint64_t)k, {1, -2000, 300}};
@@ -107,7 +108,7 @@
 	for (int k = g_test_rand_int_range(0, 4); k > 0; k--) {
 		struct limit_entry use = {(uint64_t)k, 3, -k, 70000, -9};
 
-		g_array_append_val(message.uses, use);
+		g_array_append_val(message.usage, use);
 	}
 	gossip_message_add(&message, "127.0.0.1:70");
 	gossip_message_add(&message, "[::1]:7");
--- a/tests/forward/gossip_world.c
+++ b/tests/forward/gossip_world.c
@@ -4,17 +4,18 @@
 
 const char *const centres[CENTRES] = {"a", "b", "c", "d", "e"};
 
-static void word(void *ctx, struct gossip_word *out)
+static void summary(void *ctx, struct gossip_summary *out)
 {
 	const struct instance *instance = ctx;
 
-	*out = (struct gossip_word){.version = 1, .demand = 100, .waiting = 1};
-	if (instance->site->word)
-		instance->site->word(instance->site->story, instance, out);
+	*out = (struct gossip_summary){
+		.version = 1, .demand = 100, .waiting = 1};
+	if (instance->site->summary)
+		instance->site->summary(instance->site->story, instance, out);
 }
 
-static void heard(void *ctx, const char *address, bool near,
-		  const struct gossip_word *from)
+static void heard(void *ctx, const char *address, bool local,
+		  const struct gossip_summary *from)
 {
 	const struct instance *instance = ctx;
 
@@ -30,7 +31,7 @@
 	return gossip_rank(instance->gossip) == 0;
 }
 
-static bool work_heard(void *ctx, const struct quarantine_entry *entry)
+static bool quarantine_received(void *ctx, const struct quarantine_entry *entry)
 {
 	const struct instance *instance = ctx;
 
@@ -49,16 +50,16 @@
 {
 	const struct instance *instance = ctx;
 
-	return backpressure_tell(instance->backpressure,
-				 clock_now(instance->site->clock), out, most);
+	return backpressure_export(instance->backpressure,
+				   clock_now(instance->site->clock), out, most);
 }
 
-static void fact_heard(void *ctx, const struct backpressure_fact *fact)
+static void fact_received(void *ctx, const struct backpressure_fact *fact)
 {
 	const struct instance *instance = ctx;
 
-	backpressure_hear(instance->backpressure,
-			  clock_now(instance->site->clock), fact);
+	backpressure_merge(instance->backpressure,
+			   clock_now(instance->site->clock), fact);
 }
 
 static bool grant(struct instance *instance, uint64_t key, int64_t *retry)
@@ -69,14 +70,14 @@
 	       backpressure_grant(instance->backpressure, now, key, retry);
 }
 
-static void permit_asked(void *ctx, const struct permit_ask *ask,
-			 struct permit_answer *answer)
+static void permit_requested(void *ctx, const struct permit_request *ask,
+			     struct permit_answer *answer)
 {
 	struct instance *instance = ctx;
 	const struct backend *backend =
 		fleet_find(instance->fleet, ask->fact.server);
 
-	fact_heard(ctx, &ask->fact);
+	fact_received(ctx, &ask->fact);
 	answer->granted =
 		gossip_is_home(instance->gossip, ask->fact.server,
 			       backend->info.data_centre, true) &&
@@ -94,7 +95,7 @@
 bool permit(struct instance *instance, uint32_t centre)
 {
 	uint64_t key = server(instance, centre)->key;
-	struct permit_ask ask = {.id = 1};
+	struct permit_request ask = {.id = 1};
 	int64_t retry;
 
 	if (backpressure_limit(instance->backpressure, key) < 0.0 ||
@@ -102,7 +103,8 @@
 			       clock_now(instance->site->clock), key,
 			       &ask.fact))
 		return true;
-	if (gossip_ask(instance->gossip, &ask, centres[centre], true))
+	if (gossip_request_permit(instance->gossip, &ask, centres[centre],
+				  true))
 		return false;
 	return grant(instance, key, &retry);
 }
@@ -121,14 +123,14 @@
 void instance_start(struct instance *instance)
 {
 	static const struct gossip_ops ops = {
-		.word = word,
+		.summary = summary,
 		.heard = heard,
 		.reads = reads,
-		.work_heard = work_heard,
+		.quarantine_received = quarantine_received,
 		.works = works,
 		.facts = facts,
-		.fact_heard = fact_heard,
-		.permit_asked = permit_asked,
+		.fact_received = fact_received,
+		.permit_requested = permit_requested,
 		.permit_answered = permit_answered,
 	};
 	static const struct quarantine_settings quarantine = {3, 256, 256};
@@ -167,8 +169,8 @@
 void meet_all(struct site *site, struct instance *instance)
 {
 	for (uint32_t i = 0; i < site->count; i++)
-		gossip_meet(instance->gossip, site->instances[i].address,
-			    centres[site->instances[i].centre]);
+		gossip_add_peer(instance->gossip, site->instances[i].address,
+				centres[site->instances[i].centre]);
 }
 
 struct instance *instance_add(struct site *site)
--- a/tests/forward/gossip_world.h
+++ b/tests/forward/gossip_world.h
@@ -41,16 +41,16 @@
 
 /* Called for what an instance tells, and for what it hears of a peer. */
 typedef void (*site_word_fn)(void *story, const struct instance *instance,
-			     struct gossip_word *word);
+			     struct gossip_summary *summary);
 typedef void (*site_heard_fn)(void *story, const struct instance *instance,
 			      const char *address,
-			      const struct gossip_word *word);
+			      const struct gossip_summary *summary);
 
 struct site {
 	struct clock *clock;
 	site_granted_fn granted;
-	site_word_fn word;   /* or NULL */
-	site_heard_fn heard; /* or NULL */
+	site_word_fn summary; /* or NULL */
+	site_heard_fn heard;  /* or NULL */
 	void *story;
 	struct loop *loops[CENTRES];
 	bool still[CENTRES];
--- a/tests/forward/paths_world.c
+++ b/tests/forward/paths_world.c
@@ -235,7 +235,7 @@
 	return INSTANCES;
 }
 
-static int64_t interval(void *ctx, bool near)
+static int64_t interval(void *ctx, bool local)
 {
 	return 0;
 }
@@ -417,7 +417,7 @@
 	return PERMIT_ASKED;
 }
 
-static void work_changed(void *ctx, const struct work_id *work)
+static void work_changed(void *ctx, const struct request_fingerprint *work)
 {
 	const struct quarantine_entry *entry =
 		quarantine_find(world.quarantine, work);
@@ -600,10 +600,10 @@
 /* The only work of this world, told by others. */
 static void hold_step(const char *options)
 {
-	const struct work_part parts[] = {
+	const struct fingerprint_part parts[] = {
 		{"POST", 4}, {NULL, 0}, {NULL, 0}, {NULL, 0}, {NULL, 0}};
 	const struct quarantine_entry entry = {
-		.work = work_id_of(parts, G_N_ELEMENTS(parts)),
+		.work = fingerprint_of(parts, G_N_ELEMENTS(parts)),
 		.epoch = ++world.holds,
 		.count = 3,
 		.servers = {1, 2, 3},
--- a/tests/forward/test_feed.c
+++ b/tests/forward/test_feed.c
@@ -246,7 +246,7 @@
 	world_open(&world);
 	page_answer(&world, "a", 7, NULL);
 	feed_poll(world.feed);
-	feed_hurry(world.feed);
+	feed_restart(world.feed);
 	page_answer(&world, "b", 8, NULL);
 	world.abandoned(world.abandoned_ctx, RESULT_OK, &late);
 	world.abandoned = NULL;
--- a/tests/forward/test_gossip.c
+++ b/tests/forward/test_gossip.c
@@ -26,11 +26,11 @@
 static bool changing; /* the first one says that two servers change */
 static uint32_t changes_heard[PEERS];
 
-static void word(void *ctx, struct gossip_word *out)
+static void summary(void *ctx, struct gossip_summary *out)
 {
 	const struct peer_of *peer = ctx;
 
-	*out = (struct gossip_word){.version = 1};
+	*out = (struct gossip_summary){.version = 1};
 	if (!changing || peer->number > 0)
 		return;
 	out->changing[0] = (struct backend_change){5, STAGE_PREFILL, 9000000};
@@ -39,7 +39,7 @@
 }
 
 static void heard(void *ctx, const char *address, bool near,
-		  const struct gossip_word *from)
+		  const struct gossip_summary *from)
 {
 	const struct peer_of *peer = ctx;
 
@@ -72,7 +72,7 @@
 static void site_open(struct site *site)
 {
 	static const struct gossip_ops ops = {
-		.word = word, .heard = heard, .reads = reads};
+		.summary = summary, .heard = heard, .reads = reads};
 	static const char *const names[PEERS] = {"n0", "n1", "n2"};
 
 	*site = (struct site){.clock = clock_create(0)};
@@ -98,7 +98,8 @@
 	}
 	for (int i = 0; i < PEERS; i++)
 		for (int k = 0; k < PEERS; k++)
-			gossip_meet(site->gossips[i], site->addresses[k], NULL);
+			gossip_add_peer(site->gossips[i], site->addresses[k],
+					NULL);
 	turn(site, USEC_PER_SEC);
 	g_assert_cmpuint(gossip_live(site->gossips[0]), ==, PEERS - 1);
 }
--- a/tests/forward/test_gossip_fleet.c
+++ b/tests/forward/test_gossip_fleet.c
@@ -31,12 +31,12 @@
 {
 	for (uint32_t i = 0; i < site->count; i++) {
 		const struct gossip *gossip = site->instances[i].gossip;
-		struct gossip_word total;
+		struct gossip_summary total;
 
 		if (!gossip)
 			continue;
 		g_assert_true(gossip_grouped(gossip));
-		g_assert_false(gossip_parted(gossip));
+		g_assert_false(gossip_partitioned(gossip));
 		gossip_total(gossip, &total);
 		g_assert_cmpuint(total.waiting, ==, count);
 	}
--- a/tests/forward/test_gossip_site.c
+++ b/tests/forward/test_gossip_site.c
@@ -7,13 +7,13 @@
 {
 	for (uint32_t i = 0; i < site->count; i++) {
 		const struct gossip *gossip = site->instances[i].gossip;
-		struct gossip_word total;
+		struct gossip_summary total;
 
 		g_assert_cmpuint(gossip_live(gossip), ==, site->count - 1);
 		g_assert_cmpuint(gossip_instances(gossip), ==, site->count);
 		gossip_total(gossip, &total);
 		g_assert_cmpuint(total.waiting, ==, site->count);
-		g_assert_false(gossip_parted(gossip));
+		g_assert_false(gossip_partitioned(gossip));
 	}
 	g_assert_cmpuint(lowest_count(site), ==, 1);
 }
--- a/tests/forward/test_gossip_works.c
+++ b/tests/forward/test_gossip_works.c
@@ -16,7 +16,7 @@
 
 struct story {
 	struct site *site;
-	struct work_id work;
+	struct request_fingerprint work;
 	uint32_t ended;
 	int64_t third;	  /* when the third server ended */
 	uint32_t refused; /* repeats */
@@ -36,9 +36,9 @@
 		story->third = now;
 	if (story->third && now - story->third > CONTACT_USEC)
 		story->late++;
-	if (quarantine_blame(instance->quarantine, &story->work,
-			     story->work.low, story->ended, now))
-		gossip_work_changed(
+	if (quarantine_record_crash(instance->quarantine, &story->work,
+				    story->work.low, story->ended, now))
+		gossip_quarantine_changed(
 			instance->gossip,
 			quarantine_find(instance->quarantine, &story->work));
 }
--- a/tests/forward/test_groups.c
+++ b/tests/forward/test_groups.c
@@ -83,12 +83,13 @@
 
 	address_free(address);
 	gossip = gossip_create(loop, fleet, &settings,
-			       &(struct gossip_ops){.word = NULL}, NULL, &err);
+			       &(struct gossip_ops){.summary = NULL}, NULL,
+			       &err);
 	g_assert_nonnull(gossip);
 	peer_heard(gossip, peer_add(gossip, "127.0.0.1:9"), "here");
 	peers_update(gossip);
-	g_assert_cmpuint(gossip->near->len, ==, 1);
-	gossip_first_near(gossip, false, false, &first);
+	g_assert_cmpuint(gossip->local->len, ==, 1);
+	gossip_first_local(gossip, false, false, &first);
 	g_assert_cmpstr(first.name, ==, "b");
 	g_assert_cmpuint(gossip_rank(gossip), ==, 0);
 	gossip_destroy(gossip);
--- a/tests/forward/test_lost.c
+++ b/tests/forward/test_lost.c
@@ -56,12 +56,13 @@
 /* Has so many peers tell what there is to tell; returns how much. */
 static uint32_t tell(struct site *site, uint32_t peers)
 {
-	struct backend_lost lost[8];
-	uint32_t count = fleet_lost(site->own, lost, 8);
+	struct unreachable_backend unreachable[8];
+	uint32_t count = fleet_unreachable(site->own, unreachable, 8);
 
 	for (uint32_t i = 0; i < count; i++)
 		for (uint64_t peer = 1; peer <= peers; peer++)
-			fleet_hear_lost(site->peer, peer, &lost[i]);
+			fleet_merge_unreachable(site->peer, peer,
+						&unreachable[i]);
 	return count;
 }
 
@@ -74,7 +75,7 @@
 /* Passed over as long as who found out does, and not told on. */
 static void test_told(void)
 {
-	struct backend_lost lost[8];
+	struct unreachable_backend unreachable[8];
 	struct site site;
 
 	site_open(&site);
@@ -84,7 +85,7 @@
 	g_assert_false(usable(&site, "n1"));
 	g_assert_false(usable(&site, "f0"));
 	g_assert_true(usable(&site, "n2"));
-	g_assert_cmpuint(fleet_lost(site.peer, lost, 8), ==, 0);
+	g_assert_cmpuint(fleet_unreachable(site.peer, unreachable, 8), ==, 0);
 	clock_advance(site.clock, clock_now(site.clock) + 3 * SECOND);
 	g_assert_true(usable(&site, "n1"));
 	site_close(&site);
@@ -124,17 +125,17 @@
 static void test_bounded(void)
 {
 	struct site site;
-	struct backend_lost lost = {.left_usec = 600 * SECOND};
+	struct unreachable_backend unreachable = {.left_usec = 600 * SECOND};
 
 	site_open(&site);
-	lost.key = fleet_find_id(site.peer, "n1")->key;
-	fleet_hear_lost(site.peer, 1, &lost);
-	fleet_hear_lost(site.peer, 2, &lost);
+	unreachable.key = fleet_find_id(site.peer, "n1")->key;
+	fleet_merge_unreachable(site.peer, 1, &unreachable);
+	fleet_merge_unreachable(site.peer, 2, &unreachable);
 	g_assert_false(usable(&site, "n1"));
 	clock_advance(site.clock, clock_now(site.clock) + 2 * SECOND);
 	g_assert_true(usable(&site, "n1"));
-	lost.key = 1;
-	fleet_hear_lost(site.peer, 1, &lost);
+	unreachable.key = 1;
+	fleet_merge_unreachable(site.peer, 1, &unreachable);
 	site_close(&site);
 }
 
--- a/tests/forward/test_overload.c
+++ b/tests/forward/test_overload.c
@@ -83,7 +83,7 @@
 		.output = size_draw(play->rand, 980, 0.7, 2380),
 	};
 	double work =
-		stream_work((uint32_t)caller.prompt,
+		stream_cost((uint32_t)caller.prompt,
 			    (uint32_t)(caller.output *
 				       size_draw(play->rand, 1.0, 0.5, 10.0)));
 
--- a/tests/forward/test_parts.c
+++ b/tests/forward/test_parts.c
@@ -270,12 +270,12 @@
 	g_assert_true(place_prefill(&site.place, d1) == p2);
 	/* Behind a long queue a decode server reads itself, unless it has as
 	 * much to read already. */
-	g_assert_true(place_reader(&site.place, d1, 1000, 4000) == p2);
+	g_assert_true(place_prompt(&site.place, d1, 1000, 4000) == p2);
 	p2->own.prefill_tokens = 4500;
-	g_assert_null(place_reader(&site.place, d1, 1000, 4000));
-	g_assert_true(place_reader(&site.place, d1, 1000, 5000) == p1);
+	g_assert_null(place_prompt(&site.place, d1, 1000, 4000));
+	g_assert_true(place_prompt(&site.place, d1, 1000, 5000) == p1);
 	d1->own.prefill_tokens = 2000;
-	g_assert_true(place_reader(&site.place, d1, 1000, 4000) == p1);
+	g_assert_true(place_prompt(&site.place, d1, 1000, 4000) == p1);
 	site_close(&site);
 }
 
@@ -328,7 +328,7 @@
 	site_close(&site);
 }
 
-static struct backend *life_put(struct site *site, int64_t born)
+static struct backend *life_put(struct site *site, int64_t started_ms)
 {
 	struct backend_info info = {
 		.id = "one",
@@ -336,7 +336,7 @@
 		.data_centre = "here",
 		.service = 1,
 		.slots = 4,
-		.born = born,
+		.started_ms = started_ms,
 	};
 
 	return fleet_put(site->fleet, &info);
@@ -380,7 +380,7 @@
 	g_assert_null(life_put(&site, 5000));
 	g_assert_cmpuint(fleet_all(site.fleet)->len, ==, 0);
 	g_assert_nonnull(life_put(&site, 6000));
-	g_assert_cmpint(fleet_born(site.fleet, "one"), ==, 6000);
+	g_assert_cmpint(fleet_started_ms(site.fleet, "one"), ==, 6000);
 	site_close(&site);
 }
 
@@ -470,10 +470,10 @@
 	backend_run_refused(one, site.place.now);
 	backend_began(one);
 	backend_run_refused(one, site.place.now);
-	g_assert_false(backend_suspect(one));
+	g_assert_false(backend_refusing(one));
 	g_assert_true(backend_usable(one, site.place.now));
 	backend_run_refused(one, site.place.now);
-	g_assert_true(backend_suspect(one));
+	g_assert_true(backend_refusing(one));
 	g_assert_false(backend_usable(one, site.place.now));
 	backend_reached(one);
 	g_assert_false(backend_usable(one, site.place.now));
--- a/tests/forward/test_rates.c
+++ b/tests/forward/test_rates.c
@@ -27,15 +27,15 @@
 	const struct rate_case *row = data;
 	struct engine_rates rates;
 
-	median_init(&rates.read, READ_RATE_START);
+	median_init(&rates.read, PREFILL_RATE_START);
 	for (uint32_t i = 1; i <= 60; i++) {
 		bool other = row->other_in && i % row->other_in == 0;
 		double rate = other ? row->other : row->rate;
 		uint32_t ahead = i % 2 ? TOKENS : 0;
 
-		engine_rates_read(&rates, TOKENS, ahead,
-				  (int64_t)((TOKENS + ahead) / rate *
-					    (double)USEC_PER_SEC));
+		engine_rates_add_prefill(&rates, TOKENS, ahead,
+					 (int64_t)((TOKENS + ahead) / rate *
+						   (double)USEC_PER_SEC));
 	}
 	g_test_message("%s: %.0f", row->name, rates.read.value);
 	g_assert_cmpfloat(rates.read.value, >, row->rate * 0.85);
@@ -47,9 +47,9 @@
 {
 	struct engine_rates rates;
 
-	median_init(&rates.read, READ_RATE_START);
-	engine_rates_read(&rates, 100, 0, USEC_PER_SEC);
-	engine_rates_read(&rates, TOKENS, 0, 0);
+	median_init(&rates.read, PREFILL_RATE_START);
+	engine_rates_add_prefill(&rates, 100, 0, USEC_PER_SEC);
+	engine_rates_add_prefill(&rates, TOKENS, 0, 0);
 	g_assert_cmpuint(rates.read.samples, ==, 0);
 }
 
--- a/tests/forward/test_reading.c
+++ b/tests/forward/test_reading.c
@@ -96,7 +96,7 @@
 	uint32_t at = PREFILLS + (uint32_t)g_rand_int_range(play->rand, 0,
 							    (gint32)DECODES);
 	struct backend *to = play->servers[at].backend;
-	struct backend *reader = place_reader(&place, to, PROMPT, MOST_AHEAD);
+	struct backend *reader = place_prompt(&place, to, PROMPT, MOST_AHEAD);
 	struct job *job = g_new(struct job, 1);
 
 	if (!reader && play->waits)
--- a/tests/forward/test_roles.c
+++ b/tests/forward/test_roles.c
@@ -29,7 +29,7 @@
 	struct catalog *catalog;
 	struct decider deciders[DECIDERS];
 	double demand;
-	double read_rate;
+	double prefill_rate;
 	bool slow_list;	 /* does not show changes */
 	GString *orders; /* "0:p1>decode " each */
 	GArray *times;
@@ -53,9 +53,9 @@
 	return ((struct decider *)ctx)->site->demand;
 }
 
-static double read_rate(void *ctx)
+static double prefill_rate(void *ctx)
 {
-	return ((struct decider *)ctx)->site->read_rate;
+	return ((struct decider *)ctx)->site->prefill_rate;
 }
 
 static const struct catalog *catalog(void *ctx)
@@ -114,7 +114,7 @@
 		.clock = site->clock,
 		.name = names[i],
 		.boot = 1,
-		.ops = {decides, demand, read_rate, catalog},
+		.ops = {decides, demand, prefill_rate, catalog},
 		.ctx = decider,
 	};
 
@@ -135,7 +135,7 @@
 
 	*site = (struct site){
 		.orders = g_string_new(NULL),
-		.read_rate = READ_RATE_START,
+		.prefill_rate = PREFILL_RATE_START,
 	};
 	site->times = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	site->clock = clock_create(0);
@@ -255,7 +255,7 @@
 	struct site site;
 
 	site_open(&site);
-	site.read_rate = READ_RATE_START * 1.6;
+	site.prefill_rate = PREFILL_RATE_START * 1.6;
 	site.demand = 100000;
 	runners_put(&site, "p1 p2 p3 p4 p5 d1 d2 d3 d4 d5 d6 d7 d8 d9");
 	wait_usec(&site, 40 * SECOND);
--- a/tests/forward/test_share.c
+++ b/tests/forward/test_share.c
@@ -8,7 +8,7 @@
 
 struct copy {
 	struct clock *clock;
-	struct share *share;
+	struct mirror *mirror;
 	GHashTable *values; /* as its owner sees them */
 	uint32_t calls;	    /* to the store */
 	feed_page_fn fn;
@@ -37,8 +37,8 @@
 }
 
 /* "older" is refused, as a version that was overtaken is. */
-static enum share_effect on_value(void *ctx, uint64_t offset, const char *key,
-				  const void *data, size_t size)
+static enum mirror_effect on_value(void *ctx, uint64_t offset, const char *key,
+				   const void *data, size_t size)
 {
 	GHashTable *values = ((struct copy *)ctx)->values;
 	char *text = data ? g_strndup(data, size) : NULL;
@@ -46,32 +46,32 @@
 
 	if (text && strcmp(text, "older") == 0) {
 		g_free(text);
-		return SHARE_REFUSED;
+		return MIRROR_REJECTED;
 	}
 	if (text)
 		g_hash_table_replace(values, g_strdup(key), text);
 	else
 		g_hash_table_remove(values, key);
-	return same ? SHARE_SAME : SHARE_CHANGED;
+	return same ? MIRROR_UNCHANGED : MIRROR_CHANGED;
 }
 
 static void copy_create(struct copy *copy, struct clock *clock)
 {
-	static const struct share_ops ops = {on_begin, NULL, on_value, NULL};
+	static const struct mirror_ops ops = {on_begin, NULL, on_value, NULL};
 	const struct feed_store store = {on_snapshot, on_read, copy};
 	const struct feed_settings settings = {.stream = "s"};
 
 	*copy = (struct copy){.clock = clock};
 	copy->values =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	copy->share = share_create(clock, &store, &settings, &ops, copy);
+	copy->mirror = mirror_create(clock, &store, &settings, &ops, copy);
 }
 
 /* One that knows its peers, many of them with lower names. */
 static void copy_open(struct copy *copy, struct clock *clock)
 {
 	copy_create(copy, clock);
-	share_start(copy->share, SHARE_STARTERS);
+	mirror_start(copy->mirror, MIRROR_STARTUP_READERS);
 }
 
 static void pair_open(struct copy *first, struct copy *second,
@@ -85,12 +85,12 @@
 {
 	const struct reader_place place = {.rank = rank};
 
-	share_tick(copy->share, &place);
+	mirror_tick(copy->mirror, &place);
 }
 
 static void copy_close(struct copy *copy)
 {
-	share_destroy(copy->share);
+	mirror_destroy(copy->mirror);
 	g_hash_table_destroy(copy->values);
 }
 
@@ -142,10 +142,10 @@
 
 static bool hear(struct copy *to, const struct copy *from)
 {
-	struct share_word word;
+	struct mirror_status summary;
 
-	share_word(from->share, &word);
-	return share_hear(to->share, &word);
+	mirror_status(from->mirror, &summary);
+	return mirror_merge_status(to->mirror, &summary);
 }
 
 static void fetch(struct copy *to, const struct copy *from)
@@ -153,8 +153,8 @@
 	g_autoptr(GByteArray) out = g_byte_array_new();
 	struct error err;
 
-	share_pack(from->share, share_position(to->share), out);
-	g_assert_true(share_unpack(to->share, out->data, out->len, &err));
+	mirror_encode(from->mirror, mirror_position(to->mirror), out);
+	g_assert_true(mirror_decode(to->mirror, out->data, out->len, &err));
 }
 
 static void wait_msec(struct clock *clock, int64_t msec)
@@ -177,8 +177,9 @@
 
 static guint valued; /* values that were handed over */
 
-static enum share_effect on_counted(void *ctx, uint64_t offset, const char *key,
-				    const void *data, size_t size)
+static enum mirror_effect on_counted(void *ctx, uint64_t offset,
+				     const char *key, const void *data,
+				     size_t size)
 {
 	valued++;
 	return on_value(ctx, offset, key, data, size);
@@ -196,14 +197,14 @@
 /* Values that repeat the one before are not handed over, but count as read. */
 static void test_repeats(void)
 {
-	static const struct share_ops ops = {on_begin, NULL, on_counted,
-					     on_repeats};
+	static const struct mirror_ops ops = {on_begin, NULL, on_counted,
+					      on_repeats};
 	struct clock *clock = clock_create(0);
 	struct copy copy;
 
 	copy_create(&copy, clock);
-	share_destroy(copy.share);
-	copy.share = share_create(
+	mirror_destroy(copy.mirror);
+	copy.mirror = mirror_create(
 		clock, &(struct feed_store){on_snapshot, on_read, &copy},
 		&(struct feed_settings){.stream = "s"}, &ops, &copy);
 	valued = 0;
@@ -216,7 +217,7 @@
 		store_answer(&copy, "a", i % 2 ? "1x" : "2x", 11 + i);
 	}
 	g_assert_cmpuint(valued, ==, 1);
-	g_assert_cmpuint(share_position(copy.share), ==, 15);
+	g_assert_cmpuint(mirror_position(copy.mirror), ==, 15);
 	wait_msec(clock, 1000);
 	tick(&copy, 0);
 	store_answer(&copy, "a", "2y", 16);
@@ -249,9 +250,10 @@
 	wait_msec(clock, 1000);
 	tick(&first, 0);
 	store_answer(&first, "k8", NULL, 3002);
-	g_assert_cmpuint(share_size(first.share, share_position(second.share)),
+	g_assert_cmpuint(mirror_encoded_size(first.mirror,
+					     mirror_position(second.mirror)),
 			 ==, 1);
-	share_pack(first.share, share_position(second.share), out);
+	mirror_encode(first.mirror, mirror_position(second.mirror), out);
 	g_assert_cmpuint(out->len, <, 100);
 	fetch(&second, &first);
 	g_assert_cmpstr(g_hash_table_lookup(second.values, "k7"), ==, "w");
@@ -297,7 +299,7 @@
 	clock = pair_read(&first, &second, "1", 10);
 	while (second.calls == 0 && waited < 20000) {
 		if (hear(&second, &first))
-			share_offered(second.share);
+			mirror_fetch_pending(second.mirror);
 		tick(&second, 1);
 		wait_msec(clock, 100);
 		waited += 100;
@@ -344,26 +346,26 @@
 static void test_echo(void)
 {
 	struct clock *clock = clock_create(0);
-	struct share_word word;
+	struct mirror_status summary;
 	struct copy first;
 	struct copy second;
 
 	pair_open(&first, &second, clock);
-	share_start(first.share, 0);
+	mirror_start(first.mirror, 0);
 	store_answer(&first, "k", "v1", 5);
 	fetch(&second, &first);
 	for (int i = 0; i < 500; i++) {
-		share_word(first.share, &word);
+		mirror_status(first.mirror, &summary);
 		wait_msec(clock, 1);
-		share_hear(second.share, &word);
-		share_word(second.share, &word);
+		mirror_merge_status(second.mirror, &summary);
+		mirror_status(second.mirror, &summary);
 		wait_msec(clock, 1);
-		share_hear(first.share, &word);
+		mirror_merge_status(first.mirror, &summary);
 	}
-	share_word(second.share, &word);
-	g_assert_cmpint(word.age_usec, >=, USEC_PER_SEC);
-	share_word(first.share, &word);
-	g_assert_cmpint(word.age_usec, >=, USEC_PER_SEC);
+	mirror_status(second.mirror, &summary);
+	g_assert_cmpint(summary.age_usec, >=, USEC_PER_SEC);
+	mirror_status(first.mirror, &summary);
+	g_assert_cmpint(summary.age_usec, >=, USEC_PER_SEC);
 	tick(&first, 0);
 	g_assert_cmpuint(first.calls, ==, 2);
 	store_answer(&first, "k", "v1", 6);
@@ -378,7 +380,7 @@
 	struct copy second;
 
 	pair_open(&first, &second, clock);
-	share_start(first.share, 0);
+	mirror_start(first.mirror, 0);
 	store_answer(&first, "k", "newer", 5);
 	wait_msec(clock, 800);
 	tick(&first, 0);
@@ -396,7 +398,7 @@
 	struct copy second;
 
 	pair_open(&first, &second, clock);
-	share_start(first.share, 0);
+	mirror_start(first.mirror, 0);
 	store_answer(&first, "k", "newer", 5);
 	wait_msec(clock, 800);
 	tick(&first, 0);
@@ -419,7 +421,7 @@
 
 	for (uint32_t i = 0; i < 50; i++) {
 		copy_open(&copies[i], clock);
-		share_start(copies[i].share, 0);
+		mirror_start(copies[i].mirror, 0);
 		store_answer(&copies[i], "k", "v1", 6);
 		copies[i].calls = 0;
 	}
@@ -427,15 +429,15 @@
 		wait_msec(clock, 100);
 		for (uint32_t i = 0; i < 50; i++) {
 			const struct reader_place place = {
-				.rank = i, .storeless = failing};
+				.rank = i, .store_unreachable = failing};
 
-			share_tick(copies[i].share, &place);
+			mirror_tick(copies[i].mirror, &place);
 			if (copies[i].fn)
 				store_fail(&copies[i]);
 		}
 		failing = 0;
 		for (uint32_t i = 0; i < 50; i++)
-			failing += share_failing(copies[i].share);
+			failing += mirror_failing(copies[i].mirror);
 	}
 	for (uint32_t i = 0; i < 50; i++) {
 		calls += copies[i].calls;
@@ -452,17 +454,17 @@
 static void test_turns_without_copy(void)
 {
 	struct clock *clock = clock_create(0);
-	const struct reader_place place = {.rank = 40, .storeless = 50};
+	const struct reader_place place = {.rank = 40, .store_unreachable = 50};
 	struct copy copy;
 
 	copy_open(&copy, clock);
 	wait_msec(clock, 6000);
-	share_tick(copy.share, &place);
+	mirror_tick(copy.mirror, &place);
 	g_assert_cmpuint(copy.calls, ==, 1);
 	store_fail(&copy);
 	for (int step = 0; step < 20; step++) {
 		wait_msec(clock, 100);
-		share_tick(copy.share, &place);
+		mirror_tick(copy.mirror, &place);
 	}
 	g_assert_cmpuint(copy.calls, ==, 2);
 	store_fail(&copy);
@@ -497,7 +499,7 @@
 	struct copy second;
 
 	pair_open(&first, &second, clock);
-	share_start(first.share, 0);
+	mirror_start(first.mirror, 0);
 	store_answer(&first, NULL, NULL, 0);
 	g_assert_true(hear(&second, &first));
 	fetch(&second, &first);
@@ -518,12 +520,12 @@
 
 	copy_open(&first, clock);
 	copy_open(&late, clock);
-	share_start(first.share, SHARE_STARTERS - 1);
-	share_start(late.share, SHARE_STARTERS);
+	mirror_start(first.mirror, MIRROR_STARTUP_READERS - 1);
+	mirror_start(late.mirror, MIRROR_STARTUP_READERS);
 	g_assert_cmpuint(first.calls, ==, 1);
 	g_assert_cmpuint(late.calls, ==, 0);
 	store_answer(&first, "k", "v1", 5);
-	share_start(first.share, 0);
+	mirror_start(first.mirror, 0);
 	g_assert_cmpuint(first.calls, ==, 1);
 	g_assert_true(hear(&late, &first));
 	/* A copy that cannot be fetched is not waited for without end. */
@@ -545,19 +547,19 @@
 /* One of hundreds that start at once has heard of no peer yet. */
 static void test_start_of_all(void)
 {
-	const struct reader_place place = {.peers = 196, .unheard = 196};
+	const struct reader_place place = {.peers = 196, .silent_peers = 196};
 	struct clock *clock = clock_create(0);
 	struct copy copy;
 
 	copy_create(&copy, clock);
-	share_start(copy.share, 500);
+	mirror_start(copy.mirror, 500);
 	for (int step = 0; step < 9; step++) {
 		wait_msec(clock, 100);
-		share_tick(copy.share, &place);
+		mirror_tick(copy.mirror, &place);
 	}
 	g_assert_cmpuint(copy.calls, ==, 0);
 	wait_msec(clock, 100);
-	share_tick(copy.share, &place);
+	mirror_tick(copy.mirror, &place);
 	g_assert_cmpuint(copy.calls, ==, 1);
 	store_answer(&copy, "k", "v1", 6);
 	copy_close(&copy);
@@ -590,17 +592,18 @@
 		tick(&first, 0);
 		store_answer(&first, rows[i].key, rows[i].value, 6 + i);
 	}
-	share_pack(first.share, 0, all);
-	share_pack(first.share, share_position(second.share), part);
+	mirror_encode(first.mirror, 0, all);
+	mirror_encode(first.mirror, mirror_position(second.mirror), part);
 	g_assert_cmpuint(part->len + 20, <, all->len);
-	g_assert_true(share_unpack(second.share, part->data, part->len, &err));
+	g_assert_true(
+		mirror_decode(second.mirror, part->data, part->len, &err));
 	g_assert_cmpuint(g_hash_table_size(second.values), ==, 2);
 	g_assert_cmpstr(g_hash_table_lookup(second.values, "c"), ==, "c2");
-	g_assert_cmpuint(share_position(second.share), ==,
-			 share_position(first.share));
+	g_assert_cmpuint(mirror_position(second.mirror), ==,
+			 mirror_position(first.mirror));
 	/* One that has nothing cannot go on from there. */
-	g_assert_true(share_unpack(third.share, part->data, part->len, &err));
-	g_assert_cmpuint(share_position(third.share), ==, 0);
+	g_assert_true(mirror_decode(third.mirror, part->data, part->len, &err));
+	g_assert_cmpuint(mirror_position(third.mirror), ==, 0);
 	copy_close(&first);
 	copy_close(&second);
 	copy_close(&third);
@@ -647,15 +650,15 @@
 	wait_msec(clock, 200);
 	tick(&first, 0);
 	store_answer(&first, "k", "v1", 5);
-	share_pack(first.share, 0, out);
+	mirror_encode(first.mirror, 0, out);
 	for (int i = 0; i < 4000; i++) {
 		guint at = (guint)g_rand_int_range(rand, 0, (gint32)out->len);
 		guint8 kept = out->data[at];
 
 		copy_open(&second, clock);
 		out->data[at] = (guint8)g_rand_int_range(rand, 0, 256);
-		(void)share_unpack(
-			second.share, out->data,
+		(void)mirror_decode(
+			second.mirror, out->data,
 			(gsize)g_rand_int_range(rand, 0, (gint32)out->len + 1),
 			&err);
 		out->data[at] = kept;
@@ -678,13 +681,13 @@
 	g_strlcpy(message->first.name, "b", sizeof(message->first.name));
 	message->boot = 5;
 	message->sequence = 6;
-	message->word =
-		(struct gossip_word){.version = 9, .demand = 10, .waiting = 2};
+	message->summary = (struct gossip_summary){
+		.version = 9, .demand = 10, .waiting = 2};
 	gossip_message_add(message, "127.0.0.1:1");
 	gossip_message_add(message, "[::1]:70");
-	message->word.storeless = true;
-	message->word.shares[0] = (struct share_word){4, 3, 1500};
-	message->word.shares[1] = (struct share_word){0, 0, -1};
+	message->summary.store_unreachable = true;
+	message->summary.mirrors[0] = (struct mirror_status){4, 3, 1500};
+	message->summary.mirrors[1] = (struct mirror_status){0, 0, -1};
 	g_array_append_val(message->loads, load);
 }
 
@@ -700,11 +703,11 @@
 	g_assert_true(gossip_decode(&got, out->data, out->len, &err));
 	g_assert_cmpstr(got.name, ==, "a");
 	g_assert_cmpstr(got.group, ==, "here");
-	g_assert_cmpuint(got.word.version, ==, 9);
-	g_assert_true(got.word.storeless);
-	g_assert_false(got.word.leaving);
-	g_assert_cmpuint(got.word.shares[0].changed, ==, 3);
-	g_assert_cmpint(got.word.shares[1].age_usec, ==, -1);
+	g_assert_cmpuint(got.summary.version, ==, 9);
+	g_assert_true(got.summary.store_unreachable);
+	g_assert_false(got.summary.leaving);
+	g_assert_cmpuint(got.summary.mirrors[0].changed, ==, 3);
+	g_assert_cmpint(got.summary.mirrors[1].age_usec, ==, -1);
 	g_assert_cmpuint(got.loads->len, ==, 1);
 	g_assert_cmpint(got.kind, ==, GOSSIP_CENTRE);
 	g_assert_cmpstr(got.first.name, ==, "b");
--- a/tests/forward/test_size.c
+++ b/tests/forward/test_size.c
@@ -127,7 +127,7 @@
 static void test_few(void)
 {
 	const struct backend_load load = {1, 3000, 0};
-	struct backend_lost lost[4];
+	struct unreachable_backend unreachable[4];
 	struct site site;
 
 	site_open(&site, 10000);
@@ -138,12 +138,12 @@
 		backend_unreachable(one, site.place.now);
 	}
 	g_assert_cmpuint(fleet_charged(site.fleet)->len, ==, 3);
-	g_assert_cmpuint(fleet_lost(site.fleet, lost, 4), ==, 3);
+	g_assert_cmpuint(fleet_unreachable(site.fleet, unreachable, 4), ==, 3);
 	fleet_remove(site.fleet, "s0");
 	backend_charge(fleet_find_id(site.fleet, "s5"), &load, -1);
 	backend_reached(fleet_find_id(site.fleet, "s5"));
 	g_assert_cmpuint(fleet_charged(site.fleet)->len, ==, 1);
-	g_assert_cmpuint(fleet_lost(site.fleet, lost, 4), ==, 1);
+	g_assert_cmpuint(fleet_unreachable(site.fleet, unreachable, 4), ==, 1);
 	site_close(&site);
 }
 
--- a/tests/forward/test_views.c
+++ b/tests/forward/test_views.c
@@ -35,7 +35,7 @@
 	GQueue far_news;	    /* the same, for the other data centre */
 	GQueue ends;		    /* the same, from: whose request ends */
 	int64_t delay;		    /* of words in the data centre */
-	int64_t delay_far;	    /* between the two */
+	int64_t delay_remote;	    /* between the two */
 	bool trusting;		    /* old views are taken for new ones */
 	uint32_t placed;
 	uint32_t overrun; /* placed where memory will run out */
@@ -46,15 +46,15 @@
  */
 static const char *centre_of(const struct site *site, int i)
 {
-	return site->delay_far > 0 && i % 2 ? "there" : "here";
+	return site->delay_remote > 0 && i % 2 ? "there" : "here";
 }
 
-static void site_open(struct site *site, int64_t delay, int64_t delay_far)
+static void site_open(struct site *site, int64_t delay, int64_t delay_remote)
 {
 	*site = (struct site){
 		.clock = clock_create(0),
 		.delay = delay,
-		.delay_far = delay_far,
+		.delay_remote = delay_remote,
 		.trusting = site->trusting,
 	};
 	site->rand = g_rand_new_with_seed(21);
@@ -115,9 +115,10 @@
 	site->requests[server] += (uint32_t)by;
 	later(&site->news, clock_now(site->clock) + site->delay, instance,
 	      server, by);
-	if (site->delay_far > 0)
-		later(&site->far_news, clock_now(site->clock) + site->delay_far,
-		      instance, server, by);
+	if (site->delay_remote > 0)
+		later(&site->far_news,
+		      clock_now(site->clock) + site->delay_remote, instance,
+		      server, by);
 }
 
 static struct news *due(GQueue *queue, int64_t now)
@@ -158,8 +159,8 @@
 		.now = clock_now(site->clock),
 		.service = 1,
 		.rand = site->rand,
-		.stale_near = site->trusting ? 0 : site->delay,
-		.stale_far = site->trusting ? 0 : site->delay_far,
+		.stale_local = site->trusting ? 0 : site->delay,
+		.stale_remote = site->trusting ? 0 : site->delay_remote,
 	};
 	struct backend *backend = place_decode(&place, &engine, TOKENS);
 	int server;
@@ -198,17 +199,17 @@
 	clock_advance(site->clock, now + STEP);
 }
 
-static void play(struct site *site, int64_t delay, int64_t delay_far,
+static void play(struct site *site, int64_t delay, int64_t delay_remote,
 		 double rate)
 {
-	site_open(site, delay, delay_far);
+	site_open(site, delay, delay_remote);
 	for (int64_t i = 0; i < SECONDS * USEC_PER_SEC / STEP; i++)
 		step(site, rate);
 	g_test_message("words take %d ms, %d ms elsewhere%s: %u placed, %u "
 		       "found no room, %u where "
 		       "memory runs out",
 		       (int)(delay / USEC_PER_MSEC),
-		       (int)(delay_far / USEC_PER_MSEC),
+		       (int)(delay_remote / USEC_PER_MSEC),
 		       site->trusting ? ", trusted" : "", site->placed,
 		       site->waits, site->overrun);
 	site_close(site);
--- a/tests/ledger/app.c
+++ b/tests/ledger/app.c
@@ -72,7 +72,7 @@
 	job->prefill = spec->prefill != 0 ? spec->prefill : PREFILL_USEC;
 	timer_init(&job->timer, world->clock, job_timer, job);
 	g_ptr_array_add(world->jobs, job);
-	ledger_ask(instance->ledger, &request);
+	ledger_submit(instance->ledger, &request);
 	return job;
 }
 
@@ -165,7 +165,7 @@
 	job->state = JOB_ASKED;
 	job->answers = 0;
 	job->stream[0] = '\0';
-	ledger_again(job->instance->ledger, job->request, why, 0);
+	ledger_retry(job->instance->ledger, job->request, why, 0);
 }
 
 static void start_decode(struct job *job, struct engine *engine)
--- a/tests/ledger/test_path.c
+++ b/tests/ledger/test_path.c
@@ -166,10 +166,10 @@
 	begin("reserve", 100);
 	instance = &world->instances[0];
 	job = app_ask(world, 0, &(struct spec){.service = "nothing"});
-	ledger_ask(instance->ledger, &ask);
+	ledger_submit(instance->ledger, &ask);
 	ledger_withdraw(instance->ledger, 12345);
 	ledger_release(instance->ledger, 12345, RELEASE_DONE);
-	ledger_again(instance->ledger, 12345, RESULT_STREAM_LOST, 1);
+	ledger_retry(instance->ledger, 12345, RESULT_STREAM_LOST, 1);
 	ledger_adopt(instance->ledger, 12345);
 	ledger_progress(instance->ledger, 12345, STAGE_DECODE, "x");
 	ledger_cancelled(instance->ledger, 1, "x", true);
--- a/tests/limit/limit_world.c
+++ b/tests/limit/limit_world.c
@@ -124,7 +124,7 @@
 		.source = {from + 1, sums ? (uint64_t)centre_of(from) + 1 : 0},
 	};
 
-	if (limit_tell(world->limits[from], world->now, sums, &entry, 1) == 0)
+	if (limit_export(world->limits[from], world->now, sums, &entry, 1) == 0)
 		return;
 	letter.entry = entry;
 	letter.at = world->now + (sums ? FAR_USEC : NEAR_USEC);
@@ -152,7 +152,7 @@
 	world->told_at[i] = world->now;
 	letters_send(world, i, false);
 	letters_send(world, i, true);
-	limit_told(world->limits[i]);
+	limit_exported(world->limits[i]);
 }
 
 static void letters_deliver(struct world *world)
@@ -165,8 +165,8 @@
 
 		if (letter.at > world->now || !is_up(world, letter.to))
 			continue;
-		limit_hear(world->limits[letter.to], world->now, &letter.source,
-			   &letter.entry, &in_force);
+		limit_merge(world->limits[letter.to], world->now,
+			    &letter.source, &letter.entry, &in_force);
 		g_array_remove_index(world->letters, i);
 	}
 }
@@ -174,7 +174,7 @@
 static void request_come(struct world *world, uint32_t i)
 {
 	struct limit_refusal refusal;
-	struct limit_ask ask = {
+	struct limit_request ask = {
 		.account = ACCOUNT,
 		.allotment = allotment(world),
 		.units = g_rand_int_range(world->rand, UNITS_LEAST, UNITS_MOST),
--- a/tests/limit/test_limit.c
+++ b/tests/limit/test_limit.c
@@ -20,7 +20,7 @@
 static bool rate_take(struct limits *limits, int64_t now, uint64_t account,
 		      double rate, uint32_t instances, int64_t *retry_after)
 {
-	const struct limit_ask ask = {
+	const struct limit_request ask = {
 		.account = account,
 		.allotment = {rate, MAX(rate * 2.0, 1.0)},
 		.units = 1.0,
@@ -125,7 +125,7 @@
 static bool units_take(struct limits *limits, int64_t now, double units,
 		       struct limit_refusal *refusal)
 {
-	const struct limit_ask ask = {
+	const struct limit_request ask = {
 		.account = 1, .allotment = {RATE, BURST}, .units = units};
 
 	return limit_take(limits, now, &ask, refusal);
@@ -221,7 +221,7 @@
 	const struct limit_entry entry = {
 		.account = 1, .epoch = epoch, .used = used, .level = level};
 
-	limit_hear(limits, now, &source, &entry, &allotment);
+	limit_merge(limits, now, &source, &entry, &allotment);
 }
 
 /* A word that comes twice counts once; of two that tell of one data centre one
@@ -335,21 +335,21 @@
 	uint32_t told = 0;
 
 	for (uint32_t i = 0; i < count; i++) {
-		const struct limit_ask ask = {i + 1, allotment, 10.0, 1};
+		const struct limit_request ask = {i + 1, allotment, 10.0, 1};
 
 		g_assert_true(limit_take(limits, 1, &ask, &refusal));
 	}
 	began = g_get_monotonic_time();
 	for (int i = 0; i < TICKS; i++) {
-		told = limit_tell(limits, 1 + i, false, entries, TOLD_MOST);
-		limit_told(limits);
+		told = limit_export(limits, 1 + i, false, entries, TOLD_MOST);
+		limit_exported(limits);
 	}
 	tell = (double)(g_get_monotonic_time() - began) / TICKS;
 	began = g_get_monotonic_time();
 	for (int i = 0; i < TICKS; i++)
 		for (uint32_t k = 0; k < told; k++)
-			limit_hear(limits, 2 + i, &source, &entries[k],
-				   &allotment);
+			limit_merge(limits, 2 + i, &source, &entries[k],
+				    &allotment);
 	hear = (double)(g_get_monotonic_time() - began) / TICKS;
 	g_test_message("%u organisations: %u told in a word, all in %u words; "
 		       "to tell one %.1f us, to hear one %.1f us",
--- a/tests/platform/fuzz_records.c
+++ b/tests/platform/fuzz_records.c
@@ -24,7 +24,7 @@
 
 	g_assert_true(address_parse(info->address, &address, &size, NULL));
 	g_assert_cmpuint(info->slots, >, 0);
-	g_assert_cmpint(info->born, >=, 0);
+	g_assert_cmpint(info->started_ms, >=, 0);
 	g_assert_true(info->data_centre[0] != '\0');
 }
 
--- a/tests/platform/test_decode.c
+++ b/tests/platform/test_decode.c
@@ -258,7 +258,7 @@
 	g_assert_true(info.leaving);
 	g_assert_cmpint(info.stage, ==, STAGE_DECODE);
 	g_assert_cmpuint(info.slots, ==, 12);
-	g_assert_cmpint(info.born, ==, 1764700000123);
+	g_assert_cmpint(info.started_ms, ==, 1764700000123);
 	g_assert_cmpint(info.cold_usec, ==, 1500 * USEC_PER_MSEC);
 }
 
--- a/tests/requests/fakes.c
+++ b/tests/requests/fakes.c
@@ -296,7 +296,7 @@
 }
 
 /* Ledger and claims. */
-void ledger_ask(struct ledger *ledger, const struct ledger_request *request)
+void ledger_submit(struct ledger *ledger, const struct ledger_request *request)
 {
 	fakes_note(request->here ? "ask-here" : "ask");
 	fakes.asked = request->request;
@@ -337,7 +337,7 @@
 	fakes.grants--;
 }
 
-void ledger_again(struct ledger *ledger, uint64_t request, enum result_code why,
+void ledger_retry(struct ledger *ledger, uint64_t request, enum result_code why,
 		  uint32_t tokens_so_far)
 {
 	fakes_note("again:%s@%u", result_label(why), tokens_so_far);
--- a/tests/role/test_role.c
+++ b/tests/role/test_role.c
@@ -75,7 +75,7 @@
 	role_init(&role, &(struct role_settings){0});
 	g_assert_cmpint(run(&role, &now, 30 * USEC_PER_SEC, &row->load), ==,
 			row->move);
-	g_assert_cmpint(now, >=, ROLE_PATIENCE_USEC);
+	g_assert_cmpint(now, >=, ROLE_STABILISATION_USEC);
 }
 
 /* Bursts move nothing, however often they come. */
--- a/tests/web/test_loop.c
+++ b/tests/web/test_loop.c
@@ -102,7 +102,7 @@
 	g_assert_cmpstr(fixture->trace->str, ==, expected);
 }
 
-static void on_turn(void *ctx, int64_t gap_us)
+static void on_iteration(void *ctx, int64_t gap_us)
 {
 	struct fixture *fixture = ctx;
 
@@ -128,7 +128,7 @@
 {
 	timer_init(&fixture->timer, fixture->clock, on_timer, fixture);
 	timer_start(&fixture->timer, 0);
-	loop_on_turn(fixture->loop, on_turn, fixture);
+	loop_on_iteration(fixture->loop, on_iteration, fixture);
 	loop_run(fixture->loop);
 	g_assert_cmpint(fixture->gap, ==, 0);
 	g_assert_cmpuint(fixture->trace->len, >=, 4);
@@ -177,7 +177,7 @@
 	int fd;
 
 	web_server_handle(world->server, "/", on_request, &paused);
-	loop_on_turn(world->loop, on_paused_turn, &paused);
+	loop_on_iteration(world->loop, on_paused_turn, &paused);
 	fd = raw_connect(web_server_address(world->server));
 	world_turns(world, 20);
 	raw_send(fd, "GET / HTTP/1.1\r\nhost: a\r\n\r\n", 27);
--- a/tests/web/world.c
+++ b/tests/web/world.c
@@ -8,7 +8,7 @@
 
 #define TURNS_MAX 20000
 
-static void on_turn(void *ctx, int64_t gap_us)
+static void on_iteration(void *ctx, int64_t gap_us)
 {
 	struct world *world = ctx;
 
@@ -30,7 +30,7 @@
 	alarm(120);
 	world->clock = clock_create_system();
 	world->loop = loop_create(world->clock);
-	loop_on_turn(world->loop, on_turn, world);
+	loop_on_iteration(world->loop, on_iteration, world);
 	world->server =
 		web_server_create(world->loop, "127.0.0.1:0", &limits, &err);
 	g_assert_cmpstr(err.text, ==, "");
--- a/web/loop.c
+++ b/web/loop.c
@@ -35,8 +35,8 @@
 	sigset_t mask;
 	int signal_fd;
 	h2o_socket_t *signal_sock;
-	loop_turn_fn turn_fn;
-	void *turn_ctx;
+	loop_iteration_fn iteration_fn;
+	void *iteration_ctx;
 	int64_t waited_usec;  /* on purpose, since the clock was followed */
 	bool entered;	      /* the clock was followed since the last wait */
 	uint32_t woken_turns; /* until timers fire, see timers_wait() */
@@ -166,8 +166,8 @@
 	loop->entered = true;
 	gap = clock_step(loop->clock) - loop->waited_usec;
 	loop->waited_usec = 0;
-	if (loop->turn_fn)
-		loop->turn_fn(loop->turn_ctx, MAX(gap, 0));
+	if (loop->iteration_fn)
+		loop->iteration_fn(loop->iteration_ctx, MAX(gap, 0));
 	if (!timers_wait(loop, gap))
 		clock_fire_due(loop->clock);
 }
@@ -264,10 +264,10 @@
 	h2o_socket_read_start(loop->signal_sock, signal_readable);
 }
 
-void loop_on_turn(struct loop *loop, loop_turn_fn fn, void *ctx)
+void loop_on_iteration(struct loop *loop, loop_iteration_fn fn, void *ctx)
 {
-	loop->turn_fn = fn;
-	loop->turn_ctx = ctx;
+	loop->iteration_fn = fn;
+	loop->iteration_ctx = ctx;
 }
 
 struct clock *loop_clock(struct loop *loop)
