--- a/coord/work.c
+++ b/coord/fingerprint.c
@@ -1,4 +1,4 @@
-#include "coord/work.h"
+#include "coord/fingerprint.h"
 
 #include <glib.h>
 #include <string.h>
--- a/coord/member_private.h
+++ b/coord/member_private.h
@@ -243,7 +243,7 @@
 void table_sweep(struct membership *m);
 void table_changed(struct membership *m);
 
-/* member_news.c */
+/* member_update.c */
 void news_add(struct membership *m, struct news *news);
 void news_remove(struct membership *m, struct news *news);
 /* Packs what fits; the peer addressed is told first how it is seen. */
--- a/forward/ended.c
+++ b/forward/crash_detector.c
@@ -1,4 +1,4 @@
-#include "ended.h"
+#include "crash_detector.h"
 
 #include "common/log.h"
 
--- a/forward/ended.h
+++ b/forward/crash_detector.h
@@ -1,5 +1,5 @@
 /*
- * ended.h - whether a server that broke off a request has ended
+ * crash_detector.h - whether a server that broke off a request has ended
  *
  * DESCRIPTION
  *	A connection that is lost in the middle of a request may mean that the
@@ -13,10 +13,10 @@
  *
  *	Requests lost at one life of a server share one check.
  */
-#ifndef FORWARD_ENDED_H
-#define FORWARD_ENDED_H
+#ifndef FORWARD_CRASH_DETECTOR_H
+#define FORWARD_CRASH_DETECTOR_H
 
-#include "coord/work.h"
+#include "coord/fingerprint.h"
 #include "forward/backend.h"
 #include "forward/fleet.h"
 
--- a/forward/gossip_private.h
+++ b/forward/gossip_private.h
@@ -143,7 +143,7 @@
 void gossip_receive(struct gossip *gossip, const char *from,
 		    const struct gossip_message *message);
 
-/* Of gossip_tell.c. */
+/* Of gossip_send.c. */
 /* Tells those whose time it is. */
 void gossip_send_due(struct gossip *gossip);
 /* Tells of loads that have changed, as far as the allowances last. */
@@ -157,7 +157,7 @@
 void message_begin(struct gossip *gossip, struct gossip_message *message,
 		   enum gossip_kind kind);
 
-/* Of gossip_works.c. */
+/* Of gossip_quarantine.c. */
 void gossip_quarantine_start(struct gossip *gossip);
 void gossip_quarantine_stop(struct gossip *gossip);
 /* Tells a peer that has started, or was silent, at once. */
@@ -166,7 +166,7 @@
 void gossip_quarantine_receive(struct gossip *gossip, bool local,
 			       const GArray *works);
 
-/* Of gossip_uses.c. */
+/* Of gossip_usage.c. */
 void gossip_usage_start(struct gossip *gossip);
 void gossip_usage_stop(struct gossip *gossip);
 /* Adds what is used of allotments here, or with sums in the data centre. */
--- a/forward/gossip_works.c
+++ b/forward/gossip_quarantine.c
@@ -1,5 +1,5 @@
 /*
- * gossip_works.c - which works end servers, told to all
+ * gossip_quarantine.c - which works end servers, told to all
  */
 #include "gossip_private.h"
 
--- a/forward/gossip_tell.c
+++ b/forward/gossip_send.c
@@ -1,5 +1,5 @@
 /*
- * gossip_tell.c - whom this instance tells what, and when
+ * gossip_send.c - whom this instance tells what, and when
  */
 #include <string.h>
 #include <sys/socket.h>
--- a/forward/gossip_uses.c
+++ b/forward/gossip_usage.c
@@ -1,5 +1,5 @@
 /*
- * gossip_uses.c - what is used of allotments, told to all
+ * gossip_usage.c - what is used of allotments, told to all
  */
 #include "common/id.h"
 #include "gossip_private.h"
--- a/forward/share.c
+++ b/forward/mirror.c
@@ -1,4 +1,4 @@
-#include "forward/share.h"
+#include "forward/mirror.h"
 
 #include <msgpack.h>
 
--- a/forward/request.h
+++ b/forward/request.h
@@ -11,7 +11,7 @@
 
 #include "common/error.h"
 #include "common/table.h"
-#include "ended.h"
+#include "crash_detector.h"
 #include "forward/events.h"
 #include "forward/forward.h"
 #include "forward/place.h"
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -2,8 +2,8 @@
  * suspect.c - requests under which servers end
  *
  * DESCRIPTION
- *	A lost connection is traced to the server's end (ended.h), the end is
- *	held against the work (coord/quarantine.h), and before each send it is
+ *	A lost connection is traced to the server's end (crash_detector.h), the
+ *end is held against the work (coord/quarantine.h), and before each send it is
  *	asked whether too much is. So repeats of one request, at whichever
  *	instance, end three servers and not all of them.
  */
--- a/include/coord/work.h
+++ b/include/coord/fingerprint.h
@@ -1,5 +1,5 @@
 /*
- * work.h - which requests are the same work
+ * fingerprint.h - which requests are the same work
  *
  * DESCRIPTION
  *	A caller that repeats a request gives it a new id, so the id cannot tell
@@ -13,8 +13,8 @@
  *	mark is cheaper by far, some 0.1 ns a byte, and is worked out for each
  *	request; it is keyed by a number that no caller knows.
  */
-#ifndef COORD_WORK_H
-#define COORD_WORK_H
+#ifndef COORD_FINGERPRINT_H
+#define COORD_FINGERPRINT_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/include/coord/quarantine.h
+++ b/include/coord/quarantine.h
@@ -4,9 +4,9 @@
  * DESCRIPTION
  *	A request may end each server that begins to run it, with all that runs
  *	beside it, and its caller sends it again. A quarantine remembers, for
- *	each work (coord/work.h), which lives of servers ended while they ran
- *	it. From quarantine_settings.ends different ones on the work is held:
- *	it is to be refused before it reaches another server.
+ *	each work (coord/fingerprint.h), which lives of servers ended while they
+ *ran it. From quarantine_settings.ends different ones on the work is held: it
+ *is to be refused before it reaches another server.
  *
  *	Load that it answers: one such work, repeated about once a second at
  *	instances anywhere, ended 16 to 18 of 14 servers and their successors
@@ -44,7 +44,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "coord/work.h"
+#include "coord/fingerprint.h"
 
 /* Ends that an entry can name. */
 #define QUARANTINE_CRASHES_MAX 8u
--- a/include/forward/gossip.h
+++ b/include/forward/gossip.h
@@ -64,7 +64,7 @@
 #include "coord/limit.h"
 #include "coord/quarantine.h"
 #include "forward/fleet.h"
-#include "forward/share.h"
+#include "forward/mirror.h"
 
 #define GOSSIP_USEC (100 * USEC_PER_MSEC)
 /* Ten lost datagrams in a row, or five words of an idle peer. */
--- a/include/forward/share.h
+++ b/include/forward/mirror.h
@@ -1,5 +1,5 @@
 /*
- * share.h - what few instances read of the store, passed on to the others
+ * mirror.h - what few instances read of the store, passed on to the others
  *
  * DESCRIPTION
  *	A share keeps a copy of one keyed stream: the newest value of each key
@@ -10,8 +10,8 @@
  *
  *	Which instance reads the store, and when, is decided by reader.h.
  */
-#ifndef FORWARD_SHARE_H
-#define FORWARD_SHARE_H
+#ifndef FORWARD_MIRROR_H
+#define FORWARD_MIRROR_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/tests/forward/test_share.c
+++ b/tests/forward/test_mirror.c
@@ -4,7 +4,7 @@
 
 #include "../../forward/gossip_codec.h"
 #include "common/error.h"
-#include "forward/share.h"
+#include "forward/mirror.h"
 
 struct copy {
 	struct clock *clock;
