--- a/forward/admit.c
+++ b/forward/admit.c
@@ -1,21 +1,20 @@
 /*
- * admit.c - who asks, and whether the allotment of its organisation has room
+ * admit.c - authentication of callers and admission by allotment
  *
  * DESCRIPTION
- *	Both are settled when a request arrives, by the catalog in force then,
- *	before any queue or reservation. A request that is under way or waits
- *	when its key is taken away, or its allotment lowered, goes on: its time
- *	limit bounds that, and whoever takes a key away is promised that no
- *	request which comes later runs.
+ *	Both are decided when a request arrives, by the catalog in force then,
+ *	before any queue or reservation. A request in progress continues when
+ *	its key is revoked or its allotment lowered; its timeout bounds how
+ *	long. No request that arrives after a revocation runs.
  *
- *	On a public route a known key still names its organisation, and counts;
- *	any other caller is nobody.
+ *	On a public route a known key still selects its organisation and takes
+ *	from the allotment; any other caller is anonymous.
  */
 #include "request.h"
 
 #include "common/log.h"
 
-/* Organisations with counters of their own; all others share one. */
+/* Organisations with a separate counter; all others share one. */
 #define COUNTED_MAX 64u
 
 static struct counter *organisation_counter(struct forward *forward,
@@ -114,7 +113,7 @@
 
 void request_refund(struct request *request)
 {
-	/* A prompt that was read counts, whatever came of it. */
+	/* A computed prefill is charged even if no run followed. */
 	if (request->units > 0.0 && request->runs == 0 &&
 	    request->prefilled_at == 0)
 		limit_return(request->forward->parts.limits,
--- a/forward/answer.c
+++ b/forward/answer.c
@@ -1,12 +1,12 @@
 /*
- * answer.c - the answer of a server, kept until it is passed on
+ * answer.c - buffer for a server's answer until it is relayed
  */
 #include "request.h"
 
 #include <string.h>
 
-/* Largest answer of a plain call that is kept: a sixteenth of the smallest
- * instance's memory (110 MB). */
+/* Largest buffered answer: a sixteenth of the memory of the smallest instance
+ * (110 MB). */
 #define ANSWER_BYTES_MAX (6u << 20)
 
 void answer_take_head(struct request *request, const struct backend_head *head)
@@ -42,7 +42,7 @@
 	g_byte_array_append(answer->body, data, (guint)size);
 }
 
-/* These tell a caller that its request did not run. */
+/* Statuses that mean to a caller that its request did not run. */
 static bool status_promises(int status)
 {
 	return status == 408 || status == 421 || status == 429 || status == 503;
--- a/forward/events.c
+++ b/forward/events.c
@@ -14,7 +14,8 @@
 	cutter->rest = NULL;
 }
 
-/* "id: 12" or "id:12"; other ids are passed on but cannot be resumed after. */
+/* Parses "id: 12" or "id:12". Other ids are relayed, but a stream cannot be
+ * resumed after them. */
 static void line_read(struct event_cutter *cutter, const char *line,
 		      size_t size)
 {
@@ -36,8 +37,8 @@
 	cutter->has_id = true;
 }
 
-/* Size of the line at text without its end; *next is where the next begins.
- * False when its end has not come. */
+/* Sets *length to the line's size without its line end, *next to the offset of
+ * the next line; false when the line is incomplete. */
 static bool line_find(const char *text, size_t size, size_t *length,
 		      size_t *next)
 {
@@ -61,7 +62,7 @@
 	return true;
 }
 
-/* Walks the lines of an event; returns its size, 0 when it is not whole. */
+/* Parses the lines of one event; returns its size, 0 when it is incomplete. */
 static size_t event_read(struct event_cutter *cutter, const char *text,
 			 size_t size)
 {
@@ -92,7 +93,7 @@
 		last_id = cutter->last_id;
 		has_id = cutter->has_id;
 	}
-	/* An id read from a part of an event does not count yet. */
+	/* Discards the id of an incomplete event. */
 	cutter->last_id = last_id;
 	cutter->has_id = has_id;
 	return cutter->scanned;
--- a/forward/forward.c
+++ b/forward/forward.c
@@ -4,22 +4,23 @@
 
 #include "common/log.h"
 
-/* Requests under way at once: what fits the memory of a small instance at
- * some 10 KiB each. */
+/* Concurrent requests: at about 10 KiB each they fit the memory of a small
+ * instance. */
 #define REQUESTS_MAX 4096u
-/* Demand is averaged over this time: longer than the swing of ordinary load
- * within seconds, shorter than a change of role pays off in. */
+/* Averaging time of demand: longer than ordinary load swings of a few seconds,
+ * shorter than the time in which a role change pays off. */
 #define DEMAND_USEC (8 * USEC_PER_SEC)
-/* What came in the first second counts as a second's. */
+/* Lower bound of the process's age, as a fraction of DEMAND_USEC (1 s): demand
+ * of a shorter time is taken as that of one second. */
 #define DEMAND_AGE_LEAST 0.125
 
-/* From placing to the first event, until it was measured. */
+/* Initial mean time from reservation to first event. */
 #define BEGIN_USEC (250.0 * (double)USEC_PER_MSEC)
 
-/* With fewer samples a rate is not known. */
+/* A rate is unknown with fewer samples. */
 #define RATE_SAMPLES 5u
 
-/* What is asked of a service of engines, and what they were seen to do. */
+/* Demand for an engine service, and the measured rates of its engines. */
 struct demand {
 	uint64_t service;
 	double tokens; /* decayed to at */
@@ -108,7 +109,7 @@
 	if (!forward)
 		return;
 	while ((request = table_next(forward->requests, &cursor, &handle)))
-		request_break(request, "the process stops");
+		request_break(request, "process is stopping");
 	timer_stop(&forward->pump);
 	forward->parts.backends.watch(forward->parts.backends.ctx, NULL, NULL);
 	crash_detector_destroy(forward->crash_detector);
@@ -196,7 +197,7 @@
 	demand->at = now;
 }
 
-/* The time that the decayed sum stands for: less while the process is young. */
+/* The time covered by the decayed sum: shorter soon after the start. */
 static double demand_sec(const struct forward *forward, int64_t now)
 {
 	double age = (double)(now - forward->began) / (double)DEMAND_USEC;
--- a/forward/organisation.c
+++ b/forward/organisation.c
@@ -25,7 +25,7 @@
 	return hash;
 }
 
-/* Takes the same time wherever they differ. */
+/* Constant-time comparison. */
 static gboolean digest_equal(gconstpointer a, gconstpointer b)
 {
 	const struct key_digest *one = a;
--- a/forward/plain.c
+++ b/forward/plain.c
@@ -1,26 +1,26 @@
 /*
- * plain.c - a request that one server answers by itself
+ * plain.c - requests that one server answers with a single call
  *
  * DESCRIPTION
- *	The whole answer is collected before any of it is passed on, so one that
- *	breaks off can be replaced by a failure, or by another server's answer
- *	where the request may run again.
+ *	The answer is buffered until it is complete. A truncated one is replaced
+ *	by an error, or by the answer of another server if the request may be
+ *	retried.
  */
 #include "request.h"
 
 #include "common/log.h"
 
-/* A repeatable request leaves a silent server after this many times its target,
- * and no sooner than the second figure. */
+/* Timeout of the answer's head for a repeatable request, in multiples of the
+ * route's target, and its lower bound. */
 #define SILENCE_TARGETS 2
 #define SILENCE_MIN_USEC (150 * USEC_PER_MSEC)
-/* Another server may be free within about one call (15 ms). */
+/* A server becomes free within about one call (15 ms). */
 #define RETRY_USEC (40 * USEC_PER_MSEC)
-/* Requests in a server's slots and queue, in multiples of its slots, beyond
- * which a further one would be late or refused there. */
+/* Requests at a server, in multiples of its slots, above which a further one
+ * would be late or refused. */
 #define QUEUE_SLOTS 5u
 
-/* Permits that are asked for one call. */
+/* Permit requests for one call. */
 #define PERMIT_ATTEMPTS_MAX 4u
 
 static void plain_send(struct request *request, struct backend *backend);
@@ -31,7 +31,7 @@
 			  backend_key(&request->target));
 }
 
-/* Retries do not go to servers with a limit, which are overloaded. */
+/* A retry avoids servers with a rate limit, which are overloaded. */
 static struct backend *server_choose(struct request *request, bool first)
 {
 	struct place place;
@@ -41,16 +41,16 @@
 	return place_plain(&place);
 }
 
-/* A request that a server answered with an error of its own fails at most
- * others too (511 of 676, where 14 in 100 failed), so it takes only a place
- * that stands free from those that wait. */
+/* A request that a server answered with an error mostly fails at other servers
+ * too (511 of 676, at a general failure rate of 14 %), so its retry only takes
+ * a free slot and never delays waiting requests. */
 static bool worth_again(const struct request *request,
 			const struct backend *backend)
 {
 	return !answer_may_pass(&request->answer) || place_plain_free(backend);
 }
 
-/* Tries another server, or ends the request as code and why say. */
+/* Sends to another server, or ends the request with code and why. */
 static void plain_retry(struct request *request, enum result_code code,
 			const char *why)
 {
--- a/forward/request.c
+++ b/forward/request.c
@@ -4,20 +4,20 @@
 
 #include "common/log.h"
 
-/* Least and longest time that a caller is told to wait: long enough for
- * another instance to be chosen, short against a caller's limit. */
+/* Bounds of Retry-After: long enough for the balancer to choose another
+ * instance, short against a caller's timeout. */
 #define RETRY_MIN_USEC (20 * USEC_PER_MSEC)
 #define RETRY_MAX_USEC (5 * USEC_PER_SEC)
 
-/* A process has the configuration within some 50 ms of its start, on large
- * sites where it is passed on within 250 ms. */
+/* A process has its configuration within about 50 ms of its start, within 250
+ * ms on large sites, where it comes from other instances. */
 #define NO_CONFIG_USEC (250 * USEC_PER_MSEC)
 
-/* Part of what a cold server bears that it is sent: for a moment two instances
- * may both take themselves for its home. */
+/* Fraction of a cold server's rate limit that is used: two instances may
+ * briefly both act as its home. */
 #define COLD_PART 0.5
 
-/* Jitter for callers that wait for the same server. */
+/* Retry jitter for callers that wait for the same server. */
 #define RETURN_SPREAD_USEC (200 * USEC_PER_MSEC)
 
 static const char *const end_names[END_COUNT] = {
@@ -190,7 +190,7 @@
 	request->kv[0] = '\0';
 }
 
-/* Whether its first event, or its answer, came after its target. */
+/* Whether the first event, or the answer, came after the route's target. */
 static bool is_late(const struct request *request)
 {
 	int64_t at =
@@ -221,7 +221,7 @@
 		  LOG_D("stalled", request->stalled));
 }
 
-/* Gives back all that servers keep for it. */
+/* Releases all that servers hold for the request. */
 static void resources_drop(struct request *request)
 {
 	if (request->call)
@@ -316,7 +316,7 @@
 void request_fail(struct request *request, enum result_code code,
 		  const char *why)
 {
-	/* What the last server refused another may have run. */
+	/* The last server refused it, but an earlier one may have run it. */
 	if (result_outcome(code) == OUTCOME_NOT_RUN)
 		code = RESULT_BACKEND_FAILED;
 	error_reply(request, result_status(code), result_label(code), 0);
@@ -348,7 +348,7 @@
 
 static void on_gone(void *ctx)
 {
-	request_end(ctx, END_GONE, 0, "caller hung up");
+	request_end(ctx, END_GONE, 0, "caller closed the connection");
 }
 
 static void on_limit(struct timer *timer, void *ctx)
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -1,13 +1,14 @@
 /*
- * stream.c - a request of an engine service: reserve, prefill, decode, relay
+ * stream.c - requests of engine services: reserve, prefill, run, relay
  *
  * DESCRIPTION
  *	waiting  ->  reserving  ->  prefill  ->  run  ->  relay
  *
- *	Decode memory is reserved at the server itself before the prompt is
- *	read, so what is read has a place to go. A step that surely did not run
- *	leads back to waiting. Once a run may have begun, only a resumable route
- *	goes back, after the last event that was passed on.
+ *	Decode memory is reserved at the decode server before the prefill, so
+ *	that the computed KV cache has a destination. After a step that did not
+ *	run, the request returns to the waiting queue. Once a run may have
+ *	begun, only a request of a resumable route returns, and continues after
+ *	the last relayed event.
  */
 #include "stream.h"
 
@@ -16,34 +17,33 @@
 #include "common/id.h"
 #include "common/log.h"
 
-/* Reservations are kept for the time of a prefill in a long queue. */
+/* Lifetime of a reservation: covers a prefill in a long queue. */
 #define RESERVE_USEC (2 * USEC_PER_SEC)
-/* A result that is older than its time less this may lapse on the way. */
+/* A prefill result this close to its expiry may expire before it is fetched. */
 #define RESULT_MARGIN_USEC (100 * USEC_PER_MSEC)
-/* A prefill is given up after this time and this much for each prompt token
- * ahead of it (runners read some 30 tokens a millisecond). */
+/* Timeout of a prefill: a base, and a time for each prompt token queued ahead
+ * (runners prefill about 30 tokens per millisecond). */
 #define PREFILL_USEC (1200 * USEC_PER_MSEC)
 #define PREFILL_TOKEN_USEC 100
-/* Parts of the output, as twice the caller's estimate, that a request is
- * counted with when a server is chosen for it, and that it reserves there.
- * Others end and free memory while it generates, so the server need not have
- * all of it now. */
+/* Fractions of the maximum output, taken as at most twice the caller's
+ * estimate: the one charged to the server, and the one reserved there. Other
+ * requests end and free memory during the run, so it is not all needed now. */
 #define COUNTED_PART 0.5
 #define RESERVED_PART 0.125
-/* A prompt is not sent to a prefill server that has prompts ahead of it for
- * longer than this part of the target, by the learnt rate: it is read where it
- * will run, or waits here, where it takes no decode memory meanwhile. */
+/* Longest queue of a prefill server that a prompt is sent to, as a fraction of
+ * the target, by the measured rate. Otherwise the decode server computes the
+ * prefill, or the request waits here, where it holds no decode memory. */
 #define PREFILL_QUEUE_PART 0.45
-/* Rounds through placing that one request may make. */
+/* Reservations that one request may be granted. */
 #define ROUNDS_MAX 4u
-/* What a refused caller is told: memory is freed within about this time. */
+/* Retry-After when memory is short: some is freed within about this time. */
 #define RETRY_USEC (300 * USEC_PER_MSEC)
-/* Another instance can take the request at once. */
+/* Retry-After while draining: another instance can take the request at once. */
 #define RETRY_ELSEWHERE_USEC (20 * USEC_PER_MSEC)
 
 static void prefill_place(struct request *request);
 
-/* A part of the output, as far as the caller's estimate tells it. */
+/* A fraction of the maximum output, limited by the caller's estimate. */
 static uint32_t output_part(const struct request *request, double part)
 {
 	const struct caller_request *caller = &request->caller;
@@ -86,7 +86,6 @@
 			 request->prefill.backend);
 }
 
-/* Back to placing, or the end when there is no way left. */
 void stream_retry(struct request *request, enum result_code code,
 		  const char *why)
 {
@@ -123,7 +122,6 @@
 		LOG_D("timed_out", end->timed_out), LOG_S("why", end->text));
 }
 
-/* Notes what a failed call tells about its server. */
 void stream_record_failure(struct request *request, struct backend *backend,
 			   const struct backend_end *end)
 {
@@ -161,8 +159,8 @@
 				request->kv);
 }
 
-/* One that was refused, or may have been lost on its way, counts as a send: the
- * run that follows it is one more. */
+/* Counts a failed prefill that may have reached the server as a send, so the
+ * following run takes from the retry budget. */
 static void prefill_count(struct request *request,
 			  const struct backend_end *end)
 {
@@ -171,8 +169,8 @@
 		request->sends++;
 }
 
-/* One that refuses all has nothing under way, so it would look like the best
- * choice for each next prompt. */
+/* A server that refuses all prompts has no load and would be chosen for each
+ * next one, so a refusal is recorded against it. */
 static void prefill_blame(struct request *request, struct backend *backend,
 			  const struct backend_end *end)
 {
@@ -220,8 +218,8 @@
 		prefill_place(request);
 }
 
-/* Tokens that may be ahead of it at a prefill server, by how fast these were
- * seen to read. */
+/* Prompt tokens that may be queued ahead at a prefill server, by the measured
+ * prefill rate. */
 static uint32_t most_ahead(const struct request *request)
 {
 	const struct engine_rates *rates =
@@ -232,7 +230,7 @@
 			  (double)USEC_PER_SEC);
 }
 
-/* Time for the prompts ahead and this one. */
+/* Timeout for the prompts queued ahead and this one. */
 static int64_t prefill_limit(const struct request *request,
 			     const struct backend *backend)
 {
@@ -243,9 +241,9 @@
 	return MIN(limit, request_left(request));
 }
 
-/* The first prefill that is accepted does not count as a send. Which one that
- * will be is not known before, so one that follows another send is paid for,
- * and if it is the first accepted, pays for the run. */
+/* The first prefill that succeeds does not count as a send, but which one that
+ * is shows only afterwards. So a prefill after another send takes from the
+ * budget, and if it is the first to succeed, the run is free. */
 static bool prefill_may_send(struct request *request)
 {
 	if (request->sends == 0 && request->prefilled_at == 0)
@@ -299,7 +297,8 @@
 	while (permit == PERMIT_DENIED) {
 		decode = stream_decode(request);
 		if (!decode) {
-			stream_retry(request, RESULT_NO_BACKEND, "server left");
+			stream_retry(request, RESULT_NO_BACKEND,
+				     "decode server is no longer listed");
 			return;
 		}
 		request_place(request, &place);
@@ -331,7 +330,7 @@
 	return MIN(RESERVE_USEC, request->service->engine.reserve_usec);
 }
 
-/* A server that has started again since keeps no result of its earlier life. */
+/* A server that has restarted has lost its earlier results. */
 static bool result_outlived(const struct request *request)
 {
 	const struct fleet *fleet = request->forward->parts.fleet;
@@ -359,7 +358,7 @@
 	histogram_add(request->forward->wait_time,
 		      request->placed_at - request->arrived);
 	request->rounds++;
-	/* A result that a refused run has left is fetched by the next one. */
+	/* The result left by a refused run is fetched by this one. */
 	if (result_fresh(request)) {
 		stream_run(request);
 		return;
@@ -368,8 +367,9 @@
 	prefill_place(request);
 }
 
-/* The answer lay in the socket while this process stood still. Taken for good,
- * the prompt was read in vain: the run is refused for want of the memory. */
+/* While this process is stalled, the answer waits in the socket and the
+ * reservation may expire. If it were used, the prefill would be wasted, since
+ * the run would be refused for lack of memory. */
 static bool is_lapsed(const struct request *request, int64_t now)
 {
 	return now - request->asked_at >= stream_reserve_usec(request);
@@ -418,8 +418,8 @@
 		stream_reserve_usec(request), on_reserved, request);
 }
 
-/* A server with room for so many requests like this one, whose prompt can be
- * read in time; NULL when there is none. */
+/* A server with room for that many requests of this size, if the prefill queue
+ * is short enough; NULL when there is none. */
 static struct backend *decode_choose(struct request *request, uint32_t room)
 {
 	const struct engine_traits *engine = &request->service->engine;
@@ -431,7 +431,7 @@
 
 	request_place(request, &place);
 	place.tried = NULL;
-	/* An empty server has room for any request that fits at all. */
+	/* An idle server is suitable for any request that fits its memory. */
 	backend =
 		place_decode(&place, engine,
 			     MAX(tokens, MIN(tokens * room,
@@ -480,7 +480,7 @@
 		stream_wait(request);
 }
 
-/* Its share of the work that requests of the service mostly are. */
+/* Sets the weight: the cost relative to the service's median request. */
 static void stream_weigh(struct request *request)
 {
 	const struct caller_request *caller = &request->caller;
@@ -499,7 +499,7 @@
 	request->weight = engine_rates_weight(rates, work);
 }
 
-/* Whether it may only be served where no server is. */
+/* Whether no server is in the regions that the request is limited to. */
 static bool regions_unserved(const struct request *request)
 {
 	struct place place;
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -1,14 +1,15 @@
 /*
- * stream_run.c - the run of a stream: its answer passed on, event by event
+ * stream_run.c - the run of a stream and the relay of its events
  */
 #include "stream.h"
 
 #include "common/log.h"
 
-/* A resumable stream leaves a server that is silent for this many pauses. */
+/* Idle timeout of a resumable stream's server, in multiples of the route's gap
+ * between events, and its lower bound. */
 #define SILENT_GAPS 4
 #define SILENT_MIN_USEC (1200 * USEC_PER_MSEC)
-/* Weight of a new measurement in the mean time from placing to first event. */
+/* Weight of a new sample in the mean time from reservation to first event. */
 #define BEGIN_WEIGHT 0.1
 
 static bool answer_streams(const struct request *request)
@@ -23,7 +24,7 @@
 {
 	struct request *request = ctx;
 
-	/* A stream that goes on keeps the head of its first server. */
+	/* A resumed stream keeps the head sent by its first server. */
 	if (!request->replied) {
 		answer_take_head(request, head);
 		return;
@@ -46,7 +47,8 @@
 	forward->begin_usec += BEGIN_WEIGHT * (took - forward->begin_usec);
 }
 
-/* A server that runs out of memory preempts a stream and reads it in again. */
+/* A server that runs out of memory preempts a stream and recomputes its prefill
+ * later. */
 static void stall_notice(struct request *request)
 {
 	int64_t gap = request->route->gap_usec;
@@ -79,7 +81,8 @@
 	request_unread_note(request);
 }
 
-/* Who read the prompt for this run; NULL when nobody did or it has left. */
+/* The server that prefilled for this run; NULL when there is none or it is no
+ * longer listed. */
 static struct backend *result_source(const struct request *request)
 {
 	if (!request->kv[0])
@@ -88,8 +91,8 @@
 			  backend_key(&request->kv_at));
 }
 
-/* Without a result the server reads the prompt itself, and others that would
- * have it read more are told. */
+/* Without a prefill result the decode server computes the prefill itself. The
+ * charge announces that to instances that would send it further prompts. */
 static void own_read_charge(struct request *request, struct backend *decode)
 {
 	const struct backend_load load = {
@@ -100,8 +103,8 @@
 		charge_add(request, &request->prefill, decode, &load);
 }
 
-/* The memory is the run's own now, and its result was fetched or its prompt
- * read. */
+/* From now on the run owns the reserved memory, and the prefill result has been
+ * fetched or the prefill computed. */
 static void run_began(struct request *request)
 {
 	struct backend *decode = stream_decode(request);
@@ -129,9 +132,9 @@
 		answer_take_body(request, data, size);
 }
 
-/* A run with memory reserved is refused by a server that changes its role, or
- * because its result is gone. Which one it was shows when either takes part in
- * further runs, so both are suspected, unless one already is. */
+/* A run with reserved memory is refused if the decode server changes its role
+ * or the prefill result is gone. Which of the two failed shows in later runs,
+ * so both servers are recorded, unless one of them already refuses runs. */
 static void refusal_blame(struct request *request, struct backend *decode)
 {
 	struct backend *source = result_source(request);
@@ -149,7 +152,7 @@
 		request_drop_result(request);
 }
 
-/* The result of the prefill is kept: the next run may fetch it. */
+/* Keeps the prefill result: the next run may fetch it. */
 static void run_refused(struct request *request, struct backend *backend)
 {
 	request->runs--;
@@ -182,7 +185,7 @@
 		request_relay(request);
 	else
 		stream_retry(request, RESULT_BACKEND_FAILED,
-			     "error or unfinished answer");
+			     "server error or incomplete answer");
 }
 
 static void run_done(void *ctx, const struct backend_end *end)
@@ -253,8 +256,9 @@
 	    (!request->is_probe &&
 	     !backend_usable(decode, request_now(request))) ||
 	    !request_may_send(request)) {
-		stream_retry(request, RESULT_RETRY_BUDGET,
-			     "server left, or no send left");
+		stream_retry(
+			request, RESULT_RETRY_BUDGET,
+			"decode server not usable, or retry budget exhausted");
 		return;
 	}
 	if (request->replied && request->cutter.has_id) {
--- a/include/forward/events.h
+++ b/include/forward/events.h
@@ -1,10 +1,10 @@
 /*
- * events.h - cuts a stream of events at event boundaries
+ * events.h - splits a text/event-stream at event boundaries
  *
  * DESCRIPTION
- *	Bytes of a text/event-stream go in as they come; what comes out ends
- *	with a whole event, so that another server's stream can be joined on.
- *	The id of the last whole event is kept for that. Events are not changed.
+ *	Takes bytes in pieces of any size and returns complete events only, so
+ *	that the stream of another server can continue after them. Keeps the id
+ *	of the last complete event for that. Events are not changed.
  *
  * SEE ALSO
  *	HTML Standard, "Server-sent events"
@@ -17,27 +17,27 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Largest part of an event that is kept while its end has not come. */
+/* Largest incomplete event that is buffered. */
 #define EVENT_BYTES_MAX (256u << 10)
 
 struct event_cutter {
-	GByteArray *rest; /* begins at a boundary */
-	size_t scanned;	  /* bytes of rest that hold no boundary */
-	uint64_t last_id;
+	GByteArray *rest; /* unsent bytes, from an event boundary on */
+	size_t scanned;	  /* bytes of complete events at the start of rest */
+	uint64_t last_id; /* of the last complete event; valid if has_id */
 	bool has_id;
-	uint64_t events; /* whole ones so far */
+	uint64_t events; /* complete events so far */
 };
 
 void event_cutter_init(struct event_cutter *cutter);
 void event_cutter_clear(struct event_cutter *cutter);
-/* Takes bytes in; false when an event grows beyond EVENT_BYTES_MAX. */
+/* Appends bytes; false when an event would exceed EVENT_BYTES_MAX. */
 bool event_cutter_feed(struct event_cutter *cutter, const void *data,
 		       size_t size);
-/* Bytes of whole events at the beginning of rest; 0 when there are none. */
+/* Bytes of complete events at the start of rest; 0 when there are none. */
 size_t event_cutter_whole(struct event_cutter *cutter);
-/* Drops them once they have been sent on. */
+/* Removes that many bytes, which have been relayed. */
 void event_cutter_take(struct event_cutter *cutter, size_t size);
-/* Drops the beginning of an event whose end will not come. */
+/* Drops an incomplete event whose stream has ended. */
 void event_cutter_drop(struct event_cutter *cutter);
 
 #endif
--- a/include/forward/organisation.h
+++ b/include/forward/organisation.h
@@ -1,11 +1,10 @@
 /*
- * organisation.h - who may call: the organisations of a configuration and
- * their keys
+ * organisation.h - the organisations of a configuration and their API keys
  *
  * DESCRIPTION
- *	Keys are kept as SHA-256 digests only, so none can leak from here into a
- *	log line or to a peer. A look-up is one hash probe and a comparison that
- *	takes the same time wherever two digests differ.
+ *	Only SHA-256 digests of keys are kept, so no key can leak from here into
+ *	a log line or to a peer. A look-up is a hash table look-up with a
+ *	constant-time comparison of digests.
  */
 #ifndef FORWARD_ORGANISATION_H
 #define FORWARD_ORGANISATION_H
@@ -21,10 +20,10 @@
 	char *name;
 	uint64_t id; /* id_of(name) */
 	bool has_priority;
-	uint32_t priority; /* goes before a route's; 0 is the highest */
+	uint32_t priority; /* overrides the route's; 0 is the highest */
 	struct limit_allotment allotment;
-	bool by_tokens;	     /* units are tokens, else requests */
-	double plain_tokens; /* of a request that tells no tokens */
+	bool by_tokens;	     /* units are tokens, otherwise requests */
+	double plain_tokens; /* units of a request without token counts */
 	GArray *regions;     /* region_set, or NULL */
 };
 
@@ -32,20 +31,22 @@
 
 struct organisations *organisations_create(void);
 void organisations_destroy(struct organisations *all);
-/* NULL when one of that name is there already. Zeroed but for name and id. */
+/* Adds an organisation with name and id set and all else zero; NULL when the
+ * name exists. */
 struct organisation *organisation_add(struct organisations *all,
 				      const char *name);
-/* False when the key is there already, of whichever organisation. */
+/* False when any organisation has the key already. */
 bool organisation_add_key(struct organisations *all,
 			  struct organisation *organisation, const char *key,
 			  size_t size);
 uint32_t organisations_count(const struct organisations *all);
-/* Whose key it is; NULL when it is nobody's. */
+/* The organisation that has the key; NULL when none has. */
 const struct organisation *organisation_of_key(const struct organisations *all,
 					       const char *key, size_t size);
 const struct organisation *organisation_find(const struct organisations *all,
 					     uint64_t id);
-/* What a request takes from its allotment; tokens is 0 when it tells none. */
+/* Units that a request takes from the allotment; tokens is 0 for a request
+ * without token counts. */
 double organisation_units(const struct organisation *organisation,
 			  uint64_t tokens);
 
