--- a/forward/node.c
+++ b/forward/node.c
@@ -8,20 +8,20 @@
 #include "common/id.h"
 #include "common/log.h"
 
-/* Most that a caller's body may hold and that its connection may idle; a
- * catalog may only ask for smaller bodies. Callers keep idle connections for
- * four fifths of that time. */
+/* Largest body and idle timeout of a caller's connection; a catalog can only
+ * lower the former. Callers keep idle connections for four fifths of the
+ * timeout. */
 #define BODY_BYTES_MAX (4u << 20)
 #define IDLE_USEC (20 * USEC_PER_SEC)
-#define SMALL_CONNECTIONS 64u
-/* All instances of a data centre may fetch a copy at once. */
+#define HEALTH_CONNECTIONS 64u
+/* All instances of a data centre may fetch a mirror at once. */
 #define PEER_CONNECTIONS 256u
-/* A turn that comes so late tells that the process stood still. */
-#define STILL_USEC (1 * USEC_PER_SEC)
-/* A slow store takes some 240 ms; reading anew more often than this would never
- * see its answer. */
-#define HURRY_USEC (600 * USEC_PER_MSEC)
-/* The number that a TCP socket got for port 0 may be taken for UDP. */
+/* An event loop iteration this late means that the process was stalled. */
+#define STALL_USEC (1 * USEC_PER_SEC)
+/* Least time between refreshes of the configuration. A slow store answers after
+ * about 240 ms, and a refresh abandons the pending read. */
+#define REFRESH_USEC (600 * USEC_PER_MSEC)
+/* The port that the kernel assigns for TCP may be in use for UDP. */
 #define PEER_PORT_TRIES 8
 
 static uint32_t instances_count(void *ctx)
@@ -48,19 +48,19 @@
 static int64_t list_age_get(void *ctx)
 {
 	const struct node *node = ctx;
-	struct mirror_status summary;
+	struct mirror_status status;
 
-	mirror_status(node->mirrors[STREAM_LIST].mirror, &summary);
-	return summary.age_usec;
+	mirror_status(node->mirrors[STREAM_LIST].mirror, &status);
+	return status.age_usec;
 }
 
-static bool is_storeless(const struct node *node)
+static bool is_store_unreachable(const struct node *node)
 {
 	return mirror_failing(node->mirrors[STREAM_LIST].mirror) ||
 	       mirror_failing(node->mirrors[STREAM_CONFIG].mirror);
 }
 
-static void word_fill(void *ctx, struct gossip_summary *summary)
+static void summary_fill(void *ctx, struct gossip_summary *summary)
 {
 	struct node *node = ctx;
 	const struct catalog *catalog = forward_catalog(node->forward);
@@ -69,7 +69,7 @@
 
 	*summary = (struct gossip_summary){
 		.leaving = node->draining,
-		.store_unreachable = is_storeless(node),
+		.store_unreachable = is_store_unreachable(node),
 	};
 	node_mirrors_status(node, summary);
 	if (!catalog)
@@ -98,27 +98,27 @@
 			node->roles, summary->changing, GOSSIP_CHANGING_MAX);
 }
 
-/* The first of a data centre reads the store itself; its waiting read may have
- * been lost when others know of a later version. */
-static void on_heard(void *ctx, const char *address, bool local,
-		     const struct gossip_summary *summary)
+/* The first instance of a data centre reads the store itself. If others know a
+ * later version, the answer to its waiting read may have been lost. */
+static void on_summary(void *ctx, const char *address, bool local,
+		       const struct gossip_summary *summary)
 {
 	struct node *node = ctx;
 	const struct catalog *catalog = forward_catalog(node->forward);
 
 	node_mirrors_merge(node, address, summary);
-	/* What those elsewhere reach says little of what is reached from here.
-	 */
+	/* Reachability from a remote data centre says little about the local
+	 * one. */
 	for (uint32_t i = 0; local && i < summary->unreachable_count; i++)
 		fleet_merge_unreachable(node->fleet, id_of(address),
 					&summary->unreachable[i]);
 	for (uint32_t i = 0; i < summary->changing_count; i++)
 		fleet_change(node->fleet, &summary->changing[i]);
 	if (summary->version <= (catalog ? catalog->version : 0) ||
-	    clock_now(node->clock) - node->hurried < HURRY_USEC ||
+	    clock_now(node->clock) - node->refreshed_at < REFRESH_USEC ||
 	    gossip_rank(node->gossip) > 0)
 		return;
-	node->hurried = clock_now(node->clock);
+	node->refreshed_at = clock_now(node->clock);
 	mirror_refresh(node->mirrors[STREAM_CONFIG].mirror);
 }
 
@@ -133,7 +133,7 @@
 {
 	return !node->draining &&
 	       clock_now(node->clock) >= NODE_DISCOVERY_USEC &&
-	       gossip_lowest(node->gossip, is_storeless(node));
+	       gossip_lowest(node->gossip, is_store_unreachable(node));
 }
 
 static bool roles_decide(void *ctx)
@@ -150,7 +150,7 @@
 	return total.demand;
 }
 
-static double roles_read_rate(void *ctx)
+static double roles_prefill_rate(void *ctx)
 {
 	const struct node *node = ctx;
 	struct gossip_summary total;
@@ -259,8 +259,8 @@
 static bool gossip_open(struct node *node, struct error *err)
 {
 	static const struct gossip_ops ops = {
-		.summary = word_fill,
-		.heard = on_heard,
+		.summary = summary_fill,
+		.heard = on_summary,
 		.reads = reads_store,
 		.quarantine_received = node_quarantine_received,
 		.works = node_quarantine_next,
@@ -284,13 +284,13 @@
 				     node, err);
 	if (!node->gossip)
 		return false;
-	/* One that starts while the store is down learns from them. */
+	/* Seeds allow discovery when the store is unavailable at the start. */
 	for (uint32_t i = 0; i < node->settings.seed_count; i++)
 		gossip_add_peer(node->gossip, node->settings.seeds[i], NULL);
 	return true;
 }
 
-/* Peers use one address for TCP and UDP. */
+/* Peers use the same port for TCP and UDP. */
 static bool peers_open(struct node *node, struct error *err)
 {
 	const char *listen = node->settings.peer_listen;
@@ -320,7 +320,7 @@
 		.backends = node->interface.backends,
 		.name = node->settings.name,
 		.boot = node->boot,
-		.ops = {roles_decide, roles_demand, roles_read_rate,
+		.ops = {roles_decide, roles_demand, roles_prefill_rate,
 			roles_catalog},
 		.ctx = node,
 	};
@@ -341,7 +341,8 @@
 	node->client = web_client_create(node->loop);
 	if (!node->factory->open(node->factory->ctx, node->client, node->clock,
 				 settings, &node->interface))
-		return error_set(err, RESULT_IO, "the interface did not open");
+		return error_set(err, RESULT_IO,
+				 "cannot open the platform interface");
 	core_open(node);
 	node->callers =
 		server_open(node, settings->listen, settings->connections_max,
@@ -349,7 +350,7 @@
 	if (!node->callers)
 		return false;
 	node->health = server_open(node, settings->health_listen,
-				   SMALL_CONNECTIONS, node_health, node, err);
+				   HEALTH_CONNECTIONS, node_health, node, err);
 	if (!node->health)
 		return false;
 	if (!peers_open(node, err))
@@ -363,7 +364,7 @@
 	return true;
 }
 
-/* The servers first: their last turns may still bring requests. */
+/* Destroys the web servers first: requests may still arrive through them. */
 static void node_close(struct node *node)
 {
 	node_drain_stop(node);
@@ -397,7 +398,7 @@
 
 static void on_iteration(void *ctx, int64_t gap_usec)
 {
-	if (gap_usec > STILL_USEC)
+	if (gap_usec > STALL_USEC)
 		log_event(LOG_WARNING, "stood_still",
 			  LOG_D("ms", gap_usec / USEC_PER_MSEC));
 	log_flush();
@@ -444,9 +445,9 @@
 	log_flush();
 }
 
-/* A signal that comes before the loop takes them over waits for it; SIGTERM
- * ended a process that was still reading its settings, SIGHUP too. */
-static void signals_hold(void)
+/* Blocks signals until the event loop handles them. Otherwise SIGTERM or SIGHUP
+ * would kill a process that still reads its settings. */
+static void signals_block(void)
 {
 	sigset_t set;
 
@@ -469,7 +470,7 @@
 	};
 	struct error err;
 
-	signals_hold();
+	signals_block();
 	log_setup(node.clock, PROGRAM, LOG_INFO);
 	log_to(STDOUT_FILENO);
 	if (!forward_settings_read(&node.settings, file, argc, argv, &err)) {
--- a/forward/node_drain.c
+++ b/forward/node_drain.c
@@ -1,17 +1,18 @@
 /*
- * node_drain.c - a planned stop, which cuts off nothing
+ * node_drain.c - graceful shutdown
  */
 #include "node.h"
 
 #include "common/log.h"
 
-/* The balancer asks once a second and takes an instance out after two misses;
- * connections made before then are served. */
+/* How long new connections are accepted: the balancer checks once a second and
+ * removes an instance after two failed checks. */
 #define ACCEPT_USEC (2800 * USEC_PER_MSEC)
-/* What is left of the grace time when the last streams are broken off. */
+/* Time before the end of the grace period at which remaining streams are
+ * aborted. */
 #define RESERVE_SEC 0.6
 #define CHECK_USEC (100 * USEC_PER_MSEC)
-/* Lets the last answers leave the sockets. */
+/* Time for the last answers to leave the sockets. */
 #define LINGER_USEC (100 * USEC_PER_MSEC)
 
 static void on_check(struct timer *timer, void *ctx)
--- a/forward/node_feeds.c
+++ b/forward/node_feeds.c
@@ -1,5 +1,6 @@
 /*
- * node_feeds.c - what a process follows in the platform's store
+ * node_feeds.c - streams of the platform's store: configuration, list of
+ * backend servers and peers
  */
 #include "node.h"
 
@@ -12,37 +13,36 @@
 #include "common/log.h"
 #include "common/setting.h"
 
-/* A waiting read. Its answer may be lost when the store or the path to it
- * fails, so it is given up soon enough to follow a change two seconds after it,
- * once the store has been well for three. */
+/* Timeout of a waiting read, whose answer is lost when the store or the network
+ * fails. A change must be known two seconds after it once the store has been
+ * available for three. */
 #define CONFIG_WAIT_USEC (500 * USEC_PER_MSEC)
 #define TICK_USEC (100 * USEC_PER_MSEC)
-/* Changes are fetched within a round trip; from one that does not answer in
- * this time they are not waited for. */
+/* Timeout of a fetch of changes from a peer, which takes one round trip. */
 #define FETCH_USEC (300 * USEC_PER_MSEC)
-/* A whole copy of a large list takes a small instance longer to compress, and
- * its link longer to carry. */
+/* Timeout of a fetch of a whole mirror: a large list takes a small instance
+ * longer to compress and to send. */
 #define FETCH_WHOLE_USEC (3 * USEC_PER_SEC)
-#define COPY_BYTES_MAX (8u << 20)
-/* Smaller copies are sent as they are. */
-#define COMPRESS_LEAST (4u << 10)
-/* What one instance hands out in a second: a tenth of the memory of a small
- * one, half of a second of a slow link's (100 Mbit/s). */
+#define MIRROR_BYTES_MAX (8u << 20)
+/* Smaller mirrors are sent uncompressed. */
+#define COMPRESS_BYTES_MIN (4u << 10)
+/* Bytes of mirrors that an instance serves per second: a tenth of the memory of
+ * a small one, half the bandwidth of a slow link (100 Mbit/s). */
 #define SERVE_BYTES_PER_SEC ((size_t)6 << 20)
-/* So that not all fetch from the first that told: those who have it tell too.
- */
+/* Random delay before a fetch, per live peer, and its bound. Peers that have
+ * fetched announce the new version too, so not all fetch from the first. */
 #define FETCH_SPREAD_USEC (5 * USEC_PER_MSEC)
 #define FETCH_SPREAD_MAX_USEC (150 * USEC_PER_MSEC)
-/* Instances of a group that fetch copies from other data centres at once; the
- * others wait so long to be told by one near. */
-#define FAR_FETCHERS 2u
-#define FAR_PATIENCE_USEC (800 * USEC_PER_MSEC)
+/* Instances of a group that fetch from remote data centres at once; the others
+ * wait this long for a local peer to announce the version. */
+#define REMOTE_FETCHERS 2u
+#define REMOTE_FETCH_DELAY_USEC (800 * USEC_PER_MSEC)
 #define REGISTER_RETRY_USEC (500 * USEC_PER_MSEC)
-/* Keys whose refused value is remembered, so that it is logged once. */
+/* Keys whose last refused value is remembered, so that it is logged once. */
 #define REFUSED_MAX 1024u
 
-/* Whether this value of a key was refused before. Whoever writes broken ones
- * may do so with each heartbeat. */
+/* Whether this value of the key was refused before. A server that writes an
+ * invalid entry may do so with each heartbeat. */
 static bool refused_before(struct node *node, const char *key, const void *data,
 			   size_t size)
 {
@@ -89,11 +89,11 @@
 	}
 	in_force = forward_set_catalog(node->forward, catalog);
 	catalog_unref(catalog);
-	/* Nobody who starts later is to get an older version from us. */
+	/* Peers that start later must not get an older version from here. */
 	return in_force ? MIRROR_CHANGED : MIRROR_REJECTED;
 }
 
-/* What somebody else wrote names no server, also where one was named. */
+/* An invalid entry removes the server that the key named before. */
 static enum mirror_effect backend_refuse(struct node *node, uint64_t offset,
 					 const struct feed_record *record,
 					 const struct error *err)
@@ -116,10 +116,10 @@
 	    fleet_started_ms(node->fleet, record->key) == 0)
 		return true;
 	return error_set(err, RESULT_BAD_CONFIG,
-			 "no start told by a server that told one");
+			 "entry has no start time, but an earlier one had");
 }
 
-/* Servers write every second or so; most of it changes nothing. */
+/* Servers write about every second; most entries change nothing. */
 static enum mirror_effect on_backend(void *ctx, uint64_t offset,
 				     const char *key, const void *data,
 				     size_t size)
@@ -188,7 +188,7 @@
 	fleet_snapshot_end(node->fleet);
 }
 
-/* ---- copies ---- */
+/* ---- mirrors ---- */
 
 static void list_tick(struct node *node)
 {
@@ -219,11 +219,11 @@
 	node_permits_tick(node);
 }
 
-static bool copy_unpack(struct node_mirror *mirror, const void *body,
-			size_t size, struct error *err)
+static bool mirror_expand(struct node_mirror *mirror, const void *body,
+			  size_t size, struct error *err)
 {
 	g_autoptr(GByteArray) whole =
-		message_expand(body, size, COPY_BYTES_MAX, err);
+		message_expand(body, size, MIRROR_BYTES_MAX, err);
 
 	return whole &&
 	       mirror_decode(mirror->mirror, whole->data, whole->len, err);
@@ -240,7 +240,7 @@
 		log_event(LOG_NOTICE, "copy_not_fetched",
 			  LOG_S("peer", mirror->from), LOG_D("status", status),
 			  LOG_S("reason", result->text));
-	else if (!copy_unpack(mirror, body, size, &err))
+	else if (!mirror_expand(mirror, body, size, &err))
 		log_event(LOG_WARNING, "copy_malformed",
 			  LOG_S("peer", mirror->from),
 			  LOG_S("reason", err.text));
@@ -264,7 +264,7 @@
 		.idle_usec = limit,
 	};
 
-	mirror->fetch = web_fetch(node->client, &spec, COPY_BYTES_MAX,
+	mirror->fetch = web_fetch(node->client, &spec, MIRROR_BYTES_MAX,
 				  on_fetched, mirror);
 }
 
@@ -275,19 +275,20 @@
 		mirror_status(node->mirrors[i].mirror, &summary->mirrors[i]);
 }
 
-/* A large data centre has copies from elsewhere by few, who pass them on. */
-static bool is_better_near(struct node_mirror *mirror, const char *address)
+/* In a grouped data centre few instances fetch from remote ones; the others
+ * wait to fetch from these. */
+static bool local_may_serve(struct node_mirror *mirror, const char *address)
 {
 	const struct node *node = mirror->node;
 	int64_t now = clock_now(node->clock);
 
 	if (!gossip_grouped(node->gossip) ||
-	    gossip_rank(node->gossip) < FAR_FETCHERS ||
+	    gossip_rank(node->gossip) < REMOTE_FETCHERS ||
 	    gossip_is_local(node->gossip, address))
 		return false;
 	if (mirror->remote_since == 0)
 		mirror->remote_since = now;
-	return now - mirror->remote_since < FAR_PATIENCE_USEC;
+	return now - mirror->remote_since < REMOTE_FETCH_DELAY_USEC;
 }
 
 void node_mirrors_merge(struct node *node, const char *address,
@@ -305,7 +306,7 @@
 			continue;
 		}
 		mirror_fetch_pending(mirror->mirror);
-		if (mirror->fetch || is_better_near(mirror, address))
+		if (mirror->fetch || local_may_serve(mirror, address))
 			continue;
 		g_strlcpy(mirror->from, address, sizeof(mirror->from));
 		if (!timer_running(&mirror->fetch_timer))
@@ -315,8 +316,8 @@
 	}
 }
 
-/* A large copy asked for by all at once would fill memory and link; who is
- * turned away has it from another or from the store. */
+/* A large mirror requested by all peers at once would exhaust memory and
+ * bandwidth. A refused peer fetches from another one or from the store. */
 static bool serve_may(struct node *node, size_t size)
 {
 	int64_t now = clock_now(node->clock);
@@ -353,7 +354,7 @@
 	}
 	out = g_byte_array_new();
 	mirror_encode(node->mirrors[i].mirror, strtoull(from, NULL, 10), out);
-	message_compress(out, COMPRESS_LEAST);
+	message_compress(out, COMPRESS_BYTES_MIN);
 	web_reply(request, 200, "application/msgpack", out->data, out->len);
 }
 
@@ -404,8 +405,8 @@
 	}
 }
 
-/* Written before the others are read, so of two that start together at least
- * one finds the other. */
+/* Registers before it reads the peers, so that of two instances that start
+ * together at least one finds the other. */
 static void on_register(struct timer *timer, void *ctx)
 {
 	struct node *node = ctx;
@@ -434,9 +435,9 @@
 	node->registered = false;
 }
 
-static void share_open(struct node *node, enum node_stream stream,
-		       const struct feed_settings *settings,
-		       const struct mirror_ops *ops)
+static void mirror_open(struct node *node, enum node_stream stream,
+			const struct feed_settings *settings,
+			const struct mirror_ops *ops)
 {
 	struct node_mirror *mirror = &node->mirrors[stream];
 
@@ -470,8 +471,8 @@
 
 	node->refused =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	share_open(node, STREAM_CONFIG, &config, &config_ops);
-	share_open(node, STREAM_LIST, &list, &list_ops);
+	mirror_open(node, STREAM_CONFIG, &config, &config_ops);
+	mirror_open(node, STREAM_LIST, &list, &list_ops);
 	node->peer_feed = feed_create(node->clock, &node->interface.feeds,
 				      &peers, &peer_ops, node);
 	timer_init(&node->register_timer, node->clock, on_register, node);
--- a/forward/node_health.c
+++ b/forward/node_health.c
@@ -1,15 +1,15 @@
 /*
- * node_health.c - what the balancer and the scraper of metrics are answered
+ * node_health.c - answers to health checks and to metrics scrapers
  */
 #include "node.h"
 
-/* Requests waiting for memory in a data centre that is cut off, from which on
- * callers are better served elsewhere. */
+/* Requests waiting for memory at an instance of a partitioned data centre, from
+ * which on callers are better served by another data centre. */
 #define STRANDED_WAITING 6u
 
-/* Cut off from the other data centres, an instance serves what it can with the
- * servers near it. When a service has none of them it can do better by sending
- * callers to another data centre. */
+/* While partitioned from other data centres, an instance serves callers with
+ * the servers it reaches. If it reaches none of a service, or too many requests
+ * wait, its health check fails, so callers go to another data centre. */
 static bool is_stranded(const struct node *node)
 {
 	const struct catalog *catalog = forward_catalog(node->forward);
--- a/forward/node_limits.c
+++ b/forward/node_limits.c
@@ -1,5 +1,5 @@
 /*
- * node_limits.c - what is used of allotments, between this instance and others
+ * node_limits.c - exchange of allotment usage with other instances
  */
 #include "node.h"
 
@@ -41,8 +41,7 @@
 	limit_exported(node->limits);
 }
 
-/* Of organisations that the configuration in force does not have, nothing is
- * kept. */
+/* Ignores organisations that are not in the configuration in force. */
 void node_usage_received(void *ctx, const struct limit_source *source,
 			 const struct limit_entry *entry)
 {
--- a/forward/node_permits.c
+++ b/forward/node_permits.c
@@ -3,14 +3,14 @@
  */
 #include "node.h"
 
-/* When an instance asks again that took this one for the home by mistake: views
+/* Retry delay for an instance that took this one for the home by mistake: views
  * converge within a few messages. */
 #define WRONG_HOME_USEC (100 * USEC_PER_MSEC)
-/* Least time that a message has taken. */
+/* Least transit time of a message, added to the age of its facts. */
 #define TRANSIT_USEC (1 * USEC_PER_MSEC)
 #define PRUNE_USEC (1 * USEC_PER_SEC)
 
-/* An instance that is stopping hands its homes to others. */
+/* A draining instance leaves its homes to others. */
 static bool may_be_home(const struct node *node)
 {
 	return !node->draining;
@@ -30,26 +30,26 @@
 			int64_t *retry_usec)
 {
 	struct node *node = ctx;
-	struct permit_request ask = {.id = id};
+	struct permit_request request = {.id = id};
 
 	if (!backpressure_find(node->backpressure, clock_now(node->clock),
-			       backend->key, &ask.fact))
+			       backend->key, &request.fact))
 		return PERMIT_GRANTED;
-	if (gossip_request_permit(node->gossip, &ask, backend->info.data_centre,
-				  may_be_home(node)))
+	if (gossip_request_permit(node->gossip, &request,
+				  backend->info.data_centre, may_be_home(node)))
 		return PERMIT_ASKED;
 	return grant(node, backend->key, retry_usec) ? PERMIT_GRANTED
 						     : PERMIT_DENIED;
 }
 
-void node_permit_requested(void *ctx, const struct permit_request *ask,
+void node_permit_requested(void *ctx, const struct permit_request *request,
 			   struct permit_answer *answer)
 {
 	struct node *node = ctx;
 	const struct backend *backend =
-		fleet_find(node->fleet, ask->fact.server);
+		fleet_find(node->fleet, request->fact.server);
 
-	node_fact_received(node, &ask->fact);
+	node_fact_received(node, &request->fact);
 	answer->retry_usec = WRONG_HOME_USEC;
 	answer->granted =
 		backend &&
@@ -69,10 +69,10 @@
 void node_fact_received(void *ctx, const struct backpressure_fact *fact)
 {
 	const struct node *node = ctx;
-	struct backpressure_fact heard = *fact;
+	struct backpressure_fact received = *fact;
 
-	heard.age_usec += TRANSIT_USEC;
-	forward_fact(node->forward, &heard);
+	received.age_usec += TRANSIT_USEC;
+	forward_fact(node->forward, &received);
 }
 
 uint32_t node_facts(void *ctx, struct backpressure_fact *facts, uint32_t most)
@@ -83,7 +83,7 @@
 				   facts, most);
 }
 
-static bool server_lives(void *ctx, uint64_t server)
+static bool server_exists(void *ctx, uint64_t server)
 {
 	const struct node *node = ctx;
 
@@ -97,5 +97,5 @@
 	if (now - node->pruned_at < PRUNE_USEC)
 		return;
 	node->pruned_at = now;
-	backpressure_prune(node->backpressure, now, server_lives, node);
+	backpressure_prune(node->backpressure, now, server_exists, node);
 }
--- a/forward/node_quarantine.c
+++ b/forward/node_quarantine.c
@@ -1,13 +1,14 @@
 /*
- * node_quarantine.c - works under which servers ended, between this instance,
- * the others and the store
+ * node_quarantine.c - exchange of quarantine entries with other instances and
+ * the store
  *
  * DESCRIPTION
- *	Instances tell each other at once (gossip.h). What is held outlasts them
- *	all in the store: the instance that decides for the site writes it, one
- *	record a work, and whoever starts reads it with the list of instances,
- *	so that costs no call more. A data centre that is cut off from the
- *	others reads it meanwhile.
+ *	Instances announce changed entries to each other at once (gossip.h).
+ *	Requests in quarantine are also written to the store, so that they
+ *	survive a restart of all instances. The leader of the site writes one
+ *	record for each; an instance reads them at its start with the list of
+ *	instances, which takes no extra call. A partitioned data centre reads
+ *	them repeatedly.
  */
 #include "node.h"
 
@@ -17,17 +18,18 @@
 
 #include "common/log.h"
 
-/* Works that are held, and those that are suspected. A work is held after three
- * servers, so an attacker needs 12,000 lost servers to let one go; a lost
- * server makes 64 suspects at most. 2 MiB in all. */
+/* Requests in quarantine, and suspects. A request is quarantined after three
+ * crashes, so 12,000 crashes are needed to displace one; a crash adds at most
+ * 64 suspects. 2 MiB in total. */
 #define HELD_MAX 4096u
 #define SUSPECTS_MAX 4096u
-/* How long a write that failed is not repeated. */
+/* Delay before a failed write is retried. */
 #define STORE_RETRY_USEC (500 * USEC_PER_MSEC)
 
-/* Well within the three seconds after which all are to know; five calls in a
- * cut of five seconds, of one instance a data centre. */
-#define PARTED_READ_USEC (1 * USEC_PER_SEC)
+/* Interval of reads during a partition. All instances must know an entry after
+ * three seconds; a partition of five seconds costs five calls per data centre.
+ */
+#define PARTITION_READ_USEC (1 * USEC_PER_SEC)
 
 #define KEY_PREFIX "work "
 #define KEY_SIZE (sizeof(KEY_PREFIX) + 32)
@@ -53,8 +55,8 @@
 		gossip_quarantine_changed(node->gossip, entry);
 }
 
-static void heard_log(const struct node *node, const char *from,
-		      const struct request_fingerprint *work)
+static void received_log(const struct node *node, const char *from,
+			 const struct request_fingerprint *work)
 {
 	const struct quarantine_entry *entry =
 		quarantine_find(node->quarantine, work);
@@ -71,7 +73,7 @@
 
 	if (!quarantine_merge(node->quarantine, entry))
 		return false;
-	heard_log(node, "peer", &entry->work);
+	received_log(node, "peer", &entry->work);
 	return true;
 }
 
@@ -99,7 +101,7 @@
 		      &work->low) == 2;
 }
 
-/* The epoch and the servers, in hexadecimal. */
+/* The value is the epoch and the servers, in hexadecimal. */
 static char *value_print(const struct quarantine_entry *entry)
 {
 	GString *text = g_string_new(NULL);
@@ -143,63 +145,61 @@
 			  LOG_S("key", record->key),
 			  LOG_D("offset", record->offset));
 	else if (quarantine_merge(node->quarantine, &entry))
-		heard_log(node, "store", &entry.work);
+		received_log(node, "store", &entry.work);
 	return true;
 }
 
-static void on_stored(void *ctx, enum result_code code)
+static void on_written(void *ctx, enum result_code code)
 {
 	struct node *node = ctx;
-	struct node_storing *storing = &node->storing;
+	struct quarantine_write *write = &node->quarantine_write;
 
-	storing->under_way = false;
+	write->in_progress = false;
 	if (code == RESULT_OK)
-		quarantine_stored(node->quarantine, &storing->work,
-				  storing->held);
+		quarantine_stored(node->quarantine, &write->work, write->held);
 	else
-		storing->again_at = clock_now(node->clock) + STORE_RETRY_USEC;
+		write->retry_at = clock_now(node->clock) + STORE_RETRY_USEC;
 	log_event(code == RESULT_OK ? LOG_NOTICE : LOG_WARNING, "work_stored",
-		  LOG_X("work", storing->work.high),
-		  LOG_D("held", storing->held),
+		  LOG_X("work", write->work.high), LOG_D("held", write->held),
 		  LOG_S("result", result_label(code)));
 }
 
-static void works_store(struct node *node)
+static void quarantine_write_next(struct node *node)
 {
-	struct node_storing *storing = &node->storing;
+	struct quarantine_write *write = &node->quarantine_write;
 	struct quarantine_entry entry;
 	g_autofree char *value = NULL;
 	char key[KEY_SIZE];
 
-	if (storing->under_way || clock_now(node->clock) < storing->again_at ||
+	if (write->in_progress || clock_now(node->clock) < write->retry_at ||
 	    !quarantine_unstored(node->quarantine, &entry) ||
 	    !node_decides(node))
 		return;
-	storing->under_way = true;
-	storing->work = entry.work;
-	storing->held = quarantine_holds(node->quarantine, &entry.work);
+	write->in_progress = true;
+	write->work = entry.work;
+	write->held = quarantine_holds(node->quarantine, &entry.work);
 	key_print(&entry.work, key);
 	value = value_print(&entry);
 	node->interface.put(node->interface.ctx, PEER_STREAM, key,
-			    storing->held ? value : NULL, on_stored, node);
+			    write->held ? value : NULL, on_written, node);
 }
 
-/* Cut off from the other data centres, but not from the store: what they hold
- * is known by no other way. One instance of the data centre asks for its own.
- */
-static void works_fetch(struct node *node)
+/* During a partition from the other data centres, their entries can only come
+ * from the store. One instance reads them for its data centre. */
+static void quarantine_read_remote(struct node *node)
 {
 	int64_t now = clock_now(node->clock);
 
-	if (now - node->works_read < PARTED_READ_USEC || !node->registered ||
-	    !gossip_partitioned(node->gossip) || gossip_rank(node->gossip) > 0)
+	if (now - node->quarantine_read_at < PARTITION_READ_USEC ||
+	    !node->registered || !gossip_partitioned(node->gossip) ||
+	    gossip_rank(node->gossip) > 0)
 		return;
-	node->works_read = now;
+	node->quarantine_read_at = now;
 	feed_poll(node->peer_feed);
 }
 
 void node_quarantine_tick(struct node *node)
 {
-	works_store(node);
-	works_fetch(node);
+	quarantine_write_next(node);
+	quarantine_read_remote(node);
 }
--- a/forward/node_settings.c
+++ b/forward/node_settings.c
@@ -1,5 +1,5 @@
 /*
- * node_settings.c - settings that change while the process runs
+ * node_settings.c - reload of settings while the process runs
  */
 #include "node.h"
 
@@ -7,7 +7,7 @@
 
 #include "common/log.h"
 
-/* How often the settings file is looked at. */
+/* Polling interval of the settings file. */
 #define FILE_CHECK_USEC (1 * USEC_PER_SEC)
 
 struct budget_settings node_budget(const struct forward_settings *settings)
@@ -20,7 +20,7 @@
 	};
 }
 
-/* When the file was changed last; 0 when it cannot be told. */
+/* Modification time of the file; 0 when it is unknown. */
 static int64_t file_time(const struct node *node)
 {
 	struct stat state;
@@ -43,7 +43,7 @@
 		log_event(LOG_ERR, "settings_kept", LOG_S("reason", err.text));
 		return;
 	}
-	/* Addresses and names hold for as long as the process runs. */
+	/* Addresses and names need a restart. */
 	node->settings.retry_ratio = fresh.retry_ratio;
 	node->settings.retry_slack = fresh.retry_slack;
 	node->settings.retry_window_sec = fresh.retry_window_sec;
@@ -59,7 +59,6 @@
 	log_event(LOG_NOTICE, "settings_read", LOG_S("file", node->file));
 }
 
-/* It may change without a signal. */
 static void on_file_check(struct timer *timer, void *ctx)
 {
 	struct node *node = ctx;
--- a/forward/settings.c
+++ b/forward/settings.c
@@ -1,5 +1,5 @@
 /*
- * settings.c - the forwarding process's settings
+ * settings.c - table of the forwarding process's settings
  */
 #include "forward/settings.h"
 
@@ -30,7 +30,7 @@
 	 NULL, true, "IP:PORT", "the platform's store"},
 	{"seed", "JT_SEEDS", SETTING_EACH, FIELD(seeds), 0, 0, NULL, false,
 	 "IP:PORT",
-	 "another instance's peer-listen, to meet the others without the "
+	 "peer-listen of another instance, for discovery without the "
 	 "platform's store; may be repeated"},
 	{"region", "JT_REGIONS", SETTING_EACH, FIELD(regions), 0, 0, NULL,
 	 false, "DATA-CENTRE:REGION",
@@ -39,23 +39,23 @@
 	 "info", false, "LEVEL", "err, warning, notice, info or debug"},
 	{"retry-ratio", "JT_RETRY_RATIO", SETTING_REAL, FIELD(retry_ratio), 0,
 	 1, "0.2", false, "X",
-	 "further sends of all instances, as a part of requests"},
+	 "retries of all instances, as a fraction of requests"},
 	{"retry-slack", "JT_RETRY_SLACK", SETTING_REAL, FIELD(retry_slack), 0,
 	 1e6, "10", false, "N",
-	 "further sends of all instances beyond that part"},
+	 "retries of all instances beyond that fraction"},
 	{"retry-window-s", "JT_RETRY_WINDOW_S", SETTING_REAL,
 	 FIELD(retry_window_sec), 0.1, 3600, "10", false, "S",
-	 "time over which further sends are counted"},
+	 "time over which retries are counted, in seconds"},
 	{"grace-s", "JT_GRACE_S", SETTING_REAL, FIELD(grace_sec), 1, 86400, "8",
-	 false, "S", "longest graceful shutdown"},
+	 false, "S", "longest graceful shutdown, in seconds"},
 	{"connections-max", "JT_CONNECTIONS_MAX", SETTING_U32,
 	 FIELD(connections_max), 1, 1000000, "1500", false, "N",
-	 "connections of callers at once"},
-	/* The least number that refuses no innocent request, see
+	 "concurrent connections of callers"},
+	/* 3 is the least number at which no harmless request is refused, see
 	 * coord/quarantine.h. */
 	{"quarantine-ends", "JT_QUARANTINE_ENDS", SETTING_U32,
 	 FIELD(quarantine_crashes), 2, QUARANTINE_CRASHES_MAX, "3", false, "N",
-	 "servers that ended under a request, from which on it is refused"},
+	 "crashed servers after which a request is refused"},
 	{"limits", "JT_LIMITS", SETTING_NAME, FIELD(limits), 0, 0, "counts",
 	 false, "POLICY",
 	 "how instances share allotments: counts, demand or equal"},
@@ -65,10 +65,10 @@
 		     struct error *err)
 {
 	if (!setting_address_valid(text, false))
-		return error_set(err, RESULT_BAD_SETTING, "'%s' is no IP:PORT",
+		return error_set(err, RESULT_BAD_SETTING, "'%s' is not IP:PORT",
 				 text);
 	if (settings->seed_count >= FORWARD_SEEDS_MAX)
-		return error_set(err, RESULT_BAD_SETTING, "more than %u",
+		return error_set(err, RESULT_BAD_SETTING, "more than %u seeds",
 				 FORWARD_SEEDS_MAX);
 	settings->seeds[settings->seed_count++] = text;
 	return true;
@@ -83,18 +83,18 @@
 	if (g_strv_length(parts) != 2 || !setting_name_valid(parts[0]) ||
 	    !setting_name_valid(parts[1]))
 		return error_set(err, RESULT_BAD_SETTING,
-				 "'%s' is no DATA-CENTRE:REGION", text);
+				 "'%s' is not DATA-CENTRE:REGION", text);
 	if (settings->region_count >= FORWARD_CENTRES_MAX)
-		return error_set(err, RESULT_BAD_SETTING, "more than %u",
-				 FORWARD_CENTRES_MAX);
+		return error_set(err, RESULT_BAD_SETTING,
+				 "more than %u regions", FORWARD_CENTRES_MAX);
 	region = &settings->regions[settings->region_count++];
 	region->data_centre = g_intern_string(parts[0]);
 	region->region = g_intern_string(parts[1]);
 	return true;
 }
 
-static bool text_add(void *target, const char *flag, const char *text,
-		     struct error *err)
+static bool repeated_add(void *target, const char *flag, const char *text,
+			 struct error *err)
 {
 	if (strcmp(flag, "region") == 0)
 		return region_add(target, text, err);
@@ -110,7 +110,7 @@
 		.file = file,
 		.table = table,
 		.count = G_N_ELEMENTS(table),
-		.each = text_add,
+		.each = repeated_add,
 	};
 	struct forward_settings fresh = {0};
 
@@ -118,8 +118,7 @@
 		return false;
 	if (!limit_policy_find(fresh.limits, &fresh.limit_policy))
 		return error_set(err, RESULT_BAD_SETTING,
-				 "limits: '%s' is none of counts, demand and "
-				 "equal",
+				 "limits: '%s' is not counts, demand or equal",
 				 fresh.limits);
 	*settings = fresh;
 	return true;
--- a/include/forward/node.h
+++ b/include/forward/node.h
@@ -1,12 +1,12 @@
 /*
- * node.h - a forwarding process: its parts, put together
+ * node.h - main loop of a forwarding process
  *
  * DESCRIPTION
- *	Joins callers' server, fleet, feeds, gossip, roles and the forwarding
- *	core for one outside interface, given as tables. It tells the balancer
- *	when it is ready, and drains on SIGTERM: it says that it is not ready,
- *	goes on taking what still comes until the balancer has seen that,
- *	finishes what is under way, and stops. SIGHUP reads the settings file
+ *	Connects the web servers, fleet, feeds, gossip, roles and the forwarding
+ *	core to one platform, given as tables of functions. Health checks report
+ *	whether the process is ready. SIGTERM drains it: health checks fail, new
+ *	requests are accepted until the balancer has noticed, requests in
+ *	progress end, and the process exits. SIGHUP reads the settings file
  *	again.
  */
 #ifndef FORWARD_NODE_H
@@ -22,13 +22,14 @@
 
 struct node;
 
-/* What the outside interface brings. Streams outlive the node. */
+/* The platform's functions and stream names, which stay valid longer than the
+ * node. */
 struct node_interface {
 	struct backend_ops backends;
 	struct caller_codec callers;
 	struct feed_store feeds;
 	struct log_store log;
-	/* Sets, or with value NULL drops, a key of a keyed stream. */
+	/* Sets a key of a keyed stream, or deletes it if value is NULL. */
 	void (*put)(void *ctx, const char *stream, const char *key,
 		    const char *value, void (*fn)(void *ctx, enum result_code),
 		    void *fn_ctx);
@@ -36,11 +37,11 @@
 					  struct error *err);
 	bool (*decode_backend)(const char *id, const void *data, size_t size,
 			       struct backend_info *info, struct error *err);
-	/* Whether an entry repeats another but for its count of heartbeats. */
+	/* Whether two entries differ at most in their count of heartbeats. */
 	bool (*backend_repeats)(const void *before, size_t before_size,
 				const void *data, size_t size);
-	/* Whether a key of the stream of configurations tells, for as long as
-	 * it has a value, that a data centre is evacuated; and which. */
+	/* Whether a key of the configuration stream marks a data centre as
+	 * evacuated while it has a value; sets data_centre. */
 	bool (*decode_evacuation)(const char *key,
 				  char data_centre[BACKEND_TEXT_MAX]);
 	const char *config_stream;
@@ -49,7 +50,7 @@
 	void *ctx;
 };
 
-/* Builds the interface on the node's client, and ends it. */
+/* Opens the interface with the node's HTTP client, and closes it. */
 struct node_factory {
 	bool (*open)(void *ctx, struct web_client *client,
 		     const struct clock *clock,
@@ -59,7 +60,7 @@
 	void *ctx;
 };
 
-/* Runs until the process is told to stop; returns its exit status. file is the
+/* Runs until a signal stops the process; returns the exit status. file is the
  * settings file or NULL. */
 int node_run(const char *file, int argc, char **argv,
 	     const struct node_factory *factory);
--- a/include/forward/settings.h
+++ b/include/forward/settings.h
@@ -1,10 +1,10 @@
 /*
- * settings.h - what a forwarding process is told: flags, environment, a file
+ * settings.h - settings of a forwarding process: flags, environment and file
  *
  * DESCRIPTION
- *	Through common/setting.h: flags go before environment variables, these
- *	before the settings file. The file may be read again while the process
- *	runs; a bad one leaves the settings as they were.
+ *	Read with common/setting.h: flags override environment variables, which
+ *	override the settings file. The file may be read again while the process
+ *	runs; an invalid one leaves the settings unchanged.
  */
 #ifndef FORWARD_SETTINGS_H
 #define FORWARD_SETTINGS_H
@@ -18,7 +18,7 @@
 #define FORWARD_SEEDS_MAX 16u
 #define FORWARD_CENTRES_MAX 64u
 
-/* Where a data centre lies. */
+/* The region of a data centre. */
 struct centre_region {
 	const char *data_centre;
 	const char *region;
@@ -31,7 +31,7 @@
 	const char *health_listen; /* the balancer */
 	const char *peer_listen;   /* other instances, metrics */
 	const char *platform;	   /* the platform's store */
-	/* Other instances that may run, by peer_listen. */
+	/* Other instances' peer_listen, contacted at the start. */
 	const char *seeds[FORWARD_SEEDS_MAX];
 	uint32_t seed_count;
 	struct centre_region regions[FORWARD_CENTRES_MAX];
@@ -42,13 +42,13 @@
 	double retry_window_sec;
 	double grace_sec; /* from SIGTERM to SIGKILL */
 	uint32_t connections_max;
-	/* Servers that ended under a request, from which on it is refused. */
+	/* Crashed servers after which a request is refused. */
 	uint32_t quarantine_crashes;
 	const char *limits; /* name of limit_policy */
 	enum limit_policy limit_policy;
 };
 
-/* Reads the file (NULL: none), the environment and argv. Exits by itself only
+/* Reads the file (NULL: none), the environment and argv. Exits the process only
  * for --help and --version. */
 bool forward_settings_read(struct forward_settings *settings, const char *file,
 			   int argc, char **argv, struct error *err);
