--- a/forward/admit.c
+++ b/forward/admit.c
@@ -20,19 +20,21 @@
 static struct counter *organisation_counter(struct forward *forward,
 					    const char *name)
 {
-	struct counter *counter = g_hash_table_lookup(forward->counted, name);
+	struct counter *counter =
+		g_hash_table_lookup(forward->organisation_counters, name);
 	g_autofree char *labels = NULL;
 
 	if (counter)
 		return counter;
-	if (g_hash_table_size(forward->counted) >= COUNTED_MAX)
+	if (g_hash_table_size(forward->organisation_counters) >= COUNTED_MAX)
 		name = "(others)";
 	labels = g_strdup_printf("organisation=\"%s\"", name);
 	counter = counter_get(
 		forward->parts.counters, "jt_over_allotment_requests_total",
 		"Requests refused beyond an organisation's allotment", labels);
-	if (g_hash_table_size(forward->counted) < COUNTED_MAX)
-		g_hash_table_insert(forward->counted, g_strdup(name), counter);
+	if (g_hash_table_size(forward->organisation_counters) < COUNTED_MAX)
+		g_hash_table_insert(forward->organisation_counters,
+				    g_strdup(name), counter);
 	return counter;
 }
 
@@ -55,15 +57,16 @@
 }
 
 static void refused_log(const struct request *request,
-			const struct limit_request *ask,
+			const struct limit_request *limit_request,
 			const struct limit_refusal *refusal)
 {
 	log_event(LOG_INFO, "over_allotment",
 		  LOG_S("request", request->caller.id),
 		  LOG_S("organisation", request->organisation->name),
-		  LOG_F("units", ask->units), LOG_F("level", refusal->level),
-		  LOG_F("rate", ask->allotment.rate),
-		  LOG_F("burst", ask->allotment.burst),
+		  LOG_F("units", limit_request->units),
+		  LOG_F("level", refusal->level),
+		  LOG_F("rate", limit_request->allotment.rate),
+		  LOG_F("burst", limit_request->allotment.burst),
 		  LOG_D("heard_age_ms",
 			refusal->age_usec < 0
 				? -1
@@ -77,24 +80,25 @@
 	const struct forward_parts *parts = &request->forward->parts;
 	const struct caller_request *caller = &request->caller;
 	struct limit_refusal refusal;
-	struct limit_request ask = {
+	struct limit_request limit_request = {
 		.account = organisation->id,
 		.allotment = organisation->allotment,
 		.units = organisation_units(organisation,
 					    (uint64_t)caller->prompt_tokens +
 						    caller->output_max),
-		.sharers = parts->instances(parts->instances_ctx),
+		.sharers = parts->instances(parts->callbacks_ctx),
 	};
 
-	if (ask.allotment.rate <= 0.0)
+	if (limit_request.allotment.rate <= 0.0)
 		return true;
-	if (limit_take(parts->limits, request->arrived, &ask, &refusal)) {
-		request->units = ask.units;
-		parts->allotment_used(parts->instances_ctx);
+	if (limit_take(parts->limits, request->arrived, &limit_request,
+		       &refusal)) {
+		request->units = limit_request.units;
+		parts->allotment_used(parts->callbacks_ctx);
 		return true;
 	}
 	organisation_counter(request->forward, organisation->name)->value++;
-	refused_log(request, &ask, &refusal);
+	refused_log(request, &limit_request, &refusal);
 	request_refuse(request,
 		       refusal.retry_usec > 0 ? RESULT_OVER_ALLOTMENT
 					      : RESULT_ALLOTMENT_SMALL,
--- a/forward/answer.c
+++ b/forward/answer.c
@@ -43,7 +43,7 @@
 }
 
 /* Statuses that mean to a caller that its request did not run. */
-static bool status_promises(int status)
+static bool status_denies_run(int status)
 {
 	return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -52,7 +52,8 @@
 {
 	return answer->has_head && answer->head.signed_by &&
 	       !answer->too_large &&
-	       (answer->head.not_run || !status_promises(answer->head.status));
+	       (answer->head.not_run ||
+		!status_denies_run(answer->head.status));
 }
 
 void answer_clear(struct answer *answer)
--- a/forward/events.c
+++ b/forward/events.c
@@ -16,8 +16,8 @@
 
 /* Parses "id: 12" or "id:12". Other ids are relayed, but a stream cannot be
  * resumed after them. */
-static void line_read(struct event_cutter *cutter, const char *line,
-		      size_t size)
+static void line_parse(struct event_cutter *cutter, const char *line,
+		       size_t size)
 {
 	uint64_t id = 0;
 	size_t at = 3;
@@ -63,15 +63,15 @@
 }
 
 /* Parses the lines of one event; returns its size, 0 when it is incomplete. */
-static size_t event_read(struct event_cutter *cutter, const char *text,
-			 size_t size)
+static size_t event_parse(struct event_cutter *cutter, const char *text,
+			  size_t size)
 {
 	size_t at = 0;
 	size_t length;
 	size_t next;
 
 	while (line_find(text + at, size - at, &length, &next)) {
-		line_read(cutter, text + at, length);
+		line_parse(cutter, text + at, length);
 		at += next;
 		if (length == 0)
 			return at;
@@ -86,8 +86,8 @@
 	bool has_id = cutter->has_id;
 	size_t size;
 
-	while ((size = event_read(cutter, text + cutter->scanned,
-				  cutter->rest->len - cutter->scanned)) > 0) {
+	while ((size = event_parse(cutter, text + cutter->scanned,
+				   cutter->rest->len - cutter->scanned)) > 0) {
 		cutter->scanned += size;
 		cutter->events++;
 		last_id = cutter->last_id;
--- a/forward/forward.c
+++ b/forward/forward.c
@@ -12,10 +12,10 @@
 #define DEMAND_USEC (8 * USEC_PER_SEC)
 /* Lower bound of the process's age, as a fraction of DEMAND_USEC (1 s): demand
  * of a shorter time is taken as that of one second. */
-#define DEMAND_AGE_LEAST 0.125
+#define DEMAND_AGE_MIN 0.125
 
 /* Initial mean time from reservation to first event. */
-#define BEGIN_USEC (250.0 * (double)USEC_PER_MSEC)
+#define FIRST_EVENT_USEC (250.0 * (double)USEC_PER_MSEC)
 
 /* A rate is unknown with fewer samples. */
 #define RATE_SAMPLES 5u
@@ -41,11 +41,11 @@
 		g_autofree char *labels =
 			g_strdup_printf("outcome=\"%s\"", request_end_name(i));
 
-		forward->ended[i] =
+		forward->outcomes[i] =
 			counter_get(set, "jt_requests_total",
 				    "Requests by their end", labels);
 	}
-	forward->servers_ended =
+	forward->servers_crashed =
 		counter_get(set, "jt_server_ends_total",
 			    "Requests under which a server ended", NULL);
 	forward->quarantined = counter_get(
@@ -68,7 +68,7 @@
 		histogram_get(set, "jt_request_seconds", "", "stage=\"first\"");
 }
 
-static void ended_open(struct forward *forward)
+static void crash_detector_open(struct forward *forward)
 {
 	const struct crash_detector_parts parts = {
 		.clock = forward->parts.clock,
@@ -89,13 +89,13 @@
 	forward->requests = table_create(sizeof(struct request), REQUESTS_MAX);
 	forward->demand = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						NULL, g_free);
-	forward->counted =
+	forward->organisation_counters =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	forward->begin_usec = BEGIN_USEC;
-	forward->began = clock_now(parts->clock);
+	forward->first_event_usec = FIRST_EVENT_USEC;
+	forward->started_at = clock_now(parts->clock);
 	timer_init(&forward->pump, parts->clock, on_pump, forward);
 	counters_setup(forward);
-	ended_open(forward);
+	crash_detector_open(forward);
 	parts->backends.watch(parts->backends.ctx, permit_signals, forward);
 	return forward;
 }
@@ -115,7 +115,7 @@
 	crash_detector_destroy(forward->crash_detector);
 	table_destroy(forward->requests);
 	g_hash_table_destroy(forward->demand);
-	g_hash_table_destroy(forward->counted);
+	g_hash_table_destroy(forward->organisation_counters);
 	catalog_unref(forward->catalog);
 	g_free(forward);
 }
@@ -200,9 +200,9 @@
 /* The time covered by the decayed sum: shorter soon after the start. */
 static double demand_sec(const struct forward *forward, int64_t now)
 {
-	double age = (double)(now - forward->began) / (double)DEMAND_USEC;
+	double age = (double)(now - forward->started_at) / (double)DEMAND_USEC;
 
-	return (1.0 - exp(-MAX(age, DEMAND_AGE_LEAST))) * (double)DEMAND_USEC /
+	return (1.0 - exp(-MAX(age, DEMAND_AGE_MIN))) * (double)DEMAND_USEC /
 	       (double)USEC_PER_SEC;
 }
 
--- a/forward/node.c
+++ b/forward/node.c
@@ -232,10 +232,10 @@
 		.list_age = list_age_get,
 		.waiting = waiting_get,
 		.load_changed = load_changed,
-		.work_changed = node_quarantine_changed,
+		.quarantine_changed = node_quarantine_changed,
 		.allotment_used = node_allotment_used,
 		.permit = node_permit,
-		.instances_ctx = node,
+		.callbacks_ctx = node,
 	};
 
 	node->quarantine = node_quarantine_create(node);
@@ -346,7 +346,7 @@
 	core_open(node);
 	node->callers =
 		server_open(node, settings->listen, settings->connections_max,
-			    forward_take, node->forward, err);
+			    forward_handle_request, node->forward, err);
 	if (!node->callers)
 		return false;
 	node->health = server_open(node, settings->health_listen,
--- a/forward/node.h
+++ b/forward/node.h
@@ -33,16 +33,14 @@
 	struct mirror *mirror;
 	struct timer fetch_timer;
 	struct web_call *fetch;
-	char from[BACKEND_TEXT_MAX]; /* address of the last peer to announce a
-					newer copy */
-	/* Since when only remote data centres announce a newer copy; 0: unset.
-	 */
+	char from[BACKEND_TEXT_MAX]; /* peer to fetch from */
+	/* Start of newer copies at remote instances only; 0: none. */
 	int64_t remote_since;
 };
 
 /* The quarantine entry being written to the store, one at a time. */
 struct quarantine_write {
-	struct request_fingerprint work;
+	struct request_fingerprint fingerprint;
 	bool held; /* the entry is written, otherwise deleted */
 	bool in_progress;
 	int64_t retry_at; /* of a failed write */
@@ -80,14 +78,14 @@
 	struct web_server *health;
 	struct web_server *peers_server; /* mirrors and metrics */
 	uint64_t boot;
-	int64_t served_from; /* start of the second that served_bytes counts */
+	int64_t served_since; /* start of the second that served_bytes counts */
 	size_t served_bytes;
 	bool registered;
 	int64_t registered_at;
 	bool draining;
 	int64_t refreshed_at; /* last read of the configuration for a peer's
 				 summary */
-	int64_t drained_from;
+	int64_t drain_started_at;
 	struct timer drain_timer;
 	struct timer file_timer;
 	int64_t file_read; /* modification time of the settings file when last
@@ -124,7 +122,8 @@
 /* node_quarantine.c: quarantine entries, to and from other instances and the
  * store. */
 struct quarantine *node_quarantine_create(const struct node *node);
-void node_quarantine_changed(void *ctx, const struct request_fingerprint *work);
+void node_quarantine_changed(void *ctx,
+			     const struct request_fingerprint *fingerprint);
 bool node_quarantine_received(void *ctx, const struct quarantine_entry *entry);
 uint32_t node_quarantine_next(void *ctx, struct quarantine_entry *entries,
 			      uint32_t most);
--- a/forward/node_drain.c
+++ b/forward/node_drain.c
@@ -18,7 +18,7 @@
 static void on_check(struct timer *timer, void *ctx)
 {
 	struct node *node = ctx;
-	int64_t since = clock_now(node->clock) - node->drained_from;
+	int64_t since = clock_now(node->clock) - node->drain_started_at;
 	int64_t longest = (int64_t)((node->settings.grace_sec - RESERVE_SEC) *
 				    (double)USEC_PER_SEC);
 	uint32_t pending = forward_pending(node->forward) +
@@ -43,7 +43,7 @@
 	if (node->draining)
 		return;
 	node->draining = true;
-	node->drained_from = clock_now(node->clock);
+	node->drain_started_at = clock_now(node->clock);
 	log_event(LOG_NOTICE, "draining",
 		  LOG_D("pending", forward_pending(node->forward)));
 	web_server_announce(node->callers);
--- a/forward/node_feeds.c
+++ b/forward/node_feeds.c
@@ -322,8 +322,8 @@
 {
 	int64_t now = clock_now(node->clock);
 
-	if (now - node->served_from >= USEC_PER_SEC) {
-		node->served_from = now;
+	if (now - node->served_since >= USEC_PER_SEC) {
+		node->served_since = now;
 		node->served_bytes = 0;
 	}
 	if (node->served_bytes > 0 &&
--- a/forward/node_permits.c
+++ b/forward/node_permits.c
@@ -16,7 +16,8 @@
 	return !node->draining;
 }
 
-static bool grant(struct node *node, uint64_t server, int64_t *retry_usec)
+static bool permit_grant(struct node *node, uint64_t server,
+			 int64_t *retry_usec)
 {
 	if (clock_now(node->clock) < NODE_DISCOVERY_USEC) {
 		*retry_usec = NODE_DISCOVERY_USEC - clock_now(node->clock);
@@ -37,9 +38,9 @@
 		return PERMIT_GRANTED;
 	if (gossip_request_permit(node->gossip, &request,
 				  backend->info.data_centre, may_be_home(node)))
-		return PERMIT_ASKED;
-	return grant(node, backend->key, retry_usec) ? PERMIT_GRANTED
-						     : PERMIT_DENIED;
+		return PERMIT_PENDING;
+	return permit_grant(node, backend->key, retry_usec) ? PERMIT_GRANTED
+							    : PERMIT_DENIED;
 }
 
 void node_permit_requested(void *ctx, const struct permit_request *request,
@@ -55,7 +56,7 @@
 		backend &&
 		gossip_is_home(node->gossip, backend->key,
 			       backend->info.data_centre, may_be_home(node)) &&
-		grant(node, backend->key, &answer->retry_usec);
+		permit_grant(node, backend->key, &answer->retry_usec);
 }
 
 void node_permit_answered(void *ctx, const struct permit_answer *answer)
--- a/forward/permit.c
+++ b/forward/permit.c
@@ -151,17 +151,17 @@
 
 	if (!is_limited(request, backend))
 		return PERMIT_GRANTED;
-	permit = parts->permit(parts->instances_ctx, backend, request->handle,
+	permit = parts->permit(parts->callbacks_ctx, backend, request->handle,
 			       &retry_usec);
 	if (permit == PERMIT_DENIED)
 		permit_deny(request, backend, retry_usec, "limit");
-	if (permit != PERMIT_ASKED)
+	if (permit != PERMIT_PENDING)
 		return permit;
 	request->permit_attempts++;
 	request->permit_step = step;
-	request->permit_from = backend->key;
+	request->permit_server = backend->key;
 	timer_start(&request->permit_timer, ANSWER_USEC);
-	return PERMIT_ASKED;
+	return PERMIT_PENDING;
 }
 
 void permit_forget(struct request *request)
@@ -174,8 +174,8 @@
  */
 static struct backend *permit_backend(const struct request *request)
 {
-	struct backend *backend =
-		fleet_find(request->forward->parts.fleet, request->permit_from);
+	struct backend *backend = fleet_find(request->forward->parts.fleet,
+					     request->permit_server);
 
 	if (!backend || !backend_usable(backend, request_now(request)))
 		return NULL;
@@ -220,7 +220,7 @@
 	struct backend *backend = fleet_find(forward->parts.fleet, server);
 
 	if (!request || request->permit_step == PERMIT_STEP_NONE ||
-	    request->permit_from != server)
+	    request->permit_server != server)
 		return;
 	if (backend && !granted)
 		permit_deny(request, backend, retry_usec, "limit");
--- a/forward/plain.c
+++ b/forward/plain.c
@@ -12,8 +12,8 @@
 
 /* Timeout of the answer's head for a repeatable request, in multiples of the
  * route's target, and its lower bound. */
-#define SILENCE_TARGETS 2
-#define SILENCE_MIN_USEC (150 * USEC_PER_MSEC)
+#define HEAD_TARGETS 2
+#define HEAD_MIN_USEC (150 * USEC_PER_MSEC)
 /* A server becomes free within about one call (15 ms). */
 #define RETRY_USEC (40 * USEC_PER_MSEC)
 /* Requests at a server, in multiples of its slots, above which a further one
@@ -44,7 +44,7 @@
 /* A request that a server answered with an error mostly fails at other servers
  * too (511 of 676, at a general failure rate of 14 %), so its retry only takes
  * a free slot and never delays waiting requests. */
-static bool worth_again(const struct request *request,
+static bool worth_retry(const struct request *request,
 			const struct backend *backend)
 {
 	return !answer_may_pass(&request->answer) || place_plain_free(backend);
@@ -54,16 +54,16 @@
 static void plain_retry(struct request *request, enum result_code code,
 			const char *why)
 {
-	bool may = (request->runs == 0 || request_repeatable(request)) &&
-		   !request_suspected(request);
+	bool may_retry = (request->runs == 0 || request_repeatable(request)) &&
+			 !request_is_suspect(request);
 
-	if (may && request->runs < request->route->attempts &&
-	    request_left(request) > 0) {
+	if (may_retry && request->runs < request->route->attempts &&
+	    request_time_left(request) > 0) {
 		struct backend *backend = server_choose(request, false);
 
 		if (request_quarantine(request))
 			return;
-		if (backend && worth_again(request, backend) &&
+		if (backend && worth_retry(request, backend) &&
 		    request_may_send(request)) {
 			plain_send(request, backend);
 			return;
@@ -83,7 +83,7 @@
 	const struct backend_head *head = &request->answer.head;
 	int64_t now = request_now(request);
 
-	request_outlived(request);
+	request_survived(request);
 	if (head->status >= 500 || !answer_may_pass(&request->answer)) {
 		log_event(LOG_INFO, "send_failed",
 			  LOG_S("request", request->caller.id),
@@ -153,7 +153,7 @@
 	struct request *request = ctx;
 	struct answer *answer = &request->answer;
 	struct backend *backend = target_get(request);
-	struct backend_end spoilt = {.connected = true};
+	struct backend_end rejected = {.connected = true};
 
 	request->call = NULL;
 	charge_drop(request, &request->decode);
@@ -166,23 +166,23 @@
 		plain_answered(request, backend);
 		return;
 	}
-	spoilt.text = answer->too_large ? "answer too large"
-					: "answer to another request";
+	rejected.text = answer->too_large ? "answer too large"
+					  : "answer to another request";
 	if (!end->whole)
-		request_lost(request, end);
-	plain_broken(request, backend, end->whole ? &spoilt : end);
+		request_call_failed(request, end);
+	plain_broken(request, backend, end->whole ? &rejected : end);
 }
 
-static int64_t head_limit(const struct request *request)
+static int64_t head_timeout(const struct request *request)
 {
-	int64_t left = request_left(request);
-	int64_t silence = MAX(request->route->target_usec * SILENCE_TARGETS,
-			      SILENCE_MIN_USEC);
+	int64_t left = request_time_left(request);
+	int64_t head_usec =
+		MAX(request->route->target_usec * HEAD_TARGETS, HEAD_MIN_USEC);
 
 	if (!request_repeatable(request) ||
 	    request->runs + 1 >= request->route->attempts)
 		return left;
-	return MIN(left, silence);
+	return MIN(left, head_usec);
 }
 
 static void plain_send(struct request *request, struct backend *backend)
@@ -193,10 +193,10 @@
 	struct send_spec spec = {
 		.kind = SEND_RUN,
 		.caller = &request->caller,
-		.left_usec = request_left(request),
+		.left_usec = request_time_left(request),
 		.connect_usec = BACKEND_CONNECT_USEC,
-		.head_usec = head_limit(request),
-		.idle_usec = request_left(request),
+		.head_usec = head_timeout(request),
+		.idle_usec = request_time_left(request),
 		.resumes = request->caller.resumes,
 		.resume_after = request->caller.resume_after,
 	};
@@ -215,10 +215,10 @@
 
 static void plain_refuse(struct request *request)
 {
-	int64_t opens = request_available_at(request, STAGE_NONE);
+	int64_t available_at = request_available_at(request, STAGE_NONE);
 
-	if (opens > 0)
-		request_refuse_until(request, opens);
+	if (available_at > 0)
+		request_refuse_until(request, available_at);
 	else
 		request_refuse(request, RESULT_NO_BACKEND, RETRY_USEC);
 }
--- a/forward/request.c
+++ b/forward/request.c
@@ -11,19 +11,19 @@
 
 /* A process has its configuration within about 50 ms of its start, within 250
  * ms on large sites, where it comes from other instances. */
-#define NO_CONFIG_USEC (250 * USEC_PER_MSEC)
+#define NO_CONFIG_RETRY_USEC (250 * USEC_PER_MSEC)
 
 /* Fraction of a cold server's rate limit that is used: two instances may
  * briefly both act as its home. */
-#define COLD_PART 0.5
+#define COLD_FRACTION 0.5
 
 /* Retry jitter for callers that wait for the same server. */
-#define RETURN_SPREAD_USEC (200 * USEC_PER_MSEC)
+#define RETRY_JITTER_USEC (200 * USEC_PER_MSEC)
 
 static const char *const end_names[END_COUNT] = {
 	[END_ANSWERED] = "answered", [END_REFUSED] = "refused",
 	[END_FAILED] = "failed",     [END_BROKEN] = "broken",
-	[END_GONE] = "gone",	     [END_DENIED] = "denied",
+	[END_CALLER_GONE] = "gone",  [END_DENIED] = "denied",
 };
 
 const char *request_end_name(enum request_end end)
@@ -36,9 +36,9 @@
 	return clock_now(request->forward->parts.clock);
 }
 
-int64_t request_left(const struct request *request)
+int64_t request_time_left(const struct request *request)
 {
-	return MAX(request->limit - request_now(request), 0);
+	return MAX(request->deadline - request_now(request), 0);
 }
 
 bool request_repeatable(const struct request *request)
@@ -51,7 +51,7 @@
 
 double request_cold_limit(const struct request *request)
 {
-	return request->service->cold_per_sec * COLD_PART;
+	return request->service->cold_per_sec * COLD_FRACTION;
 }
 
 void request_place(const struct request *request, struct place *place)
@@ -69,8 +69,8 @@
 		.regions = {request->route->regions,
 			    organisation ? organisation->regions : NULL},
 		.rand = parts->rand,
-		.stale_local = parts->interval(parts->instances_ctx, true),
-		.stale_remote = parts->interval(parts->instances_ctx, false),
+		.stale_local = parts->interval(parts->callbacks_ctx, true),
+		.stale_remote = parts->interval(parts->callbacks_ctx, false),
 	};
 }
 
@@ -89,7 +89,7 @@
 
 	return budget_take(parts->budgets, request->service->id,
 			   clock_now(parts->clock),
-			   parts->instances(parts->instances_ctx));
+			   parts->instances(parts->callbacks_ctx));
 }
 
 void request_uncount(struct request *request, const struct backend_end *end)
@@ -103,9 +103,9 @@
 
 bool request_may_send(struct request *request)
 {
-	if (request->sends == 0 || request->paid ||
+	if (request->sends == 0 || request->send_prepaid ||
 	    request_take_send(request)) {
-		request->paid = false;
+		request->send_prepaid = false;
 		return true;
 	}
 	log_event(LOG_NOTICE, "send_budget_spent",
@@ -133,10 +133,10 @@
 		  LOG_F("trouble",
 			backend_failure_score(backend, request_now(request))),
 		  LOG_D("list_age_ms",
-			parts->list_age(parts->instances_ctx) / USEC_PER_MSEC),
+			parts->list_age(parts->callbacks_ctx) / USEC_PER_MSEC),
 		  LOG_D("version", request->catalog->version),
 		  LOG_D("after_ms", since_msec(request, request_now(request))),
-		  LOG_D("left_ms", request_left(request) / USEC_PER_MSEC));
+		  LOG_D("left_ms", request_time_left(request) / USEC_PER_MSEC));
 }
 
 static void charge_changed(const struct request *request,
@@ -145,7 +145,7 @@
 	const struct forward_parts *parts = &request->forward->parts;
 
 	if (charge->load.decode_tokens > 0 || charge->load.prefill_tokens > 0)
-		parts->load_changed(parts->instances_ctx);
+		parts->load_changed(parts->callbacks_ctx);
 }
 
 void charge_add(struct request *request, struct charge *charge,
@@ -186,7 +186,7 @@
 	const struct backend_ops *ops = &request->forward->parts.backends;
 
 	if (request->kv[0])
-		ops->free_result(ops->ctx, &request->kv_at, request->kv);
+		ops->free_result(ops->ctx, &request->kv_source, request->kv);
 	request->kv[0] = '\0';
 }
 
@@ -258,7 +258,7 @@
 {
 	struct forward *forward = request->forward;
 
-	forward->ended[end]->value++;
+	forward->outcomes[end]->value++;
 	if (end == END_ANSWERED)
 		histogram_add(forward->whole_time,
 			      request_now(request) - request->arrived);
@@ -304,13 +304,13 @@
 		    result_label(code));
 }
 
-void request_refuse_until(struct request *request, int64_t opens)
+void request_refuse_until(struct request *request, int64_t until)
 {
 	double spread = g_rand_double(request->forward->parts.rand) *
-			(double)RETURN_SPREAD_USEC;
+			(double)RETRY_JITTER_USEC;
 
 	request_refuse(request, RESULT_SERVERS_LIMITED,
-		       opens - request_now(request) + (int64_t)spread);
+		       until - request_now(request) + (int64_t)spread);
 }
 
 void request_fail(struct request *request, enum result_code code,
@@ -346,12 +346,12 @@
 	request_end(request, END_DENIED, result_status(code), why);
 }
 
-static void on_gone(void *ctx)
+static void on_caller_gone(void *ctx)
 {
-	request_end(ctx, END_GONE, 0, "caller closed the connection");
+	request_end(ctx, END_CALLER_GONE, 0, "caller closed the connection");
 }
 
-static void on_limit(struct timer *timer, void *ctx)
+static void on_timeout(struct timer *timer, void *ctx)
 {
 	struct request *request = ctx;
 
@@ -381,13 +381,13 @@
 	return request->service != NULL;
 }
 
-static void limit_start(struct request *request)
+static void deadline_start(struct request *request)
 {
 	int64_t limit = request->route->timeout_usec;
 
 	if (request->caller.limit_usec > 0)
 		limit = MIN(limit, request->caller.limit_usec);
-	request->limit = request->arrived + limit;
+	request->deadline = request->arrived + limit;
 	timer_start(&request->timer, limit);
 }
 
@@ -405,10 +405,10 @@
 	request->web = web;
 	request->arrived = clock_now(forward->parts.clock);
 	event_cutter_init(&request->cutter);
-	timer_init(&request->timer, forward->parts.clock, on_limit, request);
+	timer_init(&request->timer, forward->parts.clock, on_timeout, request);
 	timer_init(&request->permit_timer, forward->parts.clock,
 		   permit_unanswered, request);
-	web_request_on_gone(web, on_gone, request);
+	web_request_on_gone(web, on_caller_gone, request);
 	return request;
 }
 
@@ -420,7 +420,7 @@
 		       request->arrived);
 	if (request_quarantine(request))
 		return;
-	limit_start(request);
+	deadline_start(request);
 	if (request->service->engine.memory_tokens > 0 &&
 	    request->caller.prompt_tokens > 0)
 		stream_start(request);
@@ -428,7 +428,7 @@
 		plain_start(request);
 }
 
-void forward_take(void *ctx, struct web_request *web)
+void forward_handle_request(void *ctx, struct web_request *web)
 {
 	struct forward *forward = ctx;
 	const struct caller_codec *codec = &forward->parts.callers;
@@ -446,7 +446,7 @@
 		return;
 	}
 	if (!forward->catalog) {
-		request_refuse(request, RESULT_NO_CONFIG, NO_CONFIG_USEC);
+		request_refuse(request, RESULT_NO_CONFIG, NO_CONFIG_RETRY_USEC);
 		return;
 	}
 	request->catalog = catalog_ref(forward->catalog);
--- a/forward/request.h
+++ b/forward/request.h
@@ -54,36 +54,36 @@
 	const struct organisation *organisation; /* NULL: unknown caller */
 	double units;				 /* taken from the allotment */
 	int64_t arrived;
-	int64_t limit; /* time of the request's timeout */
+	int64_t deadline; /* time of the request's timeout */
 	struct timer timer;
 	struct web_call *call;
 	enum permit_step permit_step;
-	uint64_t permit_from; /* key of the server to send to */
+	uint64_t permit_server; /* key of the server to send to */
 	struct timer permit_timer;
 	uint32_t permit_attempts;
 	struct answer answer;
 	struct tried tried;
 	struct request_identity work; /* set by request_identify() */
 	bool work_known;
-	bool lost_connection; /* during a call */
-	uint32_t sends;	      /* calls counted against the retry budget */
-	bool paid;     /* the budget for the next send was taken by a prefill */
-	uint32_t runs; /* calls that may have begun to run */
-	uint32_t rounds; /* reservations granted, for streams */
-	double weight;	 /* for streams: engine_rates_weight() */
-	bool judged;	 /* the check for an early refusal is done */
-	bool is_probe;	 /* run at a decode server that refused others */
+	bool lost_connection;  /* during a call */
+	uint32_t sends;	       /* calls counted against the retry budget */
+	bool send_prepaid;     /* a prefill took it from the budget */
+	uint32_t runs;	       /* calls that may have begun to run */
+	uint32_t reservations; /* granted so far, for streams */
+	double weight;	       /* for streams: engine_rates_weight() */
+	bool checked_early;    /* the check for an early refusal is done */
+	bool is_probe;	       /* run at a decode server that refused others */
 	int replied_status;
 	bool replied; /* the head of an answer was sent to the caller */
 	struct charge decode;
 	struct charge prefill;
 	char hold[HOLD_MAX];
 	char kv[KV_HANDLE_MAX];
-	struct backend_info kv_at;  /* server that holds kv */
-	struct backend_info target; /* of the current or last call */
+	struct backend_info kv_source; /* server that holds kv */
+	struct backend_info target;    /* of the current or last call */
 	struct event_cutter cutter;
-	int64_t asked_at; /* start of the current reservation or prefill */
-	uint32_t ahead;	  /* prompt tokens queued before that prefill */
+	int64_t step_started_at; /* of a reservation or prefill */
+	uint32_t tokens_ahead;	 /* prompt tokens queued before that prefill */
 	/* For the log line at the end. */
 	int64_t placed_at;
 	int64_t prefilled_at;
@@ -94,32 +94,32 @@
 };
 
 enum request_end {
-	END_ANSWERED, /* with the complete answer of a server */
-	END_REFUSED,  /* answered that it did not run */
-	END_FAILED,   /* answered with an error; it may have run */
-	END_BROKEN,   /* answer aborted after its head was sent */
-	END_GONE,     /* the caller closed the connection */
-	END_DENIED,   /* no route, unknown key, malformed or too large */
+	END_ANSWERED,	 /* with the complete answer of a server */
+	END_REFUSED,	 /* answered that it did not run */
+	END_FAILED,	 /* answered with an error; it may have run */
+	END_BROKEN,	 /* answer aborted after its head was sent */
+	END_CALLER_GONE, /* the caller closed the connection */
+	END_DENIED,	 /* no route, unknown key, malformed or too large */
 	END_COUNT,
 };
 
 struct forward {
 	struct forward_parts parts;
-	int64_t began;
+	int64_t started_at;
 	struct catalog *catalog;
 	struct table *requests;
 	GQueue waiting; /* streams without decode memory, in order of entry */
 	struct timer pump;
 	struct ended *crash_detector;
-	double begin_usec; /* mean time from reservation to first event */
+	double first_event_usec; /* mean time from reservation to first event */
 	bool draining;
-	size_t unread;			  /* sum over all requests */
-	struct counter *ended[END_COUNT]; /* by enum request_end */
-	struct counter *servers_ended;
+	size_t unread;			     /* sum over all requests */
+	struct counter *outcomes[END_COUNT]; /* by enum request_end */
+	struct counter *servers_crashed;
 	struct counter *quarantined;
 	struct counter *permits_denied;
 	struct counter *unknown_keys;
-	GHashTable *counted; /* organisation name to struct counter */
+	GHashTable *organisation_counters; /* by name */
 	struct histogram *whole_time;
 	struct histogram *wait_time;
 	struct histogram *prefill_time;
@@ -129,7 +129,7 @@
 
 int64_t request_now(const struct request *request);
 /* Time left until the request's timeout; at least 0. */
-int64_t request_left(const struct request *request);
+int64_t request_time_left(const struct request *request);
 /* Whether the request may run again although an earlier run may have begun. */
 bool request_repeatable(const struct request *request);
 void request_place(const struct request *request, struct place *place);
@@ -148,14 +148,15 @@
 void request_uncount(struct request *request, const struct backend_end *end);
 /* Records a failed call; starts crash detection if the server may have crashed
  * while running it. */
-void request_lost(struct request *request, const struct backend_end *end);
+void request_call_failed(struct request *request,
+			 const struct backend_end *end);
 /* Whether the request lost a connection and is known to have crashed servers
  * before. It is not retried then: a retry sent before the crash detector has
  * checked the server could crash one more server with each attempt. The caller
  * may send it again. */
-bool request_suspected(const struct request *request);
+bool request_is_suspect(const struct request *request);
 /* Records that a server answered the request without a crash. */
-void request_outlived(struct request *request);
+void request_survived(struct request *request);
 /* Ends the request if its fingerprint is in quarantine; true when it did.
  * Called before each send. */
 bool request_quarantine(struct request *request);
@@ -199,7 +200,7 @@
 void request_refuse(struct request *request, enum result_code code,
 		    int64_t retry_usec);
 /* Refuses the request: all servers are in backoff or at a limit until then. */
-void request_refuse_until(struct request *request, int64_t opens);
+void request_refuse_until(struct request *request, int64_t until);
 void request_fail(struct request *request, enum result_code code,
 		  const char *why);
 /* Answers that the request is invalid; a retry of the same request would fail
@@ -218,7 +219,7 @@
 /* A signals_fn with the forward as context. */
 void permit_signals(void *ctx, uint64_t server,
 		    const struct backpressure_signals *signals);
-/* Whether the request may be sent to the server now. With PERMIT_ASKED, the
+/* Whether the request may be sent to the server now. With PERMIT_PENDING, the
  * step's *_permitted() function below is called later, with the server or, if
  * denied or no longer usable, NULL. After PERMIT_DENIED the server is avoided
  * until limited_until. */
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -28,42 +28,42 @@
 /* Fractions of the maximum output, taken as at most twice the caller's
  * estimate: the one charged to the server, and the one reserved there. Other
  * requests end and free memory during the run, so it is not all needed now. */
-#define COUNTED_PART 0.5
-#define RESERVED_PART 0.125
+#define CHARGED_FRACTION 0.5
+#define RESERVED_FRACTION 0.125
 /* Longest queue of a prefill server that a prompt is sent to, as a fraction of
  * the target, by the measured rate. Otherwise the decode server computes the
  * prefill, or the request waits here, where it holds no decode memory. */
-#define PREFILL_QUEUE_PART 0.45
+#define PREFILL_QUEUE_FRACTION 0.45
 /* Reservations that one request may be granted. */
-#define ROUNDS_MAX 4u
+#define RESERVATIONS_MAX 4u
 /* Retry-After when memory is short: some is freed within about this time. */
 #define RETRY_USEC (300 * USEC_PER_MSEC)
 /* Retry-After while draining: another instance can take the request at once. */
-#define RETRY_ELSEWHERE_USEC (20 * USEC_PER_MSEC)
+#define DRAIN_RETRY_USEC (20 * USEC_PER_MSEC)
 
 static void prefill_place(struct request *request);
 
 /* A fraction of the maximum output, limited by the caller's estimate. */
-static uint32_t output_part(const struct request *request, double part)
+static uint32_t output_fraction(const struct request *request, double fraction)
 {
 	const struct caller_request *caller = &request->caller;
 	uint32_t output = caller->output_max;
 
 	if (caller->output_expected > 0)
 		output = MIN(output, caller->output_expected * 2);
-	return (uint32_t)(output * part);
+	return (uint32_t)(output * fraction);
 }
 
 uint32_t stream_tokens(const struct request *request)
 {
 	return request->caller.prompt_tokens +
-	       output_part(request, COUNTED_PART);
+	       output_fraction(request, CHARGED_FRACTION);
 }
 
 static uint32_t reserved_tokens(const struct request *request)
 {
 	return request->caller.prompt_tokens +
-	       output_part(request, RESERVED_PART);
+	       output_fraction(request, RESERVED_FRACTION);
 }
 
 struct backend *stream_decode(struct request *request)
@@ -72,7 +72,7 @@
 			 request->decode.backend);
 }
 
-void stream_full(struct request *request, struct backend *backend)
+void stream_record_full(struct request *request, struct backend *backend)
 {
 	struct place place;
 
@@ -89,14 +89,15 @@
 void stream_retry(struct request *request, enum result_code code,
 		  const char *why)
 {
-	bool may = !request_suspected(request) &&
-		   (request->runs == 0 ||
-		    (request_repeatable(request) &&
-		     request->runs < request->route->attempts));
+	bool may_retry = !request_is_suspect(request) &&
+			 (request->runs == 0 ||
+			  (request_repeatable(request) &&
+			   request->runs < request->route->attempts));
 
 	request_drop_hold(request);
 	answer_clear(&request->answer);
-	if (may && request->rounds < ROUNDS_MAX && request_left(request) > 0) {
+	if (may_retry && request->reservations < RESERVATIONS_MAX &&
+	    request_time_left(request) > 0) {
 		stream_wait(request);
 		return;
 	}
@@ -164,15 +165,16 @@
 static void prefill_count(struct request *request,
 			  const struct backend_end *end)
 {
-	request->paid = false;
+	request->send_prepaid = false;
 	if (end->connected)
 		request->sends++;
 }
 
 /* A server that refuses all prompts has no load and would be chosen for each
  * next one, so a refusal is recorded against it. */
-static void prefill_blame(struct request *request, struct backend *backend,
-			  const struct backend_end *end)
+static void prefill_record_failure(struct request *request,
+				   struct backend *backend,
+				   const struct backend_end *end)
 {
 	const struct answer *answer = &request->answer;
 
@@ -195,12 +197,12 @@
 	if (end->whole && prefill_result(request)) {
 		if (backend)
 			backend_succeeded(backend, now);
-		request->kv_at = request->target;
+		request->kv_source = request->target;
 		request->prefilled_at = now;
 		engine_rates_add_prefill(
 			forward_rates(request->forward, request->service->id),
-			request->caller.prompt_tokens, request->ahead,
-			now - request->asked_at);
+			request->caller.prompt_tokens, request->tokens_ahead,
+			now - request->step_started_at);
 		histogram_add(request->forward->prefill_time,
 			      now - request->placed_at);
 		answer_clear(&request->answer);
@@ -209,10 +211,10 @@
 	}
 	prefill_count(request, end);
 	stream_failed_log(request, "prefill", end);
-	request_lost(request, end);
-	prefill_blame(request, backend, end);
+	request_call_failed(request, end);
+	prefill_record_failure(request, backend, end);
 	answer_clear(&request->answer);
-	if (request_suspected(request))
+	if (request_is_suspect(request))
 		stream_retry(request, RESULT_NO_BACKEND, end->text);
 	else
 		prefill_place(request);
@@ -220,25 +222,25 @@
 
 /* Prompt tokens that may be queued ahead at a prefill server, by the measured
  * prefill rate. */
-static uint32_t most_ahead(const struct request *request)
+static uint32_t max_tokens_ahead(const struct request *request)
 {
 	const struct engine_rates *rates =
 		forward_rates(request->forward, request->service->id);
 	double target = (double)request->route->target_usec;
 
-	return (uint32_t)(PREFILL_QUEUE_PART * target * rates->read.value /
+	return (uint32_t)(PREFILL_QUEUE_FRACTION * target * rates->read.value /
 			  (double)USEC_PER_SEC);
 }
 
 /* Timeout for the prompts queued ahead and this one. */
-static int64_t prefill_limit(const struct request *request,
-			     const struct backend *backend)
+static int64_t prefill_timeout(const struct request *request,
+			       const struct backend *backend)
 {
 	int64_t limit =
 		PREFILL_USEC +
 		(int64_t)backend_prefill_tokens(backend) * PREFILL_TOKEN_USEC;
 
-	return MIN(limit, request_left(request));
+	return MIN(limit, request_time_left(request));
 }
 
 /* The first prefill that succeeds does not count as a send, but which one that
@@ -250,7 +252,7 @@
 		return true;
 	if (!request_take_send(request))
 		return false;
-	request->paid = request->prefilled_at == 0;
+	request->send_prepaid = request->prefilled_at == 0;
 	return true;
 }
 
@@ -266,7 +268,7 @@
 		.kind = SEND_PREFILL,
 		.caller = &request->caller,
 		.to = &request->target,
-		.left_usec = request_left(request),
+		.left_usec = request_time_left(request),
 		.connect_usec = BACKEND_CONNECT_USEC,
 		.idle_usec = PREFILL_USEC,
 	};
@@ -277,12 +279,12 @@
 		stream_run(request);
 		return;
 	}
-	spec.head_usec = prefill_limit(request, backend);
+	spec.head_usec = prefill_timeout(request, backend);
 	backend_try(backend, now);
 	placed_log(request, "prefill", backend);
 	request->target = backend->info;
-	request->asked_at = now;
-	request->ahead = backend_prefill_tokens(backend);
+	request->step_started_at = now;
+	request->tokens_ahead = backend_prefill_tokens(backend);
 	charge_add(request, &request->prefill, backend, &load);
 	request->call = ops->send(ops->ctx, &spec, &events, request);
 }
@@ -304,7 +306,7 @@
 		request_place(request, &place);
 		backend = place_prompt(&place, decode,
 				       request->caller.prompt_tokens,
-				       most_ahead(request));
+				       max_tokens_ahead(request));
 		if (!backend) {
 			stream_run(request);
 			return;
@@ -331,17 +333,19 @@
 }
 
 /* A server that has restarted has lost its earlier results. */
-static bool result_outlived(const struct request *request)
+static bool result_lost(const struct request *request)
 {
 	const struct fleet *fleet = request->forward->parts.fleet;
-	const struct backend *backend = fleet_find_id(fleet, request->kv_at.id);
+	const struct backend *backend =
+		fleet_find_id(fleet, request->kv_source.id);
 
-	return backend && backend->info.started_ms != request->kv_at.started_ms;
+	return backend &&
+	       backend->info.started_ms != request->kv_source.started_ms;
 }
 
-static bool result_fresh(const struct request *request)
+static bool result_usable(const struct request *request)
 {
-	return request->kv[0] && !result_outlived(request) &&
+	return request->kv[0] && !result_lost(request) &&
 	       request_now(request) - request->prefilled_at <
 		       request->service->engine.result_usec -
 			       RESULT_MARGIN_USEC;
@@ -357,9 +361,9 @@
 	request->placed_at = request_now(request);
 	histogram_add(request->forward->wait_time,
 		      request->placed_at - request->arrived);
-	request->rounds++;
+	request->reservations++;
 	/* The result left by a refused run is fetched by this one. */
-	if (result_fresh(request)) {
+	if (result_usable(request)) {
 		stream_run(request);
 		return;
 	}
@@ -370,9 +374,9 @@
 /* While this process is stalled, the answer waits in the socket and the
  * reservation may expire. If it were used, the prefill would be wasted, since
  * the run would be refused for lack of memory. */
-static bool is_lapsed(const struct request *request, int64_t now)
+static bool is_reservation_expired(const struct request *request, int64_t now)
 {
-	return now - request->asked_at >= stream_reserve_usec(request);
+	return now - request->step_started_at >= stream_reserve_usec(request);
 }
 
 static void on_reserved(void *ctx, enum reserve_result result, const char *hold)
@@ -384,11 +388,11 @@
 	request->call = NULL;
 	if (backend && (result == RESERVE_OK || result == RESERVE_FULL))
 		backend_reached(backend);
-	if (result == RESERVE_OK && is_lapsed(request, now)) {
+	if (result == RESERVE_OK && is_reservation_expired(request, now)) {
 		log_event(LOG_NOTICE, "reservation_lapsed",
 			  LOG_S("request", request->caller.id),
-			  LOG_D("after_ms",
-				(now - request->asked_at) / USEC_PER_MSEC));
+			  LOG_D("after_ms", (now - request->step_started_at) /
+						    USEC_PER_MSEC));
 		stream_wait(request);
 		return;
 	}
@@ -397,13 +401,13 @@
 		return;
 	}
 	if (backend && result == RESERVE_FULL)
-		stream_full(request, backend);
+		stream_record_full(request, backend);
 	else if (backend && result == RESERVE_UNREACHABLE)
 		backend_unreachable(backend, now);
 	else if (backend)
 		backend_failed(backend, now);
 	if (result == RESERVE_FAILED && backend)
-		stream_full(request, backend);
+		stream_record_full(request, backend);
 	stream_wait(request);
 }
 
@@ -411,8 +415,8 @@
 {
 	const struct backend_ops *ops = &request->forward->parts.backends;
 
-	request->asked_at = request_now(request);
-	backend_try(backend, request->asked_at);
+	request->step_started_at = request_now(request);
+	backend_try(backend, request->step_started_at);
 	request->call = ops->reserve(
 		ops->ctx, &backend->info, reserved_tokens(request),
 		stream_reserve_usec(request), on_reserved, request);
@@ -424,7 +428,7 @@
 {
 	const struct engine_traits *engine = &request->service->engine;
 	uint32_t tokens = stream_tokens(request);
-	uint32_t ahead = most_ahead(request);
+	uint32_t ahead = max_tokens_ahead(request);
 	struct backend *backend;
 	struct backend *prefill;
 	struct place place;
@@ -487,16 +491,16 @@
 	struct engine_rates *rates =
 		forward_rates(request->forward, request->service->id);
 	uint32_t output = caller->output_expected;
-	double work;
+	double cost;
 
 	if (output == 0)
 		output = caller->output_max / 2;
-	work = stream_cost(caller->prompt_tokens,
+	cost = stream_cost(caller->prompt_tokens,
 			   MIN(output, MAX(caller->output_max, 1u)));
 	if (rates->work.samples == 0)
-		median_init(&rates->work, work);
-	median_add(&rates->work, work);
-	request->weight = engine_rates_weight(rates, work);
+		median_init(&rates->work, cost);
+	median_add(&rates->work, cost);
+	request->weight = engine_rates_weight(rates, cost);
 }
 
 /* Whether no server is in the regions that the request is limited to. */
@@ -520,7 +524,7 @@
 		request_refuse(
 			request,
 			forward->draining ? RESULT_DRAINING : RESULT_QUEUE_FULL,
-			forward->draining ? RETRY_ELSEWHERE_USEC : RETRY_USEC);
+			forward->draining ? DRAIN_RETRY_USEC : RETRY_USEC);
 		return;
 	}
 	if (regions_unserved(request)) {
--- a/forward/stream.h
+++ b/forward/stream.h
@@ -10,7 +10,7 @@
  * listed. */
 struct backend *stream_decode(struct request *request);
 /* Records that the server refused a reservation, or a run that had one. */
-void stream_full(struct request *request, struct backend *backend);
+void stream_record_full(struct request *request, struct backend *backend);
 /* Returns the request to the waiting queue, or ends it if it may not be
  * retried.
  */
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -7,10 +7,10 @@
 
 /* Idle timeout of a resumable stream's server, in multiples of the route's gap
  * between events, and its lower bound. */
-#define SILENT_GAPS 4
-#define SILENT_MIN_USEC (1200 * USEC_PER_MSEC)
+#define IDLE_GAPS 4
+#define IDLE_MIN_USEC (1200 * USEC_PER_MSEC)
 /* Weight of a new sample in the mean time from reservation to first event. */
-#define BEGIN_WEIGHT 0.1
+#define FIRST_EVENT_WEIGHT 0.1
 
 static bool answer_streams(const struct request *request)
 {
@@ -37,19 +37,20 @@
 	request->answer.head.mismatched = head->mismatched;
 }
 
-static void begin_measure(struct request *request)
+static void first_event_measure(struct request *request)
 {
 	struct forward *forward = request->forward;
 	double took = (double)(request->first_at - request->placed_at);
 
 	histogram_add(forward->first_time,
 		      request->first_at - request->arrived);
-	forward->begin_usec += BEGIN_WEIGHT * (took - forward->begin_usec);
+	forward->first_event_usec +=
+		FIRST_EVENT_WEIGHT * (took - forward->first_event_usec);
 }
 
 /* A server that runs out of memory preempts a stream and recomputes its prefill
  * later. */
-static void stall_notice(struct request *request)
+static void stall_check(struct request *request)
 {
 	int64_t gap = request->route->gap_usec;
 
@@ -72,9 +73,9 @@
 		return;
 	if (!request->replied) {
 		request_reply_start(request);
-		begin_measure(request);
+		first_event_measure(request);
 	}
-	stall_notice(request);
+	stall_check(request);
 	request->last_at = request_now(request);
 	web_reply_piece(request->web, cutter->rest->data, whole);
 	event_cutter_take(cutter, whole);
@@ -88,12 +89,12 @@
 	if (!request->kv[0])
 		return NULL;
 	return fleet_find(request->forward->parts.fleet,
-			  backend_key(&request->kv_at));
+			  backend_key(&request->kv_source));
 }
 
 /* Without a prefill result the decode server computes the prefill itself. The
  * charge announces that to instances that would send it further prompts. */
-static void own_read_charge(struct request *request, struct backend *decode)
+static void own_prefill_charge(struct request *request, struct backend *decode)
 {
 	const struct backend_load load = {
 		.prefill_tokens = request->caller.prompt_tokens,
@@ -135,7 +136,7 @@
 /* A run with reserved memory is refused if the decode server changes its role
  * or the prefill result is gone. Which of the two failed shows in later runs,
  * so both servers are recorded, unless one of them already refuses runs. */
-static void refusal_blame(struct request *request, struct backend *decode)
+static void run_record_refusal(struct request *request, struct backend *decode)
 {
 	struct backend *source = result_source(request);
 	bool decode_known = decode && backend_refusing(decode);
@@ -158,8 +159,8 @@
 	request->runs--;
 	if (!request->answer.head.other) {
 		if (backend)
-			stream_full(request, backend);
-		refusal_blame(request, backend);
+			stream_record_full(request, backend);
+		run_record_refusal(request, backend);
 	}
 	stream_retry(request, RESULT_BACKEND_REFUSED, "server is full");
 }
@@ -172,7 +173,7 @@
 	    request->cutter.rest->len == 0 && request->replied) {
 		if (backend)
 			backend_succeeded(backend, now);
-		request_outlived(request);
+		request_survived(request);
 		request_finish(request);
 		return;
 	}
@@ -200,7 +201,7 @@
 		return;
 	}
 	stream_failed_log(request, "run", end);
-	request_lost(request, end);
+	request_call_failed(request, end);
 	stream_record_failure(request, backend, end);
 	event_cutter_drop(&request->cutter);
 	if (answer->has_head && answer->head.not_run &&
@@ -218,15 +219,15 @@
 		     end->text);
 }
 
-static int64_t silence_limit(const struct request *request)
+static int64_t idle_timeout(const struct request *request)
 {
-	int64_t left = request_left(request);
+	int64_t left = request_time_left(request);
 
 	if (!request_repeatable(request) ||
 	    request->runs + 1 >= request->route->attempts)
 		return left;
-	return MIN(left, MAX(SILENT_GAPS * request->route->gap_usec,
-			     SILENT_MIN_USEC));
+	return MIN(left,
+		   MAX(IDLE_GAPS * request->route->gap_usec, IDLE_MIN_USEC));
 }
 
 void stream_run(struct request *request)
@@ -238,11 +239,12 @@
 		.kind = SEND_RUN,
 		.caller = &request->caller,
 		.to = &request->target,
-		.left_usec = request_left(request),
+		.left_usec = request_time_left(request),
 		.connect_usec = BACKEND_CONNECT_USEC,
-		.head_usec = silence_limit(request),
-		.idle_usec = silence_limit(request),
-		.kv_address = request->kv[0] ? request->kv_at.address : NULL,
+		.head_usec = idle_timeout(request),
+		.idle_usec = idle_timeout(request),
+		.kv_address =
+			request->kv[0] ? request->kv_source.address : NULL,
 		.kv_handle = request->kv[0] ? request->kv : NULL,
 		.hold = request->hold[0] ? request->hold : NULL,
 		.resumes = request->caller.resumes,
@@ -266,7 +268,7 @@
 		spec.resume_after = request->cutter.last_id;
 	}
 	placed_log(request, "run", decode);
-	own_read_charge(request, decode);
+	own_prefill_charge(request, decode);
 	request->target = decode->info;
 	request->sends++;
 	request->runs++;
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -48,7 +48,7 @@
 	return &request->work;
 }
 
-void request_lost(struct request *request, const struct backend_end *end)
+void request_call_failed(struct request *request, const struct backend_end *end)
 {
 	const struct answer *answer = &request->answer;
 
@@ -68,7 +68,7 @@
 			     request_identify(request));
 }
 
-bool request_suspected(const struct request *request)
+bool request_is_suspect(const struct request *request)
 {
 	const struct quarantine_entry *entry;
 
@@ -90,7 +90,7 @@
 	const struct quarantine_entry *entry =
 		quarantine_find(parts->quarantine, &lost->work);
 
-	forward->servers_ended->value++;
+	forward->servers_crashed->value++;
 	log_event(LOG_NOTICE, "server_ended", LOG_S("backend", server->id),
 		  LOG_D("born", server->started_ms),
 		  LOG_X("work", lost->work.high),
@@ -98,7 +98,7 @@
 		  LOG_D("held",
 			quarantine_holds(parts->quarantine, &lost->work)));
 	if (news)
-		parts->work_changed(parts->instances_ctx, &lost->work);
+		parts->quarantine_changed(parts->callbacks_ctx, &lost->work);
 }
 
 static void work_clear(struct request *request)
@@ -112,11 +112,11 @@
 		  LOG_S("request", request->caller.id),
 		  LOG_X("work", request_identify(request)->work.high),
 		  LOG_S("backend", request->target.id));
-	parts->work_changed(parts->instances_ctx,
-			    &request_identify(request)->work);
+	parts->quarantine_changed(parts->callbacks_ctx,
+				  &request_identify(request)->work);
 }
 
-void request_outlived(struct request *request)
+void request_survived(struct request *request)
 {
 	struct quarantine *quarantine = request->forward->parts.quarantine;
 
--- a/forward/waiting.c
+++ b/forward/waiting.c
@@ -62,7 +62,8 @@
 {
 	const struct overload_caller caller = caller_of(request);
 
-	return overload_on_time(&caller, now, request->forward->begin_usec);
+	return overload_on_time(&caller, now,
+				request->forward->first_event_usec);
 }
 
 static gint order_compare(gconstpointer a, gconstpointer b)
@@ -104,18 +105,18 @@
 	request_place(request, &place);
 	places = place_decode_places(&place, &request->service->engine,
 				     stream_tokens(request));
-	return overload_queue_sec(parts->waiting(parts->instances_ctx), places);
+	return overload_queue_sec(parts->waiting(parts->callbacks_ctx), places);
 }
 
 static bool early_refuse(struct request *request, int64_t now)
 {
 	const struct overload_caller caller = caller_of(request);
 
-	if (request->rounds > 0 || request->judged ||
+	if (request->reservations > 0 || request->checked_early ||
 	    !overload_is_due(&caller, now))
 		return false;
-	request->judged = true;
-	if (!overload_too_long(&caller, now, request->forward->begin_usec,
+	request->checked_early = true;
+	if (!overload_too_long(&caller, now, request->forward->first_event_usec,
 			       queue_sec(request)))
 		return false;
 	request_refuse(request, RESULT_QUEUE_FULL,
@@ -133,7 +134,7 @@
 		MAX(PATIENCE_USEC, MAX(route->target_usec * PATIENCE_TARGETS,
 				       route->gap_usec * PATIENCE_GAPS));
 
-	return MIN(from + patience, request->limit) - BEGIN_USEC;
+	return MIN(from + patience, request->deadline) - BEGIN_USEC;
 }
 
 /* Refuses a request at once that no server can take in time. */
--- a/include/forward/forward.h
+++ b/include/forward/forward.h
@@ -59,20 +59,20 @@
 typedef int64_t (*forward_age_fn)(void *ctx);
 
 /* The load of an engine server has changed. */
-typedef void (*forward_changed_fn)(void *ctx);
+typedef void (*forward_load_fn)(void *ctx);
 
 /* Units were taken from an allotment. */
 typedef void (*forward_used_fn)(void *ctx);
 
 /* The quarantine entry of a request has changed. */
-typedef void (*forward_work_fn)(void *ctx,
-				const struct request_fingerprint *work);
+typedef void (*forward_quarantine_fn)(
+	void *ctx, const struct request_fingerprint *fingerprint);
 
 /* Permission to send one request to a server with a rate limit. */
 enum permit {
 	PERMIT_GRANTED,
-	PERMIT_DENIED, /* retry_usec: when to request again */
-	PERMIT_ASKED,  /* forward_permit() is called with the answer */
+	PERMIT_DENIED,	/* retry_usec: when to request again */
+	PERMIT_PENDING, /* forward_permit() is called with the answer */
 };
 typedef enum permit (*forward_permit_fn)(void *ctx,
 					 const struct backend *backend,
@@ -96,11 +96,11 @@
 	forward_interval_fn interval;
 	forward_age_fn list_age;
 	forward_instances_fn waiting; /* waiting requests at all instances */
-	forward_changed_fn load_changed;
-	forward_work_fn work_changed;
+	forward_load_fn load_changed;
+	forward_quarantine_fn quarantine_changed;
 	forward_used_fn allotment_used;
 	forward_permit_fn permit;
-	void *instances_ctx;
+	void *callbacks_ctx;
 };
 
 struct forward *forward_create(const struct forward_parts *parts);
@@ -115,7 +115,7 @@
  * has to. */
 void forward_drain(struct forward *forward);
 /* A web_handler_fn with the forward as context. */
-void forward_take(void *ctx, struct web_request *request);
+void forward_handle_request(void *ctx, struct web_request *request);
 /* Merges a fact received from another instance. */
 void forward_fact(struct forward *forward,
 		  const struct backpressure_fact *fact);
--- a/tests/forward/paths_world.c
+++ b/tests/forward/paths_world.c
@@ -414,10 +414,11 @@
 	say("ask for %s", backend->info.id);
 	world.permit_id = id;
 	world.permit_server = backend->key;
-	return PERMIT_ASKED;
+	return PERMIT_PENDING;
 }
 
-static void work_changed(void *ctx, const struct request_fingerprint *work)
+static void quarantine_changed(void *ctx,
+			       const struct request_fingerprint *work)
 {
 	const struct quarantine_entry *entry =
 		quarantine_find(world.quarantine, work);
@@ -448,7 +449,7 @@
 		.list_age = list_age,
 		.waiting = waiting,
 		.load_changed = load_changed,
-		.work_changed = work_changed,
+		.quarantine_changed = quarantine_changed,
 		.allotment_used = allotment_used,
 		.permit = fake_permit,
 	};
@@ -511,7 +512,7 @@
 		       options);
 	world.options = options;
 	world.request = (struct web_request){.path = path};
-	forward_take(world.forward, &world.request);
+	forward_handle_request(world.forward, &world.request);
 }
 
 /* A step that answers a call which is not under way shows in the output. */
