--- a/tests/forward/paths_world.c
+++ b/tests/forward/paths_world.c
@@ -12,7 +12,7 @@
 
 #define SEED 7u
 #define INSTANCES 2u
-/* That a cold server bears. */
+/* Rate limit of a cold server. */
 #define COLD_PER_SEC 20.0
 
 struct web_request {
@@ -44,18 +44,18 @@
 	struct send_events events;
 	reserve_fn reserve;
 	void *call_ctx;
-	bool home; /* this instance counts for all */
+	bool home; /* this instance is the home of all servers */
 	uint64_t permit_id;
 	uint64_t permit_server;
 	signals_fn signals;
 	void *signals_ctx;
-	check_fn check; /* under way, or NULL */
+	check_fn check; /* of the pending check, or NULL */
 	void *check_ctx;
-	const char *options; /* of the request taken */
+	const char *options; /* of the current request */
 	uint32_t holds;
-	uint32_t crowd;	    /* waiting at all instances */
-	size_t unread;	    /* by the caller */
-	const char *region; /* that the routes of the next version allow */
+	uint32_t crowd;	    /* requests waiting at all instances */
+	size_t unread;	    /* bytes not read by the caller */
+	const char *region; /* allowed by the routes of the next version */
 } world;
 
 static void say(const char *format, ...) G_GNUC_PRINTF(1, 2);
@@ -209,7 +209,7 @@
 	world.signals_ctx = fn_ctx;
 }
 
-/* Unanswered unless a step answers it. */
+/* Stays pending until a step answers it. */
 static struct web_call *fake_check(void *ctx, const struct backend_info *to,
 				   const char *health_path, check_fn fn,
 				   void *fn_ctx)
@@ -240,7 +240,7 @@
 	return 0;
 }
 
-/* At all instances: "crowd N" sets it. */
+/* Set by "crowd N". */
 static uint32_t waiting(void *ctx)
 {
 	return world.crowd;
@@ -331,8 +331,8 @@
 		route->regions = region_set_add(NULL, world.region);
 }
 
-/* Key kN is that of organisation oN. The plain calls of o1 take 100 of an
- * allotment of 250 at once, its streams 1,100; o2 has none. */
+/* Organisation oN has key kN. A plain call of o1 takes 100 units, a stream
+ * 1,100; its allotment has a burst of 250. o2 has no allotment. */
 static void organisations_add(struct catalog *catalog, const char *options)
 {
 	static const char *const names[] = {"o1", "o2"};
@@ -400,7 +400,7 @@
 {
 }
 
-/* The answer comes by a step. */
+/* A step gives the answer. */
 static enum permit fake_permit(void *ctx, const struct backend *backend,
 			       uint64_t id, int64_t *retry_usec)
 {
@@ -515,7 +515,7 @@
 	forward_handle_request(world.forward, &world.request);
 }
 
-/* A step that answers a call which is not under way shows in the output. */
+/* Records a step that answers a call which is not in progress. */
 static bool called(enum call_state state)
 {
 	if (world.call != state)
@@ -598,7 +598,7 @@
 					    : CHECK_UNKNOWN);
 }
 
-/* The only work of this world, told by others. */
+/* Other instances announce the only request of these tests as quarantined. */
 static void hold_step(const char *options)
 {
 	const struct fingerprint_part parts[] = {
@@ -610,7 +610,7 @@
 		.servers = {1, 2, 3},
 	};
 
-	/* Later each time, so that what was cleared is held again. */
+	/* A higher epoch each time, so that a cleared entry is held again. */
 	world.holds++;
 	g_assert_true(quarantine_merge(world.quarantine, &entry));
 }
@@ -626,20 +626,21 @@
 		      clock_now(world.clock) + atoi(options) * USEC_PER_MSEC);
 }
 
-/* The process stands still; what comes next had arrived meanwhile. */
+/* The process is stalled: the clock advances without timers firing. The answers
+ * of later steps arrived meanwhile. */
 static void still_step(const char *options)
 {
 	clock_skip(world.clock,
 		   clock_now(world.clock) + atoi(options) * USEC_PER_MSEC);
 }
 
-/* The timers that fell due meanwhile. */
+/* Fires the timers that expired during "still". */
 static void due_step(const char *options)
 {
 	clock_fire_due(world.clock);
 }
 
-/* "version 4", "version 4 north": its routes allow that region only. */
+/* "version 4", or "version 4 north", whose routes allow that region only. */
 static void version_step(const char *options)
 {
 	const char *region = strchr(options, ' ');
@@ -660,7 +661,7 @@
 	server_step(id, options + 2);
 }
 
-/* All that is left of the budget of the service, as by other requests. */
+/* Spends the rest of the service's retry budget. */
 static void spend_step(const char *options)
 {
 	while (budget_take(world.budgets, id_of(options),
@@ -668,7 +669,7 @@
 		;
 }
 
-/* What others have under way at a server. */
+/* Requests of other instances at a server: "busy s1 5". */
 static void busy_step(const char *options)
 {
 	g_autofree char *id = g_strndup(options, 2);
@@ -676,7 +677,7 @@
 	fleet_find_id(world.fleet, id)->peers.requests = atoi(options + 2);
 }
 
-/* An answer of the server says so: "limit s1 4", or "limit s1 none". */
+/* The server's answer sets a rate limit: "limit s1 4", or "limit s1 none". */
 static void limit_step(const char *options)
 {
 	g_autofree char *id = g_strndup(options, 2);
@@ -690,7 +691,7 @@
 		      &signals);
 }
 
-/* An answer of the server says that it leaves. */
+/* The server's answer says that it is leaving. */
 static void leaves_step(const char *options)
 {
 	const struct backpressure_signals signals = {.leaving = true};
@@ -699,7 +700,7 @@
 		      fleet_find_id(world.fleet, options)->key, &signals);
 }
 
-/* An answer of the server asks for a backoff: "backoff s1 3000". */
+/* The server's answer requests a backoff, in ms: "backoff s1 3000". */
 static void backoff_step(const char *options)
 {
 	g_autofree char *id = g_strndup(options, 2);
@@ -711,7 +712,7 @@
 		      &signals);
 }
 
-/* The server has said that it stays cold: "cold s1 3000". */
+/* The server's answer says how long it stays cold, in ms: "cold s1 3000". */
 static void cold_step(const char *options)
 {
 	g_autofree char *id = g_strndup(options, 2);
@@ -728,7 +729,7 @@
 	world.home = true;
 }
 
-/* The home answers: "permit granted", or "permit 200" (ask again then). */
+/* The home's answer: "permit granted", or "permit 200" (retry after 200 ms). */
 static void permit_step(const char *options)
 {
 	bool granted = strcmp(options, "granted") == 0;
@@ -742,7 +743,7 @@
 	world.crowd = (uint32_t)atoi(options);
 }
 
-/* "evacuate here", "evacuate there back". */
+/* "evacuate here"; "evacuate there back" ends it. */
 static void evacuate_step(const char *options)
 {
 	g_autofree char *centre = g_strndup(options, strcspn(options, " "));
@@ -827,7 +828,7 @@
 	world_open();
 	for (int i = 0; list[i]; i++)
 		step_run(g_strstrip(list[i]));
-	/* What a request took is given back by its end. */
+	/* No load may stay charged after all requests have ended. */
 	if (forward_pending(world.forward) == 0)
 		load_check();
 	else
--- a/tests/forward/test_organisations.c
+++ b/tests/forward/test_organisations.c
@@ -1,6 +1,6 @@
 /*
- * Keys of organisations. "many": as many as a large site has; the figures are
- * printed, and stand in organisation.h.
+ * Look-up of organisations by API key. "many" prints the memory and the time
+ * per look-up at the size of a large site.
  */
 #include <glib.h>
 #include <malloc.h>
--- a/tests/forward/test_paths.c
+++ b/tests/forward/test_paths.c
@@ -1,4 +1,4 @@
-/* Each path of paths.txt against what paths.golden expects. */
+/* Runs each script of paths.txt and compares the output with paths.golden. */
 #include <glib.h>
 #include <string.h>
 
--- a/tests/forward/test_settings.c
+++ b/tests/forward/test_settings.c
@@ -1,4 +1,4 @@
-/* Settings out of a file, the environment and flags. */
+/* Settings from a file, the environment and flags. */
 #include <glib.h>
 #include <glib/gstdio.h>
 #include <stdlib.h>
@@ -58,7 +58,7 @@
 	g_assert_false(file_read(&settings, row->text, 1, argv, &err));
 	g_assert_cmpint(err.code, ==, RESULT_BAD_SETTING);
 	g_assert_nonnull(strstr(err.text, row->reason));
-	/* What was there before stays. */
+	/* Invalid settings leave the earlier ones unchanged. */
 	g_assert_cmpfloat(settings.grace_sec, ==, 5);
 }
 
