--- a/forward/answer.c
+++ b/forward/answer.c
@@ -9,7 +9,7 @@
  * (110 MB). */
 #define ANSWER_BYTES_MAX (6u << 20)
 
-void answer_take_head(struct request *request, const struct backend_head *head)
+void answer_set_head(struct request *request, const struct backend_head *head)
 {
 	struct answer *answer = &request->answer;
 
@@ -29,7 +29,7 @@
 	}
 }
 
-void answer_take_body(struct request *request, const void *data, size_t size)
+void answer_append_body(struct request *request, const void *data, size_t size)
 {
 	struct answer *answer = &request->answer;
 
--- a/forward/events.c
+++ b/forward/events.c
@@ -99,7 +99,7 @@
 	return cutter->scanned;
 }
 
-void event_cutter_take(struct event_cutter *cutter, size_t size)
+void event_cutter_consume(struct event_cutter *cutter, size_t size)
 {
 	g_byte_array_remove_range(cutter->rest, 0, (guint)size);
 	cutter->scanned -= size;
--- a/forward/forward.c
+++ b/forward/forward.c
@@ -109,7 +109,7 @@
 	if (!forward)
 		return;
 	while ((request = table_next(forward->requests, &cursor, &handle)))
-		request_break(request, "process is stopping");
+		request_abort(request, "process is stopping");
 	timer_stop(&forward->pump);
 	forward->parts.backends.watch(forward->parts.backends.ctx, NULL, NULL);
 	crash_detector_destroy(forward->crash_detector);
--- a/forward/node.c
+++ b/forward/node.c
@@ -21,7 +21,8 @@
 /* Least time between refreshes of the configuration. A slow store answers after
  * about 240 ms, and a refresh abandons the pending read. */
 #define REFRESH_USEC (600 * USEC_PER_MSEC)
-/* The port that the kernel assigns for TCP may be in use for UDP. */
+/* With port 0, the port that the kernel assigns for TCP may be in use for UDP.
+ */
 #define PEER_PORT_TRIES 8
 
 static uint32_t instances_count(void *ctx)
--- a/forward/node.h
+++ b/forward/node.h
@@ -83,13 +83,11 @@
 	bool registered;
 	int64_t registered_at;
 	bool draining;
-	int64_t refreshed_at; /* last read of the configuration for a peer's
-				 summary */
+	int64_t refreshed_at; /* last mirror_refresh() for a summary */
 	int64_t drain_started_at;
 	struct timer drain_timer;
 	struct timer file_timer;
-	int64_t file_read; /* modification time of the settings file when last
-			      read */
+	int64_t file_read; /* modification time of the file as read */
 	struct timer register_timer;
 	struct counter *malformed;
 	GHashTable *refused; /* key to hash of the last refused value */
@@ -126,7 +124,7 @@
 			     const struct request_fingerprint *fingerprint);
 bool node_quarantine_received(void *ctx, const struct quarantine_entry *entry);
 uint32_t node_quarantine_next(void *ctx, struct quarantine_entry *entries,
-			      uint32_t most);
+			      uint32_t max);
 /* Merges a record of PEER_STREAM that is a quarantine entry; false for others.
  */
 bool node_quarantine_read(struct node *node, const struct feed_record *record);
@@ -138,7 +136,7 @@
 struct limits *node_limits_create(const struct node *node);
 void node_allotment_used(void *ctx);
 uint32_t node_usage(void *ctx, bool sums, struct limit_entry *entries,
-		    uint32_t most);
+		    uint32_t max);
 void node_usage_sent(void *ctx);
 void node_usage_received(void *ctx, const struct limit_source *source,
 			 const struct limit_entry *entry);
@@ -150,7 +148,7 @@
 			   struct permit_answer *answer);
 void node_permit_answered(void *ctx, const struct permit_answer *answer);
 void node_fact_received(void *ctx, const struct backpressure_fact *fact);
-uint32_t node_facts(void *ctx, struct backpressure_fact *facts, uint32_t most);
+uint32_t node_facts(void *ctx, struct backpressure_fact *facts, uint32_t max);
 /* Drops expired facts. Called about every 100 ms. */
 void node_permits_tick(struct node *node);
 
--- a/forward/node_feeds.c
+++ b/forward/node_feeds.c
@@ -18,7 +18,8 @@
  * available for three. */
 #define CONFIG_WAIT_USEC (500 * USEC_PER_MSEC)
 #define TICK_USEC (100 * USEC_PER_MSEC)
-/* Timeout of a fetch of changes from a peer, which takes one round trip. */
+/* Timeout of a fetch of changes from a peer, which takes about a round trip,
+ * and of connecting. */
 #define FETCH_USEC (300 * USEC_PER_MSEC)
 /* Timeout of a fetch of a whole mirror: a large list takes a small instance
  * longer to compress and to send. */
@@ -318,7 +319,7 @@
 
 /* A large mirror requested by all peers at once would exhaust memory and
  * bandwidth. A refused peer fetches from another one or from the store. */
-static bool serve_may(struct node *node, size_t size)
+static bool may_serve(struct node *node, size_t size)
 {
 	int64_t now = clock_now(node->clock);
 
@@ -347,7 +348,7 @@
 		return;
 	}
 	web_request_param(request, "from", from, sizeof(from));
-	if (!serve_may(node, mirror_encoded_size(node->mirrors[i].mirror,
+	if (!may_serve(node, mirror_encoded_size(node->mirrors[i].mirror,
 						 strtoull(from, NULL, 10)))) {
 		web_reply(request, 503, "text/plain", "busy\n", 5);
 		return;
--- a/forward/node_limits.c
+++ b/forward/node_limits.c
@@ -26,12 +26,12 @@
 }
 
 uint32_t node_usage(void *ctx, bool sums, struct limit_entry *entries,
-		    uint32_t most)
+		    uint32_t max)
 {
 	struct node *node = ctx;
 
 	return limit_export(node->limits, clock_now(node->clock), sums, entries,
-			    most);
+			    max);
 }
 
 void node_usage_sent(void *ctx)
--- a/forward/node_permits.c
+++ b/forward/node_permits.c
@@ -76,12 +76,12 @@
 	forward_fact(node->forward, &received);
 }
 
-uint32_t node_facts(void *ctx, struct backpressure_fact *facts, uint32_t most)
+uint32_t node_facts(void *ctx, struct backpressure_fact *facts, uint32_t max)
 {
 	const struct node *node = ctx;
 
 	return backpressure_export(node->backpressure, clock_now(node->clock),
-				   facts, most);
+				   facts, max);
 }
 
 static bool server_exists(void *ctx, uint64_t server)
--- a/forward/node_quarantine.c
+++ b/forward/node_quarantine.c
@@ -80,11 +80,11 @@
 }
 
 uint32_t node_quarantine_next(void *ctx, struct quarantine_entry *entries,
-			      uint32_t most)
+			      uint32_t max)
 {
 	const struct node *node = ctx;
 
-	return quarantine_next(node->quarantine, entries, most);
+	return quarantine_next(node->quarantine, entries, max);
 }
 
 /* ---- the store ---- */
--- a/forward/plain.c
+++ b/forward/plain.c
@@ -14,13 +14,13 @@
  * route's target, and its lower bound. */
 #define HEAD_TARGETS 2
 #define HEAD_MIN_USEC (150 * USEC_PER_MSEC)
-/* A server becomes free within about one call (15 ms). */
+/* Retry-After: a server becomes free within about one call (15 ms). */
 #define RETRY_USEC (40 * USEC_PER_MSEC)
 /* Requests at a server, in multiples of its slots, above which a further one
  * would be late or refused. */
 #define QUEUE_SLOTS 5u
 
-/* Permit requests for one call. */
+/* Permit requests that one call may make. */
 #define PERMIT_ATTEMPTS_MAX 4u
 
 static void plain_send(struct request *request, struct backend *backend);
@@ -140,12 +140,12 @@
 
 static void on_head(void *ctx, const struct backend_head *head)
 {
-	answer_take_head(ctx, head);
+	answer_set_head(ctx, head);
 }
 
 static void on_body(void *ctx, const void *data, size_t size)
 {
-	answer_take_body(ctx, data, size);
+	answer_append_body(ctx, data, size);
 }
 
 static void on_done(void *ctx, const struct backend_end *end)
@@ -169,7 +169,7 @@
 	rejected.text = answer->too_large ? "answer too large"
 					  : "answer to another request";
 	if (!end->whole)
-		request_call_failed(request, end);
+		request_connection_lost(request, end);
 	plain_broken(request, backend, end->whole ? &rejected : end);
 }
 
--- a/forward/request.c
+++ b/forward/request.c
@@ -329,7 +329,7 @@
 	request_end(request, END_ANSWERED, request->replied_status, "whole");
 }
 
-void request_break(struct request *request, const char *why)
+void request_abort(struct request *request, const char *why)
 {
 	web_reply_abort(request->web);
 	request_end(request, END_BROKEN, request->replied_status, why);
@@ -356,7 +356,7 @@
 	struct request *request = ctx;
 
 	if (request->replied)
-		request_break(request, "over its time limit");
+		request_abort(request, "over its time limit");
 	else if (request->runs > 0)
 		request_fail(request, RESULT_BACKEND_TIMEOUT,
 			     "over its time limit");
--- a/forward/request.h
+++ b/forward/request.h
@@ -146,10 +146,10 @@
 /* Uncounts the run of a call that did not run, and its send if it did not
  * connect. */
 void request_uncount(struct request *request, const struct backend_end *end);
-/* Records a failed call; starts crash detection if the server may have crashed
- * while running it. */
-void request_call_failed(struct request *request,
-			 const struct backend_end *end);
+/* Records a failed call. If the connection was lost during a run, starts crash
+ * detection for the server. */
+void request_connection_lost(struct request *request,
+			     const struct backend_end *end);
 /* Whether the request lost a connection and is known to have crashed servers
  * before. It is not retried then: a retry sent before the crash detector has
  * checked the server could crash one more server with each attempt. The caller
@@ -183,8 +183,8 @@
 void charge_drop(struct request *request, struct charge *charge);
 
 /* Copies an answer's head. */
-void answer_take_head(struct request *request, const struct backend_head *head);
-void answer_take_body(struct request *request, const void *data, size_t size);
+void answer_set_head(struct request *request, const struct backend_head *head);
+void answer_append_body(struct request *request, const void *data, size_t size);
 /* Whether a complete answer may be relayed: it is signed by its server, and its
  * status does not deny a run that took place. */
 bool answer_may_pass(const struct answer *answer);
@@ -192,7 +192,8 @@
 /* Sends the complete answer to the caller. */
 void answer_send(struct request *request);
 
-/* Each of the following ends the request and frees it. */
+/* Each function from here to request_abort() ends the request and frees it. */
+
 /* Relays the complete answer. */
 void request_relay(struct request *request);
 /* Answers that the request did not run and when to retry; calls request_fail()
@@ -209,7 +210,7 @@
 		  const char *why);
 /* End a relayed stream: complete, or aborted so that the caller notices. */
 void request_finish(struct request *request);
-void request_break(struct request *request, const char *why);
+void request_abort(struct request *request, const char *why);
 /* Sends the received head to the caller; events follow. */
 void request_reply_start(struct request *request);
 
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -102,7 +102,7 @@
 		return;
 	}
 	if (request->replied)
-		request_break(request, why);
+		request_abort(request, why);
 	else if (request->runs > 0)
 		request_fail(request, code, why);
 	else
@@ -141,12 +141,12 @@
 
 static void prefill_head(void *ctx, const struct backend_head *head)
 {
-	answer_take_head(ctx, head);
+	answer_set_head(ctx, head);
 }
 
 static void prefill_body(void *ctx, const void *data, size_t size)
 {
-	answer_take_body(ctx, data, size);
+	answer_append_body(ctx, data, size);
 }
 
 static bool prefill_result(struct request *request)
@@ -211,7 +211,7 @@
 	}
 	prefill_count(request, end);
 	stream_failed_log(request, "prefill", end);
-	request_call_failed(request, end);
+	request_connection_lost(request, end);
 	prefill_record_failure(request, backend, end);
 	answer_clear(&request->answer);
 	if (request_is_suspect(request))
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -26,7 +26,7 @@
 
 	/* A resumed stream keeps the head sent by its first server. */
 	if (!request->replied) {
-		answer_take_head(request, head);
+		answer_set_head(request, head);
 		return;
 	}
 	request->answer.has_head = true;
@@ -78,7 +78,7 @@
 	stall_check(request);
 	request->last_at = request_now(request);
 	web_reply_piece(request->web, cutter->rest->data, whole);
-	event_cutter_take(cutter, whole);
+	event_cutter_consume(cutter, whole);
 	request_unread_note(request);
 }
 
@@ -130,7 +130,7 @@
 		return;
 	}
 	if (!request->replied)
-		answer_take_body(request, data, size);
+		answer_append_body(request, data, size);
 }
 
 /* A run with reserved memory is refused if the decode server changes its role
@@ -201,7 +201,7 @@
 		return;
 	}
 	stream_failed_log(request, "run", end);
-	request_call_failed(request, end);
+	request_connection_lost(request, end);
 	stream_record_failure(request, backend, end);
 	event_cutter_drop(&request->cutter);
 	if (answer->has_head && answer->head.not_run &&
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -48,7 +48,8 @@
 	return &request->work;
 }
 
-void request_call_failed(struct request *request, const struct backend_end *end)
+void request_connection_lost(struct request *request,
+			     const struct backend_end *end)
 {
 	const struct answer *answer = &request->answer;
 
@@ -149,7 +150,7 @@
 		  LOG_D("servers", entry->count), LOG_D("runs", request->runs));
 	/* To come back is of no use, so no time is said. */
 	if (request->replied)
-		request_break(request, result_label(RESULT_QUARANTINED));
+		request_abort(request, result_label(RESULT_QUARANTINED));
 	else
 		request_refuse(request, RESULT_QUARANTINED, 0);
 	return true;
--- a/forward/unread.c
+++ b/forward/unread.c
@@ -44,7 +44,7 @@
 		  LOG_S("request", request->caller.id),
 		  LOG_D("unread", request->unread),
 		  LOG_D("unread_all", request->forward->unread));
-	request_break(request, "its caller reads too slowly");
+	request_abort(request, "its caller reads too slowly");
 }
 
 void request_unread_note(struct request *request)
--- a/forward/waiting.c
+++ b/forward/waiting.c
@@ -166,7 +166,7 @@
 			continue;
 		stream_unwait(request);
 		if (request->replied)
-			request_break(request, "no memory to go on");
+			request_abort(request, "no memory to go on");
 		else
 			request_refuse(request, RESULT_DEADLINE, RETRY_USEC);
 	}
--- a/tests/forward/test_parts.c
+++ b/tests/forward/test_parts.c
@@ -114,7 +114,7 @@
 			g_string_append_len(out,
 					    (const char *)cutter.rest->data,
 					    (gssize)n);
-			event_cutter_take(&cutter, n);
+			event_cutter_consume(&cutter, n);
 		}
 		g_assert_cmpuint(out->len, ==, whole);
 		g_assert_true(memcmp(out->str, text, whole) == 0);
