--- a/forward/admit.c
+++ b/forward/admit.c
@@ -1,39 +1,40 @@
 /*
- * admit.c - who asks, and whether the allotment of its organisation has room
+ * admit.c - authentication of callers and admission by allotment
  *
  * DESCRIPTION
- *	Both are settled when a request arrives, by the catalog in force then,
- *	before any queue or reservation. A request that is under way or waits
- *	when its key is taken away, or its allotment lowered, goes on: its time
- *	limit bounds that, and whoever takes a key away is promised that no
- *	request which comes later runs.
+ *	Both are decided when a request arrives, by the catalog in force then,
+ *	before any queue or reservation. A request in progress continues when
+ *	its key is revoked or its allotment lowered; its timeout bounds how
+ *	long. No request that arrives after a revocation runs.
  *
- *	On a public route a known key still names its organisation, and counts;
- *	any other caller is nobody.
+ *	On a public route a known key still selects its organisation and takes
+ *	from the allotment; any other caller is anonymous.
  */
 #include "request.h"
 
 #include "common/log.h"
 
-/* Organisations with counters of their own; all others share one. */
+/* Organisations with a separate counter; all others share one. */
 #define COUNTED_MAX 64u
 
 static struct counter *organisation_counter(struct forward *forward,
 					    const char *name)
 {
-	struct counter *counter = g_hash_table_lookup(forward->counted, name);
+	struct counter *counter =
+		g_hash_table_lookup(forward->organisation_counters, name);
 	g_autofree char *labels = NULL;
 
 	if (counter)
 		return counter;
-	if (g_hash_table_size(forward->counted) >= COUNTED_MAX)
+	if (g_hash_table_size(forward->organisation_counters) >= COUNTED_MAX)
 		name = "(others)";
 	labels = g_strdup_printf("organisation=\"%s\"", name);
 	counter = counter_get(
 		forward->parts.counters, "jt_over_allotment_requests_total",
 		"Requests refused beyond an organisation's allotment", labels);
-	if (g_hash_table_size(forward->counted) < COUNTED_MAX)
-		g_hash_table_insert(forward->counted, g_strdup(name), counter);
+	if (g_hash_table_size(forward->organisation_counters) < COUNTED_MAX)
+		g_hash_table_insert(forward->organisation_counters,
+				    g_strdup(name), counter);
 	return counter;
 }
 
@@ -56,15 +57,16 @@
 }
 
 static void refused_log(const struct request *request,
-			const struct limit_request *ask,
+			const struct limit_request *limit_request,
 			const struct limit_refusal *refusal)
 {
 	log_event(LOG_INFO, "over_allotment",
 		  LOG_S("request", request->caller.id),
 		  LOG_S("organisation", request->organisation->name),
-		  LOG_F("units", ask->units), LOG_F("level", refusal->level),
-		  LOG_F("rate", ask->allotment.rate),
-		  LOG_F("burst", ask->allotment.burst),
+		  LOG_F("units", limit_request->units),
+		  LOG_F("level", refusal->level),
+		  LOG_F("rate", limit_request->allotment.rate),
+		  LOG_F("burst", limit_request->allotment.burst),
 		  LOG_D("heard_age_ms",
 			refusal->age_usec < 0
 				? -1
@@ -78,24 +80,25 @@
 	const struct forward_parts *parts = &request->forward->parts;
 	const struct caller_request *caller = &request->caller;
 	struct limit_refusal refusal;
-	struct limit_request ask = {
+	struct limit_request limit_request = {
 		.account = organisation->id,
 		.allotment = organisation->allotment,
 		.units = organisation_units(organisation,
 					    (uint64_t)caller->prompt_tokens +
 						    caller->output_max),
-		.sharers = parts->instances(parts->instances_ctx),
+		.sharers = parts->instances(parts->callbacks_ctx),
 	};
 
-	if (ask.allotment.rate <= 0.0)
+	if (limit_request.allotment.rate <= 0.0)
 		return true;
-	if (limit_take(parts->limits, request->arrived, &ask, &refusal)) {
-		request->units = ask.units;
-		parts->allotment_used(parts->instances_ctx);
+	if (limit_take(parts->limits, request->arrived, &limit_request,
+		       &refusal)) {
+		request->units = limit_request.units;
+		parts->allotment_used(parts->callbacks_ctx);
 		return true;
 	}
 	organisation_counter(request->forward, organisation->name)->value++;
-	refused_log(request, &ask, &refusal);
+	refused_log(request, &limit_request, &refusal);
 	request_refuse(request,
 		       refusal.retry_usec > 0 ? RESULT_OVER_ALLOTMENT
 					      : RESULT_ALLOTMENT_SMALL,
@@ -114,7 +117,7 @@
 
 void request_refund(struct request *request)
 {
-	/* A prompt that was read counts, whatever came of it. */
+	/* A computed prefill is charged even if no run followed. */
 	if (request->units > 0.0 && request->runs == 0 &&
 	    request->prefilled_at == 0)
 		limit_return(request->forward->parts.limits,
--- a/forward/answer.c
+++ b/forward/answer.c
@@ -1,15 +1,15 @@
 /*
- * answer.c - the answer of a server, kept until it is passed on
+ * answer.c - buffer for a server's answer until it is relayed
  */
 #include "request.h"
 
 #include <string.h>
 
-/* Largest answer of a plain call that is kept: a sixteenth of the smallest
- * instance's memory (110 MB). */
+/* Largest buffered answer: a sixteenth of the memory of the smallest instance
+ * (110 MB). */
 #define ANSWER_BYTES_MAX (6u << 20)
 
-void answer_take_head(struct request *request, const struct backend_head *head)
+void answer_set_head(struct request *request, const struct backend_head *head)
 {
 	struct answer *answer = &request->answer;
 
@@ -29,7 +29,7 @@
 	}
 }
 
-void answer_take_body(struct request *request, const void *data, size_t size)
+void answer_append_body(struct request *request, const void *data, size_t size)
 {
 	struct answer *answer = &request->answer;
 
@@ -42,8 +42,8 @@
 	g_byte_array_append(answer->body, data, (guint)size);
 }
 
-/* These tell a caller that its request did not run. */
-static bool status_promises(int status)
+/* Statuses that mean to a caller that its request did not run. */
+static bool status_denies_run(int status)
 {
 	return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -52,7 +52,8 @@
 {
 	return answer->has_head && answer->head.signed_by &&
 	       !answer->too_large &&
-	       (answer->head.not_run || !status_promises(answer->head.status));
+	       (answer->head.not_run ||
+		!status_denies_run(answer->head.status));
 }
 
 void answer_clear(struct answer *answer)
--- a/forward/forward.c
+++ b/forward/forward.c
@@ -4,22 +4,23 @@
 
 #include "common/log.h"
 
-/* Requests under way at once: what fits the memory of a small instance at
- * some 10 KiB each. */
+/* Concurrent requests: at about 10 KiB each they fit the memory of a small
+ * instance. */
 #define REQUESTS_MAX 4096u
-/* Demand is averaged over this time: longer than the swing of ordinary load
- * within seconds, shorter than a change of role pays off in. */
+/* Averaging time of demand: longer than ordinary load swings of a few seconds,
+ * shorter than the time in which a role change pays off. */
 #define DEMAND_USEC (8 * USEC_PER_SEC)
-/* What came in the first second counts as a second's. */
-#define DEMAND_AGE_LEAST 0.125
+/* Lower bound of the process's age, as a fraction of DEMAND_USEC (1 s): demand
+ * of a shorter time is taken as that of one second. */
+#define DEMAND_AGE_MIN 0.125
 
-/* From placing to the first event, until it was measured. */
-#define BEGIN_USEC (250.0 * (double)USEC_PER_MSEC)
+/* Initial mean time from reservation to first event. */
+#define FIRST_EVENT_USEC (250.0 * (double)USEC_PER_MSEC)
 
-/* With fewer samples a rate is not known. */
+/* A rate is unknown with fewer samples. */
 #define RATE_SAMPLES 5u
 
-/* What is asked of a service of engines, and what they were seen to do. */
+/* Demand for an engine service, and the measured rates of its engines. */
 struct demand {
 	uint64_t service;
 	double tokens; /* decayed to at */
@@ -40,11 +41,11 @@
 		g_autofree char *labels =
 			g_strdup_printf("outcome=\"%s\"", request_end_name(i));
 
-		forward->ended[i] =
+		forward->outcomes[i] =
 			counter_get(set, "jt_requests_total",
 				    "Requests by their end", labels);
 	}
-	forward->servers_ended =
+	forward->servers_crashed =
 		counter_get(set, "jt_server_ends_total",
 			    "Requests under which a server ended", NULL);
 	forward->quarantined = counter_get(
@@ -67,7 +68,7 @@
 		histogram_get(set, "jt_request_seconds", "", "stage=\"first\"");
 }
 
-static void ended_open(struct forward *forward)
+static void crash_detector_open(struct forward *forward)
 {
 	const struct crash_detector_parts parts = {
 		.clock = forward->parts.clock,
@@ -88,13 +89,13 @@
 	forward->requests = table_create(sizeof(struct request), REQUESTS_MAX);
 	forward->demand = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						NULL, g_free);
-	forward->counted =
+	forward->organisation_counters =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	forward->begin_usec = BEGIN_USEC;
-	forward->began = clock_now(parts->clock);
+	forward->first_event_usec = FIRST_EVENT_USEC;
+	forward->started_at = clock_now(parts->clock);
 	timer_init(&forward->pump, parts->clock, on_pump, forward);
 	counters_setup(forward);
-	ended_open(forward);
+	crash_detector_open(forward);
 	parts->backends.watch(parts->backends.ctx, permit_signals, forward);
 	return forward;
 }
@@ -108,13 +109,13 @@
 	if (!forward)
 		return;
 	while ((request = table_next(forward->requests, &cursor, &handle)))
-		request_break(request, "the process stops");
+		request_abort(request, "process is stopping");
 	timer_stop(&forward->pump);
 	forward->parts.backends.watch(forward->parts.backends.ctx, NULL, NULL);
 	crash_detector_destroy(forward->crash_detector);
 	table_destroy(forward->requests);
 	g_hash_table_destroy(forward->demand);
-	g_hash_table_destroy(forward->counted);
+	g_hash_table_destroy(forward->organisation_counters);
 	catalog_unref(forward->catalog);
 	g_free(forward);
 }
@@ -196,12 +197,12 @@
 	demand->at = now;
 }
 
-/* The time that the decayed sum stands for: less while the process is young. */
+/* The time covered by the decayed sum: shorter soon after the start. */
 static double demand_sec(const struct forward *forward, int64_t now)
 {
-	double age = (double)(now - forward->began) / (double)DEMAND_USEC;
+	double age = (double)(now - forward->started_at) / (double)DEMAND_USEC;
 
-	return (1.0 - exp(-MAX(age, DEMAND_AGE_LEAST))) * (double)DEMAND_USEC /
+	return (1.0 - exp(-MAX(age, DEMAND_AGE_MIN))) * (double)DEMAND_USEC /
 	       (double)USEC_PER_SEC;
 }
 
--- a/forward/node_drain.c
+++ b/forward/node_drain.c
@@ -1,23 +1,24 @@
 /*
- * node_drain.c - a planned stop, which cuts off nothing
+ * node_drain.c - graceful shutdown
  */
 #include "node.h"
 
 #include "common/log.h"
 
-/* The balancer asks once a second and takes an instance out after two misses;
- * connections made before then are served. */
+/* How long new connections are accepted: the balancer checks once a second and
+ * removes an instance after two failed checks. */
 #define ACCEPT_USEC (2800 * USEC_PER_MSEC)
-/* What is left of the grace time when the last streams are broken off. */
+/* Time before the end of the grace period at which remaining streams are
+ * aborted. */
 #define RESERVE_SEC 0.6
 #define CHECK_USEC (100 * USEC_PER_MSEC)
-/* Lets the last answers leave the sockets. */
+/* Time for the last answers to leave the sockets. */
 #define LINGER_USEC (100 * USEC_PER_MSEC)
 
 static void on_check(struct timer *timer, void *ctx)
 {
 	struct node *node = ctx;
-	int64_t since = clock_now(node->clock) - node->drained_from;
+	int64_t since = clock_now(node->clock) - node->drain_started_at;
 	int64_t longest = (int64_t)((node->settings.grace_sec - RESERVE_SEC) *
 				    (double)USEC_PER_SEC);
 	uint32_t pending = forward_pending(node->forward) +
@@ -42,7 +43,7 @@
 	if (node->draining)
 		return;
 	node->draining = true;
-	node->drained_from = clock_now(node->clock);
+	node->drain_started_at = clock_now(node->clock);
 	log_event(LOG_NOTICE, "draining",
 		  LOG_D("pending", forward_pending(node->forward)));
 	web_server_announce(node->callers);
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -1,13 +1,14 @@
 /*
- * stream.c - a request of an engine service: reserve, prefill, decode, relay
+ * stream.c - requests of engine services: reserve, prefill, run, relay
  *
  * DESCRIPTION
  *	waiting  ->  reserving  ->  prefill  ->  run  ->  relay
  *
- *	Decode memory is reserved at the server itself before the prompt is
- *	read, so what is read has a place to go. A step that surely did not run
- *	leads back to waiting. Once a run may have begun, only a resumable route
- *	goes back, after the last event that was passed on.
+ *	Decode memory is reserved at the decode server before the prefill, so
+ *	that the computed KV cache has a destination. After a step that did not
+ *	run, the request returns to the waiting queue. Once a run may have
+ *	begun, only a request of a resumable route returns, and continues after
+ *	the last relayed event.
  */
 #include "stream.h"
 
@@ -16,54 +17,53 @@
 #include "common/id.h"
 #include "common/log.h"
 
-/* Reservations are kept for the time of a prefill in a long queue. */
+/* Lifetime of a reservation: covers a prefill in a long queue. */
 #define RESERVE_USEC (2 * USEC_PER_SEC)
-/* A result that is older than its time less this may lapse on the way. */
+/* A prefill result this close to its expiry may expire before it is fetched. */
 #define RESULT_MARGIN_USEC (100 * USEC_PER_MSEC)
-/* A prefill is given up after this time and this much for each prompt token
- * ahead of it (runners read some 30 tokens a millisecond). */
+/* Timeout of a prefill: a base, and a time for each prompt token queued ahead
+ * (runners prefill about 30 tokens per millisecond). */
 #define PREFILL_USEC (1200 * USEC_PER_MSEC)
 #define PREFILL_TOKEN_USEC 100
-/* Parts of the output, as twice the caller's estimate, that a request is
- * counted with when a server is chosen for it, and that it reserves there.
- * Others end and free memory while it generates, so the server need not have
- * all of it now. */
-#define COUNTED_PART 0.5
-#define RESERVED_PART 0.125
-/* A prompt is not sent to a prefill server that has prompts ahead of it for
- * longer than this part of the target, by the learnt rate: it is read where it
- * will run, or waits here, where it takes no decode memory meanwhile. */
-#define PREFILL_QUEUE_PART 0.45
-/* Rounds through placing that one request may make. */
-#define ROUNDS_MAX 4u
-/* What a refused caller is told: memory is freed within about this time. */
+/* Fractions of the maximum output, taken as at most twice the caller's
+ * estimate: the one charged to the server, and the one reserved there. Other
+ * requests end and free memory during the run, so it is not all needed now. */
+#define CHARGED_FRACTION 0.5
+#define RESERVED_FRACTION 0.125
+/* Longest queue of a prefill server that a prompt is sent to, as a fraction of
+ * the target, by the measured rate. Otherwise the decode server computes the
+ * prefill, or the request waits here, where it holds no decode memory. */
+#define PREFILL_QUEUE_FRACTION 0.45
+/* Reservations that one request may be granted. */
+#define RESERVATIONS_MAX 4u
+/* Retry-After when memory is short: some is freed within about this time. */
 #define RETRY_USEC (300 * USEC_PER_MSEC)
-/* Another instance can take the request at once. */
-#define RETRY_ELSEWHERE_USEC (20 * USEC_PER_MSEC)
+/* Retry-After while draining: another instance can take the request at once. */
+#define DRAIN_RETRY_USEC (20 * USEC_PER_MSEC)
 
 static void prefill_place(struct request *request);
 
-/* A part of the output, as far as the caller's estimate tells it. */
-static uint32_t output_part(const struct request *request, double part)
+/* A fraction of the maximum output, limited by the caller's estimate. */
+static uint32_t output_fraction(const struct request *request, double fraction)
 {
 	const struct caller_request *caller = &request->caller;
 	uint32_t output = caller->output_max;
 
 	if (caller->output_expected > 0)
 		output = MIN(output, caller->output_expected * 2);
-	return (uint32_t)(output * part);
+	return (uint32_t)(output * fraction);
 }
 
 uint32_t stream_tokens(const struct request *request)
 {
 	return request->caller.prompt_tokens +
-	       output_part(request, COUNTED_PART);
+	       output_fraction(request, CHARGED_FRACTION);
 }
 
 static uint32_t reserved_tokens(const struct request *request)
 {
 	return request->caller.prompt_tokens +
-	       output_part(request, RESERVED_PART);
+	       output_fraction(request, RESERVED_FRACTION);
 }
 
 struct backend *stream_decode(struct request *request)
@@ -72,7 +72,7 @@
 			 request->decode.backend);
 }
 
-void stream_full(struct request *request, struct backend *backend)
+void stream_record_full(struct request *request, struct backend *backend)
 {
 	struct place place;
 
@@ -86,23 +86,23 @@
 			 request->prefill.backend);
 }
 
-/* Back to placing, or the end when there is no way left. */
 void stream_retry(struct request *request, enum result_code code,
 		  const char *why)
 {
-	bool may = !request_suspected(request) &&
-		   (request->runs == 0 ||
-		    (request_repeatable(request) &&
-		     request->runs < request->route->attempts));
+	bool may_retry = !request_is_suspect(request) &&
+			 (request->runs == 0 ||
+			  (request_repeatable(request) &&
+			   request->runs < request->route->attempts));
 
 	request_drop_hold(request);
 	answer_clear(&request->answer);
-	if (may && request->rounds < ROUNDS_MAX && request_left(request) > 0) {
+	if (may_retry && request->reservations < RESERVATIONS_MAX &&
+	    request_time_left(request) > 0) {
 		stream_wait(request);
 		return;
 	}
 	if (request->replied)
-		request_break(request, why);
+		request_abort(request, why);
 	else if (request->runs > 0)
 		request_fail(request, code, why);
 	else
@@ -123,7 +123,6 @@
 		LOG_D("timed_out", end->timed_out), LOG_S("why", end->text));
 }
 
-/* Notes what a failed call tells about its server. */
 void stream_record_failure(struct request *request, struct backend *backend,
 			   const struct backend_end *end)
 {
@@ -142,12 +141,12 @@
 
 static void prefill_head(void *ctx, const struct backend_head *head)
 {
-	answer_take_head(ctx, head);
+	answer_set_head(ctx, head);
 }
 
 static void prefill_body(void *ctx, const void *data, size_t size)
 {
-	answer_take_body(ctx, data, size);
+	answer_append_body(ctx, data, size);
 }
 
 static bool prefill_result(struct request *request)
@@ -161,20 +160,21 @@
 				request->kv);
 }
 
-/* One that was refused, or may have been lost on its way, counts as a send: the
- * run that follows it is one more. */
+/* Counts a failed prefill that may have reached the server as a send, so the
+ * following run takes from the retry budget. */
 static void prefill_count(struct request *request,
 			  const struct backend_end *end)
 {
-	request->paid = false;
+	request->send_prepaid = false;
 	if (end->connected)
 		request->sends++;
 }
 
-/* One that refuses all has nothing under way, so it would look like the best
- * choice for each next prompt. */
-static void prefill_blame(struct request *request, struct backend *backend,
-			  const struct backend_end *end)
+/* A server that refuses all prompts has no load and would be chosen for each
+ * next one, so a refusal is recorded against it. */
+static void prefill_record_failure(struct request *request,
+				   struct backend *backend,
+				   const struct backend_end *end)
 {
 	const struct answer *answer = &request->answer;
 
@@ -197,12 +197,12 @@
 	if (end->whole && prefill_result(request)) {
 		if (backend)
 			backend_succeeded(backend, now);
-		request->kv_at = request->target;
+		request->kv_source = request->target;
 		request->prefilled_at = now;
 		engine_rates_add_prefill(
 			forward_rates(request->forward, request->service->id),
-			request->caller.prompt_tokens, request->ahead,
-			now - request->asked_at);
+			request->caller.prompt_tokens, request->tokens_ahead,
+			now - request->step_started_at);
 		histogram_add(request->forward->prefill_time,
 			      now - request->placed_at);
 		answer_clear(&request->answer);
@@ -211,48 +211,48 @@
 	}
 	prefill_count(request, end);
 	stream_failed_log(request, "prefill", end);
-	request_lost(request, end);
-	prefill_blame(request, backend, end);
+	request_connection_lost(request, end);
+	prefill_record_failure(request, backend, end);
 	answer_clear(&request->answer);
-	if (request_suspected(request))
+	if (request_is_suspect(request))
 		stream_retry(request, RESULT_NO_BACKEND, end->text);
 	else
 		prefill_place(request);
 }
 
-/* Tokens that may be ahead of it at a prefill server, by how fast these were
- * seen to read. */
-static uint32_t most_ahead(const struct request *request)
+/* Prompt tokens that may be queued ahead at a prefill server, by the measured
+ * prefill rate. */
+static uint32_t max_tokens_ahead(const struct request *request)
 {
 	const struct engine_rates *rates =
 		forward_rates(request->forward, request->service->id);
 	double target = (double)request->route->target_usec;
 
-	return (uint32_t)(PREFILL_QUEUE_PART * target * rates->read.value /
+	return (uint32_t)(PREFILL_QUEUE_FRACTION * target * rates->read.value /
 			  (double)USEC_PER_SEC);
 }
 
-/* Time for the prompts ahead and this one. */
-static int64_t prefill_limit(const struct request *request,
-			     const struct backend *backend)
+/* Timeout for the prompts queued ahead and this one. */
+static int64_t prefill_timeout(const struct request *request,
+			       const struct backend *backend)
 {
 	int64_t limit =
 		PREFILL_USEC +
 		(int64_t)backend_prefill_tokens(backend) * PREFILL_TOKEN_USEC;
 
-	return MIN(limit, request_left(request));
+	return MIN(limit, request_time_left(request));
 }
 
-/* The first prefill that is accepted does not count as a send. Which one that
- * will be is not known before, so one that follows another send is paid for,
- * and if it is the first accepted, pays for the run. */
+/* The first prefill that succeeds does not count as a send, but which one that
+ * is shows only afterwards. So a prefill after another send takes from the
+ * budget, and if it is the first to succeed, the run is free. */
 static bool prefill_may_send(struct request *request)
 {
 	if (request->sends == 0 && request->prefilled_at == 0)
 		return true;
 	if (!request_take_send(request))
 		return false;
-	request->paid = request->prefilled_at == 0;
+	request->send_prepaid = request->prefilled_at == 0;
 	return true;
 }
 
@@ -268,7 +268,7 @@
 		.kind = SEND_PREFILL,
 		.caller = &request->caller,
 		.to = &request->target,
-		.left_usec = request_left(request),
+		.left_usec = request_time_left(request),
 		.connect_usec = BACKEND_CONNECT_USEC,
 		.idle_usec = PREFILL_USEC,
 	};
@@ -279,12 +279,12 @@
 		stream_run(request);
 		return;
 	}
-	spec.head_usec = prefill_limit(request, backend);
+	spec.head_usec = prefill_timeout(request, backend);
 	backend_try(backend, now);
 	placed_log(request, "prefill", backend);
 	request->target = backend->info;
-	request->asked_at = now;
-	request->ahead = backend_prefill_tokens(backend);
+	request->step_started_at = now;
+	request->tokens_ahead = backend_prefill_tokens(backend);
 	charge_add(request, &request->prefill, backend, &load);
 	request->call = ops->send(ops->ctx, &spec, &events, request);
 }
@@ -299,13 +299,14 @@
 	while (permit == PERMIT_DENIED) {
 		decode = stream_decode(request);
 		if (!decode) {
-			stream_retry(request, RESULT_NO_BACKEND, "server left");
+			stream_retry(request, RESULT_NO_BACKEND,
+				     "decode server is no longer listed");
 			return;
 		}
 		request_place(request, &place);
 		backend = place_prompt(&place, decode,
 				       request->caller.prompt_tokens,
-				       most_ahead(request));
+				       max_tokens_ahead(request));
 		if (!backend) {
 			stream_run(request);
 			return;
@@ -331,18 +332,20 @@
 	return MIN(RESERVE_USEC, request->service->engine.reserve_usec);
 }
 
-/* A server that has started again since keeps no result of its earlier life. */
-static bool result_outlived(const struct request *request)
+/* A server that has restarted has lost its earlier results. */
+static bool result_lost(const struct request *request)
 {
 	const struct fleet *fleet = request->forward->parts.fleet;
-	const struct backend *backend = fleet_find_id(fleet, request->kv_at.id);
+	const struct backend *backend =
+		fleet_find_id(fleet, request->kv_source.id);
 
-	return backend && backend->info.started_ms != request->kv_at.started_ms;
+	return backend &&
+	       backend->info.started_ms != request->kv_source.started_ms;
 }
 
-static bool result_fresh(const struct request *request)
+static bool result_usable(const struct request *request)
 {
-	return request->kv[0] && !result_outlived(request) &&
+	return request->kv[0] && !result_lost(request) &&
 	       request_now(request) - request->prefilled_at <
 		       request->service->engine.result_usec -
 			       RESULT_MARGIN_USEC;
@@ -358,9 +361,9 @@
 	request->placed_at = request_now(request);
 	histogram_add(request->forward->wait_time,
 		      request->placed_at - request->arrived);
-	request->rounds++;
-	/* A result that a refused run has left is fetched by the next one. */
-	if (result_fresh(request)) {
+	request->reservations++;
+	/* The result left by a refused run is fetched by this one. */
+	if (result_usable(request)) {
 		stream_run(request);
 		return;
 	}
@@ -368,11 +371,12 @@
 	prefill_place(request);
 }
 
-/* The answer lay in the socket while this process stood still. Taken for good,
- * the prompt was read in vain: the run is refused for want of the memory. */
-static bool is_lapsed(const struct request *request, int64_t now)
+/* While this process is stalled, the answer waits in the socket and the
+ * reservation may expire. If it were used, the prefill would be wasted, since
+ * the run would be refused for lack of memory. */
+static bool is_reservation_expired(const struct request *request, int64_t now)
 {
-	return now - request->asked_at >= stream_reserve_usec(request);
+	return now - request->step_started_at >= stream_reserve_usec(request);
 }
 
 static void on_reserved(void *ctx, enum reserve_result result, const char *hold)
@@ -384,11 +388,11 @@
 	request->call = NULL;
 	if (backend && (result == RESERVE_OK || result == RESERVE_FULL))
 		backend_reached(backend);
-	if (result == RESERVE_OK && is_lapsed(request, now)) {
+	if (result == RESERVE_OK && is_reservation_expired(request, now)) {
 		log_event(LOG_NOTICE, "reservation_lapsed",
 			  LOG_S("request", request->caller.id),
-			  LOG_D("after_ms",
-				(now - request->asked_at) / USEC_PER_MSEC));
+			  LOG_D("after_ms", (now - request->step_started_at) /
+						    USEC_PER_MSEC));
 		stream_wait(request);
 		return;
 	}
@@ -397,13 +401,13 @@
 		return;
 	}
 	if (backend && result == RESERVE_FULL)
-		stream_full(request, backend);
+		stream_record_full(request, backend);
 	else if (backend && result == RESERVE_UNREACHABLE)
 		backend_unreachable(backend, now);
 	else if (backend)
 		backend_failed(backend, now);
 	if (result == RESERVE_FAILED && backend)
-		stream_full(request, backend);
+		stream_record_full(request, backend);
 	stream_wait(request);
 }
 
@@ -411,27 +415,27 @@
 {
 	const struct backend_ops *ops = &request->forward->parts.backends;
 
-	request->asked_at = request_now(request);
-	backend_try(backend, request->asked_at);
+	request->step_started_at = request_now(request);
+	backend_try(backend, request->step_started_at);
 	request->call = ops->reserve(
 		ops->ctx, &backend->info, reserved_tokens(request),
 		stream_reserve_usec(request), on_reserved, request);
 }
 
-/* A server with room for so many requests like this one, whose prompt can be
- * read in time; NULL when there is none. */
+/* A server with room for that many requests of this size, if the prefill queue
+ * is short enough; NULL when there is none. */
 static struct backend *decode_choose(struct request *request, uint32_t room)
 {
 	const struct engine_traits *engine = &request->service->engine;
 	uint32_t tokens = stream_tokens(request);
-	uint32_t ahead = most_ahead(request);
+	uint32_t ahead = max_tokens_ahead(request);
 	struct backend *backend;
 	struct backend *prefill;
 	struct place place;
 
 	request_place(request, &place);
 	place.tried = NULL;
-	/* An empty server has room for any request that fits at all. */
+	/* An idle server is suitable for any request that fits its memory. */
 	backend =
 		place_decode(&place, engine,
 			     MAX(tokens, MIN(tokens * room,
@@ -480,26 +484,26 @@
 		stream_wait(request);
 }
 
-/* Its share of the work that requests of the service mostly are. */
+/* Sets the weight: the cost relative to the service's median request. */
 static void stream_weigh(struct request *request)
 {
 	const struct caller_request *caller = &request->caller;
 	struct engine_rates *rates =
 		forward_rates(request->forward, request->service->id);
 	uint32_t output = caller->output_expected;
-	double work;
+	double cost;
 
 	if (output == 0)
 		output = caller->output_max / 2;
-	work = stream_cost(caller->prompt_tokens,
+	cost = stream_cost(caller->prompt_tokens,
 			   MIN(output, MAX(caller->output_max, 1u)));
 	if (rates->work.samples == 0)
-		median_init(&rates->work, work);
-	median_add(&rates->work, work);
-	request->weight = engine_rates_weight(rates, work);
+		median_init(&rates->work, cost);
+	median_add(&rates->work, cost);
+	request->weight = engine_rates_weight(rates, cost);
 }
 
-/* Whether it may only be served where no server is. */
+/* Whether no server is in the regions that the request is limited to. */
 static bool regions_unserved(const struct request *request)
 {
 	struct place place;
@@ -520,7 +524,7 @@
 		request_refuse(
 			request,
 			forward->draining ? RESULT_DRAINING : RESULT_QUEUE_FULL,
-			forward->draining ? RETRY_ELSEWHERE_USEC : RETRY_USEC);
+			forward->draining ? DRAIN_RETRY_USEC : RETRY_USEC);
 		return;
 	}
 	if (regions_unserved(request)) {
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -1,15 +1,16 @@
 /*
- * stream_run.c - the run of a stream: its answer passed on, event by event
+ * stream_run.c - the run of a stream and the relay of its events
  */
 #include "stream.h"
 
 #include "common/log.h"
 
-/* A resumable stream leaves a server that is silent for this many pauses. */
-#define SILENT_GAPS 4
-#define SILENT_MIN_USEC (1200 * USEC_PER_MSEC)
-/* Weight of a new measurement in the mean time from placing to first event. */
-#define BEGIN_WEIGHT 0.1
+/* Idle timeout of a resumable stream's server, in multiples of the route's gap
+ * between events, and its lower bound. */
+#define IDLE_GAPS 4
+#define IDLE_MIN_USEC (1200 * USEC_PER_MSEC)
+/* Weight of a new sample in the mean time from reservation to first event. */
+#define FIRST_EVENT_WEIGHT 0.1
 
 static bool answer_streams(const struct request *request)
 {
@@ -23,9 +24,9 @@
 {
 	struct request *request = ctx;
 
-	/* A stream that goes on keeps the head of its first server. */
+	/* A resumed stream keeps the head sent by its first server. */
 	if (!request->replied) {
-		answer_take_head(request, head);
+		answer_set_head(request, head);
 		return;
 	}
 	request->answer.has_head = true;
@@ -36,18 +37,20 @@
 	request->answer.head.mismatched = head->mismatched;
 }
 
-static void begin_measure(struct request *request)
+static void first_event_measure(struct request *request)
 {
 	struct forward *forward = request->forward;
 	double took = (double)(request->first_at - request->placed_at);
 
 	histogram_add(forward->first_time,
 		      request->first_at - request->arrived);
-	forward->begin_usec += BEGIN_WEIGHT * (took - forward->begin_usec);
+	forward->first_event_usec +=
+		FIRST_EVENT_WEIGHT * (took - forward->first_event_usec);
 }
 
-/* A server that runs out of memory preempts a stream and reads it in again. */
-static void stall_notice(struct request *request)
+/* A server that runs out of memory preempts a stream and recomputes its prefill
+ * later. */
+static void stall_check(struct request *request)
 {
 	int64_t gap = request->route->gap_usec;
 
@@ -70,27 +73,28 @@
 		return;
 	if (!request->replied) {
 		request_reply_start(request);
-		begin_measure(request);
+		first_event_measure(request);
 	}
-	stall_notice(request);
+	stall_check(request);
 	request->last_at = request_now(request);
 	web_reply_piece(request->web, cutter->rest->data, whole);
-	event_cutter_take(cutter, whole);
+	event_cutter_consume(cutter, whole);
 	request_unread_note(request);
 }
 
-/* Who read the prompt for this run; NULL when nobody did or it has left. */
+/* The server that prefilled for this run; NULL when there is none or it is no
+ * longer listed. */
 static struct backend *result_source(const struct request *request)
 {
 	if (!request->kv[0])
 		return NULL;
 	return fleet_find(request->forward->parts.fleet,
-			  backend_key(&request->kv_at));
+			  backend_key(&request->kv_source));
 }
 
-/* Without a result the server reads the prompt itself, and others that would
- * have it read more are told. */
-static void own_read_charge(struct request *request, struct backend *decode)
+/* Without a prefill result the decode server computes the prefill itself. The
+ * charge announces that to instances that would send it further prompts. */
+static void own_prefill_charge(struct request *request, struct backend *decode)
 {
 	const struct backend_load load = {
 		.prefill_tokens = request->caller.prompt_tokens,
@@ -100,8 +104,8 @@
 		charge_add(request, &request->prefill, decode, &load);
 }
 
-/* The memory is the run's own now, and its result was fetched or its prompt
- * read. */
+/* From now on the run owns the reserved memory, and the prefill result has been
+ * fetched or the prefill computed. */
 static void run_began(struct request *request)
 {
 	struct backend *decode = stream_decode(request);
@@ -126,13 +130,13 @@
 		return;
 	}
 	if (!request->replied)
-		answer_take_body(request, data, size);
+		answer_append_body(request, data, size);
 }
 
-/* A run with memory reserved is refused by a server that changes its role, or
- * because its result is gone. Which one it was shows when either takes part in
- * further runs, so both are suspected, unless one already is. */
-static void refusal_blame(struct request *request, struct backend *decode)
+/* A run with reserved memory is refused if the decode server changes its role
+ * or the prefill result is gone. Which of the two failed shows in later runs,
+ * so both servers are recorded, unless one of them already refuses runs. */
+static void run_record_refusal(struct request *request, struct backend *decode)
 {
 	struct backend *source = result_source(request);
 	bool decode_known = decode && backend_refusing(decode);
@@ -149,14 +153,14 @@
 		request_drop_result(request);
 }
 
-/* The result of the prefill is kept: the next run may fetch it. */
+/* Keeps the prefill result: the next run may fetch it. */
 static void run_refused(struct request *request, struct backend *backend)
 {
 	request->runs--;
 	if (!request->answer.head.other) {
 		if (backend)
-			stream_full(request, backend);
-		refusal_blame(request, backend);
+			stream_record_full(request, backend);
+		run_record_refusal(request, backend);
 	}
 	stream_retry(request, RESULT_BACKEND_REFUSED, "server is full");
 }
@@ -169,7 +173,7 @@
 	    request->cutter.rest->len == 0 && request->replied) {
 		if (backend)
 			backend_succeeded(backend, now);
-		request_outlived(request);
+		request_survived(request);
 		request_finish(request);
 		return;
 	}
@@ -182,7 +186,7 @@
 		request_relay(request);
 	else
 		stream_retry(request, RESULT_BACKEND_FAILED,
-			     "error or unfinished answer");
+			     "server error or incomplete answer");
 }
 
 static void run_done(void *ctx, const struct backend_end *end)
@@ -197,7 +201,7 @@
 		return;
 	}
 	stream_failed_log(request, "run", end);
-	request_lost(request, end);
+	request_connection_lost(request, end);
 	stream_record_failure(request, backend, end);
 	event_cutter_drop(&request->cutter);
 	if (answer->has_head && answer->head.not_run &&
@@ -215,15 +219,15 @@
 		     end->text);
 }
 
-static int64_t silence_limit(const struct request *request)
+static int64_t idle_timeout(const struct request *request)
 {
-	int64_t left = request_left(request);
+	int64_t left = request_time_left(request);
 
 	if (!request_repeatable(request) ||
 	    request->runs + 1 >= request->route->attempts)
 		return left;
-	return MIN(left, MAX(SILENT_GAPS * request->route->gap_usec,
-			     SILENT_MIN_USEC));
+	return MIN(left,
+		   MAX(IDLE_GAPS * request->route->gap_usec, IDLE_MIN_USEC));
 }
 
 void stream_run(struct request *request)
@@ -235,11 +239,12 @@
 		.kind = SEND_RUN,
 		.caller = &request->caller,
 		.to = &request->target,
-		.left_usec = request_left(request),
+		.left_usec = request_time_left(request),
 		.connect_usec = BACKEND_CONNECT_USEC,
-		.head_usec = silence_limit(request),
-		.idle_usec = silence_limit(request),
-		.kv_address = request->kv[0] ? request->kv_at.address : NULL,
+		.head_usec = idle_timeout(request),
+		.idle_usec = idle_timeout(request),
+		.kv_address =
+			request->kv[0] ? request->kv_source.address : NULL,
 		.kv_handle = request->kv[0] ? request->kv : NULL,
 		.hold = request->hold[0] ? request->hold : NULL,
 		.resumes = request->caller.resumes,
@@ -253,8 +258,9 @@
 	    (!request->is_probe &&
 	     !backend_usable(decode, request_now(request))) ||
 	    !request_may_send(request)) {
-		stream_retry(request, RESULT_RETRY_BUDGET,
-			     "server left, or no send left");
+		stream_retry(
+			request, RESULT_RETRY_BUDGET,
+			"decode server not usable, or retry budget exhausted");
 		return;
 	}
 	if (request->replied && request->cutter.has_id) {
@@ -262,7 +268,7 @@
 		spec.resume_after = request->cutter.last_id;
 	}
 	placed_log(request, "run", decode);
-	own_read_charge(request, decode);
+	own_prefill_charge(request, decode);
 	request->target = decode->info;
 	request->sends++;
 	request->runs++;
