--- a/coord/claim_codec.c
+++ b/coord/claim_codec.c
@@ -92,7 +92,7 @@
 bool claim_record_unpack(struct claim_record *record, const void *data,
 			 size_t size)
 {
-	return codec_read(data, size, record, read_record);
+	return codec_decode(data, size, record, read_record);
 }
 
 void claim_message_pack(msgpack_sbuffer *out,
@@ -150,5 +150,5 @@
 bool claim_message_unpack(struct claim_message *message, const void *data,
 			  size_t size)
 {
-	return codec_read(data, size, message, read_message);
+	return codec_decode(data, size, message, read_message);
 }
--- a/coord/codec.c
+++ b/coord/codec.c
@@ -12,17 +12,18 @@
 		       MSGPACK_UNPACK_SUCCESS;
 }
 
-bool codec_read(const void *data, size_t size, void *out,
-		bool (*take)(void *out, const msgpack_object *object))
+bool codec_decode(const void *data, size_t size, void *out,
+		  bool (*decode)(void *out, const msgpack_object *object))
 {
 	msgpack_object object;
 	msgpack_zone zone;
-	bool sound;
+	bool valid;
 
 	msgpack_zone_init(&zone, MSGPACK_ZONE_CHUNK_SIZE);
-	sound = codec_unpack(&zone, data, size, &object) && take(out, &object);
+	valid = codec_unpack(&zone, data, size, &object) &&
+		decode(out, &object);
 	msgpack_zone_destroy(&zone);
-	return sound;
+	return valid;
 }
 
 bool codec_uint(const msgpack_object *object, uint64_t max, uint64_t *value)
--- a/coord/codec.h
+++ b/coord/codec.h
@@ -16,8 +16,8 @@
 		  msgpack_object *object);
 /* Hands the one object of data to take, with out; false when there is none, or
  * take says so. */
-bool codec_read(const void *data, size_t size, void *out,
-		bool (*take)(void *out, const msgpack_object *object));
+bool codec_decode(const void *data, size_t size, void *out,
+		  bool (*decode)(void *out, const msgpack_object *object));
 /* Fills value when the object is an integer from 0 up to max. */
 bool codec_uint(const msgpack_object *object, uint64_t max, uint64_t *value);
 /* Fills values from so many elements when all of them are integers from 0. */
--- a/coord/fold.c
+++ b/coord/fold.c
@@ -12,12 +12,12 @@
 	return (struct fold_tag){
 		.instance = self->id,
 		.incarnation = self->incarnation,
-		.number = ++f->counter,
+		.number = ++f->tag_counter,
 	};
 }
 
-void fold_take(struct fold *f, uint64_t revision, const char *author,
-	       const void *content, size_t size)
+void fold_put_in_force(struct fold *f, uint64_t revision, const char *author,
+		       const void *content, size_t size)
 {
 	void *old = f->content;
 
@@ -29,10 +29,10 @@
 	f->size = size;
 	g_strlcpy(f->author, author, sizeof(f->author));
 	f->through = MAX(f->through, revision);
-	f->kept = revision - 1;
-	f->kept_of = revision;
-	f->kept_since = clock_now(f->clock);
-	f->dropped_since = 0;
+	f->record_offset = revision - 1;
+	f->record_revision = revision;
+	f->record_read_at = clock_now(f->clock);
+	f->record_gone_since = 0;
 	log_event(LOG_NOTICE, "config_in_force", LOG_D("revision", revision),
 		  LOG_S("author", author), LOG_D("size", size));
 	if (f->ops.changed)
@@ -54,7 +54,7 @@
 	}
 	if (f->revision != REVISION_NONE && f->through > from) {
 		fold_pending_clear(f);
-		f->known = true;
+		f->base_known = true;
 		f->folded = f->revision;
 		f->skip_until = 0;
 		from = f->through;
@@ -69,7 +69,7 @@
 	timer_start(timer, FOLD_TICK_USEC);
 	fold_refused_update(f);
 	fold_tail_update(f);
-	fold_guess(f);
+	fold_assume_base(f);
 	fold_reappend_check(f);
 	spread_tick(f);
 }
@@ -91,7 +91,7 @@
 		f->ops = *ops;
 	f->ctx = ctx;
 	f->rand = g_rand_new_with_seed(seed);
-	f->known = true;
+	f->base_known = true;
 	f->reappend_after = FOLD_REAPPEND_USEC;
 	f->tail = log_tail_create(clock, store, LOG_STREAM_CONFIG, seed,
 				  &fold_tail_ops, f);
@@ -136,7 +136,7 @@
 	f->reappend_after = MAX(usec, FOLD_TICK_USEC);
 }
 
-void fold_member(struct fold *f, const struct member *member)
+void fold_member_changed(struct fold *f, const struct member *member)
 {
 	if (!f->started)
 		return;
--- a/coord/fold_apply.c
+++ b/coord/fold_apply.c
@@ -160,11 +160,11 @@
 static void apply_deadline(struct timer *timer, void *ctx)
 {
 	struct apply *a = ctx;
-	bool maybe = a->uncertain || a->found || a->append;
+	bool possibly_appended = a->uncertain || a->found || a->append;
 
 	if (a->refusal != RESULT_OK)
 		apply_answer(a, a->refusal, a->reason);
-	else if (maybe)
+	else if (possibly_appended)
 		apply_answer(a, RESULT_LOG_UNKNOWN,
 			     "the log did not say whether it took the file");
 	else
@@ -179,7 +179,7 @@
 }
 
 /* What can be told without the log; the log may find more. */
-static bool apply_judge(struct apply *a, const void *data, size_t size)
+static bool apply_precheck(struct apply *a, const void *data, size_t size)
 {
 	struct fold *f = a->fold;
 	struct error err = {.code = RESULT_BAD_CONFIG};
@@ -215,7 +215,7 @@
 	timer_init(&a->deadline, f->clock, apply_deadline, a);
 	timer_init(&a->retry, f->clock, apply_retry_timer, a);
 	g_ptr_array_add(f->applies, a);
-	if (!apply_judge(a, data, size)) {
+	if (!apply_precheck(a, data, size)) {
 		timer_start(&a->deadline, 0);
 		return;
 	}
--- a/coord/fold_audit.c
+++ b/coord/fold_audit.c
@@ -1,7 +1,7 @@
 #include "fold_private.h"
 
 /* First entry that is not before offset. */
-static guint audit_place(const struct fold *f, uint64_t offset)
+static guint audit_index(const struct fold *f, uint64_t offset)
 {
 	guint at = f->audits->len;
 
@@ -14,7 +14,7 @@
 
 const struct fold_audit *audit_find(const struct fold *f, uint64_t offset)
 {
-	guint at = audit_place(f, offset + 1);
+	guint at = audit_index(f, offset + 1);
 	const struct fold_audit *entry;
 
 	if (at >= f->audits->len)
@@ -25,7 +25,7 @@
 
 void audit_add(struct fold *f, const struct fold_audit *audit)
 {
-	guint at = audit_place(f, audit->offset);
+	guint at = audit_index(f, audit->offset);
 
 	if (at < f->audits->len &&
 	    g_array_index(f->audits, struct fold_audit, at).offset ==
@@ -43,11 +43,11 @@
 
 void audit_missed(struct fold *f, uint64_t until)
 {
-	if (!f->audit_hole)
+	if (!f->audit_gap)
 		f->audit_from = f->audit_next;
 	f->audit_until = MAX(f->audit_until, until);
-	f->audit_hole = true;
-	f->audit_asks = 0;
+	f->audit_gap = true;
+	f->audit_pulls = 0;
 }
 
 size_t fold_history(const struct fold *f, const struct fold_audit **entries)
--- a/coord/fold_codec.c
+++ b/coord/fold_codec.c
@@ -78,7 +78,7 @@
 	const msgpack_object *fields;
 	msgpack_object object;
 	uint64_t kind;
-	uint64_t hole;
+	uint64_t gap;
 	const char *content;
 	uint32_t count;
 
@@ -96,9 +96,9 @@
 		return kind != 0;
 	if (count < 7 ||
 	    !codec_uint(&fields[3], UINT64_MAX, &spread->through) ||
-	    !codec_uint(&fields[6], 1, &hole))
+	    !codec_uint(&fields[6], 1, &gap))
 		return false;
-	spread->audit_hole = hole;
+	spread->audit_gap = gap;
 	spread->has_content = fields[4].type != MSGPACK_OBJECT_NIL;
 	if (spread->has_content) {
 		if (!codec_bytes(&fields[4], FOLD_RECORD_MAX, &content,
--- a/coord/fold_log.c
+++ b/coord/fold_log.c
@@ -3,14 +3,14 @@
 #include "common/log.h"
 #include "fold_private.h"
 
-static void record_kept(struct fold *f, uint64_t offset, uint64_t revision)
+static void record_located(struct fold *f, uint64_t offset, uint64_t revision)
 {
-	f->kept = offset;
-	f->kept_of = revision;
-	f->kept_since = clock_now(f->clock);
+	f->record_offset = offset;
+	f->record_revision = revision;
+	f->record_read_at = clock_now(f->clock);
 }
 
-static void proposal_judge(struct fold *f, const struct fold_record *record,
+static void proposal_check(struct fold *f, const struct fold_record *record,
 			   struct fold_audit *audit)
 {
 	struct error err = {.code = RESULT_BAD_CONFIG};
@@ -42,19 +42,19 @@
 	};
 
 	g_strlcpy(audit.author, record->author, sizeof(audit.author));
-	proposal_judge(f, record, &audit);
+	proposal_check(f, record, &audit);
 	if (audit.code == RESULT_OK) {
 		f->folded = offset + 1;
-		record_kept(f, offset, f->folded);
+		record_located(f, offset, f->folded);
 		if (f->folded > f->revision)
-			fold_take(f, f->folded, record->author, record->content,
-				  record->size);
+			fold_put_in_force(f, f->folded, record->author,
+					  record->content, record->size);
 	}
 	audit_add(f, &audit);
 }
 
 /* Refuses a file that this instance cannot use, so as not to run on it. */
-static bool again_usable(struct fold *f, const struct fold_record *record)
+static bool reappend_usable(struct fold *f, const struct fold_record *record)
 {
 	struct error err = {.code = RESULT_BAD_CONFIG};
 
@@ -67,27 +67,27 @@
 	return false;
 }
 
-static void again_fold(struct fold *f, const struct fold_record *record,
-		       uint64_t offset)
+static void reappend_fold(struct fold *f, const struct fold_record *record,
+			  uint64_t offset)
 {
-	if (f->known && record->revision < f->folded)
+	if (f->base_known && record->revision < f->folded)
 		return;
 	/* Written by one that had not read what is gone for us too. */
-	if (!f->known && record->through < f->first)
+	if (!f->base_known && record->through < f->first_readable)
 		return;
 	if (record->revision > f->revision) {
-		if (!again_usable(f, record))
+		if (!reappend_usable(f, record))
 			return;
-		fold_take(f, record->revision, record->author, record->content,
-			  record->size);
+		fold_put_in_force(f, record->revision, record->author,
+				  record->content, record->size);
 	}
 	/* What was appended between its writing and here comes on top. */
-	if (!f->known)
+	if (!f->base_known)
 		fold_resolve(f, record->revision, MIN(record->through, offset));
 	else
 		f->folded = record->revision;
 	if (record->revision == f->folded)
-		record_kept(f, offset, record->revision);
+		record_located(f, offset, record->revision);
 }
 
 static void record_fold(struct fold *f, uint64_t offset, int64_t unix_us,
@@ -102,7 +102,7 @@
 	}
 	apply_seen(f, &record, offset);
 	if (record.kind == RECORD_REAPPEND) {
-		again_fold(f, &record, offset);
+		reappend_fold(f, &record, offset);
 		return;
 	}
 	if (offset >= f->skip_until)
@@ -137,10 +137,10 @@
 	struct fold_pending *p;
 
 	g_queue_init(&f->pending);
-	f->known = true;
+	f->base_known = true;
 	f->folded = revision;
 	f->skip_until = through;
-	if (f->audit_hole)
+	if (f->audit_gap)
 		audit_missed(f, through);
 	while ((p = g_queue_pop_head(&pending))) {
 		record_fold(f, p->offset, p->unix_us, p->data, p->size);
@@ -160,24 +160,25 @@
 
 		if (record_decode(f, p->data, p->size, &record) &&
 		    record.kind == RECORD_PROPOSAL &&
-		    record.revision <= f->first)
+		    record.revision <= f->first_readable)
 			base = MAX(base, record.revision);
 	}
 	return base;
 }
 
-void fold_guess(struct fold *f)
+void fold_assume_base(struct fold *f)
 {
 	uint64_t base;
 
-	if (f->known || !log_tail_running(f->tail) ||
-	    clock_now(f->clock) - f->unknown_since < FOLD_GUESS_USEC ||
+	if (f->base_known || !log_tail_running(f->tail) ||
+	    clock_now(f->clock) - f->base_unknown_since <
+		    FOLD_ASSUME_BASE_USEC ||
 	    log_tail_position(f->tail) != f->log_next)
 		return;
 	base = pending_base(f);
 	log_event(LOG_WARNING, "config_base_lost", LOG_D("taken", base),
-		  LOG_D("first", f->first));
-	fold_resolve(f, base, f->first);
+		  LOG_D("first", f->first_readable));
+	fold_resolve(f, base, f->first_readable);
 	applies_check(f);
 }
 
@@ -185,8 +186,9 @@
 {
 	uint64_t position = log_tail_position(f->tail);
 
-	if (!f->known) {
-		if (f->revision != REVISION_NONE && f->through >= f->first)
+	if (!f->base_known) {
+		if (f->revision != REVISION_NONE &&
+		    f->through >= f->first_readable)
 			fold_resolve(f, f->revision, f->through);
 		return;
 	}
@@ -204,7 +206,7 @@
 	struct fold *f = ctx;
 	struct fold_record decoded;
 
-	if (f->known) {
+	if (f->base_known) {
 		record_fold(f, record->offset, record->unix_us, record->data,
 			    record->size);
 		return;
@@ -225,10 +227,10 @@
 		  LOG_D("first", first));
 	fold_pending_clear(f);
 	audit_missed(f, first);
-	f->known = false;
-	f->first = first;
+	f->base_known = false;
+	f->first_readable = first;
 	f->skip_until = 0;
-	f->unknown_since = clock_now(f->clock);
+	f->base_unknown_since = clock_now(f->clock);
 	fold_catch_up(f);
 }
 
@@ -239,13 +241,13 @@
 
 	f->log_first = page->first;
 	f->log_next = page->next;
-	f->log_read = clock_now(f->clock);
+	f->log_read_at = clock_now(f->clock);
 	fold_catch_up(f);
-	if (f->known && f->folded == f->revision)
+	if (f->base_known && f->folded == f->revision)
 		f->through = MAX(f->through, position);
 	applies_check(f);
 	if (position == page->next) {
-		fold_guess(f);
+		fold_assume_base(f);
 		applies_caught_up(f);
 	}
 	fold_tail_update(f);
--- a/coord/fold_private.h
+++ b/coord/fold_private.h
@@ -13,7 +13,7 @@
 #define FOLD_FANOUT 3
 #define FOLD_TICK_USEC (1 * USEC_PER_SEC)
 #define FOLD_PULL_USEC (1 * USEC_PER_SEC)
-#define FOLD_GUESS_USEC (3 * USEC_PER_SEC)
+#define FOLD_ASSUME_BASE_USEC (3 * USEC_PER_SEC)
 #define FOLD_PENDING_MAX 64u
 #define FOLD_AUDITS_SENT FOLD_HISTORY_MAX
 
@@ -63,7 +63,7 @@
 	size_t size;
 	const msgpack_object *audits;
 	uint32_t audit_count;
-	bool audit_hole;
+	bool audit_gap;
 };
 
 struct apply {
@@ -104,43 +104,43 @@
 
 	/* Folded from the log by this instance. */
 	struct log_tail *tail;
-	bool known;	     /* what is in force at the tail's position */
-	uint64_t folded;     /* revision at the tail's position */
-	uint64_t first;	     /* oldest record that could be read */
-	uint64_t skip_until; /* before this others have folded */
-	int64_t unknown_since;
+	bool base_known;	 /* what is in force at the tail's position */
+	uint64_t folded;	 /* revision at the tail's position */
+	uint64_t first_readable; /* oldest record that could be read */
+	uint64_t skip_until;	 /* before this others have folded */
+	int64_t base_unknown_since;
 	GQueue pending;
 
 	/* The record that holds the file in force in the log. */
-	uint64_t kept;	    /* its offset */
-	uint64_t kept_of;   /* its revision */
-	int64_t kept_since; /* when it was read */
+	uint64_t record_offset;	  /* its offset */
+	uint64_t record_revision; /* its revision */
+	int64_t record_read_at;	  /* when it was read */
 	uint64_t log_first;
 	uint64_t log_next;
-	int64_t log_read; /* when the last page came */
+	int64_t log_read_at; /* when the last page came */
 	int64_t reappend_after;
-	int64_t dropped_since; /* when it was seen to be gone; 0 if not */
+	int64_t record_gone_since; /* when it was seen to be gone; 0 if not */
 	int64_t reappend_next;
-	struct fold_reappend *again; /* append in flight */
+	struct fold_reappend *reappend; /* append in flight */
 
 	GArray *audits; /* struct fold_audit by offset */
 	uint64_t audit_next;
-	bool audit_hole;      /* some are missing that were judged elsewhere: */
+	bool audit_gap;	      /* some are missing that were judged elsewhere: */
 	uint64_t audit_from;  /* after this one, */
 	uint64_t audit_until; /* of records before this offset */
-	uint32_t audit_asks;
+	uint32_t audit_pulls;
 
 	/* Told of this instance. */
 	bool refused;
 	int64_t refused_at;
 
 	struct timer tick;
-	int64_t pulled;
+	int64_t pulled_at;
 	bool pulling;
 	uint32_t round;
 
 	GPtrArray *applies;
-	uint64_t counter;
+	uint64_t tag_counter;
 
 	msgpack_sbuffer out;
 	msgpack_zone zone;
@@ -165,8 +165,8 @@
 void fold_refused_update(struct fold *f);
 
 /* fold.c */
-void fold_take(struct fold *f, uint64_t revision, const char *author,
-	       const void *content, size_t size);
+void fold_put_in_force(struct fold *f, uint64_t revision, const char *author,
+		       const void *content, size_t size);
 /* Reads the log exactly while it is this instance's part, or it must wait for
  * what it appended itself. */
 void fold_tail_update(struct fold *f);
@@ -177,7 +177,7 @@
 /* What is in force at an offset has become known from elsewhere. */
 void fold_resolve(struct fold *f, uint64_t revision, uint64_t through);
 /* Goes by the best guess when nobody has told for long. */
-void fold_guess(struct fold *f);
+void fold_assume_base(struct fold *f);
 void fold_pending_clear(struct fold *f);
 /* Brings the fold up to what peers have in force. */
 void fold_catch_up(struct fold *f);
--- a/coord/fold_reappend.c
+++ b/coord/fold_reappend.c
@@ -22,7 +22,7 @@
 }
 
 /* How many readers of any data centre come before this one for revision. */
-static int again_order(struct fold *f)
+static int reappend_order(struct fold *f)
 {
 	uint64_t own = membership_self(f->membership)->id;
 	uint64_t weight = id_mix(f->revision, own);
@@ -51,44 +51,46 @@
 {
 	uint64_t window = f->log_next - f->log_first;
 
-	if (f->kept < f->log_first)
+	if (f->record_offset < f->log_first)
 		return true;
-	return window >= WINDOW_MIN && f->kept - f->log_first < window / 8;
+	return window >= WINDOW_MIN &&
+	       f->record_offset - f->log_first < window / 8;
 }
 
-static bool again_due(struct fold *f)
+static bool reappend_due(struct fold *f)
 {
 	int64_t now = clock_now(f->clock);
 	int order;
 
 	if (record_gone(f)) {
-		if (!f->dropped_since)
-			f->dropped_since = now;
-		order = again_order(f);
-		return now - f->dropped_since >= order * STAGGER_GONE_USEC;
+		if (!f->record_gone_since)
+			f->record_gone_since = now;
+		order = reappend_order(f);
+		return now - f->record_gone_since >= order * STAGGER_GONE_USEC;
 	}
-	f->dropped_since = 0;
-	if (now - f->kept_since < f->reappend_after)
+	f->record_gone_since = 0;
+	if (now - f->record_read_at < f->reappend_after)
 		return false;
-	order = again_order(f);
-	return now - f->kept_since - f->reappend_after >= order * STAGGER_USEC;
+	order = reappend_order(f);
+	return now - f->record_read_at - f->reappend_after >=
+	       order * STAGGER_USEC;
 }
 
-static void again_done(void *ctx, enum result_code code, uint64_t offset)
+static void reappend_done(void *ctx, enum result_code code, uint64_t offset)
 {
-	struct fold_reappend *again = ctx;
-	struct fold *f = again->fold;
+	struct fold_reappend *reappend = ctx;
+	struct fold *f = reappend->fold;
 
-	g_free(again);
+	g_free(reappend);
 	if (!f)
 		return;
-	f->again = NULL;
+	f->reappend = NULL;
 	if (code != RESULT_OK)
 		log_event(LOG_WARNING, "config_append_failed",
 			  LOG_S("result", result_label(code)));
 }
 
-static void again_send(struct fold *f)
+static void reappend_send(struct fold *f)
 {
 	struct fold_record record = {
 		.kind = RECORD_REAPPEND,
@@ -100,14 +102,14 @@
 	};
 
 	g_strlcpy(record.author, f->author, sizeof(record.author));
-	f->again = g_new0(struct fold_reappend, 1);
-	f->again->fold = f;
+	f->reappend = g_new0(struct fold_reappend, 1);
+	f->reappend->fold = f;
 	msgpack_sbuffer_clear(&f->out);
 	record_pack(&f->out, &record);
 	log_event(LOG_INFO, "config_append_again",
 		  LOG_D("revision", f->revision));
 	f->store.append(f->store.ctx, LOG_STREAM_CONFIG, f->out.data,
-			f->out.size, again_done, f->again);
+			f->out.size, reappend_done, f->reappend);
 }
 
 void fold_reappend_check(struct fold *f)
@@ -115,22 +117,22 @@
 	int64_t now = clock_now(f->clock);
 
 	/* One that stood still may not have read what is in the log by now. */
-	if (now - f->log_read > LOG_TAIL_WAIT_USEC + LOG_TAIL_LATE_USEC)
+	if (now - f->log_read_at > LOG_TAIL_WAIT_USEC + LOG_TAIL_LATE_USEC)
 		return;
-	if (f->again || f->revision == REVISION_NONE || !f->known ||
+	if (f->reappend || f->revision == REVISION_NONE || !f->base_known ||
 	    f->folded != f->revision || !fold_is_reader(f) ||
 	    !log_tail_running(f->tail) || log_tail_failures(f->tail) ||
 	    log_tail_position(f->tail) != f->log_next || now < f->reappend_next)
 		return;
-	if (!again_due(f))
+	if (!reappend_due(f))
 		return;
 	f->reappend_next = now + RETRY_USEC;
-	again_send(f);
+	reappend_send(f);
 }
 
 void fold_reappend_cancel(struct fold *f)
 {
-	if (f->again)
-		f->again->fold = NULL;
-	f->again = NULL;
+	if (f->reappend)
+		f->reappend->fold = NULL;
+	f->reappend = NULL;
 }
--- a/coord/fold_spread.c
+++ b/coord/fold_spread.c
@@ -6,7 +6,7 @@
 
 #define CENTRES_MAX 64u
 /* After so many seconds what was missed is given up: nobody has it. */
-#define HOLE_ASKS 30u
+#define AUDIT_PULLS_MAX 30u
 
 static void spread_send(struct fold *f, uint64_t to)
 {
@@ -22,7 +22,7 @@
 	msgpack_pack_array(packer, fields);
 	msgpack_pack_uint8(packer, kind);
 	msgpack_pack_uint64(packer, f->revision);
-	if (kind == SPREAD_PULL && f->audit_hole)
+	if (kind == SPREAD_PULL && f->audit_gap)
 		msgpack_pack_uint64(packer, f->audit_from);
 	else
 		msgpack_pack_uint64(packer, f->audit_next);
@@ -66,7 +66,7 @@
 }
 
 /* Fills the names of the other data centres that have usable members. */
-static uint32_t far_centres(struct fold *f, const char **centres)
+static uint32_t remote_centres(struct fold *f, const char **centres)
 {
 	const struct member *member;
 	uint32_t cursor = 0;
@@ -87,7 +87,7 @@
 	return count;
 }
 
-static void far_advert(struct fold *f, const char *centre, uint32_t rank)
+static void remote_advert(struct fold *f, const char *centre, uint32_t rank)
 {
 	uint64_t id =
 		membership_home(f->membership, centre, fold_reader_key(), rank);
@@ -97,20 +97,20 @@
 }
 
 /* Asks one after another, near and far, for what was missed. */
-static void hole_pull(struct fold *f, uint64_t near)
+static void audit_gap_pull(struct fold *f, uint64_t local_peer)
 {
 	const char *centres[CENTRES_MAX];
-	uint32_t ask = f->audit_asks++;
-	uint32_t count = far_centres(f, centres);
-	uint64_t id = near;
+	uint32_t pull = f->audit_pulls++;
+	uint32_t count = remote_centres(f, centres);
+	uint64_t id = local_peer;
 
-	if (ask >= HOLE_ASKS) {
-		f->audit_hole = false;
+	if (pull >= AUDIT_PULLS_MAX) {
+		f->audit_gap = false;
 		return;
 	}
-	if (count && (!near || ask % 2))
-		id = membership_home(f->membership, centres[ask / 2 % count],
-				     fold_reader_key(), ask % 2);
+	if (count && (!local_peer || pull % 2))
+		id = membership_home(f->membership, centres[pull / 2 % count],
+				     fold_reader_key(), pull % 2);
 	if (id)
 		spread_pull(f, id);
 }
@@ -118,19 +118,19 @@
 void spread_tick(struct fold *f)
 {
 	const char *centres[CENTRES_MAX];
-	uint32_t turn = f->round++;
-	uint64_t near = 0;
+	uint32_t tick = f->round++;
+	uint64_t local_peer = 0;
 	uint32_t count;
 
-	if (peers_pick(f, &near, 1))
-		advert_send(f, near);
-	if (f->audit_hole)
-		hole_pull(f, near);
+	if (peers_pick(f, &local_peer, 1))
+		advert_send(f, local_peer);
+	if (f->audit_gap)
+		audit_gap_pull(f, local_peer);
 	if (!fold_is_reader(f))
 		return;
-	count = far_centres(f, centres);
+	count = remote_centres(f, centres);
 	if (count)
-		far_advert(f, centres[turn % count], turn / count % 2);
+		remote_advert(f, centres[tick % count], tick / count % 2);
 }
 
 void spread_changed(struct fold *f)
@@ -147,9 +147,9 @@
 		advert_send(f, ids[i]);
 	if (!fold_is_reader(f))
 		return;
-	count = far_centres(f, centres);
+	count = remote_centres(f, centres);
 	for (uint32_t i = 0; i < 2 * count; i++)
-		far_advert(f, centres[i / 2], i % 2);
+		remote_advert(f, centres[i / 2], i % 2);
 }
 
 void spread_pull(struct fold *f, uint64_t from)
@@ -157,10 +157,10 @@
 	int64_t now = clock_now(f->clock);
 	msgpack_packer packer;
 
-	if (f->pulling && now - f->pulled < FOLD_PULL_USEC)
+	if (f->pulling && now - f->pulled_at < FOLD_PULL_USEC)
 		return;
 	f->pulling = true;
-	f->pulled = now;
+	f->pulled_at = now;
 	spread_begin(f, &packer, SPREAD_PULL, 3);
 	spread_send(f, from);
 }
@@ -198,7 +198,7 @@
 	for (guint i = first; i < f->audits->len; i++)
 		audit_pack(&packer,
 			   &g_array_index(f->audits, struct fold_audit, i));
-	msgpack_pack_uint8(&packer, f->audit_hole);
+	msgpack_pack_uint8(&packer, f->audit_gap);
 	spread_send(f, from);
 }
 
@@ -228,14 +228,14 @@
 
 	/* A hole is passed on with the rest, and closed by one that has none.
 	 */
-	if (spread->audit_hole && spread->audit_next > f->audit_next)
+	if (spread->audit_gap && spread->audit_next > f->audit_next)
 		audit_missed(f, spread->through);
 	for (uint32_t i = 0; i < spread->audit_count; i++) {
 		if (audit_decode(&spread->audits[i], &audit))
 			audit_add(f, &audit);
 	}
-	if (!spread->audit_hole && spread->through >= f->audit_until)
-		f->audit_hole = false;
+	if (!spread->audit_gap && spread->through >= f->audit_until)
+		f->audit_gap = false;
 }
 
 static void state_receive(struct fold *f, const struct spread *spread)
@@ -244,9 +244,9 @@
 	state_audits(f, spread);
 	if (spread->revision > f->revision && spread->has_content &&
 	    state_usable(f, spread))
-		fold_take(f, spread->revision,
-			  state_author(f, spread->revision), spread->content,
-			  spread->size);
+		fold_put_in_force(f, spread->revision,
+				  state_author(f, spread->revision),
+				  spread->content, spread->size);
 	if (spread->revision == f->revision)
 		f->through = MAX(f->through, spread->through);
 	fold_catch_up(f);
--- a/coord/lease_fold.c
+++ b/coord/lease_fold.c
@@ -49,7 +49,7 @@
 bool lease_record_unpack(struct lease_record *record, const void *data,
 			 size_t size)
 {
-	return codec_read(data, size, record, read_record);
+	return codec_decode(data, size, record, read_record);
 }
 
 enum lease_verdict lease_fold(struct lease_state *state,
--- a/coord/member.c
+++ b/coord/member.c
@@ -37,8 +37,8 @@
 	m->self->view.incarnation = MIN(member->incarnation, INT64_MAX);
 	m->self->view.state = MEMBER_ALIVE;
 	m->self->confirmed = true;
-	m->self->shown = true;
-	m->self->named = true;
+	m->self->reported = true;
+	m->self->send_names = true;
 }
 
 struct membership *membership_create(struct clock *clock,
@@ -67,14 +67,14 @@
 	m->facts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					 fact_free);
 	m->unknown = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	g_queue_init(&m->news);
+	g_queue_init(&m->updates);
 	msgpack_sbuffer_init(&m->out);
 	msgpack_sbuffer_init(&m->items);
 	msgpack_zone_init(&m->zone, MSGPACK_ZONE_CHUNK_SIZE);
-	timer_init(&m->beat, clock, ring_beat, m);
+	timer_init(&m->heartbeat_timer, clock, ring_heartbeat, m);
 	timer_init(&m->digest, clock, digest_tick, m);
-	timer_init(&m->push, clock, news_push, m);
-	m->push_filled = clock_now(clock);
+	timer_init(&m->push, clock, updates_push, m);
+	m->push_refilled_at = clock_now(clock);
 	self_create(m, self);
 	table_changed(m);
 	return m;
@@ -84,7 +84,7 @@
 {
 	if (!m)
 		return;
-	timer_stop(&m->beat);
+	timer_stop(&m->heartbeat_timer);
 	timer_stop(&m->digest);
 	timer_stop(&m->push);
 	g_hash_table_destroy(m->facts);
@@ -104,9 +104,9 @@
 
 void membership_start(struct membership *m)
 {
-	news_add(m, &m->self->news);
-	m->beaten = clock_now(m->clock);
-	timer_start(&m->beat,
+	update_add(m, &m->self->update);
+	m->heartbeat_at = clock_now(m->clock);
+	timer_start(&m->heartbeat_timer,
 		    g_rand_int_range(m->rand, 0,
 				     (gint32)(m->settings.heartbeat / 4) + 1));
 	timer_start(&m->digest,
@@ -130,7 +130,7 @@
 	    !name_valid(hint.data_centre, MEMBER_NAME_MAX))
 		return;
 	hint.id = id_of(hint.name);
-	m->listed = clock_now(m->clock);
+	m->last_hint_at = clock_now(m->clock);
 	p = peer_find(m, hint.id);
 	if (p == m->self)
 		return;
@@ -139,18 +139,18 @@
 		if (!p)
 			return;
 	}
-	p->hinted = m->listed;
+	p->hinted_at = m->last_hint_at;
 	if (p->view.state != MEMBER_DEAD)
 		return;
 	if (strcmp(p->view.peer_address, hint.peer_address) != 0 ||
 	    strcmp(p->view.http_address, hint.http_address) != 0) {
-		peer_names(m, p, &hint);
-		p->asks = 0;
+		peer_set_names(m, p, &hint);
+		p->join_attempts = 0;
 	}
 	if (!p->forgotten)
 		return;
 	p->forgotten = false;
-	p->since = m->listed;
+	p->state_since = m->last_hint_at;
 	peer_refresh(m, p);
 	table_changed(m);
 }
@@ -163,10 +163,10 @@
 		return;
 	m->self->leaving = true;
 	m->self->level += 2;
-	m->self->named = false;
+	m->self->send_names = false;
 	m->self->view.state = MEMBER_LEAVING;
 	table_changed(m);
-	news_add(m, &m->self->news);
+	update_add(m, &m->self->update);
 	if (m->ops.changed)
 		m->ops.changed(m->ctx, &m->self->view, &old);
 }
@@ -198,7 +198,7 @@
 	if (side_yields(m, from, wire))
 		row_apply(m, &row, false);
 	else
-		note_send(m, from);
+		peer_notify(m, from);
 }
 
 /* The sender's own row travels with a join. */
@@ -228,16 +228,16 @@
 
 /* Who is that? The question itself is answered, never asked back: two that do
  * not know each other would ask without end. */
-static void sender_ask(struct membership *m, uint64_t from,
-		       const struct wire *wire)
+static void sender_request_names(struct membership *m, uint64_t from,
+				 const struct wire *wire)
 {
-	if (wire->kind == WIRE_WANT) {
+	if (wire->kind == WIRE_REQUEST) {
 		self_send(m, from);
 		return;
 	}
 	wire_begin(m);
 	pack_id(m, from);
-	wire_send(m, from, WIRE_WANT, 0, 0, 0);
+	wire_send(m, from, WIRE_REQUEST, 0, 0, 0);
 }
 
 /* Whether what the sender says is to be heeded. */
@@ -255,31 +255,31 @@
 	if (p->confirmed && (wire->incarnation < p->view.incarnation ||
 			     (wire->incarnation == p->view.incarnation &&
 			      p->level == LEVEL_DEAD))) {
-		m->stats.buried++;
-		note_send(m, p);
+		m->stats.from_dead++;
+		peer_notify(m, p);
 		return false;
 	}
 	if (!row_apply(m, &row, true)) {
-		sender_ask(m, p->view.id, wire);
+		sender_request_names(m, p->view.id, wire);
 		return false;
 	}
-	p->heard = clock_now(m->clock);
-	p->doubted = false;
+	p->last_seen = clock_now(m->clock);
+	p->probed = false;
 	if (p->forgotten) {
 		p->forgotten = false;
-		p->since = p->heard;
+		p->state_since = p->last_seen;
 		peer_refresh(m, p);
 		table_changed(m);
 	}
 	if (p->level & LEVEL_SUSPECT && wire->level < p->level)
-		note_send(m, p);
+		peer_notify(m, p);
 	return true;
 }
 
-static void beat_receive(struct membership *m, struct peer *p,
-			 const struct wire *wire)
+static void heartbeat_receive(struct membership *m, struct peer *p,
+			      const struct wire *wire)
 {
-	news_receive(m, p, wire);
+	updates_receive(m, p, wire);
 	if (wire->flags & WIRE_DIGEST)
 		digest_receive(m, p, wire);
 	sync_check(m, p->view.id, wire);
@@ -290,7 +290,7 @@
 {
 	uint64_t id = p->view.id;
 
-	news_receive(m, p, wire);
+	updates_receive(m, p, wire);
 	if (!(wire->flags & WIRE_JOIN))
 		return;
 	self_send(m, id);
@@ -303,14 +303,14 @@
 	uint64_t from = p->view.id;
 
 	switch (wire->kind) {
-	case WIRE_BEAT:
-		beat_receive(m, p, wire);
+	case WIRE_HEARTBEAT:
+		heartbeat_receive(m, p, wire);
 		break;
 	case WIRE_PING:
 		probe_ping(m, wire, from);
 		break;
 	case WIRE_ACK:
-		news_receive(m, p, wire);
+		updates_receive(m, p, wire);
 		probe_ack(m, wire, from);
 		break;
 	case WIRE_SYNC:
@@ -322,11 +322,11 @@
 	case WIRE_ROWS:
 		rows_receive(m, p, wire);
 		break;
-	case WIRE_WANT:
-		sync_want(m, from, wire);
+	case WIRE_REQUEST:
+		sync_request(m, from, wire);
 		break;
-	case WIRE_HEARD:
-		digest_heard(m, wire);
+	case WIRE_DIGEST_SEEN:
+		digest_seen_receive(m, wire);
 		break;
 	case WIRE_KIND_MAX:
 		break;
@@ -353,7 +353,7 @@
 	}
 	p = sender_find(m, from, &wire);
 	if (!p) {
-		sender_ask(m, from, &wire);
+		sender_request_names(m, from, &wire);
 		return;
 	}
 	if (sender_check(m, p, &wire))
--- a/coord/member_codec.c
+++ b/coord/member_codec.c
@@ -218,7 +218,7 @@
 	msgpack_pack_uint32(&packer, m->self->level);
 	msgpack_pack_uint32(&packer,
 			    flags | (m->self->leaving ? WIRE_LEAVING : 0));
-	msgpack_pack_uint64(&packer, view_with(m, to));
+	msgpack_pack_uint64(&packer, view_hash_for(m, to));
 	msgpack_pack_uint64(&packer, a);
 	msgpack_pack_uint64(&packer, b);
 	msgpack_pack_array(&packer, m->item_count);
--- a/coord/member_digest.c
+++ b/coord/member_digest.c
@@ -44,9 +44,10 @@
 	return m->settings.suspect_after + 2 * m->settings.digest;
 }
 
-static bool centre_heard(const struct membership *m, const struct centre *c)
+static bool centre_receiving(const struct membership *m, const struct centre *c)
 {
-	return c->raw && clock_now(m->clock) - c->heard <= reach_limit(m);
+	return c->digest_seen &&
+	       clock_now(m->clock) - c->last_seen <= reach_limit(m);
 }
 
 /* The two gateways over there in turn. Nobody there is shown as alive once it
@@ -73,14 +74,14 @@
 		join_send(m, to);
 		return;
 	}
-	if (centre_heard(m, c))
+	if (centre_receiving(m, c))
 		flags |= WIRE_MUTUAL;
-	news_pack(m, to);
-	wire_send(m, to->view.id, WIRE_BEAT, flags, 0, 0);
+	updates_pack(m, to);
+	wire_send(m, to->view.id, WIRE_HEARTBEAT, flags, 0, 0);
 }
 
-static void reach_take(struct membership *m, struct centre *c, enum reach reach,
-		       uint64_t version)
+static void reach_set(struct membership *m, struct centre *c, enum reach reach,
+		      uint64_t version)
 {
 	static const char *const labels[] = {"up", "suspect", "down"};
 
@@ -103,25 +104,25 @@
 		}
 		peer_refresh(m, p);
 	}
-	news_add(m, &c->news);
+	update_add(m, &c->update);
 }
 
-static void reach_judge(struct membership *m, struct centre *c)
+static void reach_evaluate(struct membership *m, struct centre *c)
 {
 	int64_t now = clock_now(m->clock);
-	int64_t silence = now - c->mutual;
+	int64_t silence = now - c->last_mutual;
 	enum reach reach = REACH_UP;
 
 	if (silence > reach_limit(m) + m->settings.dead_after)
 		reach = REACH_DOWN;
 	else if (silence > reach_limit(m))
 		reach = REACH_SUSPECT;
-	/* Only a digest makes it better, see centre_sign(). */
+	/* Only a digest makes it better, see centre_digest_received(). */
 	if (reach > c->reach)
-		reach_take(m, c, reach, c->version + 1);
+		reach_set(m, c, reach, c->version + 1);
 }
 
-static void digest_centre(struct membership *m, struct centre *c)
+static void centre_tick(struct membership *m, struct centre *c)
 {
 	int rank = own_rank(m, c);
 	int64_t now = clock_now(m->clock);
@@ -131,11 +132,11 @@
 		return;
 	}
 	if (!c->gateway)
-		c->mutual = now;
+		c->last_mutual = now;
 	c->gateway = true;
 	digest_send(m, c, rank);
 	if (centre_random(m, c))
-		reach_judge(m, c);
+		reach_evaluate(m, c);
 }
 
 void digest_tick(struct timer *timer, void *ctx)
@@ -147,7 +148,7 @@
 		struct centre *c = m->centres->pdata[i];
 
 		if (c != m->self->centre)
-			digest_centre(m, c);
+			centre_tick(m, c);
 	}
 }
 
@@ -161,15 +162,16 @@
 	}
 }
 
-static void centre_sign(struct membership *m, struct centre *c, bool mutual)
+static void centre_digest_received(struct membership *m, struct centre *c,
+				   bool mutual)
 {
-	c->raw = true;
-	c->heard = clock_now(m->clock);
+	c->digest_seen = true;
+	c->last_seen = clock_now(m->clock);
 	if (!mutual)
 		return;
-	c->mutual = c->heard;
+	c->last_mutual = c->last_seen;
 	if (c->reach != REACH_UP && own_rank(m, c) >= 0)
-		reach_take(m, c, REACH_UP, c->version + 1);
+		reach_set(m, c, REACH_UP, c->version + 1);
 }
 
 void digest_receive(struct membership *m, struct peer *from,
@@ -180,23 +182,23 @@
 
 	if (c == m->self->centre)
 		return;
-	centre_sign(m, c, mutual);
+	centre_digest_received(m, c, mutual);
 	for (uint32_t rank = 0; rank < 2; rank++) {
 		uint64_t id = gateway_of(m, m->self->centre, c, rank);
 
 		if (!id || id == m->self->view.id)
 			continue;
 		wire_begin(m);
-		wire_send(m, id, WIRE_HEARD, 0, c->id, mutual);
+		wire_send(m, id, WIRE_DIGEST_SEEN, 0, c->id, mutual);
 	}
 }
 
-void digest_heard(struct membership *m, const struct wire *wire)
+void digest_seen_receive(struct membership *m, const struct wire *wire)
 {
 	struct centre *c = centre_find(m, wire->a);
 
 	if (c && c != m->self->centre)
-		centre_sign(m, c, wire->b);
+		centre_digest_received(m, c, wire->b);
 }
 
 void reach_apply(struct membership *m, const struct item *item)
@@ -206,11 +208,11 @@
 	if (!c || c == m->self->centre)
 		return;
 	if (item->version < c->version) {
-		if (!c->news.linked)
-			news_add(m, &c->news);
+		if (!c->update.linked)
+			update_add(m, &c->update);
 		return;
 	}
 	if (item->version == c->version && item->number >= c->reach)
 		return;
-	reach_take(m, c, item->number, item->version);
+	reach_set(m, c, item->number, item->version);
 }
--- a/coord/member_fact.c
+++ b/coord/member_fact.c
@@ -10,14 +10,14 @@
 
 static void fact_drop(struct membership *m, struct fact *fact)
 {
-	news_remove(m, &fact->news);
+	update_remove(m, &fact->update);
 	m->facts_hash ^= id_mix(fact->key, fact->version);
 	m->hashes_stale = true;
 	g_hash_table_remove(m->facts, &fact->key);
 }
 
-static struct fact *fact_put(struct membership *m, uint64_t key,
-			     uint64_t version, const void *value, size_t size)
+static struct fact *fact_store(struct membership *m, uint64_t key,
+			       uint64_t version, const void *value, size_t size)
 {
 	struct fact *old = g_hash_table_lookup(m->facts, &key);
 	struct fact *fact;
@@ -29,7 +29,7 @@
 	if (old)
 		fact_drop(m, old);
 	fact = g_malloc0(sizeof(*fact) + size);
-	fact->news.kind = NEWS_FACT;
+	fact->update.kind = UPDATE_FACT;
 	fact->key = key;
 	fact->version = version;
 	fact->set = clock_now(m->clock);
@@ -39,11 +39,11 @@
 	g_hash_table_insert(m->facts, &fact->key, fact);
 	m->facts_hash ^= id_mix(key, version);
 	m->hashes_stale = true;
-	m->quiet_since = fact->set;
+	m->last_change = fact->set;
 	return fact;
 }
 
-bool fact_apply(struct membership *m, const struct item *item, bool news)
+bool fact_apply(struct membership *m, const struct item *item, bool disseminate)
 {
 	const struct fact *old = g_hash_table_lookup(m->facts, &item->id);
 	int64_t age = (int64_t)item->number * USEC_PER_SEC;
@@ -53,13 +53,13 @@
 		return false;
 	if (age >= FACT_TTL_USEC)
 		return false;
-	fact = fact_put(m, item->id, item->version, item->value.data,
-			item->value.size);
+	fact = fact_store(m, item->id, item->version, item->value.data,
+			  item->value.size);
 	if (!fact)
 		return false;
 	fact->set -= age;
-	if (news)
-		news_add(m, &fact->news);
+	if (disseminate)
+		update_add(m, &fact->update);
 	if (m->ops.fact)
 		m->ops.fact(m->ctx, fact->key, fact->version, fact->value,
 			    fact->size);
@@ -80,9 +80,9 @@
 	old = g_hash_table_lookup(m->facts, &key);
 	if (old && old->version >= version)
 		return;
-	fact = fact_put(m, key, version, value, size);
+	fact = fact_store(m, key, version, value, size);
 	if (fact)
-		news_add(m, &fact->news);
+		update_add(m, &fact->update);
 }
 
 const void *membership_fact_find(const struct membership *m, uint64_t key,
@@ -108,7 +108,7 @@
 
 		if (now - fact->set <= FACT_TTL_USEC)
 			continue;
-		news_remove(m, &fact->news);
+		update_remove(m, &fact->update);
 		m->facts_hash ^= id_mix(fact->key, fact->version);
 		m->hashes_stale = true;
 		g_hash_table_iter_remove(&iter);
--- a/coord/member_private.h
+++ b/coord/member_private.h
@@ -17,7 +17,7 @@
 #define LEVEL_DEAD UINT32_MAX
 #define LEVEL_SUSPECT 1u
 
-#define NEWS_BYTES_MAX 900u
+#define UPDATE_BYTES_MAX 900u
 #define SYNC_BYTES_MAX 8192u
 #define FACTS_MAX 8192u
 #define FACT_BYTES_MAX 512u
@@ -32,16 +32,16 @@
 #define PUSH_DELAY_USEC (50 * USEC_PER_MSEC)
 #define JOIN_BACKOFF_MAX_USEC (8 * USEC_PER_SEC)
 
-enum news_kind {
-	NEWS_MEMBER,
-	NEWS_FACT,
-	NEWS_REACH,
+enum update_kind {
+	UPDATE_MEMBER,
+	UPDATE_FACT,
+	UPDATE_REACH,
 };
 
 /* Part of what it tells about; linked while it has transmissions left. */
-struct news {
-	enum news_kind kind;
-	uint32_t left;
+struct update {
+	enum update_kind kind;
+	uint32_t transmissions_left;
 	GList link;
 	bool linked;
 };
@@ -54,42 +54,43 @@
 };
 
 struct centre {
-	struct news news; /* first: see news_centre() */
+	struct update update; /* first: see update_centre() */
 	uint64_t id;
 	char name[MEMBER_NAME_MAX];
-	uint64_t hash; /* over its members, see table_hashes() */
+	uint64_t hash; /* over its members, see hashes_update() */
 	enum reach reach;
-	uint64_t version; /* of reach */
-	int64_t heard;	  /* last digest from there at all */
-	int64_t mutual;	  /* last digest that said it hears us too */
-	bool raw;	  /* heard is set */
+	uint64_t version;    /* of reach */
+	int64_t last_seen;   /* last digest from there at all */
+	int64_t last_mutual; /* last digest that said it hears us too */
+	bool digest_seen;    /* heard is set */
 	bool gateway;
 	uint32_t round;
 };
 
 struct peer {
-	struct news news;   /* first: see news_peer() */
-	struct member view; /* what the embedder sees */
+	struct update update; /* first: see update_peer() */
+	struct member view;   /* what the embedder sees */
 	uint32_t level;
 	bool leaving;
 	bool confirmed; /* its state was told, not only its name by a list */
-	bool shown;	/* the embedder was told of it */
+	bool reported;	/* the embedder was told of it */
 	bool forgotten;
-	bool watched; /* it should send heartbeats to us */
-	bool named;   /* the news carries its names too */
-	bool assured; /* told us, since the last pause, that we live */
-	bool doubted; /* a probe is out since the last sign of life */
+	bool watched;	      /* it should send heartbeats to us */
+	bool send_names;	      /* the news carries its names too */
+	bool confirmed_alive; /* told us, since the last pause, that we live */
+	bool probed;	      /* a probe is out since the last sign of life */
 	struct centre *centre;
-	int64_t heard;	/* last sign of life, or when it was first expected */
-	int64_t since;	/* when this level was learnt */
-	int64_t hinted; /* when the platform's list last named it */
-	int64_t asked;	/* when it was last sent a join */
-	int64_t noted;	/* when it was last told how it is seen */
-	uint32_t asks;
+	int64_t last_seen;   /* last sign of life, or when it was first expected
+			      */
+	int64_t state_since; /* when this level was learnt */
+	int64_t hinted_at;   /* when the platform's list last named it */
+	int64_t join_sent_at; /* when it was last sent a join */
+	int64_t notified_at;  /* when it was last told how it is seen */
+	uint32_t join_attempts;
 };
 
 struct fact {
-	struct news news; /* first: see news_fact() */
+	struct update update; /* first: see update_fact() */
 	uint64_t key;
 	uint64_t version;
 	int64_t set; /* at its origin, by the own clock */
@@ -98,14 +99,14 @@
 };
 
 enum wire_kind {
-	WIRE_BEAT = 1,
-	WIRE_PING,  /* a: target, b: origin */
-	WIRE_ACK,   /* a: subject, b: origin, items: the subject's row */
-	WIRE_SYNC,  /* items: hashes */
-	WIRE_KEYS,  /* a: data centre, or 0 and fact keys; items: short rows */
-	WIRE_ROWS,  /* items: rows and facts */
-	WIRE_WANT,  /* a: 0 for members, 1 for facts, items: ids */
-	WIRE_HEARD, /* a: data centre, b: whether it hears us */
+	WIRE_HEARTBEAT = 1,
+	WIRE_PING, /* a: target, b: origin */
+	WIRE_ACK,  /* a: subject, b: origin, items: the subject's row */
+	WIRE_SYNC, /* items: hashes */
+	WIRE_KEYS, /* a: data centre, or 0 and fact keys; items: short rows */
+	WIRE_ROWS, /* items: rows and facts */
+	WIRE_REQUEST,	  /* a: 0 for members, 1 for facts, items: ids */
+	WIRE_DIGEST_SEEN, /* a: data centre, b: whether it hears us */
 	WIRE_KIND_MAX,
 };
 
@@ -169,28 +170,28 @@
 	GPtrArray *ring;    /* own data centre's, not dead, by id */
 	GHashTable *index;  /* id -> peer */
 	GHashTable *facts;  /* key -> fact */
-	GQueue news;
+	GQueue updates;
 	GArray *unknown; /* ids whose names are to be asked for */
 	bool ring_stale;
 	bool hashes_stale;
 	uint64_t facts_hash;
 	uint64_t view_hash;
 	uint64_t reach_hash;
-	int64_t listed; /* when the platform's list last named anyone */
-	int64_t quiet_since;
+	int64_t last_hint_at; /* when the platform's list last named anyone */
+	int64_t last_change;
 
-	struct timer beat;
+	struct timer heartbeat_timer;
 	struct timer digest;
 	struct timer push;
-	int64_t beaten;
+	int64_t heartbeat_at;
 	int64_t sync_next;
-	int64_t swept;
+	int64_t swept_at;
 	double push_tokens;
-	int64_t push_filled;
+	int64_t push_refilled_at;
 
-	bool doubtful; /* paused long: may be dead in others' eyes */
-	int64_t doubtful_since;
-	uint32_t assurances;
+	bool uncertain; /* paused long: may be dead in others' eyes */
+	int64_t uncertain_since;
+	uint32_t confirmations;
 
 	msgpack_sbuffer out;
 	msgpack_sbuffer items;
@@ -223,56 +224,57 @@
 struct peer *peer_find(const struct membership *m, uint64_t id);
 struct peer *peer_add(struct membership *m, const struct member *member);
 struct centre *centre_find(const struct membership *m, uint64_t id);
-struct centre *centre_named(struct membership *m, const char *name);
+struct centre *centre_get(struct membership *m, const char *name);
 bool peer_local(const struct membership *m, const struct peer *p);
 /* Not dead as far as its own data centre knows. */
-bool peer_living(const struct peer *p);
+bool peer_is_live(const struct peer *p);
 /* Works out the state to be seen and tells the embedder of a change. */
 void peer_refresh(struct membership *m, struct peer *p);
-void peer_names(struct membership *m, struct peer *p,
-		const struct member *member);
+void peer_set_names(struct membership *m, struct peer *p,
+		    const struct member *member);
 /* Takes a row when it is newer than what is known; false when the member is
  * unknown and the row does not name it. */
-bool row_apply(struct membership *m, const struct item *row, bool news);
-void peer_level(struct membership *m, struct peer *p, uint32_t level);
+bool row_apply(struct membership *m, const struct item *row, bool disseminate);
+void peer_set_level(struct membership *m, struct peer *p, uint32_t level);
 /* Takes an incarnation above all that others may hold. */
-void self_raise(struct membership *m, uint64_t above);
-void table_hashes(struct membership *m);
+void incarnation_raise(struct membership *m, uint64_t above);
+void hashes_update(struct membership *m);
 /* The hash over all that is common knowledge with that instance. */
-uint64_t view_with(struct membership *m, uint64_t id);
+uint64_t view_hash_for(struct membership *m, uint64_t id);
 void table_sweep(struct membership *m);
 void table_changed(struct membership *m);
 
 /* member_update.c */
-void news_add(struct membership *m, struct news *news);
-void news_remove(struct membership *m, struct news *news);
+void update_add(struct membership *m, struct update *update);
+void update_remove(struct membership *m, struct update *update);
 /* Packs what fits; the peer addressed is told first how it is seen. */
-void news_pack(struct membership *m, const struct peer *to);
-void news_receive(struct membership *m, const struct peer *from,
-		  const struct wire *wire);
-void news_push(struct timer *timer, void *ctx);
+void updates_pack(struct membership *m, const struct peer *to);
+void updates_receive(struct membership *m, const struct peer *from,
+		     const struct wire *wire);
+void updates_push(struct timer *timer, void *ctx);
 
 /* member_fact.c */
-bool fact_apply(struct membership *m, const struct item *item, bool news);
+bool fact_apply(struct membership *m, const struct item *item,
+		bool disseminate);
 void fact_free(void *data);
 void facts_sweep(struct membership *m);
 
 /* member_ring.c */
-void ring_beat(struct timer *timer, void *ctx);
+void ring_heartbeat(struct timer *timer, void *ctx);
 /* The members of the own data centre that are not dead, the own included. */
 GPtrArray *ring_members(struct membership *m);
 /* A random one of them other than the own and not, or NULL. */
 struct peer *ring_random(struct membership *m, const struct peer * not );
 void join_send(struct membership *m, struct peer *p);
 /* Tells a peer how it is seen when that is not as it says. */
-void note_send(struct membership *m, struct peer *p);
+void peer_notify(struct membership *m, struct peer *p);
 
 /* member_probe.c */
 void probe_tick(struct membership *m);
 void probe_ping(struct membership *m, const struct wire *wire, uint64_t from);
 void probe_ack(struct membership *m, const struct wire *wire, uint64_t from);
-void probe_doubt(struct membership *m);
-void probe_assured(struct membership *m);
+void probe_watchers(struct membership *m);
+void probe_confirmed(struct membership *m);
 
 /* member_sync.c */
 void sync_start(struct membership *m, uint64_t to);
@@ -280,13 +282,13 @@
 void sync_check(struct membership *m, uint64_t from, const struct wire *wire);
 void sync_hashes(struct membership *m, uint64_t from, const struct wire *wire);
 void sync_keys(struct membership *m, uint64_t from, const struct wire *wire);
-void sync_want(struct membership *m, uint64_t from, const struct wire *wire);
+void sync_request(struct membership *m, uint64_t from, const struct wire *wire);
 
 /* member_digest.c */
 void digest_tick(struct timer *timer, void *ctx);
 void digest_receive(struct membership *m, struct peer *from,
 		    const struct wire *wire);
-void digest_heard(struct membership *m, const struct wire *wire);
+void digest_seen_receive(struct membership *m, const struct wire *wire);
 void reach_apply(struct membership *m, const struct item *item);
 /* Sends pending news to other data centres that we are gateway to. */
 void digest_push(struct membership *m);
--- a/coord/member_probe.c
+++ b/coord/member_probe.c
@@ -13,7 +13,7 @@
 	uint64_t own = m->self->view.id;
 	struct peer *last = p;
 
-	p->doubted = true;
+	p->probed = true;
 	ping_send(m, p->view.id, p->view.id, own);
 	for (uint32_t i = 0; i < m->settings.fanout; i++) {
 		struct peer *helper = ring_random(m, last);
@@ -27,42 +27,43 @@
 
 static void probe_watched(struct membership *m, struct peer *p, int64_t silence)
 {
-	bool doubted = p->doubted;
+	bool probed = p->probed;
 
 	if (silence <= m->settings.suspect_after * 2 / 3)
 		return;
 	probe_send(m, p);
-	if (doubted && silence > m->settings.suspect_after)
-		peer_level(m, p, p->level | LEVEL_SUSPECT);
+	if (probed && silence > m->settings.suspect_after)
+		peer_set_level(m, p, p->level | LEVEL_SUSPECT);
 }
 
 /* Those who watch it decide first; the others only when they have not. */
 static void probe_suspect(struct membership *m, struct peer *p, int64_t silence)
 {
-	int64_t suspected = clock_now(m->clock) - p->since;
+	int64_t suspected = clock_now(m->clock) - p->state_since;
 	int64_t limit = m->settings.dead_after;
-	bool doubted = p->doubted;
+	bool probed = p->probed;
 
 	if (p->watched || suspected > limit)
 		probe_send(m, p);
 	if (!p->watched)
 		limit *= 2;
-	if (doubted && suspected > limit && silence > m->settings.suspect_after)
-		peer_level(m, p, LEVEL_DEAD);
+	if (probed && suspected > limit && silence > m->settings.suspect_after)
+		peer_set_level(m, p, LEVEL_DEAD);
 }
 
-static void doubt_tick(struct membership *m)
+static void uncertain_tick(struct membership *m)
 {
-	if (!m->doubtful)
+	if (!m->uncertain)
 		return;
-	if (clock_now(m->clock) - m->doubtful_since <= m->settings.dead_after) {
-		probe_doubt(m);
+	if (clock_now(m->clock) - m->uncertain_since <=
+	    m->settings.dead_after) {
+		probe_watchers(m);
 		return;
 	}
-	if (m->assurances)
-		m->doubtful = false;
+	if (m->confirmations)
+		m->uncertain = false;
 	else
-		self_raise(m, 0);
+		incarnation_raise(m, 0);
 }
 
 void probe_tick(struct membership *m)
@@ -71,16 +72,16 @@
 
 	for (guint i = 0; i < m->peers->len; i++) {
 		struct peer *p = m->peers->pdata[i];
-		int64_t silence = now - p->heard;
+		int64_t silence = now - p->last_seen;
 
-		if (p == m->self || !peer_local(m, p) || !peer_living(p))
+		if (p == m->self || !peer_local(m, p) || !peer_is_live(p))
 			continue;
 		if (p->level & LEVEL_SUSPECT)
 			probe_suspect(m, p, silence);
 		else if (p->watched)
 			probe_watched(m, p, silence);
 	}
-	doubt_tick(m);
+	uncertain_tick(m);
 }
 
 void probe_ping(struct membership *m, const struct wire *wire, uint64_t from)
@@ -88,7 +89,7 @@
 	struct peer *target;
 
 	if (wire->a == m->self->view.id) {
-		news_pack(m, peer_find(m, from));
+		updates_pack(m, peer_find(m, from));
 		wire_send(m, from, WIRE_ACK, 0, wire->a, wire->b);
 		return;
 	}
@@ -119,43 +120,43 @@
 		return;
 	}
 	if (wire->a == from) {
-		if (m->doubtful && !subject->assured) {
-			subject->assured = true;
-			probe_assured(m);
+		if (m->uncertain && !subject->confirmed_alive) {
+			subject->confirmed_alive = true;
+			probe_confirmed(m);
 		}
 		return;
 	}
 	if (!wire->item_count || !item_decode(&wire->items[0], &item) ||
 	    item.id != wire->a || item.version < subject->view.incarnation)
 		return;
-	subject->heard = clock_now(m->clock);
-	subject->doubted = false;
+	subject->last_seen = clock_now(m->clock);
+	subject->probed = false;
 }
 
 /* The members that watch this one are the first to hold it dead, so they are
  * the ones to ask. */
-void probe_doubt(struct membership *m)
+void probe_watchers(struct membership *m)
 {
 	GPtrArray *ring = ring_members(m);
-	uint32_t asked = 0;
+	uint32_t sent = 0;
 	guint own;
 
 	if (!g_ptr_array_find(ring, m->self, &own))
 		return;
-	for (guint i = 1; i < ring->len && asked < m->settings.fanout; i++) {
+	for (guint i = 1; i < ring->len && sent < m->settings.fanout; i++) {
 		struct peer *p = ring->pdata[(own + i) % ring->len];
 
 		ping_send(m, p->view.id, p->view.id, m->self->view.id);
-		asked++;
+		sent++;
 	}
 }
 
-void probe_assured(struct membership *m)
+void probe_confirmed(struct membership *m)
 {
 	guint others = ring_members(m)->len - 1;
 
-	if (++m->assurances >= MIN(m->settings.fanout, others))
-		m->doubtful = false;
+	if (++m->confirmations >= MIN(m->settings.fanout, others))
+		m->uncertain = false;
 }
 
 void membership_paused(struct membership *m, int64_t gap_us)
@@ -166,26 +167,26 @@
 	for (guint i = 0; i < m->peers->len; i++) {
 		struct peer *p = m->peers->pdata[i];
 
-		p->heard = now;
-		p->assured = false;
+		p->last_seen = now;
+		p->confirmed_alive = false;
 		if (p->level & LEVEL_SUSPECT && p->level != LEVEL_DEAD)
-			p->since = now;
+			p->state_since = now;
 	}
 	for (guint i = 0; i < m->centres->len; i++) {
 		struct centre *c = m->centres->pdata[i];
 
-		c->heard = now;
-		c->mutual = now;
+		c->last_seen = now;
+		c->last_mutual = now;
 	}
 	if (gap_us < m->settings.suspect_after || ring_members(m)->len < 2)
 		return;
-	m->doubtful = true;
-	m->doubtful_since = now;
-	m->assurances = 0;
-	probe_doubt(m);
+	m->uncertain = true;
+	m->uncertain_since = now;
+	m->confirmations = 0;
+	probe_watchers(m);
 }
 
 bool membership_certain(const struct membership *m)
 {
-	return !m->doubtful;
+	return !m->uncertain;
 }
--- a/coord/member_ring.c
+++ b/coord/member_ring.c
@@ -9,7 +9,7 @@
 	for (guint i = 0; i < m->peers->len; i++) {
 		struct peer *p = m->peers->pdata[i];
 
-		if (peer_local(m, p) && peer_living(p))
+		if (peer_local(m, p) && peer_is_live(p))
 			g_ptr_array_add(m->ring, p);
 	}
 	return m->ring;
@@ -37,13 +37,13 @@
 	return p->level & LEVEL_SUSPECT;
 }
 
-static void beat_send(struct membership *m, const struct peer *to)
+static void heartbeat_send(struct membership *m, const struct peer *to)
 {
-	news_pack(m, to);
-	wire_send(m, to->view.id, WIRE_BEAT, 0, 0, 0);
+	updates_pack(m, to);
+	wire_send(m, to->view.id, WIRE_HEARTBEAT, 0, 0, 0);
 }
 
-static guint ring_place(const GPtrArray *ring, const struct peer *p)
+static guint ring_index(const GPtrArray *ring, const struct peer *p)
 {
 	for (guint i = 0; i < ring->len; i++) {
 		if (ring->pdata[i] == p)
@@ -54,16 +54,16 @@
 
 /* Suspects on the way get one too, so as to hear that they are doubted, but
  * do not count: those after them take over the watch. */
-static void beat_successors(struct membership *m)
+static void heartbeat_successors(struct membership *m)
 {
 	GPtrArray *ring = ring_members(m);
-	guint own = ring_place(ring, m->self);
+	guint own = ring_index(ring, m->self);
 	uint32_t sent = 0;
 
 	for (guint i = 1; i < ring->len && sent < m->settings.fanout; i++) {
 		struct peer *p = ring->pdata[(own + i) % ring->len];
 
-		beat_send(m, p);
+		heartbeat_send(m, p);
 		if (!peer_suspect(p))
 			sent++;
 		if (i >= 3 * m->settings.fanout)
@@ -72,7 +72,7 @@
 }
 
 /* One more to a random member carries news across the ring. */
-static void beat_random(struct membership *m)
+static void heartbeat_random(struct membership *m)
 {
 	struct peer *p;
 
@@ -80,7 +80,7 @@
 		return;
 	p = ring_random(m, NULL);
 	if (p)
-		beat_send(m, p);
+		heartbeat_send(m, p);
 }
 
 /* Which members should send heartbeats to this one: those before it, as far
@@ -88,7 +88,7 @@
 static void watch_update(struct membership *m)
 {
 	GPtrArray *ring = ring_members(m);
-	guint own = ring_place(ring, m->self);
+	guint own = ring_index(ring, m->self);
 	int64_t now = clock_now(m->clock);
 	uint32_t between = 0;
 
@@ -97,7 +97,7 @@
 		bool watched = between < m->settings.fanout;
 
 		if (watched && !p->watched)
-			p->heard = MAX(p->heard, now);
+			p->last_seen = MAX(p->last_seen, now);
 		p->watched = watched;
 		if (!peer_suspect(p))
 			between++;
@@ -110,17 +110,17 @@
 	pack_row(m, m->self, true);
 	if (p->confirmed)
 		pack_row(m, p, false);
-	p->asked = clock_now(m->clock);
-	p->asks++;
+	p->join_sent_at = clock_now(m->clock);
+	p->join_attempts++;
 	wire_send(m, p->view.id, WIRE_ROWS, WIRE_JOIN, 0, 0);
 }
 
 static bool join_due(const struct membership *m, const struct peer *p)
 {
-	int64_t wait = m->settings.heartbeat << MIN(p->asks, 5u);
+	int64_t wait = m->settings.heartbeat << MIN(p->join_attempts, 5u);
 
-	return !p->asks || clock_now(m->clock) - p->asked >=
-				   MIN(wait, JOIN_BACKOFF_MAX_USEC);
+	return !p->join_attempts || clock_now(m->clock) - p->join_sent_at >=
+					    MIN(wait, JOIN_BACKOFF_MAX_USEC);
 }
 
 /* Whom only a list names: own data centre first; others only while this one
@@ -174,43 +174,44 @@
 		join_send(m, found);
 }
 
-void note_send(struct membership *m, struct peer *p)
+void peer_notify(struct membership *m, struct peer *p)
 {
 	GPtrArray *ring = ring_members(m);
 	int64_t now = clock_now(m->clock);
 	bool buried = p->level == LEVEL_DEAD;
 	const struct peer *lowest = ring->pdata[0];
 
-	if (now - p->noted < m->settings.heartbeat / 2 && p->noted)
+	if (now - p->notified_at < m->settings.heartbeat / 2 && p->notified_at)
 		return;
-	p->noted = now;
+	p->notified_at = now;
 	wire_begin(m);
 	pack_row(m, p, false);
-	wire_send(m, p->view.id, WIRE_BEAT, buried ? WIRE_DECLARED_DEAD : 0,
-		  buried ? ring->len : 0, buried ? lowest->view.id : 0);
+	wire_send(m, p->view.id, WIRE_HEARTBEAT,
+		  buried ? WIRE_DECLARED_DEAD : 0, buried ? ring->len : 0,
+		  buried ? lowest->view.id : 0);
 }
 
-void ring_beat(struct timer *timer, void *ctx)
+void ring_heartbeat(struct timer *timer, void *ctx)
 {
 	struct membership *m = ctx;
 	int64_t period = m->settings.heartbeat;
-	int64_t gap = clock_now(m->clock) - m->beaten;
+	int64_t gap = clock_now(m->clock) - m->heartbeat_at;
 
-	m->beaten = clock_now(m->clock);
+	m->heartbeat_at = clock_now(m->clock);
 	if (gap > m->settings.suspect_after)
 		membership_paused(m, gap);
 	timer_start(timer, period - period / 16 +
 				   g_rand_int_range(m->rand, 0,
 						    (gint32)(period / 8) + 1));
-	if (clock_now(m->clock) - m->swept >= USEC_PER_SEC) {
-		m->swept = clock_now(m->clock);
+	if (clock_now(m->clock) - m->swept_at >= USEC_PER_SEC) {
+		m->swept_at = clock_now(m->clock);
 		table_sweep(m);
 		facts_sweep(m);
 	}
 	watch_update(m);
 	probe_tick(m);
-	beat_successors(m);
-	beat_random(m);
+	heartbeat_successors(m);
+	heartbeat_random(m);
 	join_candidates(m);
 	join_declared_dead(m);
 }
--- a/coord/member_sync.c
+++ b/coord/member_sync.c
@@ -26,7 +26,7 @@
 	const struct peer *p = peer_find(m, to);
 	uint64_t hashes[FACT_BUCKETS] = {0};
 
-	table_hashes(m);
+	hashes_update(m);
 	facts_hashes(m, hashes);
 	wire_begin(m);
 	for (uint64_t i = 0; i < FACT_BUCKETS; i++)
@@ -45,9 +45,9 @@
 void sync_check(struct membership *m, uint64_t from, const struct wire *wire)
 {
 	int64_t now = clock_now(m->clock);
-	bool quiet = now - m->quiet_since > m->settings.heartbeat;
+	bool quiet = now - m->last_change > m->settings.heartbeat;
 
-	if (wire->view == view_with(m, from) || now < m->sync_next)
+	if (wire->view == view_hash_for(m, from) || now < m->sync_next)
 		return;
 	/* News still on its way explains the difference, for a while. */
 	if (!quiet && now < m->sync_next + 4 * SYNC_EVERY_USEC)
@@ -111,7 +111,7 @@
 	uint64_t hashes[FACT_BUCKETS] = {0};
 	struct item item;
 
-	table_hashes(m);
+	hashes_update(m);
 	facts_hashes(m, hashes);
 	for (uint32_t i = 0; i < wire->item_count; i++) {
 		if (!item_decode(&wire->items[i], &item))
@@ -133,20 +133,20 @@
 	wire_begin(m);
 }
 
-static void want_send(struct membership *m, uint64_t to, uint64_t facts)
+static void request_send(struct membership *m, uint64_t to, uint64_t facts)
 {
 	if (!m->unknown->len)
 		return;
 	wire_begin(m);
 	for (guint i = 0; i < m->unknown->len; i++)
 		pack_id(m, g_array_index(m->unknown, uint64_t, i));
-	wire_send(m, to, WIRE_WANT, 0, facts, 0);
+	wire_send(m, to, WIRE_REQUEST, 0, facts, 0);
 }
 
 /* What the other side has newer is taken or wanted; what it has older or not
  * at all is sent: seen holds what it has as new as we do. */
-static void keys_row(struct membership *m, const struct item *item,
-		     GHashTable *seen)
+static void keys_row_merge(struct membership *m, const struct item *item,
+			   GHashTable *current)
 {
 	struct peer *p = peer_find(m, item->id);
 
@@ -156,41 +156,41 @@
 		return;
 	if (item->version > p->view.incarnation ||
 	    (item->version == p->view.incarnation && item->number >= p->level))
-		g_hash_table_add(seen, p);
+		g_hash_table_add(current, p);
 }
 
 static void keys_members_receive(struct membership *m, uint64_t from,
 				 const struct wire *wire)
 {
-	GHashTable *seen = g_hash_table_new(NULL, NULL);
+	GHashTable *current = g_hash_table_new(NULL, NULL);
 	struct item item;
 
 	for (uint32_t i = 0; i < wire->item_count; i++) {
 		if (item_decode(&wire->items[i], &item) &&
 		    item.kind == ITEM_ROW)
-			keys_row(m, &item, seen);
+			keys_row_merge(m, &item, current);
 		else
 			m->stats.malformed++;
 	}
-	want_send(m, from, 0);
+	request_send(m, from, 0);
 	wire_begin(m);
 	for (guint i = 0; i < m->peers->len; i++) {
 		struct peer *p = m->peers->pdata[i];
 
 		if (p->centre->id != wire->a || !p->confirmed || p->forgotten ||
-		    g_hash_table_contains(seen, p))
+		    g_hash_table_contains(current, p))
 			continue;
 		pack_row(m, p, true);
 		rows_flush(m, from, false);
 	}
 	rows_flush(m, from, true);
-	g_hash_table_destroy(seen);
+	g_hash_table_destroy(current);
 }
 
 static void keys_facts_receive(struct membership *m, uint64_t from,
 			       const struct wire *wire)
 {
-	GHashTable *seen = g_hash_table_new(NULL, NULL);
+	GHashTable *current = g_hash_table_new(NULL, NULL);
 	GHashTableIter iter;
 	struct item item;
 	gpointer value;
@@ -207,20 +207,20 @@
 		if (!fact || fact->version < item.version)
 			g_array_append_val(m->unknown, item.id);
 		if (fact && fact->version <= item.version)
-			g_hash_table_add(seen, fact);
+			g_hash_table_add(current, fact);
 	}
-	want_send(m, from, 1);
+	request_send(m, from, 1);
 	wire_begin(m);
 	g_hash_table_iter_init(&iter, m->facts);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (bucket_of(value) != wire->a ||
-		    g_hash_table_contains(seen, value))
+		    g_hash_table_contains(current, value))
 			continue;
 		pack_fact(m, value);
 		rows_flush(m, from, false);
 	}
 	rows_flush(m, from, true);
-	g_hash_table_destroy(seen);
+	g_hash_table_destroy(current);
 }
 
 void sync_keys(struct membership *m, uint64_t from, const struct wire *wire)
@@ -232,7 +232,7 @@
 		keys_members_receive(m, from, wire);
 }
 
-void sync_want(struct membership *m, uint64_t from, const struct wire *wire)
+void sync_request(struct membership *m, uint64_t from, const struct wire *wire)
 {
 	struct item item;
 
--- a/coord/member_table.c
+++ b/coord/member_table.c
@@ -3,7 +3,7 @@
 #include "common/log.h"
 #include "member_private.h"
 
-static guint peer_place(const struct membership *m, uint64_t id)
+static guint peer_index(const struct membership *m, uint64_t id)
 {
 	guint low = 0;
 	guint high = m->peers->len;
@@ -44,7 +44,7 @@
 	return (*x)->id < (*y)->id ? -1 : (*x)->id > (*y)->id;
 }
 
-struct centre *centre_named(struct membership *m, const char *name)
+struct centre *centre_get(struct membership *m, const char *name)
 {
 	struct centre *c = centre_find(m, id_of(name));
 
@@ -57,9 +57,9 @@
 	}
 	c = g_new0(struct centre, 1);
 	c->id = id_of(name);
-	c->news.kind = NEWS_REACH;
-	c->heard = clock_now(m->clock);
-	c->mutual = c->heard;
+	c->update.kind = UPDATE_REACH;
+	c->last_seen = clock_now(m->clock);
+	c->last_mutual = c->last_seen;
 	g_strlcpy(c->name, name, sizeof(c->name));
 	g_ptr_array_add(m->centres, c);
 	g_ptr_array_sort(m->centres, centre_order);
@@ -71,7 +71,7 @@
 	return p->centre == m->self->centre;
 }
 
-bool peer_living(const struct peer *p)
+bool peer_is_live(const struct peer *p)
 {
 	return p->confirmed && !p->forgotten && p->level != LEVEL_DEAD;
 }
@@ -80,13 +80,13 @@
 {
 	m->ring_stale = true;
 	m->hashes_stale = true;
-	m->quiet_since = clock_now(m->clock);
+	m->last_change = clock_now(m->clock);
 }
 
-void peer_names(struct membership *m, struct peer *p,
-		const struct member *member)
+void peer_set_names(struct membership *m, struct peer *p,
+		    const struct member *member)
 {
-	struct centre *c = centre_named(m, member->data_centre);
+	struct centre *c = centre_get(m, member->data_centre);
 
 	if (!c)
 		return;
@@ -109,25 +109,25 @@
 		return NULL;
 	}
 	p = g_new0(struct peer, 1);
-	p->news.kind = NEWS_MEMBER;
+	p->update.kind = UPDATE_MEMBER;
 	p->view.state = MEMBER_DEAD;
 	p->view.id = member->id;
-	p->since = clock_now(m->clock);
-	p->hinted = p->since;
-	p->heard = p->since;
-	peer_names(m, p, member);
+	p->state_since = clock_now(m->clock);
+	p->hinted_at = p->state_since;
+	p->last_seen = p->state_since;
+	peer_set_names(m, p, member);
 	if (!p->centre) {
 		g_free(p);
 		return NULL;
 	}
-	g_ptr_array_insert(m->peers, (gint)peer_place(m, member->id), p);
+	g_ptr_array_insert(m->peers, (gint)peer_index(m, member->id), p);
 	g_hash_table_insert(m->index, &p->view.id, p);
 	return p;
 }
 
 static enum member_state peer_state(const struct peer *p)
 {
-	if (!peer_living(p) || p->centre->reach == REACH_DOWN)
+	if (!peer_is_live(p) || p->centre->reach == REACH_DOWN)
 		return MEMBER_DEAD;
 	if (p->leaving)
 		return MEMBER_LEAVING;
@@ -136,16 +136,16 @@
 	return MEMBER_ALIVE;
 }
 
-static void peer_show(struct membership *m, struct peer *p,
-		      enum member_state state)
+static void peer_report(struct membership *m, struct peer *p,
+			enum member_state state)
 {
 	enum member_state old = p->view.state;
-	bool shown = p->shown;
+	bool reported = p->reported;
 
 	p->view.state = state;
-	p->shown = true;
+	p->reported = true;
 	if (m->ops.changed)
-		m->ops.changed(m->ctx, &p->view, shown ? &old : NULL);
+		m->ops.changed(m->ctx, &p->view, reported ? &old : NULL);
 }
 
 void peer_refresh(struct membership *m, struct peer *p)
@@ -153,12 +153,12 @@
 	enum member_state state = peer_state(p);
 
 	if (state != p->view.state)
-		peer_show(m, p, state);
+		peer_report(m, p, state);
 }
 
 /* What was believed while others held this instance dead came from its side of
  * a cut alone: it is learnt again. */
-static void beliefs_reset(struct membership *m)
+static void dead_peers_reset(struct membership *m)
 {
 	for (guint i = 0; i < m->peers->len; i++) {
 		struct peer *p = m->peers->pdata[i];
@@ -167,23 +167,23 @@
 			continue;
 		p->level = 0;
 		p->confirmed = false;
-		p->asks = 0;
-		news_remove(m, &p->news);
+		p->join_attempts = 0;
+		update_remove(m, &p->update);
 	}
 }
 
-void self_raise(struct membership *m, uint64_t above)
+void incarnation_raise(struct membership *m, uint64_t above)
 {
 	struct peer *self = m->self;
 
 	self->view.incarnation = MAX(above, self->view.incarnation) + 1;
 	self->level = 0;
-	self->named = true;
-	m->doubtful = false;
+	self->send_names = true;
+	m->uncertain = false;
 	m->stats.refuted++;
-	beliefs_reset(m);
+	dead_peers_reset(m);
 	table_changed(m);
-	news_add(m, &self->news);
+	update_add(m, &self->update);
 	log_event(LOG_WARNING, "incarnation_raised",
 		  LOG_S("name", self->view.name),
 		  LOG_D("incarnation", self->view.incarnation));
@@ -191,7 +191,7 @@
 		m->ops.refuted(m->ctx, self->view.incarnation);
 }
 
-static void self_heard(struct membership *m, const struct item *row)
+static void self_merge(struct membership *m, const struct item *row)
 {
 	struct peer *self = m->self;
 
@@ -199,15 +199,15 @@
 		return;
 	if (row->version > self->view.incarnation ||
 	    row->number >= LEVEL_DEAD - 2) {
-		self_raise(m, row->version);
+		incarnation_raise(m, row->version);
 		return;
 	}
 	if (row->number <= self->level)
 		return;
 	self->level = ((uint32_t)row->number | LEVEL_SUSPECT) + 1;
-	self->named = false;
+	self->send_names = false;
 	table_changed(m);
-	news_add(m, &self->news);
+	update_add(m, &self->update);
 }
 
 static bool row_newer(const struct peer *p, const struct item *row)
@@ -223,7 +223,7 @@
 	to[text->size] = '\0';
 }
 
-static void row_member(const struct item *row, struct member *member)
+static void row_to_member(const struct item *row, struct member *member)
 {
 	memset(member, 0, sizeof(*member));
 	member->id = row->id;
@@ -233,38 +233,38 @@
 	text_copy(member->http_address, &row->names[3]);
 }
 
-static void row_take(struct membership *m, struct peer *p,
-		     const struct item *row)
+static void row_store(struct membership *m, struct peer *p,
+		      const struct item *row)
 {
 	bool reborn = row->version > p->view.incarnation;
 
 	if (reborn && p->view.state != MEMBER_DEAD)
-		peer_show(m, p, MEMBER_DEAD);
+		peer_report(m, p, MEMBER_DEAD);
 	p->view.incarnation = row->version;
 	p->level = row->number;
 	p->leaving = row->leaving;
-	p->named = reborn || !p->confirmed;
+	p->send_names = reborn || !p->confirmed;
 	p->confirmed = true;
-	p->since = clock_now(m->clock);
+	p->state_since = clock_now(m->clock);
 	if (p->level != LEVEL_DEAD)
 		p->forgotten = false;
 	if (!(p->level & LEVEL_SUSPECT))
-		p->heard = p->since;
+		p->last_seen = p->state_since;
 	peer_refresh(m, p);
 	table_changed(m);
 }
 
-bool row_apply(struct membership *m, const struct item *row, bool news)
+bool row_apply(struct membership *m, const struct item *row, bool disseminate)
 {
 	struct peer *p = peer_find(m, row->id);
 	struct member member;
 
 	if (p == m->self) {
-		self_heard(m, row);
+		self_merge(m, row);
 		return true;
 	}
 	if (row->kind == ITEM_NAMED)
-		row_member(row, &member);
+		row_to_member(row, &member);
 	if (!p) {
 		if (row->number == LEVEL_DEAD)
 			return true;
@@ -281,21 +281,21 @@
 	    p->confirmed && row->version > p->view.incarnation)
 		return false;
 	if (row->kind == ITEM_NAMED)
-		peer_names(m, p, &member);
-	row_take(m, p, row);
-	if (news)
-		news_add(m, &p->news);
+		peer_set_names(m, p, &member);
+	row_store(m, p, row);
+	if (disseminate)
+		update_add(m, &p->update);
 	return true;
 }
 
-void peer_level(struct membership *m, struct peer *p, uint32_t level)
+void peer_set_level(struct membership *m, struct peer *p, uint32_t level)
 {
 	p->level = level;
-	p->since = clock_now(m->clock);
-	p->named = false;
+	p->state_since = clock_now(m->clock);
+	p->send_names = false;
 	peer_refresh(m, p);
 	table_changed(m);
-	news_add(m, &p->news);
+	update_add(m, &p->update);
 }
 
 static uint64_t peer_hash(const struct peer *p)
@@ -305,7 +305,7 @@
 	return id_mix(id_mix(p->view.id, p->view.incarnation), version);
 }
 
-void table_hashes(struct membership *m)
+void hashes_update(struct membership *m)
 {
 	if (!m->hashes_stale)
 		return;
@@ -315,7 +315,7 @@
 	for (guint i = 0; i < m->peers->len; i++) {
 		const struct peer *p = m->peers->pdata[i];
 
-		if (peer_living(p))
+		if (peer_is_live(p))
 			p->centre->hash ^= peer_hash(p);
 	}
 	m->view_hash = m->facts_hash;
@@ -332,11 +332,11 @@
 }
 
 /* How others are reached is shared within a data centre only. */
-uint64_t view_with(struct membership *m, uint64_t id)
+uint64_t view_hash_for(struct membership *m, uint64_t id)
 {
 	const struct peer *p = peer_find(m, id);
 
-	table_hashes(m);
+	hashes_update(m);
 	if (!p || !peer_local(m, p))
 		return m->view_hash;
 	return m->view_hash ^ m->reach_hash;
@@ -345,8 +345,8 @@
 static bool peer_unlisted(const struct membership *m, const struct peer *p,
 			  int64_t now)
 {
-	return m->listed - p->hinted > FORGET_UNLISTED_USEC &&
-	       now - p->since > FORGET_UNLISTED_USEC;
+	return m->last_hint_at - p->hinted_at > FORGET_UNLISTED_USEC &&
+	       now - p->state_since > FORGET_UNLISTED_USEC;
 }
 
 static bool peer_forgettable(const struct membership *m, const struct peer *p,
@@ -356,14 +356,15 @@
 		return false;
 	if (peer_unlisted(m, p, now))
 		return true;
-	return p->level == LEVEL_DEAD && now - p->since > FORGET_DEAD_USEC;
+	return p->level == LEVEL_DEAD &&
+	       now - p->state_since > FORGET_DEAD_USEC;
 }
 
 static void peer_remove(struct membership *m, guint at)
 {
 	struct peer *p = m->peers->pdata[at];
 
-	news_remove(m, &p->news);
+	update_remove(m, &p->update);
 	g_hash_table_remove(m->index, &p->view.id);
 	g_ptr_array_remove_index(m->peers, at);
 	g_free(p);
@@ -376,13 +377,13 @@
 	for (guint i = m->peers->len; i-- > 0;) {
 		struct peer *p = m->peers->pdata[i];
 
-		if (p->forgotten && now - p->since > TOMBSTONE_USEC) {
+		if (p->forgotten && now - p->state_since > TOMBSTONE_USEC) {
 			peer_remove(m, i);
 			table_changed(m);
 		} else if (peer_forgettable(m, p, now)) {
 			p->forgotten = true;
-			p->since = now;
-			news_remove(m, &p->news);
+			p->state_since = now;
+			update_remove(m, &p->update);
 			table_changed(m);
 		}
 	}
--- a/coord/member_update.c
+++ b/coord/member_update.c
@@ -4,24 +4,24 @@
 #define PUSH_TOKENS 8.0
 #define PUSH_TARGETS 2
 
-static struct peer *news_peer(const struct news *news)
+static struct peer *update_peer(const struct update *update)
 {
-	return (struct peer *)news;
+	return (struct peer *)update;
 }
 
-static struct fact *news_fact(const struct news *news)
+static struct fact *update_fact(const struct update *update)
 {
-	return (struct fact *)news;
+	return (struct fact *)update;
 }
 
-static struct centre *news_centre(const struct news *news)
+static struct centre *update_centre(const struct update *update)
 {
-	return (struct centre *)news;
+	return (struct centre *)update;
 }
 
 /* Each of n instances passes an item on this often: enough for all to hear
  * it with high probability, and bounded. */
-static uint32_t news_limit(struct membership *m)
+static uint32_t update_transmissions(struct membership *m)
 {
 	uint32_t members = ring_members(m)->len;
 
@@ -31,9 +31,9 @@
 static void push_arm(struct membership *m)
 {
 	int64_t now = clock_now(m->clock);
-	double refill = (double)(now - m->push_filled) / USEC_PER_SEC;
+	double refill = (double)(now - m->push_refilled_at) / USEC_PER_SEC;
 
-	m->push_filled = now;
+	m->push_refilled_at = now;
 	m->push_tokens = MIN(m->push_tokens + refill, PUSH_TOKENS);
 	if (m->push_tokens < 1 || timer_running(&m->push))
 		return;
@@ -41,82 +41,83 @@
 	timer_start(&m->push, PUSH_DELAY_USEC);
 }
 
-void news_add(struct membership *m, struct news *news)
+void update_add(struct membership *m, struct update *update)
 {
-	news->left = news_limit(m);
-	news->link.data = news;
-	if (news->linked)
-		g_queue_unlink(&m->news, &news->link);
-	g_queue_push_head_link(&m->news, &news->link);
-	news->linked = true;
+	update->transmissions_left = update_transmissions(m);
+	update->link.data = update;
+	if (update->linked)
+		g_queue_unlink(&m->updates, &update->link);
+	g_queue_push_head_link(&m->updates, &update->link);
+	update->linked = true;
 	push_arm(m);
 }
 
-void news_remove(struct membership *m, struct news *news)
+void update_remove(struct membership *m, struct update *update)
 {
-	if (!news->linked)
+	if (!update->linked)
 		return;
-	g_queue_unlink(&m->news, &news->link);
-	news->linked = false;
+	g_queue_unlink(&m->updates, &update->link);
+	update->linked = false;
 }
 
-static bool news_put(struct membership *m, const struct news *news,
-		     const struct peer *to)
+static bool update_pack(struct membership *m, const struct update *update,
+			const struct peer *to)
 {
 	const struct peer *p;
 
-	switch (news->kind) {
-	case NEWS_MEMBER:
-		p = news_peer(news);
+	switch (update->kind) {
+	case UPDATE_MEMBER:
+		p = update_peer(update);
 		if (p != to)
-			pack_row(m, p, p->named);
+			pack_row(m, p, p->send_names);
 		return true;
-	case NEWS_FACT:
-		pack_fact(m, news_fact(news));
+	case UPDATE_FACT:
+		pack_fact(m, update_fact(update));
 		return true;
-	case NEWS_REACH:
+	case UPDATE_REACH:
 		if (!peer_local(m, to))
 			return false;
-		pack_reach(m, news_centre(news));
+		pack_reach(m, update_centre(update));
 		return true;
 	}
 	return false;
 }
 
-static void news_take(struct membership *m, const struct peer *to, bool *any)
+static void updates_pack_pending(struct membership *m, const struct peer *to,
+				 bool *any)
 {
-	guint count = m->news.length;
-	GList *link = m->news.head;
+	guint count = m->updates.length;
+	GList *link = m->updates.head;
 
-	while (count-- && wire_size(m) < NEWS_BYTES_MAX) {
-		struct news *news = link->data;
+	while (count-- && wire_size(m) < UPDATE_BYTES_MAX) {
+		struct update *update = link->data;
 
 		link = link->next;
-		if (!news_put(m, news, to))
+		if (!update_pack(m, update, to))
 			continue;
 		*any = true;
-		g_queue_unlink(&m->news, &news->link);
-		news->linked = --news->left > 0;
-		if (news->linked)
-			g_queue_push_tail_link(&m->news, &news->link);
+		g_queue_unlink(&m->updates, &update->link);
+		update->linked = --update->transmissions_left > 0;
+		if (update->linked)
+			g_queue_push_tail_link(&m->updates, &update->link);
 	}
 }
 
-void news_pack(struct membership *m, const struct peer *to)
+void updates_pack(struct membership *m, const struct peer *to)
 {
 	bool any = false;
 
 	wire_begin(m);
 	if (to->confirmed && (to->level & LEVEL_SUSPECT))
 		pack_row(m, to, false);
-	news_take(m, to, &any);
+	updates_pack_pending(m, to, &any);
 }
 
-void news_receive(struct membership *m, const struct peer *from,
-		  const struct wire *wire)
+void updates_receive(struct membership *m, const struct peer *from,
+		     const struct wire *wire)
 {
 	/* Answers to a sync come many at a time and are had by others too. */
-	bool news = wire->item_count < 8;
+	bool disseminate = wire->item_count < 8;
 	struct item item;
 
 	g_array_set_size(m->unknown, 0);
@@ -125,10 +126,11 @@
 			m->stats.malformed++;
 			continue;
 		}
-		if (item.kind <= ITEM_NAMED && !row_apply(m, &item, news))
+		if (item.kind <= ITEM_NAMED &&
+		    !row_apply(m, &item, disseminate))
 			g_array_append_val(m->unknown, item.id);
 		else if (item.kind == ITEM_FACT)
-			fact_apply(m, &item, news);
+			fact_apply(m, &item, disseminate);
 		else if (item.kind == ITEM_REACH && peer_local(m, from))
 			reach_apply(m, &item);
 	}
@@ -137,24 +139,24 @@
 	wire_begin(m);
 	for (guint i = 0; i < m->unknown->len; i++)
 		pack_id(m, g_array_index(m->unknown, uint64_t, i));
-	wire_send(m, from->view.id, WIRE_WANT, 0, 0, 0);
+	wire_send(m, from->view.id, WIRE_REQUEST, 0, 0, 0);
 }
 
-void news_push(struct timer *timer, void *ctx)
+void updates_push(struct timer *timer, void *ctx)
 {
 	struct membership *m = ctx;
 	struct peer *first = NULL;
 
-	if (!m->news.length)
+	if (!m->updates.length)
 		return;
 	digest_push(m);
-	for (int i = 0; i < PUSH_TARGETS && m->news.length; i++) {
+	for (int i = 0; i < PUSH_TARGETS && m->updates.length; i++) {
 		struct peer *to = ring_random(m, first);
 
 		if (!to)
 			return;
 		first = to;
-		news_pack(m, to);
-		wire_send(m, to->view.id, WIRE_BEAT, 0, 0, 0);
+		updates_pack(m, to);
+		wire_send(m, to->view.id, WIRE_HEARTBEAT, 0, 0, 0);
 	}
 }
--- a/entry/component_link.c
+++ b/entry/component_link.c
@@ -125,7 +125,7 @@
 			  LOG_S("to", state_label(&member->state)),
 			  LOG_D("incarnation", member->incarnation));
 	if (entry->fold)
-		fold_member(entry->fold, member);
+		fold_member_changed(entry->fold, member);
 	if (entry->claims)
 		claims_member(entry->claims, member);
 	if (entry->ledger)
--- a/include/coord/fold.h
+++ b/include/coord/fold.h
@@ -83,7 +83,7 @@
 void fold_reappend_after(struct fold *fold, int64_t usec);
 void fold_receive(struct fold *fold, uint64_t from, const void *data,
 		  size_t size);
-void fold_member(struct fold *fold, const struct member *member);
+void fold_member_changed(struct fold *fold, const struct member *member);
 /* Appends the file and answers only what was read back; an append whose answer
  * was lost is found by its unique tag. Gives up after timeout_us with
  * RESULT_LOG_DOWN (not appended) or RESULT_LOG_UNKNOWN. A file that is refused
--- a/include/coord/member.h
+++ b/include/coord/member.h
@@ -82,7 +82,7 @@
 	uint64_t sent_bytes; /* payloads only: no frame, no TCP/IP headers */
 	uint64_t received;
 	uint64_t malformed; /* dropped */
-	uint64_t buried;    /* dropped: the sender is held dead */
+	uint64_t from_dead; /* dropped: the sender is held dead */
 	uint64_t syncs;	    /* exchanges of whole views started */
 	uint64_t refuted;   /* incarnations raised */
 };
--- a/tests/member/world.c
+++ b/tests/member/world.c
@@ -131,7 +131,7 @@
 		node->highest[i] = member->incarnation;
 	}
 	if (node->fold)
-		fold_member(node->fold, member);
+		fold_member_changed(node->fold, member);
 }
 
 static void node_fact(void *ctx, uint64_t key, uint64_t version,
