--- a/coord/member.c
+++ b/coord/member.c
@@ -171,8 +171,9 @@
 		m->ops.changed(m->ctx, &m->self->view, &old);
 }
 
-/* Of two sides that hold each other dead the smaller gives way, so that an
- * instance that was cut off alone does not make all others start again. */
+/* When two sides of a partition declared each other dead, the smaller one
+ * yields, so that an isolated instance does not make all others raise their
+ * incarnations. */
 static bool side_yields(struct membership *m, const struct peer *from,
 			const struct wire *wire)
 {
@@ -201,7 +202,7 @@
 		peer_notify(m, from);
 }
 
-/* The sender's own row travels with a join. */
+/* A join carries the sender's row, which adds an unknown sender. */
 static struct peer *sender_find(struct membership *m, uint64_t from,
 				const struct wire *wire)
 {
@@ -226,8 +227,9 @@
 	wire_send(m, to, WIRE_ROWS, 0, 0, 0);
 }
 
-/* Who is that? The question itself is answered, never asked back: two that do
- * not know each other would ask without end. */
+/* Requests the row of an unknown sender. A request is answered with the own
+ * row instead: two instances that do not know each other would otherwise send
+ * requests without end. */
 static void sender_request_names(struct membership *m, uint64_t from,
 				 const struct wire *wire)
 {
@@ -240,7 +242,7 @@
 	wire_send(m, from, WIRE_REQUEST, 0, 0, 0);
 }
 
-/* Whether what the sender says is to be heeded. */
+/* Merges the sender's state; false when the message must be dropped. */
 static bool sender_check(struct membership *m, struct peer *p,
 			 const struct wire *wire)
 {
--- a/coord/member_codec.c
+++ b/coord/member_codec.c
@@ -127,7 +127,8 @@
 	}
 }
 
-/* The number of items goes before them, so they are packed on their own. */
+/* Items go to a buffer of their own, because their number precedes them on the
+ * wire. */
 void wire_begin(struct membership *m)
 {
 	msgpack_sbuffer_clear(&m->items);
--- a/coord/member_digest.c
+++ b/coord/member_digest.c
@@ -7,7 +7,7 @@
 	uint64_t key = id_mix(of->id, to->id);
 	uint64_t id = home_rank(m, of, key, rank, false);
 
-	/* When all are leaving they still have to speak for each other. */
+	/* When all members are leaving, leaving ones serve as gateways. */
 	if (!id && !home_rank(m, of, key, 0, false))
 		id = home_rank(m, of, key, rank, true);
 	return id;
@@ -50,8 +50,9 @@
 	       clock_now(m->clock) - c->last_seen <= reach_limit(m);
 }
 
-/* The two gateways over there in turn. Nobody there is shown as alive once it
- * is down; then anyone is asked, since what we know of them may be old. */
+/* Alternates between the two remote gateways. A data centre that is down has no
+ * gateway, since its members count as dead; then a random member is used,
+ * because the view of them may be outdated. */
 static struct peer *digest_target(struct membership *m, struct centre *c,
 				  int rank)
 {
@@ -117,7 +118,7 @@
 		reach = REACH_DOWN;
 	else if (silence > reach_limit(m))
 		reach = REACH_SUSPECT;
-	/* Only a digest makes it better, see centre_digest_received(). */
+	/* Only a received digest improves it, see centre_digest_received(). */
 	if (reach > c->reach)
 		reach_set(m, c, reach, c->version + 1);
 }
--- a/coord/member_private.h
+++ b/coord/member_private.h
@@ -1,5 +1,5 @@
 /*
- * member_private.h - what the files of the membership share
+ * member_private.h - internal interface of the membership
  */
 #ifndef COORD_MEMBER_PRIVATE_H
 #define COORD_MEMBER_PRIVATE_H
@@ -10,9 +10,10 @@
 #include "coord/member.h"
 
 /*
- * A level orders what is said of one incarnation: even numbers say alive,
- * odd ones suspect, and a member alone raises its own level to refute a
- * suspicion. Dead is above all; only a new incarnation refutes it.
+ * A level orders the states of one incarnation: even levels mean alive, odd
+ * ones suspect. Only the member itself raises its level to the next even one,
+ * to refute a suspicion. Dead is the highest level; only a new incarnation
+ * refutes it.
  */
 #define LEVEL_DEAD UINT32_MAX
 #define LEVEL_SUSPECT 1u
@@ -38,7 +39,8 @@
 	UPDATE_REACH,
 };
 
-/* Part of what it tells about; linked while it has transmissions left. */
+/* A change to disseminate, embedded in the peer, fact or data centre that it
+ * describes; linked while it has transmissions left. */
 struct update {
 	enum update_kind kind;
 	uint32_t transmissions_left;
@@ -46,7 +48,7 @@
 	bool linked;
 };
 
-/* How a whole data centre is seen from the own one. */
+/* Reachability of another data centre from the local one. */
 enum reach {
 	REACH_UP,
 	REACH_SUSPECT,
@@ -60,32 +62,33 @@
 	uint64_t hash; /* over its members, see hashes_update() */
 	enum reach reach;
 	uint64_t version;    /* of reach */
-	int64_t last_seen;   /* last digest from there at all */
-	int64_t last_mutual; /* last digest that said it hears us too */
-	bool digest_seen;    /* heard is set */
+	int64_t last_seen;   /* last digest received from it */
+	int64_t last_mutual; /* last digest that confirmed it receives ours */
+	bool digest_seen;    /* at least one digest was received */
 	bool gateway;
 	uint32_t round;
 };
 
 struct peer {
 	struct update update; /* first: see update_peer() */
-	struct member view;   /* what the embedder sees */
+	struct member view;   /* as reported to the embedder */
 	uint32_t level;
 	bool leaving;
-	bool confirmed; /* its state was told, not only its name by a list */
-	bool reported;	/* the embedder was told of it */
+	bool confirmed; /* its state was received, not only a hint */
+	bool reported;	/* to the embedder */
 	bool forgotten;
-	bool watched;	      /* it should send heartbeats to us */
-	bool send_names;	      /* the news carries its names too */
-	bool confirmed_alive; /* told us, since the last pause, that we live */
-	bool probed;	      /* a probe is out since the last sign of life */
+	bool watched;	      /* this instance expects heartbeats from it */
+	bool send_names;      /* its update carries name and addresses too */
+	bool confirmed_alive; /* it confirmed, since the last pause, that this
+			       * instance is alive */
+	bool probed;	      /* a probe was sent since last_seen */
 	struct centre *centre;
-	int64_t last_seen;   /* last sign of life, or when it was first expected
+	int64_t last_seen;   /* last message, or when one was first expected */
+	int64_t state_since; /* when the level was set, or the peer forgotten
 			      */
-	int64_t state_since; /* when this level was learnt */
-	int64_t hinted_at;   /* when the platform's list last named it */
-	int64_t join_sent_at; /* when it was last sent a join */
-	int64_t notified_at;  /* when it was last told how it is seen */
+	int64_t hinted_at;   /* when a hint last named it */
+	int64_t join_sent_at;
+	int64_t notified_at; /* last peer_notify() */
 	uint32_t join_attempts;
 };
 
@@ -93,7 +96,7 @@
 	struct update update; /* first: see update_fact() */
 	uint64_t key;
 	uint64_t version;
-	int64_t set; /* at its origin, by the own clock */
+	int64_t set; /* when it was set at its origin, by the local clock */
 	size_t size;
 	unsigned char value[];
 };
@@ -106,16 +109,16 @@
 	WIRE_KEYS, /* a: data centre, or 0 and fact keys; items: short rows */
 	WIRE_ROWS, /* items: rows and facts */
 	WIRE_REQUEST,	  /* a: 0 for members, 1 for facts, items: ids */
-	WIRE_DIGEST_SEEN, /* a: data centre, b: whether it hears us */
+	WIRE_DIGEST_SEEN, /* a: data centre, b: whether it receives ours */
 	WIRE_KIND_MAX,
 };
 
 #define WIRE_LEAVING 1u
 #define WIRE_DIGEST 2u /* between data centres */
-#define WIRE_MUTUAL 4u /* the sender hears the receiver's data centre */
-#define WIRE_JOIN 8u   /* answer with the own row and hashes */
-/* The sender holds the receiver dead. a: how many of the data centre it
- * holds alive, b: the lowest of their ids. */
+#define WIRE_MUTUAL 4u /* the sender receives the receiver's digests */
+#define WIRE_JOIN 8u   /* the receiver answers with its row and hashes */
+/* The sender declared the receiver dead. a: number of members that the sender
+ * holds alive in the data centre, b: the lowest of their ids. */
 #define WIRE_DECLARED_DEAD 16u
 
 enum item_kind {
@@ -149,7 +152,7 @@
 	uint64_t incarnation;
 	uint32_t level;
 	uint32_t flags;
-	uint64_t view; /* hash over all that the sender knows */
+	uint64_t view; /* hash of the sender's view, see view_hash_for() */
 	uint64_t a;
 	uint64_t b;
 	const msgpack_object *items;
@@ -167,17 +170,17 @@
 	struct peer *self;
 	GPtrArray *peers;   /* by id */
 	GPtrArray *centres; /* by id */
-	GPtrArray *ring;    /* own data centre's, not dead, by id */
+	GPtrArray *ring;    /* of the local data centre, not dead, by id */
 	GHashTable *index;  /* id -> peer */
 	GHashTable *facts;  /* key -> fact */
 	GQueue updates;
-	GArray *unknown; /* ids whose names are to be asked for */
+	GArray *unknown; /* ids of members or facts to request */
 	bool ring_stale;
 	bool hashes_stale;
 	uint64_t facts_hash;
 	uint64_t view_hash;
 	uint64_t reach_hash;
-	int64_t last_hint_at; /* when the platform's list last named anyone */
+	int64_t last_hint_at; /* last hint for any member */
 	int64_t last_change;
 
 	struct timer heartbeat_timer;
@@ -189,7 +192,7 @@
 	double push_tokens;
 	int64_t push_refilled_at;
 
-	bool uncertain; /* paused long: may be dead in others' eyes */
+	bool uncertain; /* paused long: others may have declared it dead */
 	int64_t uncertain_since;
 	uint32_t confirmations;
 
@@ -226,20 +229,21 @@
 struct centre *centre_find(const struct membership *m, uint64_t id);
 struct centre *centre_get(struct membership *m, const char *name);
 bool peer_local(const struct membership *m, const struct peer *p);
-/* Not dead as far as its own data centre knows. */
+/* Not declared dead by its own data centre. */
 bool peer_is_live(const struct peer *p);
-/* Works out the state to be seen and tells the embedder of a change. */
+/* Recomputes the state and reports a change to the embedder. */
 void peer_refresh(struct membership *m, struct peer *p);
 void peer_set_names(struct membership *m, struct peer *p,
 		    const struct member *member);
-/* Takes a row when it is newer than what is known; false when the member is
- * unknown and the row does not name it. */
+/* Merges a row that is newer than the known one; disseminate passes it on.
+ * False when the row lacks the names that it needs: the member is unknown or
+ * has a new incarnation. */
 bool row_apply(struct membership *m, const struct item *row, bool disseminate);
 void peer_set_level(struct membership *m, struct peer *p, uint32_t level);
-/* Takes an incarnation above all that others may hold. */
+/* Sets the own incarnation above every one that others may know. */
 void incarnation_raise(struct membership *m, uint64_t above);
 void hashes_update(struct membership *m);
-/* The hash over all that is common knowledge with that instance. */
+/* The hash of the part of the view that is shared with that instance. */
 uint64_t view_hash_for(struct membership *m, uint64_t id);
 void table_sweep(struct membership *m);
 void table_changed(struct membership *m);
@@ -247,7 +251,8 @@
 /* member_update.c */
 void update_add(struct membership *m, struct update *update);
 void update_remove(struct membership *m, struct update *update);
-/* Packs what fits; the peer addressed is told first how it is seen. */
+/* Packs pending updates up to UPDATE_BYTES_MAX. A suspected receiver gets its
+ * own row first, so that it can refute. */
 void updates_pack(struct membership *m, const struct peer *to);
 void updates_receive(struct membership *m, const struct peer *from,
 		     const struct wire *wire);
@@ -261,12 +266,13 @@
 
 /* member_ring.c */
 void ring_heartbeat(struct timer *timer, void *ctx);
-/* The members of the own data centre that are not dead, the own included. */
+/* The members of the local data centre that are not dead, including this
+ * instance. */
 GPtrArray *ring_members(struct membership *m);
-/* A random one of them other than the own and not, or NULL. */
-struct peer *ring_random(struct membership *m, const struct peer * not );
+/* A random one of them, neither this instance nor excluded, or NULL. */
+struct peer *ring_random(struct membership *m, const struct peer *excluded);
 void join_send(struct membership *m, struct peer *p);
-/* Tells a peer how it is seen when that is not as it says. */
+/* Sends a peer its row as known here, which differs from what it announced. */
 void peer_notify(struct membership *m, struct peer *p);
 
 /* member_probe.c */
@@ -278,7 +284,7 @@
 
 /* member_sync.c */
 void sync_start(struct membership *m, uint64_t to);
-/* Starts an exchange when the sender's view differs and it is time. */
+/* Starts an exchange when the sender's view differs and one is due. */
 void sync_check(struct membership *m, uint64_t from, const struct wire *wire);
 void sync_hashes(struct membership *m, uint64_t from, const struct wire *wire);
 void sync_keys(struct membership *m, uint64_t from, const struct wire *wire);
@@ -290,7 +296,8 @@
 		    const struct wire *wire);
 void digest_seen_receive(struct membership *m, const struct wire *wire);
 void reach_apply(struct membership *m, const struct item *item);
-/* Sends pending news to other data centres that we are gateway to. */
+/* Sends pending updates to the data centres that this instance is gateway to.
+ */
 void digest_push(struct membership *m);
 
 #endif
--- a/coord/member_probe.c
+++ b/coord/member_probe.c
@@ -7,7 +7,8 @@
 	wire_send(m, to, WIRE_PING, 0, target, origin);
 }
 
-/* Directly, and through a few others in case only our own way is cut. */
+/* Probes directly and through a few others, in case only the link between the
+ * two instances is down. */
 static void probe_send(struct membership *m, struct peer *p)
 {
 	uint64_t own = m->self->view.id;
@@ -36,7 +37,8 @@
 		peer_set_level(m, p, p->level | LEVEL_SUSPECT);
 }
 
-/* Those who watch it decide first; the others only when they have not. */
+/* Members that watch the suspect declare it dead first. The others do so only
+ * after twice the time. */
 static void probe_suspect(struct membership *m, struct peer *p, int64_t silence)
 {
 	int64_t suspected = clock_now(m->clock) - p->state_since;
@@ -133,8 +135,8 @@
 	subject->probed = false;
 }
 
-/* The members that watch this one are the first to hold it dead, so they are
- * the ones to ask. */
+/* Probes the members that watch this instance: they are the first to declare
+ * it dead. */
 void probe_watchers(struct membership *m)
 {
 	GPtrArray *ring = ring_members(m);
@@ -163,7 +165,8 @@
 {
 	int64_t now = clock_now(m->clock);
 
-	/* The silence was ours: all others get a new start. */
+	/* Nothing could be received during the pause, so all silence timers
+	 * start again. */
 	for (guint i = 0; i < m->peers->len; i++) {
 		struct peer *p = m->peers->pdata[i];
 
--- a/coord/member_ring.c
+++ b/coord/member_ring.c
@@ -15,7 +15,7 @@
 	return m->ring;
 }
 
-struct peer *ring_random(struct membership *m, const struct peer * not )
+struct peer *ring_random(struct membership *m, const struct peer *excluded)
 {
 	GPtrArray *ring = ring_members(m);
 	guint start;
@@ -26,7 +26,7 @@
 	for (guint i = 0; i < ring->len; i++) {
 		struct peer *p = ring->pdata[(start + i) % ring->len];
 
-		if (p != m->self && p != not )
+		if (p != m->self && p != excluded)
 			return p;
 	}
 	return NULL;
@@ -52,8 +52,8 @@
 	return 0;
 }
 
-/* Suspects on the way get one too, so as to hear that they are doubted, but
- * do not count: those after them take over the watch. */
+/* Suspects get a heartbeat too, which carries the suspicion to them, but do not
+ * count towards the fanout: the members after them watch this one instead. */
 static void heartbeat_successors(struct membership *m)
 {
 	GPtrArray *ring = ring_members(m);
@@ -71,7 +71,7 @@
 	}
 }
 
-/* One more to a random member carries news across the ring. */
+/* One more heartbeat to a random member carries updates across the ring. */
 static void heartbeat_random(struct membership *m)
 {
 	struct peer *p;
@@ -83,8 +83,8 @@
 		heartbeat_send(m, p);
 }
 
-/* Which members should send heartbeats to this one: those before it, as far
- * as the fanout reaches. */
+/* Watches the predecessors, up to the fanout: they send heartbeats to this
+ * instance. */
 static void watch_update(struct membership *m)
 {
 	GPtrArray *ring = ring_members(m);
@@ -123,8 +123,8 @@
 					    MIN(wait, JOIN_BACKOFF_MAX_USEC);
 }
 
-/* Whom only a list names: own data centre first; others only while this one
- * has nobody who could tell. */
+/* Sends joins to members known only from hints: those of the local data centre,
+ * and remote ones only while no other local member is known. */
 static void join_candidates(struct membership *m)
 {
 	bool alone = ring_members(m)->len < 2;
@@ -151,8 +151,9 @@
 	       !p->forgotten;
 }
 
-/* After a cut within the data centre each side holds the other dead: all of
- * one side together ask about one of the other each heartbeat. */
+/* After a partition within the data centre each side has declared the other
+ * dead. The members of a side together send about one join to the other side
+ * per heartbeat period. */
 static void join_declared_dead(struct membership *m)
 {
 	guint members = ring_members(m)->len;
@@ -178,7 +179,7 @@
 {
 	GPtrArray *ring = ring_members(m);
 	int64_t now = clock_now(m->clock);
-	bool buried = p->level == LEVEL_DEAD;
+	bool is_dead = p->level == LEVEL_DEAD;
 	const struct peer *lowest = ring->pdata[0];
 
 	if (now - p->notified_at < m->settings.heartbeat / 2 && p->notified_at)
@@ -187,8 +188,8 @@
 	wire_begin(m);
 	pack_row(m, p, false);
 	wire_send(m, p->view.id, WIRE_HEARTBEAT,
-		  buried ? WIRE_DECLARED_DEAD : 0, buried ? ring->len : 0,
-		  buried ? lowest->view.id : 0);
+		  is_dead ? WIRE_DECLARED_DEAD : 0, is_dead ? ring->len : 0,
+		  is_dead ? lowest->view.id : 0);
 }
 
 void ring_heartbeat(struct timer *timer, void *ctx)
--- a/coord/member_sync.c
+++ b/coord/member_sync.c
@@ -1,6 +1,7 @@
 #include "member_private.h"
 
-/* Facts are compared in a few parts; ids of data centres are far above. */
+/* Facts are compared by bucket. Bucket numbers and data centre ids share one
+ * field: ids are hashes, far above FACT_BUCKETS. */
 #define FACT_BUCKETS 8u
 
 static uint64_t bucket_of(const struct fact *fact)
@@ -49,7 +50,8 @@
 
 	if (wire->view == view_hash_for(m, from) || now < m->sync_next)
 		return;
-	/* News still on its way explains the difference, for a while. */
+	/* Updates in flight may explain the difference, so a recent change
+	 * delays the exchange by up to four periods. */
 	if (!quiet && now < m->sync_next + 4 * SYNC_EVERY_USEC)
 		return;
 	m->sync_next = now + SYNC_EVERY_USEC +
@@ -123,7 +125,7 @@
 	}
 }
 
-/* Sends the rows packed so far when they fill a message, or at the end. */
+/* Sends the packed rows once they fill a message, or when end is set. */
 static void rows_flush(struct membership *m, uint64_t to, bool end)
 {
 	if (wire_size(m) < SYNC_BYTES_MAX && !end)
@@ -143,8 +145,8 @@
 	wire_send(m, to, WIRE_REQUEST, 0, facts, 0);
 }
 
-/* What the other side has newer is taken or wanted; what it has older or not
- * at all is sent: seen holds what it has as new as we do. */
+/* Merges one row of the other side, or lists it for a request. Peers that the
+ * other side knows at least as new go into current; the rest is sent to it. */
 static void keys_row_merge(struct membership *m, const struct item *item,
 			   GHashTable *current)
 {
--- a/coord/member_table.c
+++ b/coord/member_table.c
@@ -156,8 +156,8 @@
 		peer_report(m, p, state);
 }
 
-/* What was believed while others held this instance dead came from its side of
- * a cut alone: it is learnt again. */
+/* Deaths declared while others held this instance dead were seen from its side
+ * of a partition only: the state of those peers is requested again. */
 static void dead_peers_reset(struct membership *m)
 {
 	for (guint i = 0; i < m->peers->len; i++) {
@@ -236,14 +236,14 @@
 static void row_store(struct membership *m, struct peer *p,
 		      const struct item *row)
 {
-	bool reborn = row->version > p->view.incarnation;
+	bool is_new_incarnation = row->version > p->view.incarnation;
 
-	if (reborn && p->view.state != MEMBER_DEAD)
+	if (is_new_incarnation && p->view.state != MEMBER_DEAD)
 		peer_report(m, p, MEMBER_DEAD);
 	p->view.incarnation = row->version;
 	p->level = row->number;
 	p->leaving = row->leaving;
-	p->send_names = reborn || !p->confirmed;
+	p->send_names = is_new_incarnation || !p->confirmed;
 	p->confirmed = true;
 	p->state_since = clock_now(m->clock);
 	if (p->level != LEVEL_DEAD)
@@ -276,7 +276,7 @@
 	}
 	if (!row_newer(p, row))
 		return true;
-	/* It may have come back at another address. */
+	/* A new incarnation may have another address: the names are needed. */
 	if (row->kind != ITEM_NAMED && row->number != LEVEL_DEAD &&
 	    p->confirmed && row->version > p->view.incarnation)
 		return false;
@@ -331,7 +331,7 @@
 	}
 }
 
-/* How others are reached is shared within a data centre only. */
+/* Reachability of data centres is shared within a data centre only. */
 uint64_t view_hash_for(struct membership *m, uint64_t id)
 {
 	const struct peer *p = peer_find(m, id);
--- a/coord/member_update.c
+++ b/coord/member_update.c
@@ -1,6 +1,7 @@
 #include "member_private.h"
 
-/* Pushes between heartbeats: a few at once, then one a second. */
+/* Updates are also pushed between heartbeats: a burst of 8, then one push a
+ * second. */
 #define PUSH_TOKENS 8.0
 #define PUSH_TARGETS 2
 
@@ -19,8 +20,8 @@
 	return (struct centre *)update;
 }
 
-/* Each of n instances passes an item on this often: enough for all to hear
- * it with high probability, and bounded. */
+/* How often each instance sends an update: proportional to log2 of the number
+ * of members, so that all receive it with high probability. */
 static uint32_t update_transmissions(struct membership *m)
 {
 	uint32_t members = ring_members(m)->len;
@@ -116,7 +117,8 @@
 void updates_receive(struct membership *m, const struct peer *from,
 		     const struct wire *wire)
 {
-	/* Answers to a sync come many at a time and are had by others too. */
+	/* Messages with many items answer a sync: others have these items
+	 * already, so they are not disseminated. */
 	bool disseminate = wire->item_count < 8;
 	struct item item;
 
--- a/include/coord/member.h
+++ b/include/coord/member.h
@@ -1,29 +1,33 @@
 /*
- * member.h - which instances live, in this data centre and in others
+ * member.h - membership of instances, within and between data centres
  *
  * DESCRIPTION
  *	Within a data centre each instance sends heartbeats to a few successors
- *	on a ring of hashed names, and news travels with them; a silent peer is
- *	probed through others before it is called dead (after SWIM, Das et al.,
- *	DSN 2002). Between data centres only the two instances with the highest
- *	rendezvous weight exchange a digest. The platform's lagging list gives
- *	addresses and is a hint: it brings in, it never takes out a peer that
- *	answers. A member that hears itself called dead raises its incarnation.
+ *	on a ring of hashed names, and membership updates are piggybacked on
+ *	them. A silent peer is probed directly and through others before it is
+ *	declared dead (after SWIM, Das et al., DSN 2002). Between data centres
+ *	only the gateways exchange digests: the two instances of each with the
+ *	highest rendezvous weight. The platform's list of instances lags behind
+ *	and is a hint: it adds peers and their addresses, and never removes a
+ *	peer that answers. A member that learns that it was declared dead raises
+ *	its incarnation.
  *
- *	A member named by a hint is shown as dead until something is heard of
- *	it. A dead member that the list, still being read, has not named for a
- *	minute is forgotten: membership_find() no longer returns it, and its
- *	pointer is freed ten minutes later.
+ *	A member known only from a hint is reported as dead until its state is
+ *	received. A dead member is forgotten when the list is still read but has
+ *	not named it for a minute: membership_find() no longer returns it, and
+ *	its memory is freed ten minutes later.
  *
- *	A data centre that cannot be reached is judged by the gateways and shown
- *	as suspect, then dead, in this data centre only; its members come back
- *	under their former incarnation when it is reached again. A rise of the
- *	incarnation is shown as the death of the former one first.
+ *	The gateways decide whether another data centre is reachable. While it
+ *	is not, its members are reported as suspect, then as dead, in this data
+ *	centre only; they return under their former incarnation once it is
+ *	reachable again. When an incarnation rises, the former one is reported
+ *	dead first.
  *
- *	Facts are small values spread with the same messages, the newest version
- *	of each winning: "runner X is leaving", "cell C has N waiting". A value
- *	holds up to 512 bytes. A fact that is not set again within an hour is
- *	dropped. At most 8,192 are kept; more are refused and logged.
+ *	Facts are small versioned values spread with the same messages, such as
+ *	"runner X is leaving" or "cell C has N waiting"; the highest version of
+ *	each wins. A value holds up to 512 bytes. A fact that is not set again
+ *	within an hour is dropped. At most 8,192 are kept; more are refused and
+ *	logged.
  */
 #ifndef COORD_MEMBER_H
 #define COORD_MEMBER_H
@@ -67,13 +71,13 @@
 };
 
 struct membership_ops {
-	/* old is NULL for one not known before. */
+	/* old is NULL when the member is new. */
 	void (*changed)(void *ctx, const struct member *member,
 			const enum member_state *old);
 	void (*fact)(void *ctx, uint64_t key, uint64_t version,
 		     const void *value, size_t size);
-	/* Others hold this instance dead: its incarnation was raised, and all
-	 * that it held under the former one is lost. */
+	/* Others declared this instance dead: its incarnation was raised, and
+	 * all that it held under the former one is lost. */
 	void (*refuted)(void *ctx, uint64_t incarnation);
 };
 
@@ -82,8 +86,8 @@
 	uint64_t sent_bytes; /* payloads only: no frame, no TCP/IP headers */
 	uint64_t received;
 	uint64_t malformed; /* dropped */
-	uint64_t from_dead; /* dropped: the sender is held dead */
-	uint64_t syncs;	    /* exchanges of whole views started */
+	uint64_t from_dead; /* dropped: the sender was declared dead */
+	uint64_t syncs;	    /* anti-entropy exchanges started */
 	uint64_t refuted;   /* incarnations raised */
 };
 
@@ -99,16 +103,17 @@
 void membership_start(struct membership *membership);
 void membership_receive(struct membership *membership, uint64_t from,
 			const void *data, size_t size);
-/* A peer as the platform's list or a seed names it. */
+/* Adds a peer, or updates its address, from the platform's list or a seed. */
 void membership_hint(struct membership *membership,
 		     const struct member *member);
-/* Says that the own instance leaves; it stays reachable until destroyed. */
+/* Announces that this instance leaves; it stays reachable until destroyed. */
 void membership_leave(struct membership *membership);
-/* The own process stood still for gap_us: others may have buried it. */
+/* This process did not run for gap_us: others may have declared it dead. */
 void membership_paused(struct membership *membership, int64_t gap_us);
 
-/* False after a long pause until a peer has told that this instance is held
- * alive, or its incarnation was raised: answer nobody meanwhile. */
+/* False after a long pause until peers have confirmed that they hold this
+ * instance alive, or its incarnation was raised. The caller must not answer
+ * requests meanwhile. */
 bool membership_certain(const struct membership *membership);
 void membership_stats(const struct membership *membership,
 		      struct membership_stats *stats);
@@ -116,17 +121,17 @@
 const struct member *membership_self(const struct membership *membership);
 const struct member *membership_find(const struct membership *membership,
 				     uint64_t id);
-/* Walks members in order of id, the own included; cursor starts at 0. */
+/* Iterates over members by id, including this instance; cursor starts at 0. */
 const struct member *membership_next(const struct membership *membership,
 				     uint32_t *cursor);
 
 /* The rank-th highest rendezvous weight (Thaler and Ravishankar, 1998) for key
- * among the alive and suspect members of the data centre; leaving and dead
- * ones are passed over. 0 when there are too few. */
+ * among the alive and suspect members of the data centre, without leaving and
+ * dead ones. 0 when there are too few. */
 uint64_t membership_home(const struct membership *membership,
 			 const char *data_centre, uint64_t key, uint32_t rank);
 
-/* The newest value known of a fact, or NULL; valid until the next message. */
+/* The newest known value of a fact, or NULL; valid until the next message. */
 const void *membership_fact_find(const struct membership *membership,
 				 uint64_t key, size_t *size);
 void membership_fact_set(struct membership *membership, uint64_t key,
