--- a/coord/codec.c
+++ b/coord/codec.c
@@ -58,7 +58,7 @@
 bool codec_bytes(const msgpack_object *object, size_t max, const char **data,
 		 size_t *size)
 {
-	/* Strings and bytes share their layout in the union. */
+	/* The string and binary members of the union have the same layout. */
 	if (object->type != MSGPACK_OBJECT_STR &&
 	    object->type != MSGPACK_OBJECT_BIN)
 		return false;
--- a/coord/fold.c
+++ b/coord/fold.c
@@ -141,7 +141,7 @@
 	if (!f->started)
 		return;
 	fold_tail_update(f);
-	/* A new instance asks the first peer that it hears of. */
+	/* A new instance pulls from the first peer that becomes alive. */
 	if (f->revision == REVISION_NONE && member->state == MEMBER_ALIVE &&
 	    member->id != membership_self(f->membership)->id)
 		spread_pull(f, member->id);
--- a/coord/fold_apply.c
+++ b/coord/fold_apply.c
@@ -6,7 +6,7 @@
 #define RETRY_BASE_USEC (200 * USEC_PER_MSEC)
 #define RETRY_MAX_USEC (2 * USEC_PER_SEC)
 
-/* Outlives the apply when its answer is late. */
+/* Context of an append in flight; it may outlive the apply. */
 struct apply_append {
 	struct apply *apply;
 };
@@ -53,7 +53,7 @@
 	return true;
 }
 
-/* Answers may take applies off the list and callers put new ones on it. */
+/* Answers remove applies from the list, and callers may add new ones. */
 void applies_check(struct fold *f)
 {
 	for (guint i = f->applies->len; i-- > 0;) {
@@ -68,8 +68,8 @@
 	       a->number == b->number;
 }
 
-/* The first record with the tag counts; a second one, from an append that was
- * tried again, is refused as stale. */
+/* Only the first record with the tag counts; a second one, from a retried
+ * append, is refused as stale. */
 void apply_seen(struct fold *f, const struct fold_record *record,
 		uint64_t offset)
 {
@@ -119,7 +119,7 @@
 		apply_retry(a);
 		return;
 	}
-	/* Reading from now on to the end tells whether it was appended. */
+	/* Reading the log to its end shows whether it was appended. */
 	a->uncertain = true;
 	a->searching = true;
 	if (log_tail_running(f->tail))
@@ -166,9 +166,10 @@
 		apply_answer(a, a->refusal, a->reason);
 	else if (possibly_appended)
 		apply_answer(a, RESULT_LOG_UNKNOWN,
-			     "the log did not say whether it took the file");
+			     "the log did not confirm whether the file was "
+			     "appended");
 	else
-		apply_answer(a, RESULT_LOG_DOWN, "the log took no record");
+		apply_answer(a, RESULT_LOG_DOWN, "the log accepted no record");
 }
 
 static bool refuse(struct apply *a, enum result_code code, const char *reason)
@@ -178,7 +179,8 @@
 	return false;
 }
 
-/* What can be told without the log; the log may find more. */
+/* Checks the file before the append. False when it must not be appended; other
+ * refusals are kept for the case that the log is down. */
 static bool apply_precheck(struct apply *a, const void *data, size_t size)
 {
 	struct fold *f = a->fold;
--- a/coord/fold_audit.c
+++ b/coord/fold_audit.c
@@ -1,6 +1,6 @@
 #include "fold_private.h"
 
-/* First entry that is not before offset. */
+/* Index of the first entry at or after offset. */
 static guint audit_index(const struct fold *f, uint64_t offset)
 {
 	guint at = f->audits->len;
--- a/coord/fold_codec.c
+++ b/coord/fold_codec.c
@@ -70,8 +70,8 @@
 	codec_pack_bytes(&packer, record->content, record->size);
 }
 
-/* [kind, revision, audit_next, through, content or nil, audits, hole]; the last
- * four in a state only. */
+/* [kind, revision, audit_next, through, content or nil, audits, gap]; the last
+ * four in SPREAD_STATE only. */
 bool spread_decode(struct fold *f, const void *data, size_t size,
 		   struct spread *spread)
 {
--- a/coord/fold_log.c
+++ b/coord/fold_log.c
@@ -53,7 +53,8 @@
 	audit_add(f, &audit);
 }
 
-/* Refuses a file that this instance cannot use, so as not to run on it. */
+/* A reappended file may come from an instance with a different check: this one
+ * must not put in force what it cannot use. */
 static bool reappend_usable(struct fold *f, const struct fold_record *record)
 {
 	struct error err = {.code = RESULT_BAD_CONFIG};
@@ -72,7 +73,7 @@
 {
 	if (f->base_known && record->revision < f->folded)
 		return;
-	/* Written by one that had not read what is gone for us too. */
+	/* The writer had not read the records that are missing here either. */
 	if (!f->base_known && record->through < f->first_readable)
 		return;
 	if (record->revision > f->revision) {
@@ -81,7 +82,7 @@
 		fold_put_in_force(f, record->revision, record->author,
 				  record->content, record->size);
 	}
-	/* What was appended between its writing and here comes on top. */
+	/* Records appended since the writer read the log are folded on it. */
 	if (!f->base_known)
 		fold_resolve(f, record->revision, MIN(record->through, offset));
 	else
@@ -148,8 +149,8 @@
 	}
 }
 
-/* What a record is based on was in force once: the latest such revision from
- * before the records left is the best guess. */
+/* The base of a record was in force when its author read it. The latest base
+ * from before the remaining records is the best estimate. */
 static uint64_t pending_base(struct fold *f)
 {
 	uint64_t base = f->revision;
@@ -194,8 +195,8 @@
 	}
 	if (f->folded >= f->revision || position < f->through)
 		return;
-	/* The log as read here gives less than peers had at this offset: it
-	 * lost records. A revision never goes back. */
+	/* The fold gives a lower revision than peers had at this offset: the
+	 * log lost records. A revision never decreases. */
 	log_event(LOG_WARNING, "config_fold_behind", LOG_D("folded", f->folded),
 		  LOG_D("revision", f->revision));
 	f->folded = f->revision;
--- a/coord/fold_private.h
+++ b/coord/fold_private.h
@@ -1,5 +1,5 @@
 /*
- * fold_private.h - what the files of the configuration's fold share
+ * fold_private.h - internal interface of the configuration's fold
  */
 #ifndef COORD_FOLD_PRIVATE_H
 #define COORD_FOLD_PRIVATE_H
@@ -22,7 +22,7 @@
 	RECORD_REAPPEND, /* the file in force once more, under its revision */
 };
 
-/* Names one append for good. */
+/* Identifies one append uniquely. */
 struct fold_tag {
 	uint64_t instance;
 	uint64_t incarnation;
@@ -31,15 +31,15 @@
 
 struct fold_record {
 	enum record_kind kind;
-	uint64_t revision; /* the base of a proposal, the own one otherwise */
-	uint64_t through;  /* all before this offset was folded when written */
+	uint64_t revision; /* base of a proposal, or the reappended revision */
+	uint64_t through;  /* the writer had folded all before this offset */
 	struct fold_tag tag;
 	char author[FOLD_AUTHOR_MAX];
 	const void *content;
 	size_t size;
 };
 
-/* A record read while what was in force before it is not known. */
+/* A record read while the revision in force before it is unknown. */
 struct fold_pending {
 	uint64_t offset;
 	int64_t unix_us;
@@ -75,12 +75,12 @@
 	struct fold_tag tag;
 	uint64_t base;
 	msgpack_sbuffer record;
-	enum result_code refusal; /* known before the log says so */
+	enum result_code refusal; /* result of the check before the append */
 	char reason[ERROR_TEXT_MAX];
 	bool found; /* offset is known */
 	uint64_t offset;
-	bool uncertain; /* an append may have been done or not */
-	bool searching; /* reading on to find out */
+	bool uncertain; /* it is unknown whether an append was made */
+	bool searching; /* reads the log to its end to find the record */
 	fold_apply_fn fn;
 	void *fn_ctx;
 };
@@ -100,14 +100,14 @@
 	void *content;
 	size_t size;
 	char author[FOLD_AUTHOR_MAX];
-	uint64_t through; /* the log up to here gives this revision */
+	uint64_t through; /* the fold up to this offset gives this revision */
 
 	/* Folded from the log by this instance. */
 	struct log_tail *tail;
-	bool base_known;	 /* what is in force at the tail's position */
+	bool base_known;	 /* folded is valid */
 	uint64_t folded;	 /* revision at the tail's position */
-	uint64_t first_readable; /* oldest record that could be read */
-	uint64_t skip_until;	 /* before this others have folded */
+	uint64_t first_readable; /* first offset after the last gap */
+	uint64_t skip_until;	 /* folded by peers before this */
 	int64_t base_unknown_since;
 	GQueue pending;
 
@@ -125,13 +125,12 @@
 
 	GArray *audits; /* struct fold_audit by offset */
 	uint64_t audit_next;
-	bool audit_gap;	      /* some are missing that were judged elsewhere: */
+	bool audit_gap; /* entries of records not folded here are missing: */
 	uint64_t audit_from;  /* after this one, */
 	uint64_t audit_until; /* of records before this offset */
 	uint32_t audit_pulls;
 
-	/* Told of this instance. */
-	bool refused;
+	bool refused; /* announced: the log refuses this instance */
 	int64_t refused_at;
 
 	struct timer tick;
@@ -161,42 +160,43 @@
 uint64_t fold_reader_key(void);
 /* Whether this instance is one of the readers of its data centre. */
 bool fold_is_reader(const struct fold *f);
-/* Tells the others when the log refuses this instance, or may answer again. */
+/* Announces that the log refuses this instance, or that it tries again. */
 void fold_refused_update(struct fold *f);
 
 /* fold.c */
 void fold_put_in_force(struct fold *f, uint64_t revision, const char *author,
 		       const void *content, size_t size);
-/* Reads the log exactly while it is this instance's part, or it must wait for
- * what it appended itself. */
+/* Starts or stops the tail: it runs while this instance is a reader or has
+ * appends to read back. */
 void fold_tail_update(struct fold *f);
 struct fold_tag fold_tag_next(struct fold *f);
 
 /* fold_log.c */
 extern const struct log_tail_ops fold_tail_ops;
-/* What is in force at an offset has become known from elsewhere. */
+/* Sets the revision in force at offset through, and folds the records that were
+ * held back. */
 void fold_resolve(struct fold *f, uint64_t revision, uint64_t through);
-/* Goes by the best guess when nobody has told for long. */
+/* Assumes a base when none was received for FOLD_ASSUME_BASE_USEC. */
 void fold_assume_base(struct fold *f);
 void fold_pending_clear(struct fold *f);
-/* Brings the fold up to what peers have in force. */
+/* Advances the fold to the revision received from peers. */
 void fold_catch_up(struct fold *f);
 
 /* fold_reappend.c */
-/* Appends the file in force again when its record is old or gone. */
+/* Reappends the file in force when its record is old or gone. */
 void fold_reappend_check(struct fold *f);
 void fold_reappend_cancel(struct fold *f);
 
 /* fold_audit.c */
 void audit_add(struct fold *f, const struct fold_audit *audit);
-/* Records were not judged here: their entries are to be had from peers. */
+/* Records before until were not folded here: pulls their entries from peers. */
 void audit_missed(struct fold *f, uint64_t until);
 const struct fold_audit *audit_find(const struct fold *f, uint64_t offset);
 
 /* fold_apply.c */
 void apply_seen(struct fold *f, const struct fold_record *record,
 		uint64_t offset);
-/* Answers those whose record was judged. */
+/* Answers the applies whose record was accepted or refused. */
 void applies_check(struct fold *f);
 /* The log was read to its end. */
 void applies_caught_up(struct fold *f);
--- a/coord/fold_reader.c
+++ b/coord/fold_reader.c
@@ -1,14 +1,14 @@
 /*
- * fold_reader.c - which instances of a data centre read the log for the others
+ * fold_reader.c - selects the instances that read the log for a data centre
  */
 #include "common/log.h"
 #include "fold_private.h"
 
 #define READERS 2u
-/* Reads that fail one after the other before the log is taken to refuse this
- * instance: some 0.7 s. */
+/* Failed reads in a row after which the log counts as refusing this instance:
+ * about 0.7 s with the backoff. */
 #define REFUSED_FAILURES 3u
-/* So long it leaves reading to others. */
+/* How long a refused instance stops reading. */
 #define REFUSED_USEC (10 * USEC_PER_SEC)
 
 uint64_t fold_reader_key(void)
@@ -55,9 +55,9 @@
 		refused_set(f, false);
 }
 
-/* The first READERS that the log is not known to refuse, and as many more as it
- * refuses: those are found out a few at a time. Where it refuses all, the first
- * READERS go on asking. */
+/* The first READERS by rank that the log does not refuse; each refused one is
+ * replaced by the next in rank. When the log refuses all, the first READERS
+ * keep trying. */
 bool fold_is_reader(const struct fold *f)
 {
 	const struct member *self = membership_self(f->membership);
--- a/coord/fold_reappend.c
+++ b/coord/fold_reappend.c
@@ -1,13 +1,14 @@
 #include "common/log.h"
 #include "fold_private.h"
 
-/* One instance appends; should it not, the next in order does so later. */
+/* One instance appends; each further one waits this much longer, and appends
+ * only if the ones before it did not. */
 #define STAGGER_USEC (15 * USEC_PER_SEC)
 #define STAGGER_GONE_USEC (2 * USEC_PER_SEC)
 #define RETRY_USEC (5 * USEC_PER_SEC)
 #define WINDOW_MIN 32u
 
-/* Outlives the fold when an answer is still to come. */
+/* Context of an append in flight; it may outlive the fold. */
 struct fold_reappend {
 	struct fold *fold;
 };
@@ -21,7 +22,8 @@
 	return false;
 }
 
-/* How many readers of any data centre come before this one for revision. */
+/* The number of readers, of all data centres, that precede this instance in
+ * rendezvous order for the revision. */
 static int reappend_order(struct fold *f)
 {
 	uint64_t own = membership_self(f->membership)->id;
@@ -116,7 +118,7 @@
 {
 	int64_t now = clock_now(f->clock);
 
-	/* One that stood still may not have read what is in the log by now. */
+	/* After a pause the last page read may be outdated. */
 	if (now - f->log_read_at > LOG_TAIL_WAIT_USEC + LOG_TAIL_LATE_USEC)
 		return;
 	if (f->reappend || f->revision == REVISION_NONE || !f->base_known ||
--- a/coord/fold_spread.c
+++ b/coord/fold_spread.c
@@ -5,7 +5,7 @@
 #include "fold_private.h"
 
 #define CENTRES_MAX 64u
-/* After so many seconds what was missed is given up: nobody has it. */
+/* Pulls, one a second, after which missing entries are given up. */
 #define AUDIT_PULLS_MAX 30u
 
 static void spread_send(struct fold *f, uint64_t to)
@@ -96,7 +96,8 @@
 		advert_send(f, id);
 }
 
-/* Asks one after another, near and far, for what was missed. */
+/* Pulls missing entries from one peer after another, local and remote in turn.
+ */
 static void audit_gap_pull(struct fold *f, uint64_t local_peer)
 {
 	const char *centres[CENTRES_MAX];
@@ -165,8 +166,8 @@
 	spread_send(f, from);
 }
 
-/* Never both: two instances that each lack something would answer each other
- * without end. */
+/* Pulls or advertises, never both: two instances that each lack something would
+ * otherwise answer each other without end. */
 static void advert_receive(struct fold *f, uint64_t from,
 			   const struct spread *spread)
 {
@@ -226,7 +227,7 @@
 {
 	struct fold_audit audit;
 
-	/* A hole is passed on with the rest, and closed by one that has none.
+	/* A gap is inherited with the state, and closed by a state without one.
 	 */
 	if (spread->audit_gap && spread->audit_next > f->audit_next)
 		audit_missed(f, spread->through);
--- a/coord/log_tail.c
+++ b/coord/log_tail.c
@@ -6,10 +6,10 @@
 
 #define BACKOFF_BASE_USEC (100 * USEC_PER_MSEC)
 #define BACKOFF_MAX_USEC (2 * USEC_PER_SEC)
-/* Between reads that bring nothing, should a store not wait by itself. */
+/* Delay after an empty read, for stores that ignore wait_us. */
 #define IDLE_USEC (20 * USEC_PER_MSEC)
 
-/* Outlives a tail that is stopped while its read is in flight. */
+/* Context of a read in flight; it may outlive the tail. */
 struct tail_read {
 	struct log_tail *tail;
 };
@@ -21,12 +21,12 @@
 	GRand *rand;
 	struct log_tail_ops ops;
 	void *ctx;
-	struct timer timer; /* backoff, or the limit of the read in flight */
+	struct timer timer; /* backoff, or timeout of the read in flight */
 	struct tail_read *read;
 	uint64_t position;
 	uint32_t failures;
 	bool running;
-	bool at_end; /* of the log, when last read */
+	bool at_end; /* the last read reached the end of the log */
 };
 
 static void tail_read(struct log_tail *tail);
@@ -42,8 +42,8 @@
 		tail->ops.failed(tail->ctx, code);
 }
 
-/* A record left out that is not dropped by retention would be taken for one
- * that never was: offsets have to follow each other without a hole. */
+/* Offsets must be contiguous: a record that the page omits, other than by
+ * retention, would be lost without notice. */
 static bool page_valid(const struct log_tail *tail, const struct log_page *page)
 {
 	uint64_t expected;
@@ -102,7 +102,7 @@
 	}
 	tail->failures = 0;
 	tail_page(tail, page);
-	/* A callback may have stopped, or stopped and started, the tail. */
+	/* A callback may have stopped or restarted the tail. */
 	if (!tail->running || tail->read || timer_running(&tail->timer))
 		return;
 	if (tail->position == position)
--- a/include/coord/log_store.h
+++ b/include/coord/log_store.h
@@ -1,14 +1,15 @@
 /*
- * log_store.h - the platform's append-only log, as this library needs it
+ * log_store.h - interface to the platform's append-only log
  *
  * DESCRIPTION
- *	The embedder fills the table. Offsets rise by one a record. append()
- *	answers with the offset, or with RESULT_LOG_DOWN (surely not appended),
- *	or with RESULT_LOG_UNKNOWN (it may have been). read() answers with
- *	the records from an offset on and the first offset still kept. Answers
- *	come in a later turn, exactly once; what is in flight when the store
- *	ends is answered then, by RESULT_LOG_UNKNOWN or RESULT_LOG_DOWN, since
- *	whoever asked frees by the answer what it kept for it.
+ *	The embedder implements the functions. Offsets increase by one per
+ *	record. append() answers with the offset, or with RESULT_LOG_DOWN
+ *	(certainly not appended), or with RESULT_LOG_UNKNOWN (possibly
+ *	appended). read() answers with the records from an offset on and the
+ *	first offset still kept. Each call is answered exactly once, in a later
+ *	iteration of the event loop. Calls in flight when the store is destroyed
+ *	are answered then with RESULT_LOG_UNKNOWN or RESULT_LOG_DOWN, since the
+ *	caller frees its context on the answer.
  */
 #ifndef COORD_LOG_STORE_H
 #define COORD_LOG_STORE_H
@@ -27,7 +28,7 @@
 
 struct log_page {
 	uint64_t first; /* oldest offset still kept */
-	uint64_t next;	/* offset that the next append will get */
+	uint64_t next;	/* offset of the next append */
 	const struct log_record *records;
 	size_t count;
 };
--- a/include/coord/transport.h
+++ b/include/coord/transport.h
@@ -1,12 +1,13 @@
 /*
- * transport.h - how the modules of this library reach other instances
+ * transport.h - interface for messages to other instances
  *
  * DESCRIPTION
- *	A module hands a message to the transport and forgets it: delivery is
- *	at most once, in order while a link lasts, and may be late or never;
- *	messages of CHANNEL_LEDGER may be doubled and out of order. A
- *	message to the own instance is delivered in a later turn of the loop,
- *	never within send(). Receiving is by the module's own x_receive().
+ *	The transport gives no acknowledgement: a message is delivered at most
+ *	once, in order while a link lasts, with any delay, or not at all.
+ *	Messages of CHANNEL_LEDGER may also be duplicated and reordered. A
+ *	message to the sending instance itself is delivered in a later iteration
+ *	of the event loop, never within send(). The embedder passes received
+ *	messages to the x_receive() function of the module.
  */
 #ifndef COORD_TRANSPORT_H
 #define COORD_TRANSPORT_H
