--- a/tests/member/invariants.c
+++ b/tests/member/invariants.c
@@ -4,7 +4,7 @@
 
 #include "common/log.h"
 
-static char *seen_wrong(const struct node *node, const struct node *other)
+static char *view_wrong(const struct node *node, const struct node *other)
 {
 	const struct member *m = node_view(node, other);
 	enum member_state want =
@@ -46,10 +46,11 @@
 	return NULL;
 }
 
-static char *facts_old(const struct node *node, const struct truth *truth)
+static char *facts_outdated(const struct node *node,
+			    const struct expected_facts *expected_facts)
 {
-	for (int i = 0; truth && i < FACTS; i++) {
-		if (node->facts[i] != truth->facts[i])
+	for (int i = 0; expected_facts && i < FACTS; i++) {
+		if (node->facts[i] != expected_facts->facts[i])
 			return g_strdup_printf("%s has fact %d at another "
 					       "version",
 					       node->self.name, i);
@@ -58,20 +59,21 @@
 }
 
 static char *node_settled(struct world *w, const struct node *node,
-			  const struct truth *truth)
+			  const struct expected_facts *expected_facts)
 {
-	char *problem = facts_old(node, truth);
+	char *problem = facts_outdated(node, expected_facts);
 
 	for (int i = 0; i < w->count && !problem; i++) {
 		if (w->nodes[i] != node)
-			problem = seen_wrong(node, w->nodes[i]);
+			problem = view_wrong(node, w->nodes[i]);
 	}
 	if (!problem && !membership_certain(node->membership))
 		problem = g_strdup_printf("%s still doubts", node->self.name);
 	return problem;
 }
 
-char *members_settled(struct world *w, const struct truth *truth)
+char *members_settled(struct world *w,
+		      const struct expected_facts *expected_facts)
 {
 	const struct node *last = NULL;
 	char *problem = NULL;
@@ -81,7 +83,7 @@
 
 		if (!node->up)
 			continue;
-		problem = node_settled(w, node, truth);
+		problem = node_settled(w, node, expected_facts);
 		/* Each agrees with the one before, so all do. */
 		if (!problem && last)
 			problem = homes_differ(last, node);
@@ -90,7 +92,7 @@
 	return problem;
 }
 
-char *members_true(struct world *w)
+char *incarnations_valid(struct world *w)
 {
 	for (int i = 0; i < w->count; i++) {
 		const struct node *node = w->nodes[i];
@@ -109,8 +111,8 @@
 	return NULL;
 }
 
-#define BURST 1000u
-#define RATE 60u
+#define MESSAGES_BURST 1000u
+#define MESSAGES_PER_S 60u
 
 char *traffic_bounded(struct world *w)
 {
@@ -119,7 +121,8 @@
 	for (int i = 0; i < w->count; i++) {
 		const struct node *node = w->nodes[i];
 
-		if (node->messages > BURST + RATE * (uint64_t)seconds)
+		if (node->messages >
+		    MESSAGES_BURST + MESSAGES_PER_S * (uint64_t)seconds)
 			return g_strdup_printf("%s sent %" G_GUINT64_FORMAT
 					       " messages",
 					       node->self.name, node->messages);
@@ -128,12 +131,12 @@
 }
 
 struct watch {
-	struct chronicle *chronicle;
+	struct checker *checker;
 	uint64_t revision;
 };
 
-static void broken(struct chronicle *c, const struct node *node,
-		   const char *what, uint64_t number)
+static void violation(struct checker *c, const struct node *node,
+		      const char *what, uint64_t number)
 {
 	if (!c->problem)
 		c->problem = g_strdup_printf("%s: %s %" G_GUINT64_FORMAT,
@@ -155,52 +158,53 @@
 	struct watch *watch = node->extra;
 
 	if (revision <= watch->revision)
-		broken(watch->chronicle, node, "went back to", revision);
+		violation(watch->checker, node, "went back to", revision);
 	if (fold_check(NULL, data, size, NULL) == false)
-		broken(watch->chronicle, node, "took a bad file at", revision);
+		violation(watch->checker, node, "took a bad file at", revision);
 	watch->revision = revision;
-	watch->chronicle->took++;
+	watch->checker->changes++;
 }
 
 static void fold_audited(void *ctx, const struct fold_audit *audit)
 {
 	struct node *node = ctx;
 	struct watch *watch = node->extra;
-	struct chronicle *c = watch->chronicle;
+	struct checker *c = watch->checker;
 	struct fold_audit *known =
-		g_hash_table_lookup(c->judged, &audit->offset);
+		g_hash_table_lookup(c->verdicts, &audit->offset);
 
 	if (known &&
 	    (known->code != audit->code || known->base != audit->base ||
 	     known->content_hash != audit->content_hash ||
 	     strcmp(known->author, audit->author) != 0))
-		broken(c, node, "judged otherwise than another", audit->offset);
+		violation(c, node, "judged otherwise than another",
+			  audit->offset);
 	if (known)
 		return;
 	known = g_memdup2(audit, sizeof(*audit));
-	g_hash_table_insert(c->judged, &known->offset, known);
+	g_hash_table_insert(c->verdicts, &known->offset, known);
 }
 
-struct chronicle *chronicle_create(struct world *w)
+struct checker *checker_create(struct world *w)
 {
-	struct chronicle *c = g_new0(struct chronicle, 1);
+	struct checker *c = g_new0(struct checker, 1);
 
 	c->world = w;
-	c->judged = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					  g_free);
+	c->verdicts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
+					    g_free);
 	c->attempts = g_ptr_array_new_with_free_func(g_free);
 	return c;
 }
 
-void chronicle_destroy(struct chronicle *c)
+void checker_destroy(struct checker *c)
 {
-	g_hash_table_destroy(c->judged);
+	g_hash_table_destroy(c->verdicts);
 	g_ptr_array_free(c->attempts, TRUE);
 	g_free(c->problem);
 	g_free(c);
 }
 
-void chronicle_start(struct chronicle *c, struct node *node)
+void checker_start(struct checker *c, struct node *node)
 {
 	static const struct fold_ops ops = {
 		.check = fold_check,
@@ -211,21 +215,21 @@
 	const struct transport transport = node_transport(node);
 	struct watch *watch = g_new0(struct watch, 1);
 
-	watch->chronicle = c;
+	watch->checker = c;
 	node->extra = watch;
 	node->fold = fold_create(node->clock, node->membership, &store,
 				 &transport, &ops, node);
 }
 
-void chronicle_stop(struct node *node)
+void checker_stop(struct node *node)
 {
 	struct watch *watch = node->extra;
-	const GPtrArray *attempts = watch->chronicle->attempts;
+	const GPtrArray *attempts = watch->checker->attempts;
 
 	for (guint i = 0; i < attempts->len; i++) {
 		struct attempt *attempt = attempts->pdata[i];
 
-		if (attempt->by == node->index && !attempt->answered)
+		if (attempt->node_index == node->index && !attempt->answered)
 			attempt->dropped = true;
 	}
 	fold_destroy(node->fold);
@@ -245,14 +249,14 @@
 	attempt->revision = revision;
 }
 
-struct attempt *chronicle_apply(struct chronicle *c, struct node *node,
-				uint64_t base, const char *content,
-				int64_t timeout)
+struct attempt *checker_apply(struct checker *c, struct node *node,
+			      uint64_t base, const char *content,
+			      int64_t timeout)
 {
 	struct attempt *attempt = g_new0(struct attempt, 1);
 
 	attempt->base = base;
-	attempt->by = node->index;
+	attempt->node_index = node->index;
 	attempt->deadline = clock_now(c->world->clock) + timeout;
 	g_strlcpy(attempt->content, content, sizeof(attempt->content));
 	g_ptr_array_add(c->attempts, attempt);
@@ -271,10 +275,10 @@
 
 /* Each accepted file is based on the one accepted before it: none was lost,
  * and of those based on one revision exactly one won. */
-static char *chain_broken(struct chronicle *c)
+static char *chain_broken(struct checker *c)
 {
 	GList *all =
-		g_list_sort(g_hash_table_get_values(c->judged), audit_order);
+		g_list_sort(g_hash_table_get_values(c->verdicts), audit_order);
 	uint64_t last = REVISION_NONE;
 	char *problem = NULL;
 
@@ -295,14 +299,14 @@
 	return problem;
 }
 
-static const struct fold_audit *accepted(struct chronicle *c,
-					 const struct attempt *attempt)
+static const struct fold_audit *find_accepted(struct checker *c,
+					      const struct attempt *attempt)
 {
 	uint64_t hash = id_hash(attempt->content, strlen(attempt->content));
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, c->judged);
+	g_hash_table_iter_init(&iter, c->verdicts);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct fold_audit *audit = value;
 
@@ -312,9 +316,9 @@
 	return NULL;
 }
 
-static char *attempt_wrong(struct chronicle *c, const struct attempt *attempt)
+static char *attempt_wrong(struct checker *c, const struct attempt *attempt)
 {
-	const struct fold_audit *audit = accepted(c, attempt);
+	const struct fold_audit *audit = find_accepted(c, attempt);
 	bool refused = attempt->answered && attempt->code != RESULT_OK &&
 		       attempt->code != RESULT_LOG_UNKNOWN;
 
@@ -333,7 +337,7 @@
 	return NULL;
 }
 
-char *chronicle_holds(struct chronicle *c)
+char *checker_check(struct checker *c)
 {
 	char *problem = c->problem ? g_strdup(c->problem) : chain_broken(c);
 
@@ -342,13 +346,13 @@
 	return problem;
 }
 
-static uint64_t last_accepted(struct chronicle *c)
+static uint64_t last_accepted(struct checker *c)
 {
 	uint64_t last = REVISION_NONE;
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, c->judged);
+	g_hash_table_iter_init(&iter, c->verdicts);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct fold_audit *audit = value;
 
@@ -375,11 +379,11 @@
 	return NULL;
 }
 
-char *chronicle_settled(struct chronicle *c)
+char *checker_check_settled(struct checker *c)
 {
 	uint64_t last = last_accepted(c);
 	const struct node *first = NULL;
-	char *problem = chronicle_holds(c);
+	char *problem = checker_check(c);
 
 	for (int i = 0; i < c->world->count && !problem; i++) {
 		const struct node *node = c->world->nodes[i];
--- a/tests/member/invariants.h
+++ b/tests/member/invariants.h
@@ -11,15 +11,16 @@
 #define FACTS 4
 
 /* What the test itself knows of facts: the newest version set of each. */
-struct truth {
+struct expected_facts {
 	uint64_t facts[FACTS];
 };
 
 /* After healing: all that are up see each other as they are, those that are
  * not as dead, agree on homes and facts, and are sure that they live. */
-char *members_settled(struct world *world, const struct truth *truth);
+char *members_settled(struct world *world,
+		      const struct expected_facts *expected_facts);
 /* At any time: nobody shows an incarnation that its owner never had. */
-char *members_true(struct world *world);
+char *incarnations_valid(struct world *world);
 
 /* No exchange feeds itself: what a node sent since its start stays within a
  * burst and a rate. */
@@ -31,32 +32,32 @@
 	char content[32];
 	int64_t deadline;
 	bool answered;
-	bool dropped; /* its instance ended first */
-	int by;	      /* index of the node */
+	bool dropped;	/* its instance ended first */
+	int node_index; /* index of the node */
 	enum result_code code;
 	uint64_t revision;
 };
 
 /* Everything that any instance said about the configuration. */
-struct chronicle {
+struct checker {
 	struct world *world;
-	GHashTable *judged; /* offset -> struct fold_audit */
+	GHashTable *verdicts; /* offset -> struct fold_audit */
 	GPtrArray *attempts;
-	char *problem; /* the first broken promise */
-	uint64_t took; /* changes seen */
+	char *problem;	  /* the first broken promise */
+	uint64_t changes; /* changes seen */
 };
 
-struct chronicle *chronicle_create(struct world *world);
-void chronicle_destroy(struct chronicle *chronicle);
+struct checker *checker_create(struct world *world);
+void checker_destroy(struct checker *checker);
 /* Starts the node's fold, watched. */
-void chronicle_start(struct chronicle *chronicle, struct node *node);
-void chronicle_stop(struct node *node);
-struct attempt *chronicle_apply(struct chronicle *chronicle, struct node *node,
-				uint64_t base, const char *content,
-				int64_t timeout);
+void checker_start(struct checker *checker, struct node *node);
+void checker_stop(struct node *node);
+struct attempt *checker_apply(struct checker *checker, struct node *node,
+			      uint64_t base, const char *content,
+			      int64_t timeout);
 /* At any time. */
-char *chronicle_holds(struct chronicle *chronicle);
+char *checker_check(struct checker *checker);
 /* After healing: besides, all have the same in force, the last accepted. */
-char *chronicle_settled(struct chronicle *chronicle);
+char *checker_check_settled(struct checker *checker);
 
 #endif
--- a/tests/member/test_fold.c
+++ b/tests/member/test_fold.c
@@ -12,7 +12,7 @@
 
 struct run {
 	struct world *world;
-	struct chronicle *chronicle;
+	struct checker *checker;
 	int64_t reappend;
 };
 
@@ -30,7 +30,7 @@
 
 static void started(struct node *node)
 {
-	chronicle_start(run.chronicle, node);
+	checker_start(run.checker, node);
 	if (run.reappend)
 		fold_reappend_after(node->fold, run.reappend);
 	fold_start(node->fold);
@@ -43,22 +43,23 @@
 
 static struct attempt *apply(int i, uint64_t base, const char *content)
 {
-	return chronicle_apply(run.chronicle, run.world->nodes[i], base,
-			       content, SECONDS(10));
+	return checker_apply(run.checker, run.world->nodes[i], base, content,
+			     SECONDS(10));
 }
 
-static void pass(int64_t usec)
+static void run_for(int64_t usec)
 {
 	world_run(run.world, usec);
 }
 
-static void answered(const struct attempt *attempt, enum result_code code)
+static void assert_answered(const struct attempt *attempt,
+			    enum result_code code)
 {
 	g_assert_true(attempt->answered);
 	g_assert_cmpstr(result_label(attempt->code), ==, result_label(code));
 }
 
-static void everywhere(uint64_t revision)
+static void assert_in_force(uint64_t revision)
 {
 	for (int i = 0; i < run.world->count; i++) {
 		if (run.world->nodes[i]->up)
@@ -67,28 +68,28 @@
 }
 
 /* The first file, on which the rows build. */
-static uint64_t first(void)
+static uint64_t apply_first(void)
 {
 	struct attempt *attempt = apply(0, REVISION_NONE, "first");
 
-	pass(SECONDS(2));
-	answered(attempt, RESULT_OK);
-	everywhere(1);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_OK);
+	assert_in_force(1);
 	return 1;
 }
 
-static void accepted(void)
+static void file_accepted(void)
 {
 	size_t size;
 
-	first();
+	apply_first();
 	g_assert_cmpstr(fold_content(fold(3), &size), ==, "first");
 	g_assert_cmpuint(size, ==, 5);
 }
 
-static void racers(void)
+static void concurrent_applies(void)
 {
-	uint64_t base = first();
+	uint64_t base = apply_first();
 	struct attempt *attempts[4];
 	int won = 0;
 
@@ -98,37 +99,37 @@
 		g_snprintf(content, sizeof(content), "race%d", i);
 		attempts[i] = apply(i, base, content);
 	}
-	pass(SECONDS(2));
+	run_for(SECONDS(2));
 	for (int i = 0; i < 4; i++) {
 		won += attempts[i]->code == RESULT_OK;
 		if (attempts[i]->code != RESULT_OK)
-			answered(attempts[i], RESULT_STALE_REVISION);
+			assert_answered(attempts[i], RESULT_STALE_REVISION);
 	}
 	g_assert_cmpint(won, ==, 1);
 }
 
-static void stale(void)
+static void base_stale(void)
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	attempt = apply(2, REVISION_NONE, "late");
-	pass(SECONDS(2));
-	answered(attempt, RESULT_STALE_REVISION);
-	everywhere(1);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_STALE_REVISION);
+	assert_in_force(1);
 }
 
-static void bad(void)
+static void file_invalid(void)
 {
 	const struct fold_audit *audits;
 	struct attempt *attempt;
 	size_t count;
 
-	first();
+	apply_first();
 	attempt = apply(2, 1, "bad one");
-	pass(SECONDS(2));
-	answered(attempt, RESULT_BAD_CONFIG);
-	everywhere(1);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_BAD_CONFIG);
+	assert_in_force(1);
 	count = fold_history(fold(0), &audits);
 	g_assert_cmpuint(count, ==, 2);
 	g_assert_cmpint(audits[1].code, ==, RESULT_BAD_CONFIG);
@@ -151,7 +152,7 @@
 		   attempt_code, &code);
 	fold_apply(fold(0), 0, NULL, NULL, 5, SECONDS(5), attempt_code, &code);
 	g_assert_cmpint(code, ==, RESULT_OK);
-	pass(SECONDS(1));
+	run_for(SECONDS(1));
 	g_assert_cmpint(code, ==, RESULT_TOO_LARGE);
 	g_assert_cmpuint(records_all(), ==, 0);
 	g_free(content);
@@ -161,11 +162,11 @@
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	run.world->log->lose = 1000;
 	attempt = apply(1, 1, "second");
-	pass(SECONDS(2));
-	answered(attempt, RESULT_OK);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_OK);
 	g_assert_cmpuint(records_all(), ==, 2);
 }
 
@@ -174,84 +175,84 @@
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	run.world->log->late = 1000;
 	attempt = apply(1, 1, "second");
-	pass(SECONDS(1));
+	run_for(SECONDS(1));
 	run.world->log->late = 0;
-	pass(SECONDS(6));
-	answered(attempt, RESULT_OK);
+	run_for(SECONDS(6));
+	assert_answered(attempt, RESULT_OK);
 	g_assert_cmpuint(records_all(), >, 2);
-	everywhere(2);
+	assert_in_force(2);
 }
 
-static void log_out(void)
+static void log_unavailable(void)
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	run.world->log->outage = true;
 	attempt = apply(1, 1, "second");
-	pass(SECONDS(11));
-	answered(attempt, RESULT_LOG_DOWN);
+	run_for(SECONDS(11));
+	assert_answered(attempt, RESULT_LOG_DOWN);
 	run.world->log->outage = false;
-	pass(SECONDS(8));
-	everywhere(1);
+	run_for(SECONDS(8));
+	assert_in_force(1);
 	attempt = apply(1, 1, "third");
-	pass(SECONDS(2));
-	answered(attempt, RESULT_OK);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_OK);
 }
 
 /* What is bad is called bad, though no log can take it. */
-static void log_out_and_bad(void)
+static void log_unavailable_file_invalid(void)
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	run.world->log->outage = true;
 	attempt = apply(1, 1, "bad");
-	pass(SECONDS(11));
-	answered(attempt, RESULT_BAD_CONFIG);
+	run_for(SECONDS(11));
+	assert_answered(attempt, RESULT_BAD_CONFIG);
 }
 
 static void log_silent(void)
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	run.world->nodes[1]->client.silent = true;
 	attempt = apply(1, 1, "second");
-	pass(SECONDS(11));
-	answered(attempt, RESULT_LOG_UNKNOWN);
+	run_for(SECONDS(11));
+	assert_answered(attempt, RESULT_LOG_UNKNOWN);
 	run.world->nodes[1]->client.silent = false;
-	pass(SECONDS(10));
-	everywhere(2);
+	run_for(SECONDS(10));
+	assert_in_force(2);
 }
 
 static void outage_ends(void)
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	run.world->log->outage = true;
 	attempt = apply(1, 1, "second");
-	pass(SECONDS(5));
+	run_for(SECONDS(5));
 	run.world->log->outage = false;
-	pass(SECONDS(5));
-	answered(attempt, RESULT_OK);
-	everywhere(2);
+	run_for(SECONDS(5));
+	assert_answered(attempt, RESULT_OK);
+	assert_in_force(2);
 }
 
-static void new_in_outage(void)
+static void start_in_outage(void)
 {
-	first();
+	apply_first();
 	run.world->log->outage = true;
 	node_kill(run.world->nodes[2]);
-	pass(SECONDS(6));
+	run_for(SECONDS(6));
 	node_start(run.world->nodes[2]);
 	node_hint(run.world->nodes[2]);
-	pass(SECONDS(3));
-	everywhere(1);
+	run_for(SECONDS(3));
+	assert_in_force(1);
 }
 
 /* One data centre sees the log; the other learns from it alone. */
@@ -259,47 +260,47 @@
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	for (int i = 0; i < run.world->count; i++) {
 		if (node_in(run.world->nodes[i], "hall-a"))
 			run.world->nodes[i]->client.silent = true;
 	}
 	attempt = apply(run.world->count - 1, 1, "second");
-	pass(SECONDS(5));
-	answered(attempt, RESULT_OK);
-	everywhere(2);
+	run_for(SECONDS(5));
+	assert_answered(attempt, RESULT_OK);
+	assert_in_force(2);
 }
 
-static void centres_part(void)
+static void centres_partitioned(void)
 {
 	struct attempt *attempt;
 
-	first();
-	world_part(run.world, "hall-a", "hall-b", true);
+	apply_first();
+	world_partition(run.world, "hall-a", "hall-b", true);
 	attempt = apply(0, 1, "second");
-	pass(SECONDS(2));
-	answered(attempt, RESULT_OK);
-	everywhere(2);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_OK);
+	assert_in_force(2);
 }
 
 /* Cut off from the log and from the others: it serves what it has, and takes
  * the higher revision afterwards. */
-static void cut_off_wholly(void)
+static void isolated_from_log_and_peers(void)
 {
 	struct world *w = run.world;
 
-	first();
-	world_part(w, "hall-a", "hall-b", true);
+	apply_first();
+	world_partition(w, "hall-a", "hall-b", true);
 	for (int i = 0; i < w->count; i++)
 		run.world->nodes[i]->client.silent =
 			node_in(w->nodes[i], "hall-a");
 	apply(w->count - 1, 1, "second");
-	pass(SECONDS(20));
+	run_for(SECONDS(20));
 	g_assert_cmpuint(fold_revision(fold(0)), ==, 1);
 	g_assert_cmpuint(fold_revision(fold(w->count - 1)), ==, 2);
 	world_heal(w);
-	pass(SECONDS(5));
-	everywhere(2);
+	run_for(SECONDS(5));
+	assert_in_force(2);
 }
 
 static uint64_t records_kept(void)
@@ -312,21 +313,21 @@
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	run.world->log->retention = SECONDS(30);
-	pass(SECONDS(300));
+	run_for(SECONDS(300));
 	g_assert_cmpuint(records_first(), >, 0);
 	g_assert_cmpuint(records_kept(), >=, 1);
 	g_assert_cmpuint(records_all(), <=, 2 * 300 / 10);
 	for (int i = 0; i < run.world->count; i++)
 		node_kill(run.world->nodes[i]);
-	pass(SECONDS(5));
+	run_for(SECONDS(5));
 	world_start(run.world);
-	pass(SECONDS(6));
-	everywhere(1);
+	run_for(SECONDS(6));
+	assert_in_force(1);
 	attempt = apply(0, 1, "second");
-	pass(SECONDS(2));
-	answered(attempt, RESULT_OK);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_OK);
 }
 
 /* The outage lasts longer than the log remembers. */
@@ -334,33 +335,33 @@
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	run.world->log->retention = SECONDS(30);
 	run.world->log->outage = true;
-	pass(SECONDS(100));
+	run_for(SECONDS(100));
 	run.world->log->outage = false;
-	pass(SECONDS(20));
-	everywhere(1);
+	run_for(SECONDS(20));
+	assert_in_force(1);
 	g_assert_cmpuint(records_kept(), >=, 1);
 	attempt = apply(0, 1, "second");
-	pass(SECONDS(2));
-	answered(attempt, RESULT_OK);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_OK);
 }
 
-static void readers_end(void)
+static void readers_crash(void)
 {
 	struct attempt *attempt = NULL;
-	int ended = 0;
+	int crashed = 0;
 
-	first();
+	apply_first();
 	for (int i = 0; i < run.world->count; i++) {
 		if (!fold_reading(fold(i)))
 			continue;
 		node_kill(run.world->nodes[i]);
-		ended++;
+		crashed++;
 	}
-	g_assert_cmpint(ended, ==, 4);
-	pass(SECONDS(6));
+	g_assert_cmpint(crashed, ==, 4);
+	run_for(SECONDS(6));
 	for (int i = 0; i < run.world->count; i++) {
 		if (!run.world->nodes[i]->up)
 			continue;
@@ -368,54 +369,54 @@
 		break;
 	}
 	g_assert_nonnull(attempt);
-	pass(SECONDS(2));
-	answered(attempt, RESULT_OK);
-	everywhere(2);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_OK);
+	assert_in_force(2);
 }
 
 /* The log answers one instance of the first data centre, no reader, and all of
  * the second, which is cut off from it. */
 static void readers_refused(void)
 {
-	struct node *answered_one = NULL;
+	struct node *reachable = NULL;
 
-	first();
-	world_part(run.world, run.world->nodes[0]->self.data_centre,
-		   run.world->nodes[run.world->count - 1]->self.data_centre,
-		   true);
+	apply_first();
+	world_partition(
+		run.world, run.world->nodes[0]->self.data_centre,
+		run.world->nodes[run.world->count - 1]->self.data_centre, true);
 	for (int i = 0; i < run.world->count; i++) {
 		struct node *node = run.world->nodes[i];
 
 		if (!node_in(node, run.world->nodes[0]->self.data_centre))
 			continue;
-		if (!answered_one && !fold_reading(fold(i)))
-			answered_one = node;
+		if (!reachable && !fold_reading(fold(i)))
+			reachable = node;
 		else
 			node->client.cut = true;
 	}
-	g_assert_nonnull(answered_one);
-	pass(SECONDS(10));
+	g_assert_nonnull(reachable);
+	run_for(SECONDS(10));
 	apply(run.world->count - 1, 1, "second");
-	pass(SECONDS(7));
-	everywhere(2);
+	run_for(SECONDS(7));
+	assert_in_force(2);
 }
 
-static void few_read(void)
+static void reader_count(void)
 {
 	int reading = 0;
 
-	first();
+	apply_first();
 	for (int i = 0; i < run.world->count; i++)
 		reading += fold_reading(fold(i));
 	g_assert_cmpint(reading, ==, 4);
 }
 
-static void reader_stands(void)
+static void reader_paused(void)
 {
 	struct attempt *attempt;
 	struct node *reader = NULL;
 
-	first();
+	apply_first();
 	for (int i = 0; i < run.world->count && !reader; i++) {
 		if (fold_reading(fold(i)))
 			reader = run.world->nodes[i];
@@ -423,31 +424,31 @@
 	g_assert_nonnull(reader);
 	node_pause(reader);
 	attempt = apply((reader->index + 1) % run.world->count, 1, "second");
-	pass(SECONDS(2));
-	answered(attempt, RESULT_OK);
-	pass(SECONDS(60));
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_OK);
+	run_for(SECONDS(60));
 	node_wake(reader);
-	pass(SECONDS(3));
-	everywhere(2);
+	run_for(SECONDS(3));
+	assert_in_force(2);
 }
 
 static void records_foreign(void)
 {
 	struct attempt *attempt;
 
-	first();
+	apply_first();
 	fake_log_put(run.world->log, LOG_STREAM_CONFIG, "\xc1", 1);
 	fake_log_put(run.world->log, LOG_STREAM_CONFIG, "not ours", 8);
 	fake_log_put(run.world->log, LOG_STREAM_CONFIG, "\x99\x01\x07", 3);
 	fake_log_put(run.world->log, LOG_STREAM_CONFIG, "\xdd\xff\xff\xff\xff",
 		     5);
 	attempt = apply(2, 1, "second");
-	pass(SECONDS(2));
-	answered(attempt, RESULT_OK);
-	everywhere(6);
+	run_for(SECONDS(2));
+	assert_answered(attempt, RESULT_OK);
+	assert_in_force(6);
 }
 
-static void messages_wrong(void)
+static void messages_malformed(void)
 {
 	static const char *const texts[] = {
 		"",
@@ -460,7 +461,7 @@
 		"\x97\x03\x09\x09\x09\xc0\xc0\x00",
 	};
 
-	first();
+	apply_first();
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
 		fold_receive(fold(0), 1, texts[i], strlen(texts[i]));
 	for (int i = 0; i < 20000; i++) {
@@ -472,24 +473,24 @@
 		bytes[1] = (unsigned char)(1 + i % 3);
 		fold_receive(fold(0), 1, bytes, sizeof(bytes));
 	}
-	pass(SECONDS(2));
-	everywhere(1);
+	run_for(SECONDS(2));
+	assert_in_force(1);
 }
 
-static void link_loses(void)
+static void link_lossy(void)
 {
 	struct attempt *attempt;
 
 	run.world->drop = 200;
-	run.world->twice = 200;
+	run.world->duplicate = 200;
 	run.world->delay_max = SECONDS(1) / 10;
 	attempt = apply(0, 0, "first");
-	pass(SECONDS(5));
-	answered(attempt, RESULT_OK);
-	everywhere(1);
+	run_for(SECONDS(5));
+	assert_answered(attempt, RESULT_OK);
+	assert_in_force(1);
 }
 
-static void history_kept(void)
+static void history_bounded(void)
 {
 	const struct fold_audit *audits;
 	uint64_t base = 0;
@@ -501,11 +502,11 @@
 
 		g_snprintf(content, sizeof(content), "file%d", i);
 		attempt = apply(i % run.world->count, base, content);
-		pass(SECONDS(1) / 2);
-		answered(attempt, RESULT_OK);
+		run_for(SECONDS(1) / 2);
+		assert_answered(attempt, RESULT_OK);
 		base = attempt->revision;
 	}
-	pass(SECONDS(3));
+	run_for(SECONDS(3));
 	count = fold_history(fold(1), &audits);
 	g_assert_cmpuint(count, ==, FOLD_HISTORY_MAX);
 	g_assert_cmpuint(audits[count - 1].offset, ==, base);
@@ -520,32 +521,33 @@
 };
 
 static const struct row rows[] = {
-	{"a file is accepted", 2, 3, accepted, 0},
-	{"four race", 2, 3, racers, 0},
-	{"based on an old revision", 2, 3, stale, 0},
-	{"the file is bad", 2, 3, bad, 0},
+	{"a file is accepted", 2, 3, file_accepted, 0},
+	{"four race", 2, 3, concurrent_applies, 0},
+	{"based on an old revision", 2, 3, base_stale, 0},
+	{"the file is bad", 2, 3, file_invalid, 0},
 	{"the file is too large", 1, 2, too_large, 0},
 	{"the answer is lost", 2, 3, answer_lost, 0},
 	{"the append comes late", 2, 3, append_late, 0},
-	{"the log is out", 2, 3, log_out, 0},
-	{"the log is out and the file bad", 2, 3, log_out_and_bad, 0},
+	{"the log is out", 2, 3, log_unavailable, 0},
+	{"the log is out and the file bad", 2, 3, log_unavailable_file_invalid,
+	 0},
 	{"the log does not answer", 2, 3, log_silent, 0},
 	{"the outage ends in time", 2, 3, outage_ends, 0},
-	{"an instance starts in an outage", 2, 3, new_in_outage, 0},
+	{"an instance starts in an outage", 2, 3, start_in_outage, 0},
 	{"one data centre lacks the log", 2, 3, log_cut_from_one_centre, 0},
-	{"data centres part", 2, 3, centres_part, 0},
-	{"cut off from log and others", 2, 3, cut_off_wholly, 0},
+	{"data centres part", 2, 3, centres_partitioned, 0},
+	{"cut off from log and others", 2, 3, isolated_from_log_and_peers, 0},
 	{"the log forgets", 2, 3, retention, SECONDS(10)},
 	{"the log forgets in an outage", 2, 3, retention_in_outage,
 	 SECONDS(10)},
-	{"all readers end", 2, 5, readers_end, 0},
+	{"all readers end", 2, 5, readers_crash, 0},
 	{"all readers are refused", 2, 15, readers_refused, 0},
-	{"few read", 2, 5, few_read, 0},
-	{"a reader stands still", 2, 3, reader_stands, 0},
+	{"few read", 2, 5, reader_count, 0},
+	{"a reader stands still", 2, 3, reader_paused, 0},
 	{"records of others", 2, 3, records_foreign, 0},
-	{"messages are wrong", 2, 3, messages_wrong, 0},
-	{"the link loses a fifth", 2, 3, link_loses, 0},
-	{"a long history", 2, 3, history_kept, 0},
+	{"messages are wrong", 2, 3, messages_malformed, 0},
+	{"the link loses a fifth", 2, 3, link_lossy, 0},
+	{"a long history", 2, 3, history_bounded, 0},
 };
 
 static void test_row(gconstpointer data)
@@ -554,18 +556,18 @@
 	char *problem;
 
 	run.world = world_create(11);
-	run.chronicle = chronicle_create(run.world);
+	run.checker = checker_create(run.world);
 	run.reappend = row->reappend;
 	run.world->started = started;
-	run.world->stopping = chronicle_stop;
+	run.world->stopping = checker_stop;
 	world_fill(run.world, row->centres, row->each);
 	world_start(run.world);
-	pass(SECONDS(5));
+	run_for(SECONDS(5));
 	row->fault();
-	problem = chronicle_holds(run.chronicle);
+	problem = checker_check(run.checker);
 	g_assert_cmpstr(problem, ==, NULL);
 	world_destroy(run.world);
-	chronicle_destroy(run.chronicle);
+	checker_destroy(run.checker);
 }
 
 int main(int argc, char **argv)
--- a/tests/member/test_fold_schedules.c
+++ b/tests/member/test_fold_schedules.c
@@ -19,7 +19,7 @@
 
 struct run {
 	struct world *world;
-	struct chronicle *chronicle;
+	struct checker *checker;
 	int files;
 	int64_t reappend;
 };
@@ -28,7 +28,7 @@
 
 static void started(struct node *node)
 {
-	chronicle_start(running->chronicle, node);
+	checker_start(running->checker, node);
 	fold_reappend_after(node->fold, running->reappend);
 	fold_start(node->fold);
 }
@@ -54,10 +54,10 @@
 		base--;
 	g_snprintf(content, sizeof(content), "%s%d",
 		   pick(r->world, 8) ? "file" : "bad", ++r->files);
-	chronicle_apply(r->chronicle, node, base, content, timeout);
+	checker_apply(r->checker, node, base, content, timeout);
 }
 
-static void disturb_log(struct run *r)
+static void log_fault(struct run *r)
 {
 	struct fake_log *log = r->world->log;
 	struct world *w = r->world;
@@ -101,7 +101,7 @@
 	return r->world->log->retention;
 }
 
-static void disturb_node(struct run *r)
+static void node_fault(struct run *r)
 {
 	struct world *w = r->world;
 	struct node *node = w->nodes[pick(w, w->count)];
@@ -126,39 +126,40 @@
 	}
 }
 
-static void disturb_link(struct run *r)
+static void link_fault(struct run *r)
 {
 	struct world *w = r->world;
 	const struct node *a = w->nodes[pick(w, w->count)];
 	const struct node *b = w->nodes[pick(w, w->count)];
 
 	if (pick(w, 2))
-		world_part(w, a->self.data_centre, b->self.data_centre, true);
+		world_partition(w, a->self.data_centre, b->self.data_centre,
+				true);
 	else
 		memset(w->cut, 0, sizeof(w->cut));
 }
 
 static void event(struct run *r)
 {
-	int racers;
+	int attempts;
 
 	switch (pick(r->world, 6)) {
 	case 0:
-		disturb_log(r);
+		log_fault(r);
 		break;
 	case 1:
-		disturb_node(r);
+		node_fault(r);
 		break;
 	case 2:
-		disturb_link(r);
+		link_fault(r);
 		break;
 	default:
-		for (racers = 1 + pick(r->world, 3); racers > 0; racers--)
+		for (attempts = 1 + pick(r->world, 3); attempts > 0; attempts--)
 			apply(r);
 	}
 }
 
-static void all_back(struct run *r)
+static void recover_all(struct run *r)
 {
 	struct world *w = r->world;
 	struct fake_log *log = r->world->log;
@@ -189,7 +190,7 @@
 	char *problem;
 
 	for (;;) {
-		problem = chronicle_settled(r->chronicle);
+		problem = checker_check_settled(r->checker);
 		if (!problem)
 			return clock_now(r->world->clock) - start;
 		if (clock_now(r->world->clock) - start > SETTLE_USEC)
@@ -206,14 +207,14 @@
 	int centres = 1 + pick(w, 3);
 
 	r->world = w;
-	r->chronicle = chronicle_create(w);
+	r->checker = checker_create(w);
 	r->reappend = FOLD_REAPPEND_USEC;
 	w->started = started;
-	w->stopping = chronicle_stop;
+	w->stopping = checker_stop;
 	running = r;
 	world_fill(w, centres, 2 + pick(w, 3));
 	w->drop = pick(w, 100);
-	w->twice = pick(w, 100);
+	w->duplicate = pick(w, 100);
 	w->delay_max = 1000 + pick(w, 100000);
 	if (pick(w, 2)) {
 		r->world->log->retention = (6 + pick(w, 10)) * USEC_PER_SEC;
@@ -225,7 +226,7 @@
 static void run_destroy(struct run *r)
 {
 	world_destroy(r->world);
-	chronicle_destroy(r->chronicle);
+	checker_destroy(r->checker);
 	g_free(r);
 }
 
@@ -240,13 +241,13 @@
 	for (int i = 0; i < events; i++) {
 		event(r);
 		world_run(r->world, pick(r->world, 2 * USEC_PER_SEC));
-		check(r, chronicle_holds(r->chronicle));
+		check(r, checker_check(r->checker));
 		check(r, traffic_bounded(r->world));
 	}
-	all_back(r);
+	recover_all(r);
 	settled = settle(r);
 	world_run(r->world, 10 * USEC_PER_SEC);
-	check(r, chronicle_settled(r->chronicle));
+	check(r, checker_check_settled(r->checker));
 	run_destroy(r);
 	return settled;
 }
--- a/tests/member/test_log_tail.c
+++ b/tests/member/test_log_tail.c
@@ -9,20 +9,20 @@
 #include "rows.h"
 
 /* What the store does with one read. */
-enum act {
-	ACT_RECORDS, /* up to count records from the offset asked for */
-	ACT_FROM,    /* records from before the offset asked for, too */
-	ACT_DROPPED, /* all before first is gone */
-	ACT_EMPTY,
-	ACT_DOWN,
-	ACT_BAD_PAGE, /* next is before what was read already */
-	ACT_SILENT,   /* no answer ever */
-	ACT_LATE,     /* the answer comes after the tail gave up */
-	ACT_STOP,     /* the tail is stopped while the read is in flight */
+enum store_action {
+	STORE_RECORDS, /* up to count records from the offset asked for */
+	STORE_OVERLAP, /* records from before the offset asked for, too */
+	STORE_DROPPED, /* all before first is gone */
+	STORE_EMPTY,
+	STORE_DOWN,
+	STORE_BAD_PAGE, /* next is before what was read already */
+	STORE_SILENT,	/* no answer ever */
+	STORE_LATE,	/* the answer comes after the tail gave up */
+	STORE_STOP,	/* the tail is stopped while the read is in flight */
 };
 
 struct step {
-	enum act act;
+	enum store_action action;
 	uint64_t count;
 };
 
@@ -67,31 +67,31 @@
 	void *fn_ctx = s->fn_ctx;
 
 	s->fn = NULL;
-	switch (step->act) {
-	case ACT_RECORDS:
+	switch (step->action) {
+	case STORE_RECORDS:
 		answer(s, fn, fn_ctx, 0, s->from, step->count);
 		break;
-	case ACT_FROM:
+	case STORE_OVERLAP:
 		answer(s, fn, fn_ctx, 0, s->from - 1, step->count + 1);
 		break;
-	case ACT_DROPPED:
+	case STORE_DROPPED:
 		answer(s, fn, fn_ctx, s->from + 3, s->from + 3, step->count);
 		break;
-	case ACT_EMPTY:
+	case STORE_EMPTY:
 		answer(s, fn, fn_ctx, 0, s->from, 0);
 		break;
-	case ACT_DOWN:
+	case STORE_DOWN:
 		fn(fn_ctx, RESULT_LOG_DOWN, NULL);
 		break;
-	case ACT_BAD_PAGE:
+	case STORE_BAD_PAGE:
 		answer(s, fn, fn_ctx, 0, s->from - 1, 0);
 		break;
-	case ACT_SILENT:
-	case ACT_LATE:
+	case STORE_SILENT:
+	case STORE_LATE:
 		s->late_fn = fn;
 		s->late_ctx = fn_ctx;
 		break;
-	case ACT_STOP:
+	case STORE_STOP:
 		log_tail_stop(s->tail);
 		g_string_append(s->trace, "stopped ");
 		answer(s, fn, fn_ctx, 0, s->from, 1);
@@ -154,71 +154,77 @@
 
 static const struct row rows[] = {
 	{"in order",
-	 {{ACT_RECORDS, 2}, {ACT_RECORDS, 3}},
+	 {{STORE_RECORDS, 2}, {STORE_RECORDS, 3}},
 	 2,
 	 false,
 	 "5 6 7 8 9 ",
 	 10,
 	 true},
 	{"nothing new",
-	 {{ACT_EMPTY, 0}, {ACT_RECORDS, 1}},
+	 {{STORE_EMPTY, 0}, {STORE_RECORDS, 1}},
 	 2,
 	 false,
 	 "5 ",
 	 6,
 	 true},
 	{"the same again",
-	 {{ACT_RECORDS, 1}, {ACT_FROM, 1}},
+	 {{STORE_RECORDS, 1}, {STORE_OVERLAP, 1}},
 	 2,
 	 false,
 	 "5 6 ",
 	 7,
 	 true},
 	{"dropped",
-	 {{ACT_RECORDS, 1}, {ACT_DROPPED, 2}},
+	 {{STORE_RECORDS, 1}, {STORE_DROPPED, 2}},
 	 2,
 	 false,
 	 "5 gap:6-9 9 10 ",
 	 11,
 	 true},
-	{"all dropped", {{ACT_DROPPED, 0}}, 1, false, "gap:5-8 ", 8, true},
+	{"all dropped", {{STORE_DROPPED, 0}}, 1, false, "gap:5-8 ", 8, true},
 	{"down",
-	 {{ACT_RECORDS, 1}, {ACT_DOWN, 0}, {ACT_RECORDS, 1}},
+	 {{STORE_RECORDS, 1}, {STORE_DOWN, 0}, {STORE_RECORDS, 1}},
 	 3,
 	 false,
 	 "5 log-down 6 ",
 	 7,
 	 true},
 	{"down twice",
-	 {{ACT_DOWN, 0}, {ACT_DOWN, 0}, {ACT_RECORDS, 1}},
+	 {{STORE_DOWN, 0}, {STORE_DOWN, 0}, {STORE_RECORDS, 1}},
 	 3,
 	 false,
 	 "log-down log-down 5 ",
 	 6,
 	 true},
 	{"backwards",
-	 {{ACT_BAD_PAGE, 0}, {ACT_RECORDS, 1}},
+	 {{STORE_BAD_PAGE, 0}, {STORE_RECORDS, 1}},
 	 2,
 	 false,
 	 "log-gap 5 ",
 	 6,
 	 true},
 	{"silent",
-	 {{ACT_SILENT, 0}, {ACT_RECORDS, 1}},
+	 {{STORE_SILENT, 0}, {STORE_RECORDS, 1}},
 	 2,
 	 false,
 	 "log-down 5 ",
 	 6,
 	 true},
 	{"late",
-	 {{ACT_LATE, 0}, {ACT_RECORDS, 2}},
+	 {{STORE_LATE, 0}, {STORE_RECORDS, 2}},
 	 2,
 	 false,
 	 "log-down 5 6 ",
 	 7,
 	 true},
-	{"stopped in flight", {{ACT_STOP, 0}}, 1, false, "stopped ", 5, false},
-	{"stopped in a record", {{ACT_RECORDS, 3}}, 1, true, "5 ", 6, false},
+	{"stopped in flight",
+	 {{STORE_STOP, 0}},
+	 1,
+	 false,
+	 "stopped ",
+	 5,
+	 false},
+	{"stopped in a record", {{STORE_RECORDS, 3}}, 1, true, "5 ", 6, false},
 };
 
 static void test_row(gconstpointer data)
--- a/tests/member/test_member.c
+++ b/tests/member/test_member.c
@@ -42,7 +42,7 @@
 	return sum;
 }
 
-static void run_quiet(struct world *w, int64_t usec)
+static void run_without_deaths(struct world *w, int64_t usec)
 {
 	for (int64_t t = 0; t < usec; t += USEC_PER_SEC / 5) {
 		world_run(w, USEC_PER_SEC / 5);
@@ -54,7 +54,7 @@
 	}
 }
 
-static void ends(struct world *w)
+static void instance_crashes(struct world *w)
 {
 	node_kill(w->nodes[2]);
 	world_run(w, SECONDS(1));
@@ -66,18 +66,18 @@
 	}
 }
 
-static void stands_briefly(struct world *w)
+static void paused_briefly(struct world *w)
 {
 	node_pause(w->nodes[2]);
 	world_run(w, SECONDS(1));
 	node_wake(w->nodes[2]);
 	g_assert_true(membership_certain(w->nodes[2]->membership));
-	run_quiet(w, SECONDS(6));
+	run_without_deaths(w, SECONDS(6));
 	g_assert_cmpuint(refuted(w), ==, 0);
 }
 
 /* Longer than it takes to be suspected, not than to be held dead. */
-static void stands_for_a_while(struct world *w)
+static void paused_until_suspect(struct world *w)
 {
 	node_pause(w->nodes[2]);
 	world_run(w, 2200 * USEC_PER_MSEC);
@@ -85,11 +85,11 @@
 	g_assert_false(membership_certain(w->nodes[2]->membership));
 	world_run(w, SECONDS(1));
 	g_assert_true(membership_certain(w->nodes[2]->membership));
-	run_quiet(w, SECONDS(6));
+	run_without_deaths(w, SECONDS(6));
 	g_assert_cmpuint(refuted(w), ==, 0);
 }
 
-static void stands_long(struct world *w)
+static void paused_until_dead(struct world *w)
 {
 	node_pause(w->nodes[2]);
 	world_run(w, SECONDS(7));
@@ -104,7 +104,7 @@
 }
 
 /* Nobody answers one that woke: it cannot know, so it starts anew. */
-static void stands_long_and_cut(struct world *w)
+static void paused_and_isolated(struct world *w)
 {
 	node_pause(w->nodes[2]);
 	world_run(w, SECONDS(2));
@@ -131,7 +131,7 @@
 }
 
 /* Reached through others, neither even suspects the other. */
-static void pairs_cut(struct world *w)
+static void pair_link_cut(struct world *w)
 {
 	for (int i = 1; i < w->count; i++) {
 		w->cut[0][i] = w->cut[i][0] = true;
@@ -145,7 +145,7 @@
 	g_assert_cmpuint(refuted(w), ==, 0);
 }
 
-static void alone_cut(struct world *w)
+static void one_isolated(struct world *w)
 {
 	for (int i = 1; i < w->count; i++)
 		w->cut[0][i] = w->cut[i][0] = true;
@@ -159,7 +159,7 @@
 }
 
 /* The smaller side starts anew, the larger one goes on. */
-static void two_cut(struct world *w)
+static void minority_partitioned(struct world *w)
 {
 	for (int i = 0; i < w->count; i++) {
 		for (int j = 0; j < w->count; j++)
@@ -171,7 +171,7 @@
 	g_assert_cmpuint(refuted(w), ==, 2);
 }
 
-static void halves_cut(struct world *w)
+static void halves_partitioned(struct world *w)
 {
 	for (int i = 0; i < w->count; i++) {
 		for (int j = 0; j < w->count; j++)
@@ -182,9 +182,9 @@
 	settle(w, SECONDS(20));
 }
 
-static void centres_part(struct world *w)
+static void centres_partitioned(struct world *w)
 {
-	world_part(w, "hall-a", "hall-b", true);
+	world_partition(w, "hall-a", "hall-b", true);
 	world_run(w, SECONDS(8));
 	g_assert_cmpint(state(w, 0, 2), ==, MEMBER_DEAD);
 	g_assert_cmpint(state(w, 3, 1), ==, MEMBER_DEAD);
@@ -195,7 +195,7 @@
 	g_assert_cmpuint(refuted(w), ==, 0);
 }
 
-static void centres_part_one_way(struct world *w)
+static void centres_partitioned_one_way(struct world *w)
 {
 	for (int i = 0; i < 2; i++) {
 		for (int j = 2; j < 4; j++)
@@ -210,10 +210,10 @@
 }
 
 /* All of one data centre replaced while it could not be reached. */
-static void replaced_behind_a_cut(struct world *w)
+static void replaced_during_partition(struct world *w)
 {
-	world_part(w, "hall-a", "hall-b", true);
-	world_part(w, "hall-c", "hall-b", true);
+	world_partition(w, "hall-a", "hall-b", true);
+	world_partition(w, "hall-c", "hall-b", true);
 	world_run(w, SECONDS(10));
 	for (int i = 2; i < 4; i++) {
 		node_kill(w->nodes[i]);
@@ -226,14 +226,14 @@
 	settle(w, SECONDS(10));
 }
 
-static void leaves(struct world *w)
+static void instance_leaves(struct world *w)
 {
 	struct node *node = w->nodes[1];
 
 	membership_leave(node->membership);
 	node->leaving = true;
 	settle(w, SECONDS(2));
-	run_quiet(w, SECONDS(10));
+	run_without_deaths(w, SECONDS(10));
 	for (uint64_t key = 0; key < 200; key++)
 		g_assert_cmpuint(membership_home(w->nodes[0]->membership,
 						 "hall-a", key, 0),
@@ -244,13 +244,13 @@
 }
 
 /* A clock that was set back must not bring a former life to the fore. */
-static void older_incarnation(struct world *w)
+static void incarnation_too_low(struct world *w)
 {
 	struct node *node = w->nodes[1];
 	uint64_t former = node->self.incarnation;
 
 	node_kill(node);
-	w->back = SECONDS(100);
+	w->clock_behind = SECONDS(100);
 	node_start(node);
 	g_assert_cmpuint(node->self.incarnation, <, former);
 	node_hint(node);
@@ -259,7 +259,7 @@
 	g_assert_cmpuint(node->refuted, ==, 1);
 }
 
-static void listed_but_never_there(struct world *w)
+static void listed_but_absent(struct world *w)
 {
 	struct member ghost = w->nodes[1]->self;
 
@@ -275,7 +275,7 @@
 	g_assert_null(membership_find(w->nodes[1]->membership, id_of("ghost")));
 }
 
-static void list_of(struct world *w, int node, int but)
+static void hint_all_but(struct world *w, int node, int but)
 {
 	for (int i = 0; i < w->count; i++) {
 		if (i != but)
@@ -284,22 +284,22 @@
 	}
 }
 
-static void listed_no_more(struct world *w)
+static void delisted(struct world *w)
 {
 	for (int i = 0; i < 100; i++) {
-		list_of(w, 0, 1);
+		hint_all_but(w, 0, 1);
 		world_run(w, SECONDS(1));
 	}
 	g_assert_cmpint(state(w, 0, 1), ==, MEMBER_ALIVE);
 	node_kill(w->nodes[1]);
 	for (int i = 0; i < 100; i++) {
-		list_of(w, 0, 1);
+		hint_all_but(w, 0, 1);
 		world_run(w, SECONDS(1));
 	}
 	g_assert_null(node_view(w->nodes[0], w->nodes[1]));
 }
 
-static void list_is_out(struct world *w)
+static void list_unavailable(struct world *w)
 {
 	node_kill(w->nodes[1]);
 	world_run(w, SECONDS(200));
@@ -309,16 +309,16 @@
 	settle(w, SECONDS(5));
 }
 
-static void link_loses(struct world *w)
+static void link_lossy(struct world *w)
 {
 	w->drop = 100;
-	w->twice = 100;
+	w->duplicate = 100;
 	w->delay_max = 150 * USEC_PER_MSEC;
-	run_quiet(w, SECONDS(120));
+	run_without_deaths(w, SECONDS(120));
 	g_assert_cmpuint(refuted(w), ==, 0);
 }
 
-static void gateways_end(struct world *w)
+static void gateways_crash(struct world *w)
 {
 	for (int i = 0; i < w->count; i++) {
 		if (i % 4 < 2)
@@ -328,7 +328,7 @@
 }
 
 /* Two that each know the other's former incarnation only. */
-static void both_reborn(struct world *w)
+static void both_incarnations_raised(struct world *w)
 {
 	w->cut[0][1] = w->cut[1][0] = true;
 	for (int i = 0; i < 2; i++)
@@ -360,9 +360,9 @@
 }
 
 /* Neither side knows who speaks for the other by now. */
-static void gateways_end_behind_a_cut(struct world *w)
+static void gateways_crash_during_partition(struct world *w)
 {
-	world_part(w, "hall-a", "hall-b", true);
+	world_partition(w, "hall-a", "hall-b", true);
 	world_run(w, SECONDS(10));
 	for (int i = 0; i < w->count; i++) {
 		if (i % 4)
@@ -373,7 +373,7 @@
 	settle(w, SECONDS(20));
 }
 
-static void facts(struct world *w)
+static void facts_rejected(struct world *w)
 {
 	static const char big[600];
 	struct node *node = w->nodes[1];
@@ -394,7 +394,7 @@
 }
 
 /* Removing an instance moves only what it was home to. */
-static void homes(struct world *w)
+static void homes_after_crash(struct world *w)
 {
 	const struct membership *m = w->nodes[0]->membership;
 	uint64_t former[300];
@@ -441,7 +441,7 @@
 }
 
 /* Real messages with bytes changed, cut or added. */
-static void bytes_wrong(struct world *w)
+static void messages_corrupted(struct world *w)
 {
 	const struct transport transport = {.send = sample_send};
 	struct sample sample = {.node = w->nodes[0]};
@@ -493,32 +493,32 @@
 };
 
 static const struct row rows[] = {
-	{"an instance ends", 1, 7, ends},
-	{"it stands still briefly", 1, 7, stands_briefly},
-	{"it stands still for a while", 1, 7, stands_for_a_while},
-	{"it stands still long", 1, 7, stands_long},
-	{"it stands still and is cut off", 1, 7, stands_long_and_cut},
+	{"an instance ends", 1, 7, instance_crashes},
+	{"it stands still briefly", 1, 7, paused_briefly},
+	{"it stands still for a while", 1, 7, paused_until_suspect},
+	{"it stands still long", 1, 7, paused_until_dead},
+	{"it stands still and is cut off", 1, 7, paused_and_isolated},
 	{"it stands still with nobody else", 1, 3, paused_alone},
-	{"two cannot reach each other", 1, 7, pairs_cut},
-	{"one is cut off alone", 1, 7, alone_cut},
-	{"two are cut off", 1, 7, two_cut},
-	{"halves are cut off", 1, 6, halves_cut},
-	{"data centres part", 3, 2, centres_part},
-	{"data centres part one way", 3, 2, centres_part_one_way},
-	{"replaced behind a cut", 3, 2, replaced_behind_a_cut},
-	{"an instance leaves", 1, 7, leaves},
-	{"its incarnation goes back", 1, 7, older_incarnation},
-	{"the list names what is not there", 1, 3, listed_but_never_there},
-	{"the list names it no more", 1, 3, listed_no_more},
-	{"the list is out", 1, 3, list_is_out},
-	{"the link loses a tenth", 1, 20, link_loses},
-	{"both gateways end", 3, 4, gateways_end},
-	{"gateways end behind a cut", 2, 4, gateways_end_behind_a_cut},
+	{"two cannot reach each other", 1, 7, pair_link_cut},
+	{"one is cut off alone", 1, 7, one_isolated},
+	{"two are cut off", 1, 7, minority_partitioned},
+	{"halves are cut off", 1, 6, halves_partitioned},
+	{"data centres part", 3, 2, centres_partitioned},
+	{"data centres part one way", 3, 2, centres_partitioned_one_way},
+	{"replaced behind a cut", 3, 2, replaced_during_partition},
+	{"an instance leaves", 1, 7, instance_leaves},
+	{"its incarnation goes back", 1, 7, incarnation_too_low},
+	{"the list names what is not there", 1, 3, listed_but_absent},
+	{"the list names it no more", 1, 3, delisted},
+	{"the list is out", 1, 3, list_unavailable},
+	{"the link loses a tenth", 1, 20, link_lossy},
+	{"both gateways end", 3, 4, gateways_crash},
+	{"gateways end behind a cut", 2, 4, gateways_crash_during_partition},
 	{"a data centre is lost", 3, 2, centre_lost},
-	{"two start anew at once", 1, 2, both_reborn},
-	{"facts that are old or too large", 3, 2, facts},
-	{"homes after a death", 1, 6, homes},
-	{"bytes are wrong", 1, 3, bytes_wrong},
+	{"two start anew at once", 1, 2, both_incarnations_raised},
+	{"facts that are old or too large", 3, 2, facts_rejected},
+	{"homes after a death", 1, 6, homes_after_crash},
+	{"bytes are wrong", 1, 3, messages_corrupted},
 };
 
 static void test_row(gconstpointer data)
--- a/tests/member/test_member_cost.c
+++ b/tests/member/test_member_cost.c
@@ -25,14 +25,14 @@
 
 struct run {
 	struct world *world;
-	struct chronicle *chronicle;
+	struct checker *checker;
 };
 
 static struct run running;
 
 static void started(struct node *node)
 {
-	chronicle_start(running.chronicle, node);
+	checker_start(running.checker, node);
 	fold_start(node->fold);
 }
 
@@ -41,9 +41,9 @@
 	struct world *w = world_create(SEED);
 
 	running.world = w;
-	running.chronicle = chronicle_create(w);
+	running.checker = checker_create(w);
 	w->started = started;
-	w->stopping = chronicle_stop;
+	w->stopping = checker_stop;
 	world_fill(w, size->centres, size->each);
 	world_start(w);
 	return w;
@@ -52,7 +52,7 @@
 static void run_destroy(void)
 {
 	world_destroy(running.world);
-	chronicle_destroy(running.chronicle);
+	checker_destroy(running.checker);
 }
 
 static void settle(struct world *w)
@@ -70,15 +70,15 @@
 }
 
 struct cost {
-	double sent; /* bytes a second, mean over the nodes */
-	double most; /* of one node */
-	double both; /* sent and received, of one node */
+	double sent;	  /* bytes a second, mean over the nodes */
+	double sent_max;  /* of one node */
+	double total_max; /* sent and received, of one node */
 	double member;
 	double config;
 	double messages;
 };
 
-static void cost_take(struct world *w, int64_t window, struct cost *cost)
+static void cost_measure(struct world *w, int64_t window, struct cost *cost)
 {
 	double seconds = (double)window / USEC_PER_SEC;
 
@@ -100,10 +100,11 @@
 			(double)node->by_channel[CHANNEL_MEMBER] * share;
 		cost->config +=
 			(double)node->by_channel[CHANNEL_CONFIG] * share;
-		cost->most = MAX(cost->most, (double)node->bytes / seconds);
-		cost->both = MAX(cost->both,
-				 (double)(node->bytes + node->received_bytes) /
-					 seconds);
+		cost->sent_max =
+			MAX(cost->sent_max, (double)node->bytes / seconds);
+		cost->total_max = MAX(
+			cost->total_max,
+			(double)(node->bytes + node->received_bytes) / seconds);
 	}
 }
 
@@ -116,17 +117,17 @@
 
 	settle(w);
 	world_run(w, 60 * USEC_PER_SEC);
-	cost_take(w, 30 * USEC_PER_SEC, &cost);
+	cost_measure(w, 30 * USEC_PER_SEC, &cost);
 	g_test_message("%s: %.0f B/s sent a node (membership %.0f, "
 		       "configuration %.0f), %.1f messages/s; most %.0f sent, "
 		       "%.0f sent and received",
 		       size->name, cost.sent, cost.member, cost.config,
-		       cost.messages, cost.most, cost.both);
+		       cost.messages, cost.sent_max, cost.total_max);
 	g_assert_cmpfloat(cost.sent, <, 2500);
-	g_assert_cmpfloat(cost.both, <, 5000);
+	g_assert_cmpfloat(cost.total_max, <, 5000);
 	if (size->each >= 51) {
-		g_assert_cmpfloat(cost.both, <, 2500 * 2);
-		g_assert_cmpfloat(cost.most, <, 2500);
+		g_assert_cmpfloat(cost.total_max, <, 2500 * 2);
+		g_assert_cmpfloat(cost.sent_max, <, 2500);
 	}
 	run_destroy();
 }
@@ -158,7 +159,7 @@
 	return x < y ? -1 : x > y;
 }
 
-static int seen_dead(const struct world *w, const struct node *victim)
+static int dead_count(const struct world *w, const struct node *victim)
 {
 	int count = 0;
 
@@ -189,10 +190,10 @@
 		world_run(w, 3 * USEC_PER_SEC + i * 37 * USEC_PER_MSEC);
 		start = clock_now(w->clock);
 		node_kill(victim);
-		while (!seen_dead(w, victim))
+		while (!dead_count(w, victim))
 			world_run(w, 20 * USEC_PER_MSEC);
 		first[i] = clock_now(w->clock) - start;
-		while (seen_dead(w, victim) < w->count - 1)
+		while (dead_count(w, victim) < w->count - 1)
 			world_run(w, 20 * USEC_PER_MSEC);
 		all[i] = clock_now(w->clock) - start;
 		node_start(victim);
@@ -214,7 +215,7 @@
 	run_destroy();
 }
 
-static int in_force(const struct world *w, uint64_t revision)
+static int in_force_count(const struct world *w, uint64_t revision)
 {
 	int count = 0;
 
@@ -240,9 +241,9 @@
 		world_run(w, USEC_PER_SEC + i * 53 * USEC_PER_MSEC);
 		g_snprintf(content, sizeof(content), "file%d", i);
 		start = clock_now(w->clock);
-		chronicle_apply(running.chronicle, node, base, content,
-				5 * USEC_PER_SEC);
-		while (in_force(w, base + 1) < w->count)
+		checker_apply(running.checker, node, base, content,
+			      5 * USEC_PER_SEC);
+		while (in_force_count(w, base + 1) < w->count)
 			world_run(w, 10 * USEC_PER_MSEC);
 		times[i] = clock_now(w->clock) - start;
 	}
@@ -253,11 +254,11 @@
 		       size->name, times[size->runs / 2] / 1000,
 		       times[size->runs - 1] / 1000, size->runs);
 	g_assert_cmpint(times[size->runs - 1], <=, 5 * USEC_PER_SEC);
-	g_assert_null(chronicle_holds(running.chronicle));
+	g_assert_null(checker_check(running.checker));
 	run_destroy();
 }
 
-static int with_fact(const struct world *w, uint64_t version)
+static int fact_count(const struct world *w, uint64_t version)
 {
 	int count = 0;
 
@@ -283,7 +284,7 @@
 		node->facts[1] = version;
 		membership_fact_set(node->membership, 1, version, &i,
 				    sizeof(i));
-		while (with_fact(w, version) < w->count)
+		while (fact_count(w, version) < w->count)
 			world_run(w, 10 * USEC_PER_MSEC);
 		times[i] = clock_now(w->clock) - start;
 	}
--- a/tests/member/test_member_schedules.c
+++ b/tests/member/test_member_schedules.c
@@ -10,7 +10,7 @@
 
 #define SETTLE_USEC (30 * USEC_PER_SEC)
 
-static struct truth truth;
+static struct expected_facts expected_facts;
 
 static int pick(struct world *w, int count)
 {
@@ -19,7 +19,7 @@
 
 static void fact_set(struct node *node, int key)
 {
-	node->facts[key] = ++truth.facts[key];
+	node->facts[key] = ++expected_facts.facts[key];
 	membership_fact_set(node->membership, (uint64_t)key, node->facts[key],
 			    &key, sizeof(key));
 }
@@ -36,7 +36,7 @@
 	node->leaving = true;
 }
 
-static void part(struct world *w)
+static void partition(struct world *w)
 {
 	int a = pick(w, w->count);
 	int b = pick(w, w->count);
@@ -46,8 +46,8 @@
 		w->cut[a][b] = true;
 		return;
 	case 1:
-		world_part(w, w->nodes[a]->self.data_centre,
-			   w->nodes[b]->self.data_centre, true);
+		world_partition(w, w->nodes[a]->self.data_centre,
+				w->nodes[b]->self.data_centre, true);
 		return;
 	case 2:
 		for (int i = 0; i < w->count; i++)
@@ -78,7 +78,7 @@
 		node_wake(node);
 		break;
 	case 5:
-		part(w);
+		partition(w);
 		break;
 	case 6:
 		if (node->up && pick(w, 4) == 0)
@@ -90,7 +90,7 @@
 	}
 }
 
-static void all_back(struct world *w)
+static void recover_all(struct world *w)
 {
 	world_heal(w);
 	for (int i = 0; i < w->count; i++) {
@@ -125,7 +125,7 @@
 	char *problem;
 
 	for (;;) {
-		problem = members_settled(w, &truth);
+		problem = members_settled(w, &expected_facts);
 		if (!problem)
 			return clock_now(w->clock) - start;
 		if (clock_now(w->clock) - start > SETTLE_USEC)
@@ -142,10 +142,10 @@
 	int64_t settled;
 	int events;
 
-	truth = (struct truth){0};
+	expected_facts = (struct expected_facts){0};
 	world_fill(w, centres, 2 + pick(w, 4));
 	w->drop = pick(w, 150);
-	w->twice = pick(w, 100);
+	w->duplicate = pick(w, 100);
 	w->delay_max = 1000 + pick(w, 200000);
 	world_start(w);
 	world_run(w, pick(w, 4 * USEC_PER_SEC));
@@ -153,16 +153,16 @@
 	for (int i = 0; i < events; i++) {
 		event(w);
 		world_run(w, pick(w, 2 * USEC_PER_SEC));
-		check(w, members_true(w));
+		check(w, incarnations_valid(w));
 		check(w, traffic_bounded(w));
 	}
-	all_back(w);
+	recover_all(w);
 	/* Words of those that ended may still be on their way. */
 	world_run(w, w->delay_max);
 	settled = settle(w);
 	/* Settled means that it stays so. */
 	world_run(w, 3 * USEC_PER_SEC);
-	check(w, members_settled(w, &truth));
+	check(w, members_settled(w, &expected_facts));
 	world_destroy(w);
 	return settled;
 }
--- a/tests/member/world.c
+++ b/tests/member/world.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /* What has arrived at a node, or is on its way to it. */
-struct post {
+struct delivery {
 	struct node *node;
 	void (*fn)(void *data);
 	void *data;
@@ -23,37 +23,39 @@
 	       g_rand_int_range(w->rand, 0, 1000) < per_thousand;
 }
 
-static void post_run(struct post *post)
+static void delivery_run(struct delivery *delivery)
 {
-	post->fn(post->data);
-	post->destroy(post->data);
-	g_free(post);
+	delivery->fn(delivery->data);
+	delivery->destroy(delivery->data);
+	g_free(delivery);
 }
 
-static void post_arrive(void *data)
+static void delivery_arrive(void *data)
 {
-	struct post *post = data;
+	struct delivery *delivery = data;
 
-	if (post->node->paused)
-		g_queue_push_tail(&post->node->held, post);
+	if (delivery->node->paused)
+		g_queue_push_tail(&delivery->node->queued, delivery);
 	else
-		post_run(post);
+		delivery_run(delivery);
 }
 
-static struct post *post_create(struct node *node, void (*fn)(void *data),
-				void *data, GDestroyNotify destroy)
+static struct delivery *delivery_create(struct node *node,
+					void (*fn)(void *data), void *data,
+					GDestroyNotify destroy)
 {
-	struct post *post = g_new0(struct post, 1);
+	struct delivery *delivery = g_new0(struct delivery, 1);
 
-	*post = (struct post){node, fn, data, destroy};
-	return post;
+	*delivery = (struct delivery){node, fn, data, destroy};
+	return delivery;
 }
 
-static void node_post(void *node, int64_t delay, void (*fn)(void *data),
-		      void *data, GDestroyNotify destroy)
+static void node_deliver_later(void *node, int64_t delay,
+			       void (*fn)(void *data), void *data,
+			       GDestroyNotify destroy)
 {
-	later_call(((struct node *)node)->world->later, delay, post_arrive,
-		   post_create(node, fn, data, destroy), NULL);
+	later_call(((struct node *)node)->world->later, delay, delivery_arrive,
+		   delivery_create(node, fn, data, destroy), NULL);
 }
 
 static void letter_deliver(void *data)
@@ -81,10 +83,10 @@
 		return;
 	}
 	to->received_bytes += letter->size + WIRE_HEADERS;
-	post_arrive(post_create(to, letter_deliver, letter, g_free));
+	delivery_arrive(delivery_create(to, letter_deliver, letter, g_free));
 }
 
-static void letter_post(struct node *from, struct node *to,
+static void letter_send(struct node *from, struct node *to,
 			enum channel channel, const void *data, size_t size)
 {
 	struct world *w = from->world;
@@ -110,9 +112,9 @@
 			continue;
 		if (w->cut[from->index][i] || chance(w, w->drop))
 			return;
-		letter_post(from, to, channel, payload, size);
-		if (chance(w, w->twice))
-			letter_post(from, to, channel, payload, size);
+		letter_send(from, to, channel, payload, size);
+		if (chance(w, w->duplicate))
+			letter_send(from, to, channel, payload, size);
 	}
 }
 
@@ -178,12 +180,12 @@
 	return w;
 }
 
-static void held_deliver(struct node *node)
+static void queue_deliver(struct node *node)
 {
-	struct post *post;
+	struct delivery *delivery;
 
-	while ((post = g_queue_pop_head(&node->held)))
-		post_run(post);
+	while ((delivery = g_queue_pop_head(&node->queued)))
+		delivery_run(delivery);
 }
 
 /* Lets all that is under way arrive: the modules free what they made. */
@@ -216,9 +218,9 @@
 	g_assert_cmpint(w->count, <, WORLD_MAX);
 	node->world = w;
 	node->index = w->count;
-	g_queue_init(&node->held);
+	g_queue_init(&node->queued);
 	node->client = (struct fake_log_client){
-		.log = w->log, .post = node_post, .node = node};
+		.log = w->log, .post = node_deliver_later, .node = node};
 	g_snprintf(self->name, sizeof(self->name), "entry-%03d", w->count);
 	g_strlcpy(self->data_centre, data_centre, sizeof(self->data_centre));
 	g_snprintf(self->peer_address, sizeof(self->peer_address),
@@ -261,7 +263,8 @@
 	node->clock = clock_create(UNIX_ZERO);
 	clock_jump(node->clock, clock_now(w->clock));
 	settings.seed = w->seed;
-	node->self.incarnation = (uint64_t)(clock_unix(w->clock) - w->back);
+	node->self.incarnation =
+		(uint64_t)(clock_unix(w->clock) - w->clock_behind);
 	node->membership = membership_create(node->clock, &node->self,
 					     &settings, &transport, &ops, node);
 	memset(node->highest, 0, sizeof(node->highest));
@@ -282,7 +285,7 @@
 		node->world->stopping(node);
 	node->up = false;
 	node->paused = false;
-	held_deliver(node);
+	queue_deliver(node);
 	membership_destroy(node->membership);
 	clock_destroy(node->clock);
 }
@@ -304,7 +307,7 @@
 	node->paused = false;
 	clock_jump(node->clock, now);
 	membership_paused(node->membership, now - node->paused_at);
-	held_deliver(node);
+	queue_deliver(node);
 }
 
 void node_hint(struct node *node)
@@ -370,7 +373,7 @@
 	return !strcmp(node->self.data_centre, data_centre);
 }
 
-void world_part(struct world *w, const char *a, const char *b, bool cut)
+void world_partition(struct world *w, const char *a, const char *b, bool cut)
 {
 	for (int i = 0; i < w->count; i++) {
 		for (int j = 0; j < w->count; j++) {
@@ -387,7 +390,7 @@
 {
 	memset(w->cut, 0, sizeof(w->cut));
 	w->drop = 0;
-	w->twice = 0;
+	w->duplicate = 0;
 }
 
 const struct member *node_view(const struct node *node,
--- a/tests/member/world.h
+++ b/tests/member/world.h
@@ -31,7 +31,7 @@
 	bool up;
 	bool paused;
 	int64_t paused_at;
-	GQueue held; /* struct post: what waits for a paused node */
+	GQueue queued; /* struct post: what waits for a paused node */
 	struct fake_log_client client;
 	uint64_t bytes;
 	uint64_t messages;
@@ -55,12 +55,13 @@
 	int64_t delay_min;
 	int64_t delay_max; /* delays differ, so messages overtake each other */
 	int drop;	   /* per thousand */
-	int twice;	   /* per thousand */
+	int duplicate;	   /* per thousand */
 	bool cut[WORLD_MAX][WORLD_MAX]; /* one way */
 	struct membership_settings settings;
 	struct later *later;
 	struct fake_log *log;
-	int64_t back; /* how far wall clocks of starting nodes are behind */
+	int64_t clock_behind; /* how far wall clocks of starting nodes are
+				 behind */
 	/* Called when a node starts, and before it stops. */
 	void (*started)(struct node *node);
 	void (*stopping)(struct node *node);
@@ -83,7 +84,8 @@
 void world_start(struct world *world);
 void world_run(struct world *world, int64_t usec);
 /* Parts or joins the nodes of two data centres, both ways. */
-void world_part(struct world *world, const char *a, const char *b, bool cut);
+void world_partition(struct world *world, const char *a, const char *b,
+		     bool cut);
 void world_heal(struct world *world);
 bool node_in(const struct node *node, const char *data_centre);
 const struct member *node_view(const struct node *node,
