--- a/tests/member/invariants.c
+++ b/tests/member/invariants.c
@@ -51,8 +51,8 @@
 {
 	for (int i = 0; expected_facts && i < FACTS; i++) {
 		if (node->facts[i] != expected_facts->facts[i])
-			return g_strdup_printf("%s has fact %d at another "
-					       "version",
+			return g_strdup_printf("%s has a wrong version of "
+					       "fact %d",
 					       node->self.name, i);
 	}
 	return NULL;
@@ -68,7 +68,8 @@
 			problem = view_wrong(node, w->nodes[i]);
 	}
 	if (!problem && !membership_certain(node->membership))
-		problem = g_strdup_printf("%s still doubts", node->self.name);
+		problem = g_strdup_printf("%s is still uncertain",
+					  node->self.name);
 	return problem;
 }
 
@@ -84,7 +85,7 @@
 		if (!node->up)
 			continue;
 		problem = node_settled(w, node, expected_facts);
-		/* Each agrees with the one before, so all do. */
+		/* Equality is transitive, so neighbours are compared. */
 		if (!problem && last)
 			problem = homes_differ(last, node);
 		last = node;
@@ -147,7 +148,7 @@
 		       struct error *err)
 {
 	if (size >= 3 && !memcmp(data, "bad", 3))
-		return error_set(err, RESULT_BAD_CONFIG, "it says so");
+		return error_set(err, RESULT_BAD_CONFIG, "starts with bad");
 	return true;
 }
 
@@ -158,9 +159,11 @@
 	struct watch *watch = node->extra;
 
 	if (revision <= watch->revision)
-		violation(watch->checker, node, "went back to", revision);
+		violation(watch->checker, node, "decreased its revision to",
+			  revision);
 	if (fold_check(NULL, data, size, NULL) == false)
-		violation(watch->checker, node, "took a bad file at", revision);
+		violation(watch->checker, node, "put in force a bad file at",
+			  revision);
 	watch->revision = revision;
 	watch->checker->changes++;
 }
@@ -177,7 +180,8 @@
 	    (known->code != audit->code || known->base != audit->base ||
 	     known->content_hash != audit->content_hash ||
 	     strcmp(known->author, audit->author) != 0))
-		violation(c, node, "judged otherwise than another",
+		violation(c, node,
+			  "has an audit unlike another node's for offset",
 			  audit->offset);
 	if (known)
 		return;
@@ -273,8 +277,8 @@
 	return x->offset < y->offset ? -1 : x->offset > y->offset;
 }
 
-/* Each accepted file is based on the one accepted before it: none was lost,
- * and of those based on one revision exactly one won. */
+/* Each accepted file is based on the one accepted before it: none is lost, and
+ * of the files based on one revision exactly one is accepted. */
 static char *chain_broken(struct checker *c)
 {
 	GList *all =
@@ -373,8 +377,9 @@
 		return NULL;
 	for (size_t i = 1; i <= MIN(n, m); i++) {
 		if (x[n - i].offset != y[m - i].offset)
-			return g_strdup_printf("%s and %s tell another history",
-					       a->self.name, b->self.name);
+			return g_strdup_printf(
+				"%s and %s have different histories",
+				a->self.name, b->self.name);
 	}
 	return NULL;
 }
--- a/tests/member/test_fold.c
+++ b/tests/member/test_fold.c
@@ -1,6 +1,6 @@
 /*
- * The contract of the configuration's fold: one row a fault of the log, the
- * link, the operators or an instance, on the paused clock.
+ * The configuration's fold under single faults of the log, the network, the
+ * operators or an instance, one per row, on a simulated clock.
  */
 #include <string.h>
 
@@ -67,7 +67,7 @@
 	}
 }
 
-/* The first file, on which the rows build. */
+/* Applies the first file, which most rows start from. */
 static uint64_t apply_first(void)
 {
 	struct attempt *attempt = apply(0, REVISION_NONE, "first");
@@ -134,7 +134,7 @@
 	g_assert_cmpuint(count, ==, 2);
 	g_assert_cmpint(audits[1].code, ==, RESULT_BAD_CONFIG);
 	g_assert_cmpstr(audits[1].author, ==, "entry-002");
-	g_assert_cmpstr(audits[1].reason, ==, "it says so");
+	g_assert_cmpstr(audits[1].reason, ==, "starts with bad");
 }
 
 static void attempt_code(void *ctx, enum result_code code, uint64_t revision,
@@ -170,7 +170,7 @@
 	g_assert_cmpuint(records_all(), ==, 2);
 }
 
-/* The append that was given up happens after it was tried again. */
+/* A timed-out append takes effect after its retry did. */
 static void append_late(void)
 {
 	struct attempt *attempt;
@@ -203,7 +203,7 @@
 	assert_answered(attempt, RESULT_OK);
 }
 
-/* What is bad is called bad, though no log can take it. */
+/* An invalid file is answered as such, even while the log is down. */
 static void log_unavailable_file_invalid(void)
 {
 	struct attempt *attempt;
@@ -255,7 +255,7 @@
 	assert_in_force(1);
 }
 
-/* One data centre sees the log; the other learns from it alone. */
+/* Only one data centre can read the log; the other learns from it. */
 static void log_cut_from_one_centre(void)
 {
 	struct attempt *attempt;
@@ -283,8 +283,8 @@
 	assert_in_force(2);
 }
 
-/* Cut off from the log and from the others: it serves what it has, and takes
- * the higher revision afterwards. */
+/* A data centre without the log and without peers keeps its revision, and takes
+ * the higher one afterwards. */
 static void isolated_from_log_and_peers(void)
 {
 	struct world *w = run.world;
@@ -308,7 +308,7 @@
 	return records_all() - records_first();
 }
 
-/* The file outlives the log's memory of it many times over. */
+/* The file stays in force for ten times the log's retention. */
 static void retention(void)
 {
 	struct attempt *attempt;
@@ -330,7 +330,7 @@
 	assert_answered(attempt, RESULT_OK);
 }
 
-/* The outage lasts longer than the log remembers. */
+/* The outage lasts longer than the log's retention. */
 static void retention_in_outage(void)
 {
 	struct attempt *attempt;
@@ -374,8 +374,8 @@
 	assert_in_force(2);
 }
 
-/* The log answers one instance of the first data centre, no reader, and all of
- * the second, which is cut off from it. */
+/* In the first data centre the log answers only one instance, which is not a
+ * reader; the second data centre can read the log but not reach the first. */
 static void readers_refused(void)
 {
 	struct node *reachable = NULL;
@@ -432,7 +432,7 @@
 	assert_in_force(2);
 }
 
-static void records_foreign(void)
+static void records_malformed(void)
 {
 	struct attempt *attempt;
 
@@ -522,32 +522,33 @@
 
 static const struct row rows[] = {
 	{"a file is accepted", 2, 3, file_accepted, 0},
-	{"four race", 2, 3, concurrent_applies, 0},
+	{"four files at once", 2, 3, concurrent_applies, 0},
 	{"based on an old revision", 2, 3, base_stale, 0},
-	{"the file is bad", 2, 3, file_invalid, 0},
+	{"the file is invalid", 2, 3, file_invalid, 0},
 	{"the file is too large", 1, 2, too_large, 0},
 	{"the answer is lost", 2, 3, answer_lost, 0},
-	{"the append comes late", 2, 3, append_late, 0},
-	{"the log is out", 2, 3, log_unavailable, 0},
-	{"the log is out and the file bad", 2, 3, log_unavailable_file_invalid,
-	 0},
+	{"the append takes effect late", 2, 3, append_late, 0},
+	{"the log is down", 2, 3, log_unavailable, 0},
+	{"the log is down and the file invalid", 2, 3,
+	 log_unavailable_file_invalid, 0},
 	{"the log does not answer", 2, 3, log_silent, 0},
 	{"the outage ends in time", 2, 3, outage_ends, 0},
 	{"an instance starts in an outage", 2, 3, start_in_outage, 0},
-	{"one data centre lacks the log", 2, 3, log_cut_from_one_centre, 0},
-	{"data centres part", 2, 3, centres_partitioned, 0},
-	{"cut off from log and others", 2, 3, isolated_from_log_and_peers, 0},
-	{"the log forgets", 2, 3, retention, SECONDS(10)},
-	{"the log forgets in an outage", 2, 3, retention_in_outage,
+	{"one data centre can't read the log", 2, 3, log_cut_from_one_centre,
+	 0},
+	{"data centres are partitioned", 2, 3, centres_partitioned, 0},
+	{"isolated from log and peers", 2, 3, isolated_from_log_and_peers, 0},
+	{"retention drops the file", 2, 3, retention, SECONDS(10)},
+	{"retention passes in an outage", 2, 3, retention_in_outage,
 	 SECONDS(10)},
-	{"all readers end", 2, 5, readers_crash, 0},
+	{"all readers crash", 2, 5, readers_crash, 0},
 	{"all readers are refused", 2, 15, readers_refused, 0},
-	{"few read", 2, 5, reader_count, 0},
-	{"a reader stands still", 2, 3, reader_paused, 0},
-	{"records of others", 2, 3, records_foreign, 0},
-	{"messages are wrong", 2, 3, messages_malformed, 0},
-	{"the link loses a fifth", 2, 3, link_lossy, 0},
-	{"a long history", 2, 3, history_bounded, 0},
+	{"two readers per data centre", 2, 5, reader_count, 0},
+	{"a reader is paused", 2, 3, reader_paused, 0},
+	{"malformed records", 2, 3, records_malformed, 0},
+	{"malformed messages", 2, 3, messages_malformed, 0},
+	{"the network loses a fifth", 2, 3, link_lossy, 0},
+	{"the history is bounded", 2, 3, history_bounded, 0},
 };
 
 static void test_row(gconstpointer data)
--- a/tests/member/test_fold_schedules.c
+++ b/tests/member/test_fold_schedules.c
@@ -1,9 +1,9 @@
 /*
- * The configuration's fold under seeded schedules: racing operators, a log that
- * is out, slow, forgetful and loses answers, instances that end or pause, and
- * data centres that part.
+ * The configuration's fold under seeded schedules: concurrent operators, a log
+ * with outages, late appends, retention and lost answers, instances that crash
+ * or pause, and partitioned data centres.
  *
- * usage: test_fold_schedules [GTest options]; MEMBER_SEED=N runs one only.
+ * usage: test_fold_schedules [GTest options]; MEMBER_SEED=N runs one seed.
  */
 #include <string.h>
 
@@ -85,8 +85,8 @@
 	}
 }
 
-/* What no instance holds and the log has forgotten nobody can bring back, so
- * one that alone could tell the latest file is spared while the log forgets. */
+/* A file that neither an instance nor the log holds is lost. So the last node
+ * with the latest file is spared while the log has a retention. */
 static bool node_needed(struct run *r, const struct node *node)
 {
 	const struct world *w = r->world;
--- a/tests/member/test_log_tail.c
+++ b/tests/member/test_log_tail.c
@@ -1,6 +1,6 @@
 /*
- * The contract of a tail: each record once and in order, whatever the store
- * does. The store here answers by script.
+ * A log tail delivers each record once and in order whatever the store does.
+ * The store follows the script of each row.
  */
 #include <glib.h>
 #include <string.h>
@@ -8,16 +8,16 @@
 #include "coord/log_tail.h"
 #include "rows.h"
 
-/* What the store does with one read. */
+/* The store's reaction to one read. */
 enum store_action {
-	STORE_RECORDS, /* up to count records from the offset asked for */
-	STORE_OVERLAP, /* records from before the offset asked for, too */
-	STORE_DROPPED, /* all before first is gone */
+	STORE_RECORDS, /* count records from the requested offset */
+	STORE_OVERLAP, /* also one record before the requested offset */
+	STORE_DROPPED, /* records from the requested offset are gone */
 	STORE_EMPTY,
 	STORE_DOWN,
-	STORE_BAD_PAGE, /* next is before what was read already */
-	STORE_SILENT,	/* no answer ever */
-	STORE_LATE,	/* the answer comes after the tail gave up */
+	STORE_BAD_PAGE, /* next is before the requested offset */
+	STORE_SILENT,	/* no answer */
+	STORE_LATE,	/* the answer arrives after the timeout */
 	STORE_STOP,	/* the tail is stopped while the read is in flight */
 };
 
@@ -153,64 +153,70 @@
 };
 
 static const struct row rows[] = {
-	{"in order",
+	{"records in order",
 	 {{STORE_RECORDS, 2}, {STORE_RECORDS, 3}},
 	 2,
 	 false,
 	 "5 6 7 8 9 ",
 	 10,
 	 true},
-	{"nothing new",
+	{"an empty page",
 	 {{STORE_EMPTY, 0}, {STORE_RECORDS, 1}},
 	 2,
 	 false,
 	 "5 ",
 	 6,
 	 true},
-	{"the same again",
+	{"a record twice",
 	 {{STORE_RECORDS, 1}, {STORE_OVERLAP, 1}},
 	 2,
 	 false,
 	 "5 6 ",
 	 7,
 	 true},
-	{"dropped",
+	{"records dropped",
 	 {{STORE_RECORDS, 1}, {STORE_DROPPED, 2}},
 	 2,
 	 false,
 	 "5 gap:6-9 9 10 ",
 	 11,
 	 true},
-	{"all dropped", {{STORE_DROPPED, 0}}, 1, false, "gap:5-8 ", 8, true},
-	{"down",
+	{"all records dropped",
+	 {{STORE_DROPPED, 0}},
+	 1,
+	 false,
+	 "gap:5-8 ",
+	 8,
+	 true},
+	{"the log is down",
 	 {{STORE_RECORDS, 1}, {STORE_DOWN, 0}, {STORE_RECORDS, 1}},
 	 3,
 	 false,
 	 "5 log-down 6 ",
 	 7,
 	 true},
-	{"down twice",
+	{"the log is down twice",
 	 {{STORE_DOWN, 0}, {STORE_DOWN, 0}, {STORE_RECORDS, 1}},
 	 3,
 	 false,
 	 "log-down log-down 5 ",
 	 6,
 	 true},
-	{"backwards",
+	{"a page with a lower end",
 	 {{STORE_BAD_PAGE, 0}, {STORE_RECORDS, 1}},
 	 2,
 	 false,
 	 "log-gap 5 ",
 	 6,
 	 true},
-	{"silent",
+	{"no answer",
 	 {{STORE_SILENT, 0}, {STORE_RECORDS, 1}},
 	 2,
 	 false,
 	 "log-down 5 ",
 	 6,
 	 true},
-	{"late",
+	{"a late answer",
 	 {{STORE_LATE, 0}, {STORE_RECORDS, 2}},
 	 2,
 	 false,
@@ -245,7 +251,7 @@
 	s.tail = log_tail_create(s.clock, &store, LOG_STREAM_CONFIG, 1, &ops,
 				 &s);
 	log_tail_start(s.tail, 5);
-	/* Short of the time after which the read left open is given up. */
+	/* Ends before the last read, which gets no answer, times out. */
 	for (int i = 0; i < 60 && (s.step < row->count || i < 2); i++)
 		clock_advance(s.clock, clock_now(s.clock) + USEC_PER_SEC / 2);
 	if (s.late_fn) {
--- a/tests/member/test_member.c
+++ b/tests/member/test_member.c
@@ -1,6 +1,6 @@
 /*
- * Membership's contract: one row a fault, run on the paused clock with a link
- * that behaves unless the row says otherwise.
+ * Membership under single faults, one per row, on a simulated clock. The
+ * network has no faults other than those of the row.
  */
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #include "invariants.h"
 #include "rows.h"
 
-/* Each row is run under so many. */
+/* Each row runs with this many seeds. */
 #define SEEDS 5u
 #define SECONDS(n) ((n)*USEC_PER_SEC)
 
@@ -76,7 +76,7 @@
 	g_assert_cmpuint(refuted(w), ==, 0);
 }
 
-/* Longer than it takes to be suspected, not than to be held dead. */
+/* Paused long enough to be suspected, but not declared dead. */
 static void paused_until_suspect(struct world *w)
 {
 	node_pause(w->nodes[2]);
@@ -95,7 +95,8 @@
 	world_run(w, SECONDS(7));
 	g_assert_cmpint(state(w, 0, 2), ==, MEMBER_DEAD);
 	node_wake(w->nodes[2]);
-	/* What had arrived meanwhile may have told it already. */
+	/* A message that arrived meanwhile may have raised its incarnation
+	 * already. */
 	g_assert_true(!membership_certain(w->nodes[2]->membership) ||
 		      w->nodes[2]->refuted == 1);
 	settle(w, SECONDS(5));
@@ -103,7 +104,8 @@
 	g_assert_cmpuint(refuted(w), ==, 1);
 }
 
-/* Nobody answers one that woke: it cannot know, so it starts anew. */
+/* The node gets no answer after the pause, so it can't know whether it was
+ * declared dead and raises its incarnation. */
 static void paused_and_isolated(struct world *w)
 {
 	node_pause(w->nodes[2]);
@@ -130,7 +132,7 @@
 	g_assert_cmpuint(w->nodes[0]->refuted, ==, 0);
 }
 
-/* Reached through others, neither even suspects the other. */
+/* One link is down. Probes through others prevent a suspicion. */
 static void pair_link_cut(struct world *w)
 {
 	for (int i = 1; i < w->count; i++) {
@@ -158,7 +160,7 @@
 	g_assert_cmpuint(refuted(w), ==, 1);
 }
 
-/* The smaller side starts anew, the larger one goes on. */
+/* The smaller side raises its incarnations, the larger side does not. */
 static void minority_partitioned(struct world *w)
 {
 	for (int i = 0; i < w->count; i++) {
@@ -209,7 +211,7 @@
 	g_assert_cmpuint(refuted(w), ==, 0);
 }
 
-/* All of one data centre replaced while it could not be reached. */
+/* All instances of a data centre are restarted while it is unreachable. */
 static void replaced_during_partition(struct world *w)
 {
 	world_partition(w, "hall-a", "hall-b", true);
@@ -243,7 +245,8 @@
 	g_assert_cmpint(state(w, 0, 1), ==, MEMBER_DEAD);
 }
 
-/* A clock that was set back must not bring a former life to the fore. */
+/* After the clock was set back an instance starts with a lower incarnation than
+ * before, and must raise it. */
 static void incarnation_too_low(struct world *w)
 {
 	struct node *node = w->nodes[1];
@@ -327,7 +330,8 @@
 	settle(w, SECONDS(15));
 }
 
-/* Two that each know the other's former incarnation only. */
+/* Two instances that each know only the former incarnation of the other must
+ * not exchange rejections without end. */
 static void both_incarnations_raised(struct world *w)
 {
 	w->cut[0][1] = w->cut[1][0] = true;
@@ -342,7 +346,8 @@
 	settle(w, SECONDS(5));
 }
 
-/* All of it is gone for good: one that starts anew does not think better. */
+/* A data centre is gone for good: an instance that restarts elsewhere must not
+ * make it appear alive again. */
 static void centre_lost(struct world *w)
 {
 	node_kill(w->nodes[2]);
@@ -359,7 +364,7 @@
 	settle(w, USEC_PER_SEC);
 }
 
-/* Neither side knows who speaks for the other by now. */
+/* After the partition neither side knows the other's current gateways. */
 static void gateways_crash_during_partition(struct world *w)
 {
 	world_partition(w, "hall-a", "hall-b", true);
@@ -393,7 +398,7 @@
 	}
 }
 
-/* Removing an instance moves only what it was home to. */
+/* The death of an instance moves only the keys that it was home of. */
 static void homes_after_crash(struct world *w)
 {
 	const struct membership *m = w->nodes[0]->membership;
@@ -440,7 +445,7 @@
 	}
 }
 
-/* Real messages with bytes changed, cut or added. */
+/* Real messages with bytes changed or cut off. */
 static void messages_corrupted(struct world *w)
 {
 	const struct transport transport = {.send = sample_send};
@@ -493,32 +498,34 @@
 };
 
 static const struct row rows[] = {
-	{"an instance ends", 1, 7, instance_crashes},
-	{"it stands still briefly", 1, 7, paused_briefly},
-	{"it stands still for a while", 1, 7, paused_until_suspect},
-	{"it stands still long", 1, 7, paused_until_dead},
-	{"it stands still and is cut off", 1, 7, paused_and_isolated},
-	{"it stands still with nobody else", 1, 3, paused_alone},
-	{"two cannot reach each other", 1, 7, pair_link_cut},
-	{"one is cut off alone", 1, 7, one_isolated},
-	{"two are cut off", 1, 7, minority_partitioned},
-	{"halves are cut off", 1, 6, halves_partitioned},
-	{"data centres part", 3, 2, centres_partitioned},
-	{"data centres part one way", 3, 2, centres_partitioned_one_way},
-	{"replaced behind a cut", 3, 2, replaced_during_partition},
+	{"an instance crashes", 1, 7, instance_crashes},
+	{"paused briefly", 1, 7, paused_briefly},
+	{"paused until suspected", 1, 7, paused_until_suspect},
+	{"paused until declared dead", 1, 7, paused_until_dead},
+	{"paused and isolated", 1, 7, paused_and_isolated},
+	{"paused while alone", 1, 3, paused_alone},
+	{"the link of a pair is down", 1, 7, pair_link_cut},
+	{"one instance is isolated", 1, 7, one_isolated},
+	{"a minority is partitioned", 1, 7, minority_partitioned},
+	{"halves are partitioned", 1, 6, halves_partitioned},
+	{"data centres are partitioned", 3, 2, centres_partitioned},
+	{"partitioned one way", 3, 2, centres_partitioned_one_way},
+	{"replaced during a partition", 3, 2, replaced_during_partition},
 	{"an instance leaves", 1, 7, instance_leaves},
-	{"its incarnation goes back", 1, 7, incarnation_too_low},
-	{"the list names what is not there", 1, 3, listed_but_absent},
-	{"the list names it no more", 1, 3, delisted},
-	{"the list is out", 1, 3, list_unavailable},
-	{"the link loses a tenth", 1, 20, link_lossy},
-	{"both gateways end", 3, 4, gateways_crash},
-	{"gateways end behind a cut", 2, 4, gateways_crash_during_partition},
+	{"a lower incarnation after a restart", 1, 7, incarnation_too_low},
+	{"the list names an absent instance", 1, 3, listed_but_absent},
+	{"the list omits an instance", 1, 3, delisted},
+	{"the list is unavailable", 1, 3, list_unavailable},
+	{"the network loses a tenth", 1, 20, link_lossy},
+	{"both gateways crash", 3, 4, gateways_crash},
+	{"gateways crash during a partition", 2, 4,
+	 gateways_crash_during_partition},
 	{"a data centre is lost", 3, 2, centre_lost},
-	{"two start anew at once", 1, 2, both_incarnations_raised},
+	{"two raise their incarnations at once", 1, 2,
+	 both_incarnations_raised},
 	{"facts that are old or too large", 3, 2, facts_rejected},
-	{"homes after a death", 1, 6, homes_after_crash},
-	{"bytes are wrong", 1, 3, messages_corrupted},
+	{"homes after a crash", 1, 6, homes_after_crash},
+	{"messages are corrupted", 1, 3, messages_corrupted},
 };
 
 static void test_row(gconstpointer data)
--- a/tests/member/test_member_cost.c
+++ b/tests/member/test_member_cost.c
@@ -1,7 +1,7 @@
 /*
- * What membership and configuration cost and how fast they are, by size: bytes
- * on the link with headers, time to notice, time to spread. All on the paused
- * clock, so the figures are the same at each run.
+ * Cost and speed of membership and configuration by size of the deployment:
+ * bytes on the network including headers, time to detect a crash, time to
+ * disseminate. The clock is simulated, so the figures are the same in each run.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -108,7 +108,7 @@
 	}
 }
 
-/* Heartbeats, digests and adverts of a settled site. */
+/* Heartbeats, digests and adverts in the settled state. */
 static void test_bytes(gconstpointer data)
 {
 	const struct size *size = data;
@@ -132,7 +132,7 @@
 	run_destroy();
 }
 
-/* What all that start at once send until they agree, and how long it takes. */
+/* Bytes and time until instances that start at once have the same view. */
 static void test_start(gconstpointer data)
 {
 	const struct size *size = data;
@@ -174,7 +174,8 @@
 	return count;
 }
 
-/* Ends one node at a time: until the first and until all hold it dead. */
+/* Kills one node at a time: time until the first and until all other nodes
+ * declare it dead. */
 static void test_death(gconstpointer data)
 {
 	const struct size *size = data;
@@ -209,7 +210,8 @@
 		       size->name, first[size->runs / 2] / 1000,
 		       first[size->runs - 1] / 1000, all[size->runs / 2] / 1000,
 		       all[size->runs - 1] / 1000, size->runs);
-	/* suspect_after + dead_after, a heartbeat for each, and spreading. */
+	/* suspect_after + dead_after, a heartbeat for each, and dissemination.
+	 */
 	g_assert_cmpint(first[size->runs - 1], <=, 4500 * USEC_PER_MSEC);
 	g_assert_cmpint(all[size->runs - 1], <=, 7 * USEC_PER_SEC);
 	run_destroy();
@@ -224,7 +226,7 @@
 	return count;
 }
 
-/* A file applied at any instance, until all have it in force; and a fact. */
+/* Time from applying a file at one instance until all have it in force. */
 static void test_spread(gconstpointer data)
 {
 	const struct size *size = data;
--- a/tests/member/test_member_schedules.c
+++ b/tests/member/test_member_schedules.c
@@ -1,7 +1,8 @@
 /*
- * Membership under seeded schedules of kills, pauses, cuts and a bad link.
+ * Membership under seeded schedules of crashes, pauses, partitions and message
+ * loss.
  *
- * usage: test_member_schedules [GTest options]; MEMBER_SEED=N runs one only.
+ * usage: test_member_schedules [GTest options]; MEMBER_SEED=N runs one seed.
  */
 #include <string.h>
 
@@ -102,7 +103,8 @@
 		if (w->nodes[i]->up)
 			node_hint(w->nodes[i]);
 	}
-	/* One that never heard of a fact's setter may be the only one left. */
+	/* The instances that had the newest facts may all be gone, so the facts
+	 * are set again. */
 	for (int i = 0; i < w->count; i++) {
 		if (!w->nodes[i]->up)
 			continue;
@@ -157,10 +159,10 @@
 		check(w, traffic_bounded(w));
 	}
 	recover_all(w);
-	/* Words of those that ended may still be on their way. */
+	/* Messages of crashed instances may still be in flight. */
 	world_run(w, w->delay_max);
 	settled = settle(w);
-	/* Settled means that it stays so. */
+	/* The settled state must last. */
 	world_run(w, 3 * USEC_PER_SEC);
 	check(w, members_settled(w, &expected_facts));
 	world_destroy(w);
--- a/tests/member/world.c
+++ b/tests/member/world.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* What has arrived at a node, or is on its way to it. */
+/* A call to be made at a node once the node is not paused. */
 struct delivery {
 	struct node *node;
 	void (*fn)(void *data);
@@ -188,7 +188,8 @@
 		delivery_run(delivery);
 }
 
-/* Lets all that is under way arrive: the modules free what they made. */
+/* Delivers everything in flight first, so that the modules free their contexts.
+ */
 void world_destroy(struct world *w)
 {
 	for (int i = 0; i < w->count; i++) {
@@ -341,7 +342,8 @@
 	return next;
 }
 
-/* The link first, then the nodes in order: the same at each run. */
+/* Nodes behind the time, then the network, then the nodes in order: the order
+ * is the same in each run. */
 static void world_step(struct world *w, int64_t now)
 {
 	for (int i = 0; i < w->count; i++) {
--- a/tests/member/world.h
+++ b/tests/member/world.h
@@ -1,8 +1,9 @@
 /*
- * world.h - instances on one link that delays, drops, doubles, reorders, parts
+ * world.h - simulated instances on a network with faults
  *
- * Each node has a clock of its own, so that one can stand still while the
- * others go on. A run is decided by its seed alone.
+ * The network delays, drops, duplicates and reorders messages, and can be
+ * partitioned. Each node has a separate clock, so that one can be paused while
+ * the others continue. The seed alone determines a run.
  */
 #ifndef TESTS_MEMBER_WORLD_H
 #define TESTS_MEMBER_WORLD_H
@@ -15,7 +16,8 @@
 #include "letter.h"
 
 #define WORLD_MAX 360
-/* Ethernet, IP and TCP with timestamps; then length, array, channel, bytes. */
+/* Ethernet, IP and TCP with timestamps; then the frame's length, array header,
+ * channel and bytes header. */
 #define WIRE_HEADERS (66 + 4 + 1 + 1 + 3)
 #define UNIX_ZERO INT64_C(1764000000000000)
 
@@ -31,23 +33,23 @@
 	bool up;
 	bool paused;
 	int64_t paused_at;
-	GQueue queued; /* struct post: what waits for a paused node */
+	GQueue queued; /* struct delivery, until a paused node wakes */
 	struct fake_log_client client;
 	uint64_t bytes;
 	uint64_t messages;
 	uint64_t received_bytes;
 	uint64_t by_channel[CHANNEL_MAX];
-	/* What its membership told it. */
+	/* As reported by its membership. */
 	uint64_t refuted;
 	uint64_t highest[WORLD_MAX]; /* incarnation seen of each node */
-	uint64_t facts[8];	 /* newest version of the fact with that key */
-	GHashTable *other_facts; /* the same of keys beyond those */
+	uint64_t facts[8];	     /* newest version of each fact, by key */
+	GHashTable *other_facts;     /* the same for larger keys */
 	bool leaving;
 	void *extra;
 };
 
 struct world {
-	struct clock *clock; /* of the link */
+	struct clock *clock; /* of the network */
 	GRand *rand;
 	uint32_t seed;
 	struct node *nodes[WORLD_MAX];
@@ -56,7 +58,7 @@
 	int64_t delay_max; /* delays differ, so messages overtake each other */
 	int drop;	   /* per thousand */
 	int duplicate;	   /* per thousand */
-	bool cut[WORLD_MAX][WORLD_MAX]; /* one way */
+	bool cut[WORLD_MAX][WORLD_MAX]; /* [from][to] */
 	struct membership_settings settings;
 	struct later *later;
 	struct fake_log *log;
@@ -69,21 +71,22 @@
 
 struct world *world_create(uint32_t seed);
 void world_destroy(struct world *world);
-/* Adds a node that is not yet up. */
+/* Adds a node that is not started. */
 struct node *world_add(struct world *world, const char *data_centre);
-/* Adds that many nodes to each of that many data centres. */
+/* Adds the given number of nodes to each of the data centres. */
 void world_fill(struct world *world, int centres, int each);
 struct transport node_transport(struct node *node);
 void node_start(struct node *node);
-/* Ends it at once; without a word to anyone. */
+/* Stops it without notice to the others. */
 void node_kill(struct node *node);
 void node_pause(struct node *node);
 void node_wake(struct node *node);
-/* Names every node that is up, as the platform's list would, to this one. */
+/* Gives the node hints for every node that is up, as the platform's list does.
+ */
 void node_hint(struct node *node);
 void world_start(struct world *world);
 void world_run(struct world *world, int64_t usec);
-/* Parts or joins the nodes of two data centres, both ways. */
+/* Cuts or restores the links between two data centres, both ways. */
 void world_partition(struct world *world, const char *a, const char *b,
 		     bool cut);
 void world_heal(struct world *world);
