--- a/coord/fold.c
+++ b/coord/fold.c
@@ -32,7 +32,7 @@
 	f->record_offset = revision - 1;
 	f->record_revision = revision;
 	f->record_read_at = clock_now(f->clock);
-	f->record_gone_since = 0;
+	f->record_expiring_since = 0;
 	log_event(LOG_NOTICE, "config_in_force", LOG_D("revision", revision),
 		  LOG_S("author", author), LOG_D("size", size));
 	if (f->ops.changed)
@@ -55,7 +55,7 @@
 	if (f->revision != REVISION_NONE && f->through > from) {
 		fold_pending_clear(f);
 		f->base_known = true;
-		f->folded = f->revision;
+		f->folded_revision = f->revision;
 		f->skip_until = 0;
 		from = f->through;
 	}
--- a/coord/fold_apply.c
+++ b/coord/fold_apply.c
@@ -172,7 +172,8 @@
 		apply_answer(a, RESULT_LOG_DOWN, "the log accepted no record");
 }
 
-static bool refuse(struct apply *a, enum result_code code, const char *reason)
+static bool refusal_set(struct apply *a, enum result_code code,
+			const char *reason)
 {
 	a->refusal = code;
 	g_strlcpy(a->reason, reason, sizeof(a->reason));
@@ -187,12 +188,13 @@
 	struct error err = {.code = RESULT_BAD_CONFIG};
 
 	if (size > FOLD_RECORD_MAX - FOLD_RECORD_HEAD || (size && !data))
-		return refuse(a, RESULT_TOO_LARGE, "the file is too large");
+		return refusal_set(a, RESULT_TOO_LARGE,
+				   "the file is too large");
 	if (f->ops.check && !f->ops.check(f->ctx, data, size, &err))
-		refuse(a, RESULT_BAD_CONFIG, err.text);
+		refusal_set(a, RESULT_BAD_CONFIG, err.text);
 	else if (a->base < f->revision)
-		refuse(a, RESULT_STALE_REVISION,
-		       "a later revision is in force");
+		refusal_set(a, RESULT_STALE_REVISION,
+			    "a later revision is in force");
 	return true;
 }
 
--- a/coord/fold_codec.c
+++ b/coord/fold_codec.c
@@ -73,7 +73,7 @@
 /* [kind, revision, audit_next, through, content or nil, audits, gap]; the last
  * four in SPREAD_STATE only. */
 bool spread_decode(struct fold *f, const void *data, size_t size,
-		   struct spread *spread)
+		   struct spread_message *spread)
 {
 	const msgpack_object *fields;
 	msgpack_object object;
--- a/coord/fold_log.c
+++ b/coord/fold_log.c
@@ -3,6 +3,7 @@
 #include "common/log.h"
 #include "fold_private.h"
 
+/* Notes which record holds the revision in force. */
 static void record_located(struct fold *f, uint64_t offset, uint64_t revision)
 {
 	f->record_offset = offset;
@@ -15,12 +16,12 @@
 {
 	struct error err = {.code = RESULT_BAD_CONFIG};
 
-	if (record->revision != f->folded) {
+	if (record->revision != f->folded_revision) {
 		audit->code = RESULT_STALE_REVISION;
 		g_snprintf(audit->reason, sizeof(audit->reason),
 			   "based on %" G_GUINT64_FORMAT
 			   ", in force is %" G_GUINT64_FORMAT,
-			   record->revision, f->folded);
+			   record->revision, f->folded_revision);
 		return;
 	}
 	if (f->ops.check &&
@@ -44,10 +45,10 @@
 	g_strlcpy(audit.author, record->author, sizeof(audit.author));
 	proposal_check(f, record, &audit);
 	if (audit.code == RESULT_OK) {
-		f->folded = offset + 1;
-		record_located(f, offset, f->folded);
-		if (f->folded > f->revision)
-			fold_put_in_force(f, f->folded, record->author,
+		f->folded_revision = offset + 1;
+		record_located(f, offset, f->folded_revision);
+		if (f->folded_revision > f->revision)
+			fold_put_in_force(f, f->folded_revision, record->author,
 					  record->content, record->size);
 	}
 	audit_add(f, &audit);
@@ -71,7 +72,7 @@
 static void reappend_fold(struct fold *f, const struct fold_record *record,
 			  uint64_t offset)
 {
-	if (f->base_known && record->revision < f->folded)
+	if (f->base_known && record->revision < f->folded_revision)
 		return;
 	/* The writer had not read the records that are missing here either. */
 	if (!f->base_known && record->through < f->first_readable)
@@ -84,10 +85,11 @@
 	}
 	/* Records appended since the writer read the log are folded on it. */
 	if (!f->base_known)
-		fold_resolve(f, record->revision, MIN(record->through, offset));
+		fold_set_base(f, record->revision,
+			      MIN(record->through, offset));
 	else
-		f->folded = record->revision;
-	if (record->revision == f->folded)
+		f->folded_revision = record->revision;
+	if (record->revision == f->folded_revision)
 		record_located(f, offset, record->revision);
 }
 
@@ -132,14 +134,14 @@
 		g_free(p);
 }
 
-void fold_resolve(struct fold *f, uint64_t revision, uint64_t through)
+void fold_set_base(struct fold *f, uint64_t revision, uint64_t through)
 {
 	GQueue pending = f->pending;
 	struct fold_pending *p;
 
 	g_queue_init(&f->pending);
 	f->base_known = true;
-	f->folded = revision;
+	f->folded_revision = revision;
 	f->skip_until = through;
 	if (f->audit_gap)
 		audit_missed(f, through);
@@ -172,14 +174,13 @@
 	uint64_t base;
 
 	if (f->base_known || !log_tail_running(f->tail) ||
-	    clock_now(f->clock) - f->base_unknown_since <
-		    FOLD_ASSUME_BASE_USEC ||
+	    clock_now(f->clock) - f->base_unknown_since < FOLD_BASE_WAIT_USEC ||
 	    log_tail_position(f->tail) != f->log_next)
 		return;
 	base = pending_base(f);
 	log_event(LOG_WARNING, "config_base_lost", LOG_D("taken", base),
 		  LOG_D("first", f->first_readable));
-	fold_resolve(f, base, f->first_readable);
+	fold_set_base(f, base, f->first_readable);
 	applies_check(f);
 }
 
@@ -190,16 +191,17 @@
 	if (!f->base_known) {
 		if (f->revision != REVISION_NONE &&
 		    f->through >= f->first_readable)
-			fold_resolve(f, f->revision, f->through);
+			fold_set_base(f, f->revision, f->through);
 		return;
 	}
-	if (f->folded >= f->revision || position < f->through)
+	if (f->folded_revision >= f->revision || position < f->through)
 		return;
 	/* The fold gives a lower revision than peers had at this offset: the
 	 * log lost records. A revision never decreases. */
-	log_event(LOG_WARNING, "config_fold_behind", LOG_D("folded", f->folded),
+	log_event(LOG_WARNING, "config_fold_behind",
+		  LOG_D("folded", f->folded_revision),
 		  LOG_D("revision", f->revision));
-	f->folded = f->revision;
+	f->folded_revision = f->revision;
 }
 
 static void tail_record(void *ctx, const struct log_record *record)
@@ -244,7 +246,7 @@
 	f->log_next = page->next;
 	f->log_read_at = clock_now(f->clock);
 	fold_catch_up(f);
-	if (f->base_known && f->folded == f->revision)
+	if (f->base_known && f->folded_revision == f->revision)
 		f->through = MAX(f->through, position);
 	applies_check(f);
 	if (position == page->next) {
--- a/coord/fold_private.h
+++ b/coord/fold_private.h
@@ -13,7 +13,7 @@
 #define FOLD_FANOUT 3
 #define FOLD_TICK_USEC (1 * USEC_PER_SEC)
 #define FOLD_PULL_USEC (1 * USEC_PER_SEC)
-#define FOLD_ASSUME_BASE_USEC (3 * USEC_PER_SEC)
+#define FOLD_BASE_WAIT_USEC (3 * USEC_PER_SEC)
 #define FOLD_PENDING_MAX 64u
 #define FOLD_AUDITS_SENT FOLD_HISTORY_MAX
 
@@ -53,7 +53,7 @@
 	SPREAD_STATE,
 };
 
-struct spread {
+struct spread_message {
 	enum spread_kind kind;
 	uint64_t revision;
 	uint64_t audit_next;
@@ -104,30 +104,30 @@
 
 	/* Folded from the log by this instance. */
 	struct log_tail *tail;
-	bool base_known;	 /* folded is valid */
-	uint64_t folded;	 /* revision at the tail's position */
-	uint64_t first_readable; /* first offset after the last gap */
-	uint64_t skip_until;	 /* folded by peers before this */
+	bool base_known;	  /* folded_revision is valid */
+	uint64_t folded_revision; /* revision at the tail's position */
+	uint64_t first_readable;  /* first offset after the last gap */
+	uint64_t skip_until;	  /* folded by peers before this */
 	int64_t base_unknown_since;
 	GQueue pending;
 
-	/* The record that holds the file in force in the log. */
-	uint64_t record_offset;	  /* its offset */
-	uint64_t record_revision; /* its revision */
-	int64_t record_read_at;	  /* when it was read */
+	/* The record that holds the revision in force. */
+	uint64_t record_offset;
+	uint64_t record_revision;
+	int64_t record_read_at;
 	uint64_t log_first;
 	uint64_t log_next;
-	int64_t log_read_at; /* when the last page came */
+	int64_t log_read_at; /* when the last page arrived */
 	int64_t reappend_after;
-	int64_t record_gone_since; /* when it was seen to be gone; 0 if not */
+	int64_t record_expiring_since; /* 0 if it is not */
 	int64_t reappend_next;
 	struct fold_reappend *reappend; /* append in flight */
 
 	GArray *audits; /* struct fold_audit by offset */
 	uint64_t audit_next;
-	bool audit_gap; /* entries of records not folded here are missing: */
-	uint64_t audit_from;  /* after this one, */
-	uint64_t audit_until; /* of records before this offset */
+	bool audit_gap; /* entries of records not folded here are missing */
+	uint64_t audit_from;  /* the gap begins after this entry */
+	uint64_t audit_until; /* and ends before this offset */
 	uint32_t audit_pulls;
 
 	bool refused; /* announced: the log refuses this instance */
@@ -152,7 +152,7 @@
 		   struct fold_record *record);
 void record_pack(msgpack_sbuffer *out, const struct fold_record *record);
 bool spread_decode(struct fold *f, const void *data, size_t size,
-		   struct spread *spread);
+		   struct spread_message *spread);
 bool audit_decode(const msgpack_object *object, struct fold_audit *audit);
 void audit_pack(msgpack_packer *packer, const struct fold_audit *audit);
 
@@ -175,15 +175,15 @@
 extern const struct log_tail_ops fold_tail_ops;
 /* Sets the revision in force at offset through, and folds the records that were
  * held back. */
-void fold_resolve(struct fold *f, uint64_t revision, uint64_t through);
-/* Assumes a base when none was received for FOLD_ASSUME_BASE_USEC. */
+void fold_set_base(struct fold *f, uint64_t revision, uint64_t through);
+/* Assumes a base when none was received for FOLD_BASE_WAIT_USEC. */
 void fold_assume_base(struct fold *f);
 void fold_pending_clear(struct fold *f);
 /* Advances the fold to the revision received from peers. */
 void fold_catch_up(struct fold *f);
 
 /* fold_reappend.c */
-/* Reappends the file in force when its record is old or gone. */
+/* Reappends the file in force when its record is old, expiring or gone. */
 void fold_reappend_check(struct fold *f);
 void fold_reappend_cancel(struct fold *f);
 
@@ -194,6 +194,7 @@
 const struct fold_audit *audit_find(const struct fold *f, uint64_t offset);
 
 /* fold_apply.c */
+/* Notes the offset of an apply's record when it is read back. */
 void apply_seen(struct fold *f, const struct fold_record *record,
 		uint64_t offset);
 /* Answers the applies whose record was accepted or refused. */
--- a/coord/fold_reappend.c
+++ b/coord/fold_reappend.c
@@ -3,10 +3,10 @@
 
 /* One instance appends; each further one waits this much longer, and appends
  * only if the ones before it did not. */
-#define STAGGER_USEC (15 * USEC_PER_SEC)
-#define STAGGER_GONE_USEC (2 * USEC_PER_SEC)
-#define RETRY_USEC (5 * USEC_PER_SEC)
-#define WINDOW_MIN 32u
+#define STAGGER_OLD_USEC (15 * USEC_PER_SEC)
+#define STAGGER_EXPIRING_USEC (2 * USEC_PER_SEC)
+#define REAPPEND_RETRY_USEC (5 * USEC_PER_SEC)
+#define WINDOW_RECORDS_MIN 32u
 
 /* Context of an append in flight; it may outlive the fold. */
 struct fold_reappend {
@@ -49,13 +49,14 @@
 	return order;
 }
 
-static bool record_gone(const struct fold *f)
+/* Whether the record was dropped or is in the oldest eighth of the log. */
+static bool record_expiring(const struct fold *f)
 {
 	uint64_t window = f->log_next - f->log_first;
 
 	if (f->record_offset < f->log_first)
 		return true;
-	return window >= WINDOW_MIN &&
+	return window >= WINDOW_RECORDS_MIN &&
 	       f->record_offset - f->log_first < window / 8;
 }
 
@@ -64,18 +65,19 @@
 	int64_t now = clock_now(f->clock);
 	int order;
 
-	if (record_gone(f)) {
-		if (!f->record_gone_since)
-			f->record_gone_since = now;
+	if (record_expiring(f)) {
+		if (!f->record_expiring_since)
+			f->record_expiring_since = now;
 		order = reappend_order(f);
-		return now - f->record_gone_since >= order * STAGGER_GONE_USEC;
+		return now - f->record_expiring_since >=
+		       order * STAGGER_EXPIRING_USEC;
 	}
-	f->record_gone_since = 0;
+	f->record_expiring_since = 0;
 	if (now - f->record_read_at < f->reappend_after)
 		return false;
 	order = reappend_order(f);
 	return now - f->record_read_at - f->reappend_after >=
-	       order * STAGGER_USEC;
+	       order * STAGGER_OLD_USEC;
 }
 
 static void reappend_done(void *ctx, enum result_code code, uint64_t offset)
@@ -88,7 +90,7 @@
 		return;
 	f->reappend = NULL;
 	if (code != RESULT_OK)
-		log_event(LOG_WARNING, "config_append_failed",
+		log_event(LOG_WARNING, "config_reappend_failed",
 			  LOG_S("result", result_label(code)));
 }
 
@@ -108,8 +110,7 @@
 	f->reappend->fold = f;
 	msgpack_sbuffer_clear(&f->out);
 	record_pack(&f->out, &record);
-	log_event(LOG_INFO, "config_append_again",
-		  LOG_D("revision", f->revision));
+	log_event(LOG_INFO, "config_reappend", LOG_D("revision", f->revision));
 	f->store.append(f->store.ctx, LOG_STREAM_CONFIG, f->out.data,
 			f->out.size, reappend_done, f->reappend);
 }
@@ -122,13 +123,13 @@
 	if (now - f->log_read_at > LOG_TAIL_WAIT_USEC + LOG_TAIL_LATE_USEC)
 		return;
 	if (f->reappend || f->revision == REVISION_NONE || !f->base_known ||
-	    f->folded != f->revision || !fold_is_reader(f) ||
+	    f->folded_revision != f->revision || !fold_is_reader(f) ||
 	    !log_tail_running(f->tail) || log_tail_failures(f->tail) ||
 	    log_tail_position(f->tail) != f->log_next || now < f->reappend_next)
 		return;
 	if (!reappend_due(f))
 		return;
-	f->reappend_next = now + RETRY_USEC;
+	f->reappend_next = now + REAPPEND_RETRY_USEC;
 	reappend_send(f);
 }
 
--- a/coord/fold_spread.c
+++ b/coord/fold_spread.c
@@ -169,7 +169,7 @@
 /* Pulls or advertises, never both: two instances that each lack something would
  * otherwise answer each other without end. */
 static void advert_receive(struct fold *f, uint64_t from,
-			   const struct spread *spread)
+			   const struct spread_message *spread)
 {
 	if (spread->revision > f->revision ||
 	    spread->audit_next > f->audit_next)
@@ -180,7 +180,7 @@
 }
 
 static void pull_receive(struct fold *f, uint64_t from,
-			 const struct spread *spread)
+			 const struct spread_message *spread)
 {
 	guint first = f->audits->len;
 	msgpack_packer packer;
@@ -203,7 +203,7 @@
 	spread_send(f, from);
 }
 
-static bool state_usable(struct fold *f, const struct spread *spread)
+static bool state_usable(struct fold *f, const struct spread_message *spread)
 {
 	struct error err = {.code = RESULT_BAD_CONFIG};
 
@@ -223,7 +223,7 @@
 	return audit ? audit->author : "";
 }
 
-static void state_audits(struct fold *f, const struct spread *spread)
+static void state_audits(struct fold *f, const struct spread_message *spread)
 {
 	struct fold_audit audit;
 
@@ -239,7 +239,7 @@
 		f->audit_gap = false;
 }
 
-static void state_receive(struct fold *f, const struct spread *spread)
+static void state_receive(struct fold *f, const struct spread_message *spread)
 {
 	f->pulling = false;
 	state_audits(f, spread);
@@ -256,7 +256,7 @@
 
 void fold_receive(struct fold *f, uint64_t from, const void *data, size_t size)
 {
-	struct spread spread;
+	struct spread_message spread;
 
 	if (!spread_decode(f, data, size, &spread)) {
 		log_event(LOG_WARNING, "config_message_malformed",
--- a/coord/member.c
+++ b/coord/member.c
@@ -72,8 +72,8 @@
 	msgpack_sbuffer_init(&m->items);
 	msgpack_zone_init(&m->zone, MSGPACK_ZONE_CHUNK_SIZE);
 	timer_init(&m->heartbeat_timer, clock, ring_heartbeat, m);
-	timer_init(&m->digest, clock, digest_tick, m);
-	timer_init(&m->push, clock, updates_push, m);
+	timer_init(&m->digest_timer, clock, digest_tick, m);
+	timer_init(&m->push_timer, clock, updates_push, m);
 	m->push_refilled_at = clock_now(clock);
 	self_create(m, self);
 	table_changed(m);
@@ -85,8 +85,8 @@
 	if (!m)
 		return;
 	timer_stop(&m->heartbeat_timer);
-	timer_stop(&m->digest);
-	timer_stop(&m->push);
+	timer_stop(&m->digest_timer);
+	timer_stop(&m->push_timer);
 	g_hash_table_destroy(m->facts);
 	g_hash_table_destroy(m->index);
 	for (guint i = 0; i < m->peers->len; i++)
@@ -109,7 +109,7 @@
 	timer_start(&m->heartbeat_timer,
 		    g_rand_int_range(m->rand, 0,
 				     (gint32)(m->settings.heartbeat / 4) + 1));
-	timer_start(&m->digest,
+	timer_start(&m->digest_timer,
 		    m->settings.heartbeat +
 			    g_rand_int_range(m->rand, 0, USEC_PER_SEC / 4));
 }
--- a/coord/member_codec.c
+++ b/coord/member_codec.c
@@ -37,7 +37,7 @@
 	wire->incarnation = values[1];
 	wire->level = values[2];
 	wire->flags = values[3];
-	wire->view = values[4];
+	wire->view_hash = values[4];
 	wire->a = values[5];
 	wire->b = values[6];
 	wire->item_count = 0;
@@ -168,7 +168,7 @@
 
 void pack_fact(struct membership *m, const struct fact *fact)
 {
-	int64_t age = (clock_now(m->clock) - fact->set) / USEC_PER_SEC;
+	int64_t age = (clock_now(m->clock) - fact->set_at) / USEC_PER_SEC;
 	msgpack_packer packer;
 
 	item_begin(m, &packer, ITEM_FACT, 5);
--- a/coord/member_digest.c
+++ b/coord/member_digest.c
@@ -13,7 +13,7 @@
 	return id;
 }
 
-static int own_rank(const struct membership *m, const struct centre *c)
+static int gateway_rank(const struct membership *m, const struct centre *c)
 {
 	for (uint32_t rank = 0; rank < 2; rank++) {
 		if (gateway_of(m, m->self->centre, c, rank) == m->self->view.id)
@@ -39,15 +39,15 @@
 	return found;
 }
 
-static int64_t reach_limit(const struct membership *m)
+static int64_t reach_timeout(const struct membership *m)
 {
 	return m->settings.suspect_after + 2 * m->settings.digest;
 }
 
-static bool centre_receiving(const struct membership *m, const struct centre *c)
+static bool digest_is_recent(const struct membership *m, const struct centre *c)
 {
 	return c->digest_seen &&
-	       clock_now(m->clock) - c->last_seen <= reach_limit(m);
+	       clock_now(m->clock) - c->last_seen <= reach_timeout(m);
 }
 
 /* Alternates between the two remote gateways. A data centre that is down has no
@@ -56,8 +56,8 @@
 static struct peer *digest_target(struct membership *m, struct centre *c,
 				  int rank)
 {
-	uint32_t turn = ((uint32_t)rank + c->round++) % 2;
-	uint64_t id = gateway_of(m, c, m->self->centre, turn);
+	uint32_t remote_rank = ((uint32_t)rank + c->round++) % 2;
+	uint64_t id = gateway_of(m, c, m->self->centre, remote_rank);
 
 	if (!id)
 		id = gateway_of(m, c, m->self->centre, 0);
@@ -75,7 +75,7 @@
 		join_send(m, to);
 		return;
 	}
-	if (centre_receiving(m, c))
+	if (digest_is_recent(m, c))
 		flags |= WIRE_MUTUAL;
 	updates_pack(m, to);
 	wire_send(m, to->view.id, WIRE_HEARTBEAT, flags, 0, 0);
@@ -114,9 +114,9 @@
 	int64_t silence = now - c->last_mutual;
 	enum reach reach = REACH_UP;
 
-	if (silence > reach_limit(m) + m->settings.dead_after)
+	if (silence > reach_timeout(m) + m->settings.dead_after)
 		reach = REACH_DOWN;
-	else if (silence > reach_limit(m))
+	else if (silence > reach_timeout(m))
 		reach = REACH_SUSPECT;
 	/* Only a received digest improves it, see centre_digest_received(). */
 	if (reach > c->reach)
@@ -125,7 +125,7 @@
 
 static void centre_tick(struct membership *m, struct centre *c)
 {
-	int rank = own_rank(m, c);
+	int rank = gateway_rank(m, c);
 	int64_t now = clock_now(m->clock);
 
 	if (rank < 0) {
@@ -159,7 +159,7 @@
 		struct centre *c = m->centres->pdata[i];
 
 		if (c->gateway && c->reach == REACH_UP)
-			digest_send(m, c, own_rank(m, c));
+			digest_send(m, c, gateway_rank(m, c));
 	}
 }
 
@@ -171,7 +171,7 @@
 	if (!mutual)
 		return;
 	c->last_mutual = c->last_seen;
-	if (c->reach != REACH_UP && own_rank(m, c) >= 0)
+	if (c->reach != REACH_UP && gateway_rank(m, c) >= 0)
 		reach_set(m, c, REACH_UP, c->version + 1);
 }
 
--- a/coord/member_fact.c
+++ b/coord/member_fact.c
@@ -32,14 +32,14 @@
 	fact->update.kind = UPDATE_FACT;
 	fact->key = key;
 	fact->version = version;
-	fact->set = clock_now(m->clock);
+	fact->set_at = clock_now(m->clock);
 	fact->size = size;
 	if (size)
 		memcpy(fact->value, value, size);
 	g_hash_table_insert(m->facts, &fact->key, fact);
 	m->facts_hash ^= id_mix(key, version);
 	m->hashes_stale = true;
-	m->last_change = fact->set;
+	m->last_change = fact->set_at;
 	return fact;
 }
 
@@ -57,7 +57,7 @@
 			  item->value.size);
 	if (!fact)
 		return false;
-	fact->set -= age;
+	fact->set_at -= age;
 	if (disseminate)
 		update_add(m, &fact->update);
 	if (m->ops.fact)
@@ -106,7 +106,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct fact *fact = value;
 
-		if (now - fact->set <= FACT_TTL_USEC)
+		if (now - fact->set_at <= FACT_TTL_USEC)
 			continue;
 		update_remove(m, &fact->update);
 		m->facts_hash ^= id_mix(fact->key, fact->version);
--- a/coord/member_private.h
+++ b/coord/member_private.h
@@ -29,7 +29,7 @@
 #define FORGET_UNLISTED_USEC (60 * USEC_PER_SEC)
 #define FORGET_DEAD_USEC (3600 * USEC_PER_SEC)
 #define TOMBSTONE_USEC (600 * USEC_PER_SEC)
-#define SYNC_EVERY_USEC (1 * USEC_PER_SEC)
+#define SYNC_INTERVAL_USEC (1 * USEC_PER_SEC)
 #define PUSH_DELAY_USEC (50 * USEC_PER_MSEC)
 #define JOIN_BACKOFF_MAX_USEC (8 * USEC_PER_SEC)
 
@@ -61,12 +61,12 @@
 	char name[MEMBER_NAME_MAX];
 	uint64_t hash; /* over its members, see hashes_update() */
 	enum reach reach;
-	uint64_t version;    /* of reach */
+	uint64_t version;    /* of reach, for merges */
 	int64_t last_seen;   /* last digest received from it */
 	int64_t last_mutual; /* last digest that confirmed it receives ours */
 	bool digest_seen;    /* at least one digest was received */
 	bool gateway;
-	uint32_t round;
+	uint32_t round; /* digests sent: alternates the remote gateway */
 };
 
 struct peer {
@@ -96,7 +96,7 @@
 	struct update update; /* first: see update_fact() */
 	uint64_t key;
 	uint64_t version;
-	int64_t set; /* when it was set at its origin, by the local clock */
+	int64_t set_at; /* when it was set at its origin, by the local clock */
 	size_t size;
 	unsigned char value[];
 };
@@ -106,7 +106,7 @@
 	WIRE_PING, /* a: target, b: origin */
 	WIRE_ACK,  /* a: subject, b: origin, items: the subject's row */
 	WIRE_SYNC, /* items: hashes */
-	WIRE_KEYS, /* a: data centre, or 0 and fact keys; items: short rows */
+	WIRE_KEYS, /* a: data centre or bucket of facts, items: rows or keys */
 	WIRE_ROWS, /* items: rows and facts */
 	WIRE_REQUEST,	  /* a: 0 for members, 1 for facts, items: ids */
 	WIRE_DIGEST_SEEN, /* a: data centre, b: whether it receives ours */
@@ -126,7 +126,7 @@
 	ITEM_NAMED, /* ... and name, data centre, addresses */
 	ITEM_FACT,  /* key, version, age in seconds, value */
 	ITEM_REACH, /* data centre, version, reach */
-	ITEM_HASH,  /* bucket, hash */
+	ITEM_HASH,  /* data centre or bucket of facts, hash */
 	ITEM_KEY,   /* key, version */
 	ITEM_ID,    /* id */
 	ITEM_KIND_MAX,
@@ -152,7 +152,7 @@
 	uint64_t incarnation;
 	uint32_t level;
 	uint32_t flags;
-	uint64_t view; /* hash of the sender's view, see view_hash_for() */
+	uint64_t view_hash; /* hash of the sender's view, see view_hash_for() */
 	uint64_t a;
 	uint64_t b;
 	const msgpack_object *items;
@@ -184,8 +184,8 @@
 	int64_t last_change;
 
 	struct timer heartbeat_timer;
-	struct timer digest;
-	struct timer push;
+	struct timer digest_timer;
+	struct timer push_timer;
 	int64_t heartbeat_at;
 	int64_t sync_next;
 	int64_t swept_at;
@@ -204,6 +204,7 @@
 };
 
 /* home.c */
+/* membership_home() with leaving members included on request. */
 uint64_t home_rank(const struct membership *m, const struct centre *c,
 		   uint64_t key, uint32_t rank, bool leaving);
 
@@ -211,6 +212,7 @@
 bool wire_decode(struct membership *m, const void *data, size_t size,
 		 struct wire *wire);
 bool item_decode(const msgpack_object *object, struct item *item);
+/* Starts a message; the pack functions below add its items. */
 void wire_begin(struct membership *m);
 /* Bytes of items packed since wire_begin(). */
 size_t wire_size(const struct membership *m);
@@ -272,7 +274,7 @@
 /* A random one of them, neither this instance nor excluded, or NULL. */
 struct peer *ring_random(struct membership *m, const struct peer *excluded);
 void join_send(struct membership *m, struct peer *p);
-/* Sends a peer its row as known here, which differs from what it announced. */
+/* Sends a peer the state in which it is held here, so that it can refute it. */
 void peer_notify(struct membership *m, struct peer *p);
 
 /* member_probe.c */
--- a/coord/member_ring.c
+++ b/coord/member_ring.c
@@ -90,17 +90,17 @@
 	GPtrArray *ring = ring_members(m);
 	guint own = ring_index(ring, m->self);
 	int64_t now = clock_now(m->clock);
-	uint32_t between = 0;
+	uint32_t live_count = 0;
 
 	for (guint i = 1; i < ring->len; i++) {
 		struct peer *p = ring->pdata[(own + ring->len - i) % ring->len];
-		bool watched = between < m->settings.fanout;
+		bool watched = live_count < m->settings.fanout;
 
 		if (watched && !p->watched)
 			p->last_seen = MAX(p->last_seen, now);
 		p->watched = watched;
 		if (!peer_suspect(p))
-			between++;
+			live_count++;
 	}
 }
 
--- a/coord/member_sync.c
+++ b/coord/member_sync.c
@@ -48,14 +48,14 @@
 	int64_t now = clock_now(m->clock);
 	bool quiet = now - m->last_change > m->settings.heartbeat;
 
-	if (wire->view == view_hash_for(m, from) || now < m->sync_next)
+	if (wire->view_hash == view_hash_for(m, from) || now < m->sync_next)
 		return;
 	/* Updates in flight may explain the difference, so a recent change
 	 * delays the exchange by up to four periods. */
-	if (!quiet && now < m->sync_next + 4 * SYNC_EVERY_USEC)
+	if (!quiet && now < m->sync_next + 4 * SYNC_INTERVAL_USEC)
 		return;
-	m->sync_next = now + SYNC_EVERY_USEC +
-		       g_rand_int_range(m->rand, 0, SYNC_EVERY_USEC);
+	m->sync_next = now + SYNC_INTERVAL_USEC +
+		       g_rand_int_range(m->rand, 0, SYNC_INTERVAL_USEC);
 	sync_start(m, from);
 }
 
--- a/coord/member_update.c
+++ b/coord/member_update.c
@@ -36,10 +36,10 @@
 
 	m->push_refilled_at = now;
 	m->push_tokens = MIN(m->push_tokens + refill, PUSH_TOKENS);
-	if (m->push_tokens < 1 || timer_running(&m->push))
+	if (m->push_tokens < 1 || timer_running(&m->push_timer))
 		return;
 	m->push_tokens -= 1;
-	timer_start(&m->push, PUSH_DELAY_USEC);
+	timer_start(&m->push_timer, PUSH_DELAY_USEC);
 }
 
 void update_add(struct membership *m, struct update *update)
--- a/include/coord/fold.h
+++ b/include/coord/fold.h
@@ -48,7 +48,8 @@
 
 /* One line of the audit trail. */
 struct fold_audit {
-	uint64_t offset; /* of the record, plus one, as revisions start at 1 */
+	/* Of the record plus 1: offsets start at 0, revisions at 1. */
+	uint64_t offset;
 	uint64_t base;
 	int64_t unix_us;
 	char author[FOLD_AUTHOR_MAX];
--- a/include/coord/member.h
+++ b/include/coord/member.h
@@ -13,9 +13,9 @@
  *	its incarnation.
  *
  *	A member known only from a hint is reported as dead until its state is
- *	received. A dead member is forgotten when the list is still read but has
- *	not named it for a minute: membership_find() no longer returns it, and
- *	its memory is freed ten minutes later.
+ *	received. A dead member is forgotten after an hour, or when the list is
+ *	still read but has not named it for a minute: membership_find() no
+ *	longer returns it, and its memory is freed ten minutes later.
  *
  *	The gateways decide whether another data centre is reachable. While it
  *	is not, its members are reported as suspect, then as dead, in this data
