--- a/tests/member/world.h
+++ b/tests/member/world.h
@@ -62,8 +62,7 @@
 	struct membership_settings settings;
 	struct later *later;
 	struct fake_log *log;
-	int64_t clock_behind; /* how far wall clocks of starting nodes are
-				 behind */
+	int64_t clock_behind; /* subtracted from wall clocks at node_start() */
 	/* Called when a node starts, and before it stops. */
 	void (*started)(struct node *node);
 	void (*stopping)(struct node *node);
