--- a/coord/fold_log.c
+++ b/coord/fold_log.c
@@ -3,24 +3,25 @@
 #include "common/log.h"
 #include "fold_private.h"
 
-static void record_kept(struct fold *f, uint64_t offset, uint64_t revision)
+/* Notes which record holds the revision in force. */
+static void record_located(struct fold *f, uint64_t offset, uint64_t revision)
 {
-	f->kept = offset;
-	f->kept_of = revision;
-	f->kept_since = clock_now(f->clock);
+	f->record_offset = offset;
+	f->record_revision = revision;
+	f->record_read_at = clock_now(f->clock);
 }
 
-static void proposal_judge(struct fold *f, const struct fold_record *record,
+static void proposal_check(struct fold *f, const struct fold_record *record,
 			   struct fold_audit *audit)
 {
 	struct error err = {.code = RESULT_BAD_CONFIG};
 
-	if (record->revision != f->folded) {
+	if (record->revision != f->folded_revision) {
 		audit->code = RESULT_STALE_REVISION;
 		g_snprintf(audit->reason, sizeof(audit->reason),
 			   "based on %" G_GUINT64_FORMAT
 			   ", in force is %" G_GUINT64_FORMAT,
-			   record->revision, f->folded);
+			   record->revision, f->folded_revision);
 		return;
 	}
 	if (f->ops.check &&
@@ -42,19 +43,20 @@
 	};
 
 	g_strlcpy(audit.author, record->author, sizeof(audit.author));
-	proposal_judge(f, record, &audit);
+	proposal_check(f, record, &audit);
 	if (audit.code == RESULT_OK) {
-		f->folded = offset + 1;
-		record_kept(f, offset, f->folded);
-		if (f->folded > f->revision)
-			fold_take(f, f->folded, record->author, record->content,
-				  record->size);
+		f->folded_revision = offset + 1;
+		record_located(f, offset, f->folded_revision);
+		if (f->folded_revision > f->revision)
+			fold_put_in_force(f, f->folded_revision, record->author,
+					  record->content, record->size);
 	}
 	audit_add(f, &audit);
 }
 
-/* Refuses a file that this instance cannot use, so as not to run on it. */
-static bool again_usable(struct fold *f, const struct fold_record *record)
+/* A reappended file may come from an instance with a different check: this one
+ * must not put in force what it cannot use. */
+static bool reappend_usable(struct fold *f, const struct fold_record *record)
 {
 	struct error err = {.code = RESULT_BAD_CONFIG};
 
@@ -67,27 +69,28 @@
 	return false;
 }
 
-static void again_fold(struct fold *f, const struct fold_record *record,
-		       uint64_t offset)
+static void reappend_fold(struct fold *f, const struct fold_record *record,
+			  uint64_t offset)
 {
-	if (f->known && record->revision < f->folded)
+	if (f->base_known && record->revision < f->folded_revision)
 		return;
-	/* Written by one that had not read what is gone for us too. */
-	if (!f->known && record->through < f->first)
+	/* The writer had not read the records that are missing here either. */
+	if (!f->base_known && record->through < f->first_readable)
 		return;
 	if (record->revision > f->revision) {
-		if (!again_usable(f, record))
+		if (!reappend_usable(f, record))
 			return;
-		fold_take(f, record->revision, record->author, record->content,
-			  record->size);
+		fold_put_in_force(f, record->revision, record->author,
+				  record->content, record->size);
 	}
-	/* What was appended between its writing and here comes on top. */
-	if (!f->known)
-		fold_resolve(f, record->revision, MIN(record->through, offset));
+	/* Records appended since the writer read the log are folded on it. */
+	if (!f->base_known)
+		fold_set_base(f, record->revision,
+			      MIN(record->through, offset));
 	else
-		f->folded = record->revision;
-	if (record->revision == f->folded)
-		record_kept(f, offset, record->revision);
+		f->folded_revision = record->revision;
+	if (record->revision == f->folded_revision)
+		record_located(f, offset, record->revision);
 }
 
 static void record_fold(struct fold *f, uint64_t offset, int64_t unix_us,
@@ -102,7 +105,7 @@
 	}
 	apply_seen(f, &record, offset);
 	if (record.kind == RECORD_REAPPEND) {
-		again_fold(f, &record, offset);
+		reappend_fold(f, &record, offset);
 		return;
 	}
 	if (offset >= f->skip_until)
@@ -131,16 +134,16 @@
 		g_free(p);
 }
 
-void fold_resolve(struct fold *f, uint64_t revision, uint64_t through)
+void fold_set_base(struct fold *f, uint64_t revision, uint64_t through)
 {
 	GQueue pending = f->pending;
 	struct fold_pending *p;
 
 	g_queue_init(&f->pending);
-	f->known = true;
-	f->folded = revision;
+	f->base_known = true;
+	f->folded_revision = revision;
 	f->skip_until = through;
-	if (f->audit_hole)
+	if (f->audit_gap)
 		audit_missed(f, through);
 	while ((p = g_queue_pop_head(&pending))) {
 		record_fold(f, p->offset, p->unix_us, p->data, p->size);
@@ -148,8 +151,8 @@
 	}
 }
 
-/* What a record is based on was in force once: the latest such revision from
- * before the records left is the best guess. */
+/* The base of a record was in force when its author read it. The latest base
+ * from before the remaining records is the best estimate. */
 static uint64_t pending_base(struct fold *f)
 {
 	uint64_t base = f->revision;
@@ -160,24 +163,24 @@
 
 		if (record_decode(f, p->data, p->size, &record) &&
 		    record.kind == RECORD_PROPOSAL &&
-		    record.revision <= f->first)
+		    record.revision <= f->first_readable)
 			base = MAX(base, record.revision);
 	}
 	return base;
 }
 
-void fold_guess(struct fold *f)
+void fold_assume_base(struct fold *f)
 {
 	uint64_t base;
 
-	if (f->known || !log_tail_running(f->tail) ||
-	    clock_now(f->clock) - f->unknown_since < FOLD_GUESS_USEC ||
+	if (f->base_known || !log_tail_running(f->tail) ||
+	    clock_now(f->clock) - f->base_unknown_since < FOLD_BASE_WAIT_USEC ||
 	    log_tail_position(f->tail) != f->log_next)
 		return;
 	base = pending_base(f);
 	log_event(LOG_WARNING, "config_base_lost", LOG_D("taken", base),
-		  LOG_D("first", f->first));
-	fold_resolve(f, base, f->first);
+		  LOG_D("first", f->first_readable));
+	fold_set_base(f, base, f->first_readable);
 	applies_check(f);
 }
 
@@ -185,18 +188,20 @@
 {
 	uint64_t position = log_tail_position(f->tail);
 
-	if (!f->known) {
-		if (f->revision != REVISION_NONE && f->through >= f->first)
-			fold_resolve(f, f->revision, f->through);
+	if (!f->base_known) {
+		if (f->revision != REVISION_NONE &&
+		    f->through >= f->first_readable)
+			fold_set_base(f, f->revision, f->through);
 		return;
 	}
-	if (f->folded >= f->revision || position < f->through)
+	if (f->folded_revision >= f->revision || position < f->through)
 		return;
-	/* The log as read here gives less than peers had at this offset: it
-	 * lost records. A revision never goes back. */
-	log_event(LOG_WARNING, "config_fold_behind", LOG_D("folded", f->folded),
+	/* The fold gives a lower revision than peers had at this offset: the
+	 * log lost records. A revision never decreases. */
+	log_event(LOG_WARNING, "config_fold_behind",
+		  LOG_D("folded", f->folded_revision),
 		  LOG_D("revision", f->revision));
-	f->folded = f->revision;
+	f->folded_revision = f->revision;
 }
 
 static void tail_record(void *ctx, const struct log_record *record)
@@ -204,7 +209,7 @@
 	struct fold *f = ctx;
 	struct fold_record decoded;
 
-	if (f->known) {
+	if (f->base_known) {
 		record_fold(f, record->offset, record->unix_us, record->data,
 			    record->size);
 		return;
@@ -225,10 +230,10 @@
 		  LOG_D("first", first));
 	fold_pending_clear(f);
 	audit_missed(f, first);
-	f->known = false;
-	f->first = first;
+	f->base_known = false;
+	f->first_readable = first;
 	f->skip_until = 0;
-	f->unknown_since = clock_now(f->clock);
+	f->base_unknown_since = clock_now(f->clock);
 	fold_catch_up(f);
 }
 
@@ -239,13 +244,13 @@
 
 	f->log_first = page->first;
 	f->log_next = page->next;
-	f->log_read = clock_now(f->clock);
+	f->log_read_at = clock_now(f->clock);
 	fold_catch_up(f);
-	if (f->known && f->folded == f->revision)
+	if (f->base_known && f->folded_revision == f->revision)
 		f->through = MAX(f->through, position);
 	applies_check(f);
 	if (position == page->next) {
-		fold_guess(f);
+		fold_assume_base(f);
 		applies_caught_up(f);
 	}
 	fold_tail_update(f);
--- a/coord/member_codec.c
+++ b/coord/member_codec.c
@@ -37,7 +37,7 @@
 	wire->incarnation = values[1];
 	wire->level = values[2];
 	wire->flags = values[3];
-	wire->view = values[4];
+	wire->view_hash = values[4];
 	wire->a = values[5];
 	wire->b = values[6];
 	wire->item_count = 0;
@@ -127,7 +127,8 @@
 	}
 }
 
-/* The number of items goes before them, so they are packed on their own. */
+/* Items go to a buffer of their own, because their number precedes them on the
+ * wire. */
 void wire_begin(struct membership *m)
 {
 	msgpack_sbuffer_clear(&m->items);
@@ -167,7 +168,7 @@
 
 void pack_fact(struct membership *m, const struct fact *fact)
 {
-	int64_t age = (clock_now(m->clock) - fact->set) / USEC_PER_SEC;
+	int64_t age = (clock_now(m->clock) - fact->set_at) / USEC_PER_SEC;
 	msgpack_packer packer;
 
 	item_begin(m, &packer, ITEM_FACT, 5);
@@ -218,7 +219,7 @@
 	msgpack_pack_uint32(&packer, m->self->level);
 	msgpack_pack_uint32(&packer,
 			    flags | (m->self->leaving ? WIRE_LEAVING : 0));
-	msgpack_pack_uint64(&packer, view_with(m, to));
+	msgpack_pack_uint64(&packer, view_hash_for(m, to));
 	msgpack_pack_uint64(&packer, a);
 	msgpack_pack_uint64(&packer, b);
 	msgpack_pack_array(&packer, m->item_count);
--- a/coord/member_private.h
+++ b/coord/member_private.h
@@ -1,5 +1,5 @@
 /*
- * member_private.h - what the files of the membership share
+ * member_private.h - internal interface of the membership
  */
 #ifndef COORD_MEMBER_PRIVATE_H
 #define COORD_MEMBER_PRIVATE_H
@@ -10,14 +10,15 @@
 #include "coord/member.h"
 
 /*
- * A level orders what is said of one incarnation: even numbers say alive,
- * odd ones suspect, and a member alone raises its own level to refute a
- * suspicion. Dead is above all; only a new incarnation refutes it.
+ * A level orders the states of one incarnation: even levels mean alive, odd
+ * ones suspect. Only the member itself raises its level to the next even one,
+ * to refute a suspicion. Dead is the highest level; only a new incarnation
+ * refutes it.
  */
 #define LEVEL_DEAD UINT32_MAX
 #define LEVEL_SUSPECT 1u
 
-#define NEWS_BYTES_MAX 900u
+#define UPDATE_BYTES_MAX 900u
 #define SYNC_BYTES_MAX 8192u
 #define FACTS_MAX 8192u
 #define FACT_BYTES_MAX 512u
@@ -28,25 +29,26 @@
 #define FORGET_UNLISTED_USEC (60 * USEC_PER_SEC)
 #define FORGET_DEAD_USEC (3600 * USEC_PER_SEC)
 #define TOMBSTONE_USEC (600 * USEC_PER_SEC)
-#define SYNC_EVERY_USEC (1 * USEC_PER_SEC)
+#define SYNC_INTERVAL_USEC (1 * USEC_PER_SEC)
 #define PUSH_DELAY_USEC (50 * USEC_PER_MSEC)
 #define JOIN_BACKOFF_MAX_USEC (8 * USEC_PER_SEC)
 
-enum news_kind {
-	NEWS_MEMBER,
-	NEWS_FACT,
-	NEWS_REACH,
+enum update_kind {
+	UPDATE_MEMBER,
+	UPDATE_FACT,
+	UPDATE_REACH,
 };
 
-/* Part of what it tells about; linked while it has transmissions left. */
-struct news {
-	enum news_kind kind;
-	uint32_t left;
+/* A change to disseminate, embedded in the peer, fact or data centre that it
+ * describes; linked while it has transmissions left. */
+struct update {
+	enum update_kind kind;
+	uint32_t transmissions_left;
 	GList link;
 	bool linked;
 };
 
-/* How a whole data centre is seen from the own one. */
+/* Reachability of another data centre from the local one. */
 enum reach {
 	REACH_UP,
 	REACH_SUSPECT,
@@ -54,67 +56,69 @@
 };
 
 struct centre {
-	struct news news; /* first: see news_centre() */
+	struct update update; /* first: see update_centre() */
 	uint64_t id;
 	char name[MEMBER_NAME_MAX];
-	uint64_t hash; /* over its members, see table_hashes() */
+	uint64_t hash; /* over its members, see hashes_update() */
 	enum reach reach;
-	uint64_t version; /* of reach */
-	int64_t heard;	  /* last digest from there at all */
-	int64_t mutual;	  /* last digest that said it hears us too */
-	bool raw;	  /* heard is set */
+	uint64_t version;    /* of reach, for merges */
+	int64_t last_seen;   /* last digest received from it */
+	int64_t last_mutual; /* last digest that confirmed it receives ours */
+	bool digest_seen;    /* at least one digest was received */
 	bool gateway;
-	uint32_t round;
+	uint32_t round; /* digests sent: alternates the remote gateway */
 };
 
 struct peer {
-	struct news news;   /* first: see news_peer() */
-	struct member view; /* what the embedder sees */
+	struct update update; /* first: see update_peer() */
+	struct member view;   /* as reported to the embedder */
 	uint32_t level;
 	bool leaving;
-	bool confirmed; /* its state was told, not only its name by a list */
-	bool shown;	/* the embedder was told of it */
+	bool confirmed; /* its state was received, not only a hint */
+	bool reported;	/* to the embedder */
 	bool forgotten;
-	bool watched; /* it should send heartbeats to us */
-	bool named;   /* the news carries its names too */
-	bool assured; /* told us, since the last pause, that we live */
-	bool doubted; /* a probe is out since the last sign of life */
+	bool watched;	      /* this instance expects heartbeats from it */
+	bool send_names;      /* its update carries name and addresses too */
+	bool confirmed_alive; /* it confirmed, since the last pause, that this
+			       * instance is alive */
+	bool probed;	      /* a probe was sent since last_seen */
 	struct centre *centre;
-	int64_t heard;	/* last sign of life, or when it was first expected */
-	int64_t since;	/* when this level was learnt */
-	int64_t hinted; /* when the platform's list last named it */
-	int64_t asked;	/* when it was last sent a join */
-	int64_t noted;	/* when it was last told how it is seen */
-	uint32_t asks;
+	int64_t last_seen;   /* last message, or when one was first expected */
+	int64_t state_since; /* when the level was set, or the peer forgotten
+			      */
+	int64_t hinted_at;   /* when a hint last named it */
+	int64_t join_sent_at;
+	int64_t notified_at; /* last peer_notify() */
+	uint32_t join_attempts;
 };
 
 struct fact {
-	struct news news; /* first: see news_fact() */
+	struct update update; /* first: see update_fact() */
 	uint64_t key;
 	uint64_t version;
-	int64_t set; /* at its origin, by the own clock */
+	int64_t set_at; /* when it was set at its origin, by the local clock */
 	size_t size;
 	unsigned char value[];
 };
 
 enum wire_kind {
-	WIRE_BEAT = 1,
-	WIRE_PING,  /* a: target, b: origin */
-	WIRE_ACK,   /* a: subject, b: origin, items: the subject's row */
-	WIRE_SYNC,  /* items: hashes */
-	WIRE_KEYS,  /* a: data centre, or 0 and fact keys; items: short rows */
-	WIRE_ROWS,  /* items: rows and facts */
-	WIRE_WANT,  /* a: 0 for members, 1 for facts, items: ids */
-	WIRE_HEARD, /* a: data centre, b: whether it hears us */
+	WIRE_HEARTBEAT = 1,
+	WIRE_PING, /* a: target, b: origin */
+	WIRE_ACK,  /* a: subject, b: origin, items: the subject's row */
+	WIRE_SYNC, /* items: hashes */
+	WIRE_KEYS, /* a: data centre or bucket of facts, items: rows or keys */
+	WIRE_ROWS, /* items: rows and facts */
+	WIRE_REQUEST,	  /* a: 0 for members, 1 for facts, items: ids */
+	WIRE_DIGEST_SEEN, /* a: data centre, b: whether it receives ours */
 	WIRE_KIND_MAX,
 };
 
 #define WIRE_LEAVING 1u
 #define WIRE_DIGEST 2u /* between data centres */
-#define WIRE_MUTUAL 4u /* the sender hears the receiver's data centre */
-#define WIRE_JOIN 8u   /* answer with the own row and hashes */
-/* The sender holds the receiver dead. a: how many of the data centre it
- * holds alive, b: the lowest of their ids. */
+#define WIRE_MUTUAL 4u /* the sender receives the receiver's digests */
+#define WIRE_JOIN 8u   /* the receiver answers with its row and hashes */
+/* The sender declared the receiver dead. a: number of members that the sender
+ * holds alive in the data centre, b: the lowest of their ids. */
 #define WIRE_DECLARED_DEAD 16u
 
 enum item_kind {
@@ -122,7 +126,7 @@
 	ITEM_NAMED, /* ... and name, data centre, addresses */
 	ITEM_FACT,  /* key, version, age in seconds, value */
 	ITEM_REACH, /* data centre, version, reach */
-	ITEM_HASH,  /* bucket, hash */
+	ITEM_HASH,  /* data centre or bucket of facts, hash */
 	ITEM_KEY,   /* key, version */
 	ITEM_ID,    /* id */
 	ITEM_KIND_MAX,
@@ -148,7 +152,7 @@
 	uint64_t incarnation;
 	uint32_t level;
 	uint32_t flags;
-	uint64_t view; /* hash over all that the sender knows */
+	uint64_t view_hash; /* hash of the sender's view, see view_hash_for() */
 	uint64_t a;
 	uint64_t b;
 	const msgpack_object *items;
@@ -166,31 +170,31 @@
 	struct peer *self;
 	GPtrArray *peers;   /* by id */
 	GPtrArray *centres; /* by id */
-	GPtrArray *ring;    /* own data centre's, not dead, by id */
+	GPtrArray *ring;    /* of the local data centre, not dead, by id */
 	GHashTable *index;  /* id -> peer */
 	GHashTable *facts;  /* key -> fact */
-	GQueue news;
-	GArray *unknown; /* ids whose names are to be asked for */
+	GQueue updates;
+	GArray *unknown; /* ids of members or facts to request */
 	bool ring_stale;
 	bool hashes_stale;
 	uint64_t facts_hash;
 	uint64_t view_hash;
 	uint64_t reach_hash;
-	int64_t listed; /* when the platform's list last named anyone */
-	int64_t quiet_since;
+	int64_t last_hint_at; /* last hint for any member */
+	int64_t last_change;
 
-	struct timer beat;
-	struct timer digest;
-	struct timer push;
-	int64_t beaten;
+	struct timer heartbeat_timer;
+	struct timer digest_timer;
+	struct timer push_timer;
+	int64_t heartbeat_at;
 	int64_t sync_next;
-	int64_t swept;
+	int64_t swept_at;
 	double push_tokens;
-	int64_t push_filled;
+	int64_t push_refilled_at;
 
-	bool doubtful; /* paused long: may be dead in others' eyes */
-	int64_t doubtful_since;
-	uint32_t assurances;
+	bool uncertain; /* paused long: others may have declared it dead */
+	int64_t uncertain_since;
+	uint32_t confirmations;
 
 	msgpack_sbuffer out;
 	msgpack_sbuffer items;
@@ -200,6 +204,7 @@
 };
 
 /* home.c */
+/* membership_home() with leaving members included on request. */
 uint64_t home_rank(const struct membership *m, const struct centre *c,
 		   uint64_t key, uint32_t rank, bool leaving);
 
@@ -207,6 +212,7 @@
 bool wire_decode(struct membership *m, const void *data, size_t size,
 		 struct wire *wire);
 bool item_decode(const msgpack_object *object, struct item *item);
+/* Starts a message; the pack functions below add its items. */
 void wire_begin(struct membership *m);
 /* Bytes of items packed since wire_begin(). */
 size_t wire_size(const struct membership *m);
@@ -223,72 +229,77 @@
 struct peer *peer_find(const struct membership *m, uint64_t id);
 struct peer *peer_add(struct membership *m, const struct member *member);
 struct centre *centre_find(const struct membership *m, uint64_t id);
-struct centre *centre_named(struct membership *m, const char *name);
+struct centre *centre_get(struct membership *m, const char *name);
 bool peer_local(const struct membership *m, const struct peer *p);
-/* Not dead as far as its own data centre knows. */
-bool peer_living(const struct peer *p);
-/* Works out the state to be seen and tells the embedder of a change. */
+/* Not declared dead by its own data centre. */
+bool peer_is_live(const struct peer *p);
+/* Recomputes the state and reports a change to the embedder. */
 void peer_refresh(struct membership *m, struct peer *p);
-void peer_names(struct membership *m, struct peer *p,
-		const struct member *member);
-/* Takes a row when it is newer than what is known; false when the member is
- * unknown and the row does not name it. */
-bool row_apply(struct membership *m, const struct item *row, bool news);
-void peer_level(struct membership *m, struct peer *p, uint32_t level);
-/* Takes an incarnation above all that others may hold. */
-void self_raise(struct membership *m, uint64_t above);
-void table_hashes(struct membership *m);
-/* The hash over all that is common knowledge with that instance. */
-uint64_t view_with(struct membership *m, uint64_t id);
+void peer_set_names(struct membership *m, struct peer *p,
+		    const struct member *member);
+/* Merges a row that is newer than the known one; disseminate passes it on.
+ * False when the row lacks the names that it needs: the member is unknown or
+ * has a new incarnation. */
+bool row_apply(struct membership *m, const struct item *row, bool disseminate);
+void peer_set_level(struct membership *m, struct peer *p, uint32_t level);
+/* Sets the own incarnation above every one that others may know. */
+void incarnation_raise(struct membership *m, uint64_t above);
+void hashes_update(struct membership *m);
+/* The hash of the part of the view that is shared with that instance. */
+uint64_t view_hash_for(struct membership *m, uint64_t id);
 void table_sweep(struct membership *m);
 void table_changed(struct membership *m);
 
 /* member_update.c */
-void news_add(struct membership *m, struct news *news);
-void news_remove(struct membership *m, struct news *news);
-/* Packs what fits; the peer addressed is told first how it is seen. */
-void news_pack(struct membership *m, const struct peer *to);
-void news_receive(struct membership *m, const struct peer *from,
-		  const struct wire *wire);
-void news_push(struct timer *timer, void *ctx);
+void update_add(struct membership *m, struct update *update);
+void update_remove(struct membership *m, struct update *update);
+/* Packs pending updates up to UPDATE_BYTES_MAX. A suspected receiver gets its
+ * own row first, so that it can refute. */
+void updates_pack(struct membership *m, const struct peer *to);
+void updates_receive(struct membership *m, const struct peer *from,
+		     const struct wire *wire);
+void updates_push(struct timer *timer, void *ctx);
 
 /* member_fact.c */
-bool fact_apply(struct membership *m, const struct item *item, bool news);
+bool fact_apply(struct membership *m, const struct item *item,
+		bool disseminate);
 void fact_free(void *data);
 void facts_sweep(struct membership *m);
 
 /* member_ring.c */
-void ring_beat(struct timer *timer, void *ctx);
-/* The members of the own data centre that are not dead, the own included. */
+void ring_heartbeat(struct timer *timer, void *ctx);
+/* The members of the local data centre that are not dead, including this
+ * instance. */
 GPtrArray *ring_members(struct membership *m);
-/* A random one of them other than the own and not, or NULL. */
-struct peer *ring_random(struct membership *m, const struct peer * not );
+/* A random one of them, neither this instance nor excluded, or NULL. */
+struct peer *ring_random(struct membership *m, const struct peer *excluded);
 void join_send(struct membership *m, struct peer *p);
-/* Tells a peer how it is seen when that is not as it says. */
-void note_send(struct membership *m, struct peer *p);
+/* Sends a peer the state in which it is held here, so that it can refute it. */
+void peer_notify(struct membership *m, struct peer *p);
 
 /* member_probe.c */
 void probe_tick(struct membership *m);
 void probe_ping(struct membership *m, const struct wire *wire, uint64_t from);
 void probe_ack(struct membership *m, const struct wire *wire, uint64_t from);
-void probe_doubt(struct membership *m);
-void probe_assured(struct membership *m);
+void probe_watchers(struct membership *m);
+void probe_confirmed(struct membership *m);
 
 /* member_sync.c */
 void sync_start(struct membership *m, uint64_t to);
-/* Starts an exchange when the sender's view differs and it is time. */
+/* Starts an exchange when the sender's view differs and one is due. */
 void sync_check(struct membership *m, uint64_t from, const struct wire *wire);
 void sync_hashes(struct membership *m, uint64_t from, const struct wire *wire);
 void sync_keys(struct membership *m, uint64_t from, const struct wire *wire);
-void sync_want(struct membership *m, uint64_t from, const struct wire *wire);
+void sync_request(struct membership *m, uint64_t from, const struct wire *wire);
 
 /* member_digest.c */
 void digest_tick(struct timer *timer, void *ctx);
 void digest_receive(struct membership *m, struct peer *from,
 		    const struct wire *wire);
-void digest_heard(struct membership *m, const struct wire *wire);
+void digest_seen_receive(struct membership *m, const struct wire *wire);
 void reach_apply(struct membership *m, const struct item *item);
-/* Sends pending news to other data centres that we are gateway to. */
+/* Sends pending updates to the data centres that this instance is gateway to.
+ */
 void digest_push(struct membership *m);
 
 #endif
--- a/coord/member_sync.c
+++ b/coord/member_sync.c
@@ -1,6 +1,7 @@
 #include "member_private.h"
 
-/* Facts are compared in a few parts; ids of data centres are far above. */
+/* Facts are compared by bucket. Bucket numbers and data centre ids share one
+ * field: ids are hashes, far above FACT_BUCKETS. */
 #define FACT_BUCKETS 8u
 
 static uint64_t bucket_of(const struct fact *fact)
@@ -26,7 +27,7 @@
 	const struct peer *p = peer_find(m, to);
 	uint64_t hashes[FACT_BUCKETS] = {0};
 
-	table_hashes(m);
+	hashes_update(m);
 	facts_hashes(m, hashes);
 	wire_begin(m);
 	for (uint64_t i = 0; i < FACT_BUCKETS; i++)
@@ -45,15 +46,16 @@
 void sync_check(struct membership *m, uint64_t from, const struct wire *wire)
 {
 	int64_t now = clock_now(m->clock);
-	bool quiet = now - m->quiet_since > m->settings.heartbeat;
+	bool quiet = now - m->last_change > m->settings.heartbeat;
 
-	if (wire->view == view_with(m, from) || now < m->sync_next)
+	if (wire->view_hash == view_hash_for(m, from) || now < m->sync_next)
 		return;
-	/* News still on its way explains the difference, for a while. */
-	if (!quiet && now < m->sync_next + 4 * SYNC_EVERY_USEC)
+	/* Updates in flight may explain the difference, so a recent change
+	 * delays the exchange by up to four periods. */
+	if (!quiet && now < m->sync_next + 4 * SYNC_INTERVAL_USEC)
 		return;
-	m->sync_next = now + SYNC_EVERY_USEC +
-		       g_rand_int_range(m->rand, 0, SYNC_EVERY_USEC);
+	m->sync_next = now + SYNC_INTERVAL_USEC +
+		       g_rand_int_range(m->rand, 0, SYNC_INTERVAL_USEC);
 	sync_start(m, from);
 }
 
@@ -111,7 +113,7 @@
 	uint64_t hashes[FACT_BUCKETS] = {0};
 	struct item item;
 
-	table_hashes(m);
+	hashes_update(m);
 	facts_hashes(m, hashes);
 	for (uint32_t i = 0; i < wire->item_count; i++) {
 		if (!item_decode(&wire->items[i], &item))
@@ -123,7 +125,7 @@
 	}
 }
 
-/* Sends the rows packed so far when they fill a message, or at the end. */
+/* Sends the packed rows once they fill a message, or when end is set. */
 static void rows_flush(struct membership *m, uint64_t to, bool end)
 {
 	if (wire_size(m) < SYNC_BYTES_MAX && !end)
@@ -133,20 +135,20 @@
 	wire_begin(m);
 }
 
-static void want_send(struct membership *m, uint64_t to, uint64_t facts)
+static void request_send(struct membership *m, uint64_t to, uint64_t facts)
 {
 	if (!m->unknown->len)
 		return;
 	wire_begin(m);
 	for (guint i = 0; i < m->unknown->len; i++)
 		pack_id(m, g_array_index(m->unknown, uint64_t, i));
-	wire_send(m, to, WIRE_WANT, 0, facts, 0);
+	wire_send(m, to, WIRE_REQUEST, 0, facts, 0);
 }
 
-/* What the other side has newer is taken or wanted; what it has older or not
- * at all is sent: seen holds what it has as new as we do. */
-static void keys_row(struct membership *m, const struct item *item,
-		     GHashTable *seen)
+/* Merges one row of the other side, or lists it for a request. Peers that the
+ * other side knows at least as new go into current; the rest is sent to it. */
+static void keys_row_merge(struct membership *m, const struct item *item,
+			   GHashTable *current)
 {
 	struct peer *p = peer_find(m, item->id);
 
@@ -156,41 +158,41 @@
 		return;
 	if (item->version > p->view.incarnation ||
 	    (item->version == p->view.incarnation && item->number >= p->level))
-		g_hash_table_add(seen, p);
+		g_hash_table_add(current, p);
 }
 
 static void keys_members_receive(struct membership *m, uint64_t from,
 				 const struct wire *wire)
 {
-	GHashTable *seen = g_hash_table_new(NULL, NULL);
+	GHashTable *current = g_hash_table_new(NULL, NULL);
 	struct item item;
 
 	for (uint32_t i = 0; i < wire->item_count; i++) {
 		if (item_decode(&wire->items[i], &item) &&
 		    item.kind == ITEM_ROW)
-			keys_row(m, &item, seen);
+			keys_row_merge(m, &item, current);
 		else
 			m->stats.malformed++;
 	}
-	want_send(m, from, 0);
+	request_send(m, from, 0);
 	wire_begin(m);
 	for (guint i = 0; i < m->peers->len; i++) {
 		struct peer *p = m->peers->pdata[i];
 
 		if (p->centre->id != wire->a || !p->confirmed || p->forgotten ||
-		    g_hash_table_contains(seen, p))
+		    g_hash_table_contains(current, p))
 			continue;
 		pack_row(m, p, true);
 		rows_flush(m, from, false);
 	}
 	rows_flush(m, from, true);
-	g_hash_table_destroy(seen);
+	g_hash_table_destroy(current);
 }
 
 static void keys_facts_receive(struct membership *m, uint64_t from,
 			       const struct wire *wire)
 {
-	GHashTable *seen = g_hash_table_new(NULL, NULL);
+	GHashTable *current = g_hash_table_new(NULL, NULL);
 	GHashTableIter iter;
 	struct item item;
 	gpointer value;
@@ -207,20 +209,20 @@
 		if (!fact || fact->version < item.version)
 			g_array_append_val(m->unknown, item.id);
 		if (fact && fact->version <= item.version)
-			g_hash_table_add(seen, fact);
+			g_hash_table_add(current, fact);
 	}
-	want_send(m, from, 1);
+	request_send(m, from, 1);
 	wire_begin(m);
 	g_hash_table_iter_init(&iter, m->facts);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (bucket_of(value) != wire->a ||
-		    g_hash_table_contains(seen, value))
+		    g_hash_table_contains(current, value))
 			continue;
 		pack_fact(m, value);
 		rows_flush(m, from, false);
 	}
 	rows_flush(m, from, true);
-	g_hash_table_destroy(seen);
+	g_hash_table_destroy(current);
 }
 
 void sync_keys(struct membership *m, uint64_t from, const struct wire *wire)
@@ -232,7 +234,7 @@
 		keys_members_receive(m, from, wire);
 }
 
-void sync_want(struct membership *m, uint64_t from, const struct wire *wire)
+void sync_request(struct membership *m, uint64_t from, const struct wire *wire)
 {
 	struct item item;
 
--- a/tests/member/invariants.h
+++ b/tests/member/invariants.h
@@ -1,7 +1,8 @@
 /*
- * invariants.h - what must hold of membership and configuration, in one place
+ * invariants.h - invariants of membership and configuration
  *
- * Each check returns NULL, or a text that says what is wrong, to be freed.
+ * Each check returns NULL, or a text that describes the violation, to be freed
+ * by the caller.
  */
 #ifndef TESTS_MEMBER_INVARIANTS_H
 #define TESTS_MEMBER_INVARIANTS_H
@@ -10,19 +11,20 @@
 
 #define FACTS 4
 
-/* What the test itself knows of facts: the newest version set of each. */
-struct truth {
+/* The newest version that the test set of each fact. */
+struct expected_facts {
 	uint64_t facts[FACTS];
 };
 
-/* After healing: all that are up see each other as they are, those that are
- * not as dead, agree on homes and facts, and are sure that they live. */
-char *members_settled(struct world *world, const struct truth *truth);
-/* At any time: nobody shows an incarnation that its owner never had. */
-char *members_true(struct world *world);
+/* After recovery: nodes that are up have the right view of all others, agree on
+ * homes and facts, and none is uncertain whether it is alive. */
+char *members_settled(struct world *world,
+		      const struct expected_facts *expected_facts);
+/* At any time: no node shows an incarnation that its owner never had. */
+char *incarnations_valid(struct world *world);
 
-/* No exchange feeds itself: what a node sent since its start stays within a
- * burst and a rate. */
+/* No exchange of messages sustains itself: the number that a node sent stays
+ * within a burst and a rate. */
 char *traffic_bounded(struct world *world);
 
 /* One call of fold_apply(). */
@@ -31,32 +33,33 @@
 	char content[32];
 	int64_t deadline;
 	bool answered;
-	bool dropped; /* its instance ended first */
-	int by;	      /* index of the node */
+	bool dropped; /* its instance stopped before the answer */
+	int node_index;
 	enum result_code code;
 	uint64_t revision;
 };
 
-/* Everything that any instance said about the configuration. */
-struct chronicle {
+/* Records the audits and answers of all instances, and checks them. */
+struct checker {
 	struct world *world;
-	GHashTable *judged; /* offset -> struct fold_audit */
+	GHashTable *verdicts; /* offset -> struct fold_audit */
 	GPtrArray *attempts;
-	char *problem; /* the first broken promise */
-	uint64_t took; /* changes seen */
+	char *problem;	  /* the first violation */
+	uint64_t changes; /* reported by all instances */
 };
 
-struct chronicle *chronicle_create(struct world *world);
-void chronicle_destroy(struct chronicle *chronicle);
-/* Starts the node's fold, watched. */
-void chronicle_start(struct chronicle *chronicle, struct node *node);
-void chronicle_stop(struct node *node);
-struct attempt *chronicle_apply(struct chronicle *chronicle, struct node *node,
-				uint64_t base, const char *content,
-				int64_t timeout);
+struct checker *checker_create(struct world *world);
+void checker_destroy(struct checker *checker);
+/* Creates the node's fold and records what it reports. */
+void checker_start(struct checker *checker, struct node *node);
+void checker_stop(struct node *node);
+struct attempt *checker_apply(struct checker *checker, struct node *node,
+			      uint64_t base, const char *content,
+			      int64_t timeout);
 /* At any time. */
-char *chronicle_holds(struct chronicle *chronicle);
-/* After healing: besides, all have the same in force, the last accepted. */
-char *chronicle_settled(struct chronicle *chronicle);
+char *checker_check(struct checker *checker);
+/* After recovery: also that all instances have the last accepted revision in
+ * force and that every attempt was answered. */
+char *checker_check_settled(struct checker *checker);
 
 #endif
--- a/tests/member/test_log_tail.c
+++ b/tests/member/test_log_tail.c
@@ -1,6 +1,6 @@
 /*
- * The contract of a tail: each record once and in order, whatever the store
- * does. The store here answers by script.
+ * A log tail delivers each record once and in order whatever the store does.
+ * The store follows the script of each row.
  */
 #include <glib.h>
 #include <string.h>
@@ -8,21 +8,21 @@
 #include "coord/log_tail.h"
 #include "rows.h"
 
-/* What the store does with one read. */
-enum act {
-	ACT_RECORDS, /* up to count records from the offset asked for */
-	ACT_FROM,    /* records from before the offset asked for, too */
-	ACT_DROPPED, /* all before first is gone */
-	ACT_EMPTY,
-	ACT_DOWN,
-	ACT_BAD_PAGE, /* next is before what was read already */
-	ACT_SILENT,   /* no answer ever */
-	ACT_LATE,     /* the answer comes after the tail gave up */
-	ACT_STOP,     /* the tail is stopped while the read is in flight */
+/* The store's reaction to one read. */
+enum store_action {
+	STORE_RECORDS, /* count records from the requested offset */
+	STORE_OVERLAP, /* also one record before the requested offset */
+	STORE_DROPPED, /* records from the requested offset are gone */
+	STORE_EMPTY,
+	STORE_DOWN,
+	STORE_BAD_PAGE, /* next is before the requested offset */
+	STORE_SILENT,	/* no answer */
+	STORE_LATE,	/* the answer arrives after the timeout */
+	STORE_STOP,	/* the tail is stopped while the read is in flight */
 };
 
 struct step {
-	enum act act;
+	enum store_action action;
 	uint64_t count;
 };
 
@@ -67,31 +67,31 @@
 	void *fn_ctx = s->fn_ctx;
 
 	s->fn = NULL;
-	switch (step->act) {
-	case ACT_RECORDS:
+	switch (step->action) {
+	case STORE_RECORDS:
 		answer(s, fn, fn_ctx, 0, s->from, step->count);
 		break;
-	case ACT_FROM:
+	case STORE_OVERLAP:
 		answer(s, fn, fn_ctx, 0, s->from - 1, step->count + 1);
 		break;
-	case ACT_DROPPED:
+	case STORE_DROPPED:
 		answer(s, fn, fn_ctx, s->from + 3, s->from + 3, step->count);
 		break;
-	case ACT_EMPTY:
+	case STORE_EMPTY:
 		answer(s, fn, fn_ctx, 0, s->from, 0);
 		break;
-	case ACT_DOWN:
+	case STORE_DOWN:
 		fn(fn_ctx, RESULT_LOG_DOWN, NULL);
 		break;
-	case ACT_BAD_PAGE:
+	case STORE_BAD_PAGE:
 		answer(s, fn, fn_ctx, 0, s->from - 1, 0);
 		break;
-	case ACT_SILENT:
-	case ACT_LATE:
+	case STORE_SILENT:
+	case STORE_LATE:
 		s->late_fn = fn;
 		s->late_ctx = fn_ctx;
 		break;
-	case ACT_STOP:
+	case STORE_STOP:
 		log_tail_stop(s->tail);
 		g_string_append(s->trace, "stopped ");
 		answer(s, fn, fn_ctx, 0, s->from, 1);
@@ -153,72 +153,84 @@
 };
 
 static const struct row rows[] = {
-	{"in order",
-	 {{ACT_RECORDS, 2}, {ACT_RECORDS, 3}},
+	{"records in order",
+	 {{STORE_RECORDS, 2}, {STORE_RECORDS, 3}},
 	 2,
 	 false,
 	 "5 6 7 8 9 ",
 	 10,
 	 true},
-	{"nothing new",
-	 {{ACT_EMPTY, 0}, {ACT_RECORDS, 1}},
+	{"an empty page",
+	 {{STORE_EMPTY, 0}, {STORE_RECORDS, 1}},
 	 2,
 	 false,
 	 "5 ",
 	 6,
 	 true},
-	{"the same again",
-	 {{ACT_RECORDS, 1}, {ACT_FROM, 1}},
+	{"a record twice",
+	 {{STORE_RECORDS, 1}, {STORE_OVERLAP, 1}},
 	 2,
 	 false,
 	 "5 6 ",
 	 7,
 	 true},
-	{"dropped",
-	 {{ACT_RECORDS, 1}, {ACT_DROPPED, 2}},
+	{"records dropped",
+	 {{STORE_RECORDS, 1}, {STORE_DROPPED, 2}},
 	 2,
 	 false,
 	 "5 gap:6-9 9 10 ",
 	 11,
 	 true},
-	{"all dropped", {{ACT_DROPPED, 0}}, 1, false, "gap:5-8 ", 8, true},
-	{"down",
-	 {{ACT_RECORDS, 1}, {ACT_DOWN, 0}, {ACT_RECORDS, 1}},
+	{"all records dropped",
+	 {{STORE_DROPPED, 0}},
+	 1,
+	 false,
+	 "gap:5-8 ",
+	 8,
+	 true},
+	{"the log is down",
+	 {{STORE_RECORDS, 1}, {STORE_DOWN, 0}, {STORE_RECORDS, 1}},
 	 3,
 	 false,
 	 "5 log-down 6 ",
 	 7,
 	 true},
-	{"down twice",
-	 {{ACT_DOWN, 0}, {ACT_DOWN, 0}, {ACT_RECORDS, 1}},
+	{"the log is down twice",
+	 {{STORE_DOWN, 0}, {STORE_DOWN, 0}, {STORE_RECORDS, 1}},
 	 3,
 	 false,
 	 "log-down log-down 5 ",
 	 6,
 	 true},
-	{"backwards",
-	 {{ACT_BAD_PAGE, 0}, {ACT_RECORDS, 1}},
+	{"a page with a lower end",
+	 {{STORE_BAD_PAGE, 0}, {STORE_RECORDS, 1}},
 	 2,
 	 false,
 	 "log-gap 5 ",
 	 6,
 	 true},
-	{"silent",
-	 {{ACT_SILENT, 0}, {ACT_RECORDS, 1}},
+	{"no answer",
+	 {{STORE_SILENT, 0}, {STORE_RECORDS, 1}},
 	 2,
 	 false,
 	 "log-down 5 ",
 	 6,
 	 true},
-	{"late",
-	 {{ACT_LATE, 0}, {ACT_RECORDS, 2}},
+	{"a late answer",
+	 {{STORE_LATE, 0}, {STORE_RECORDS, 2}},
 	 2,
 	 false,
 	 "log-down 5 6 ",
 	 7,
 	 true},
-	{"stopped in flight", {{ACT_STOP, 0}}, 1, false, "stopped ", 5, false},
-	{"stopped in a record", {{ACT_RECORDS, 3}}, 1, true, "5 ", 6, false},
+	{"stopped in flight",
+	 {{STORE_STOP, 0}},
+	 1,
+	 false,
+	 "stopped ",
+	 5,
+	 false},
+	{"stopped in a record", {{STORE_RECORDS, 3}}, 1, true, "5 ", 6, false},
 };
 
 static void test_row(gconstpointer data)
@@ -239,7 +251,7 @@
 	s.tail = log_tail_create(s.clock, &store, LOG_STREAM_CONFIG, 1, &ops,
 				 &s);
 	log_tail_start(s.tail, 5);
-	/* Short of the time after which the read left open is given up. */
+	/* Ends before the last read, which gets no answer, times out. */
 	for (int i = 0; i < 60 && (s.step < row->count || i < 2); i++)
 		clock_advance(s.clock, clock_now(s.clock) + USEC_PER_SEC / 2);
 	if (s.late_fn) {
