--- a/forward/gossip.c
+++ b/forward/gossip.c
@@ -13,21 +13,21 @@
 #include "web/loop.h"
 
 /* Datagrams read in one turn. */
-#define READ_MAX 64
+#define DATAGRAMS_PER_READ 64
 /* A change of load on a server of engines is told at once to the peers near,
  * and to those of the server's data centre, as long as datagrams are left of
  * this many a second, and this many saved up: told later, instances that place
  * at the same time choose the same server, which then preempts. */
-#define AT_ONCE_PER_SEC 450.0
-#define AT_ONCE_SAVED 900.0
+#define CHANGES_PER_SEC 450.0
+#define CHANGES_BURST 900.0
 /* The same for the peers of all other data centres, who only use the server
  * when theirs are full, and hear of it from their tellers soon. */
-#define AT_ONCE_FAR_PER_SEC 150.0
-#define AT_ONCE_FAR_SAVED 300.0
+#define CHANGES_REMOTE_PER_SEC 150.0
+#define CHANGES_REMOTE_BURST 300.0
 
-static void datagram_take(struct gossip *gossip,
-			  const struct sockaddr_storage *from, const void *data,
-			  size_t size)
+static void datagram_handle(struct gossip *gossip,
+			    const struct sockaddr_storage *from,
+			    const void *data, size_t size)
 {
 	struct gossip_message message;
 	char address[ADDRESS_TEXT_MAX];
@@ -48,7 +48,7 @@
 	struct gossip *gossip = socket->data;
 
 	loop_enter(gossip->loop);
-	for (int i = 0; i < READ_MAX; i++) {
+	for (int i = 0; i < DATAGRAMS_PER_READ; i++) {
 		struct sockaddr_storage from;
 		socklen_t size = sizeof(from);
 		ssize_t n =
@@ -59,14 +59,14 @@
 			return;
 		gossip->traffic.received++;
 		gossip->traffic.received_bytes += (uint64_t)n;
-		datagram_take(gossip, &from, data, (size_t)n);
+		datagram_handle(gossip, &from, data, (size_t)n);
 	}
 }
 
 void gossip_load_changed(struct gossip *gossip)
 {
-	if (!timer_running(&gossip->soon))
-		timer_start(&gossip->soon, 0);
+	if (!timer_running(&gossip->changes_timer))
+		timer_start(&gossip->changes_timer, 0);
 }
 
 static void on_soon(struct timer *timer, void *ctx)
@@ -80,7 +80,7 @@
 
 	peers_update(gossip);
 	gossip_send_due(gossip);
-	timer_start(timer, GOSSIP_USEC);
+	timer_start(timer, GOSSIP_INTERVAL_USEC);
 }
 
 static int socket_bind(const char *text, struct error *err)
@@ -121,29 +121,31 @@
 	gossip->ctx = ctx;
 	gossip->fd = fd;
 	gossip->key = id_of(settings->address);
-	gossip->groups = 1;
-	gossip->updated = GOSSIP_NEVER / 2;
+	gossip->group_count = 1;
+	gossip->updated_at = GOSSIP_NEVER / 2;
 	g_strlcpy(gossip->group, settings->data_centre, sizeof(gossip->group));
 	gossip->peers =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, peer_free);
-	gossip->centres = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-						centre_free);
+	gossip->other_groups = g_hash_table_new_full(g_str_hash, g_str_equal,
+						     NULL, group_state_free);
 	gossip->local = g_ptr_array_new();
 	gossip->remote = g_ptr_array_new();
 	gossip->receivers = g_ptr_array_new();
-	gossip->last = g_array_new(FALSE, TRUE, sizeof(struct gossip_load));
+	gossip->sent_loads =
+		g_array_new(FALSE, TRUE, sizeof(struct gossip_load));
 	gossip->socket = h2o_evloop_socket_create(loop_h2o(loop), fd,
 						  H2O_SOCKET_FLAG_DONT_READ);
 	gossip->socket->data = gossip;
 	h2o_socket_read_start(gossip->socket, on_readable);
-	gossip->at_once = (struct allowance){AT_ONCE_PER_SEC, AT_ONCE_SAVED,
-					     AT_ONCE_SAVED, gossip_now(gossip)};
-	gossip->at_once_remote =
-		(struct allowance){AT_ONCE_FAR_PER_SEC, AT_ONCE_FAR_SAVED,
-				   AT_ONCE_FAR_SAVED, gossip_now(gossip)};
-	gossip->delay_local = (double)GOSSIP_USEC;
-	gossip->delay_remote = (double)GOSSIP_USEC;
-	timer_init(&gossip->soon, gossip->clock, on_soon, gossip);
+	gossip->changes_bucket =
+		(struct token_bucket){CHANGES_PER_SEC, CHANGES_BURST,
+				      CHANGES_BURST, gossip_now(gossip)};
+	gossip->changes_bucket_remote = (struct token_bucket){
+		CHANGES_REMOTE_PER_SEC, CHANGES_REMOTE_BURST,
+		CHANGES_REMOTE_BURST, gossip_now(gossip)};
+	gossip->delay_local = (double)GOSSIP_INTERVAL_USEC;
+	gossip->delay_remote = (double)GOSSIP_INTERVAL_USEC;
+	timer_init(&gossip->changes_timer, gossip->clock, on_soon, gossip);
 	timer_init(&gossip->timer, gossip->clock, on_timer, gossip);
 	timer_start(&gossip->timer, 0);
 	gossip_quarantine_start(gossip);
@@ -156,7 +158,7 @@
 	if (!gossip)
 		return;
 	timer_stop(&gossip->timer);
-	timer_stop(&gossip->soon);
+	timer_stop(&gossip->changes_timer);
 	gossip_quarantine_stop(gossip);
 	gossip_usage_stop(gossip);
 	h2o_socket_read_stop(gossip->socket);
@@ -165,7 +167,7 @@
 	g_ptr_array_unref(gossip->remote);
 	g_ptr_array_unref(gossip->local);
 	g_hash_table_destroy(gossip->peers);
-	g_hash_table_destroy(gossip->centres);
-	g_array_unref(gossip->last);
+	g_hash_table_destroy(gossip->other_groups);
+	g_array_unref(gossip->sent_loads);
 	g_free(gossip);
 }
--- a/forward/gossip_codec.c
+++ b/forward/gossip_codec.c
@@ -14,8 +14,8 @@
 	*message = (struct gossip_message){
 		.kind = kind,
 		.loads = g_array_new(FALSE, TRUE, sizeof(struct gossip_load)),
-		.works = g_array_new(FALSE, TRUE,
-				     sizeof(struct quarantine_entry)),
+		.quarantine = g_array_new(FALSE, TRUE,
+					  sizeof(struct quarantine_entry)),
 		.usage = g_array_new(FALSE, TRUE, sizeof(struct limit_entry)),
 		.facts = g_array_new(FALSE, TRUE,
 				     sizeof(struct backpressure_fact)),
@@ -36,13 +36,13 @@
 {
 	g_array_unref(message->loads);
 	g_array_unref(message->addresses);
-	g_array_unref(message->works);
+	g_array_unref(message->quarantine);
 	g_array_unref(message->usage);
 	g_array_unref(message->facts);
 	message->facts = NULL;
 	message->usage = NULL;
 	message->loads = NULL;
-	message->works = NULL;
+	message->quarantine = NULL;
 	message->addresses = NULL;
 }
 
@@ -63,10 +63,10 @@
 	}
 }
 
-static void work_pack(msgpack_packer *packer,
-		      const struct quarantine_entry *entry)
+static void quarantine_entry_pack(msgpack_packer *packer,
+				  const struct quarantine_entry *entry)
 {
-	msgpack_pack_array(packer, WORK_FIELDS);
+	msgpack_pack_array(packer, QUARANTINE_FIELDS);
 	msgpack_pack_uint64(packer, entry->work.high);
 	msgpack_pack_uint64(packer, entry->work.low);
 	msgpack_pack_uint32(packer, entry->epoch);
@@ -76,43 +76,44 @@
 		msgpack_pack_uint64(packer, entry->servers[i]);
 }
 
-static void works_pack(msgpack_packer *packer, const GArray *works)
+static void quarantine_pack(msgpack_packer *packer, const GArray *entries)
 {
-	guint count = MIN(works->len, GOSSIP_QUARANTINE_MAX);
+	guint count = MIN(entries->len, GOSSIP_QUARANTINE_MAX);
 
 	msgpack_pack_array(packer, count);
 	for (guint i = 0; i < count; i++)
-		work_pack(packer,
-			  &g_array_index(works, struct quarantine_entry, i));
+		quarantine_entry_pack(
+			packer,
+			&g_array_index(entries, struct quarantine_entry, i));
 }
 
-static void uses_pack(msgpack_packer *packer, const GArray *usage)
+static void usage_pack(msgpack_packer *packer, const GArray *usage)
 {
 	guint count = MIN(usage->len, GOSSIP_USAGE_MAX);
 
 	msgpack_pack_array(packer, count);
 	for (guint i = 0; i < count; i++) {
-		const struct limit_entry *use =
+		const struct limit_entry *entry =
 			&g_array_index(usage, struct limit_entry, i);
 
-		msgpack_pack_array(packer, USE_FIELDS);
-		msgpack_pack_uint64(packer, use->account);
-		msgpack_pack_uint32(packer, use->epoch);
-		msgpack_pack_int64(packer, use->used);
-		msgpack_pack_uint32(packer, use->demand);
-		msgpack_pack_int64(packer, use->level);
+		msgpack_pack_array(packer, USAGE_FIELDS);
+		msgpack_pack_uint64(packer, entry->account);
+		msgpack_pack_uint32(packer, entry->epoch);
+		msgpack_pack_int64(packer, entry->used);
+		msgpack_pack_uint32(packer, entry->demand);
+		msgpack_pack_int64(packer, entry->level);
 	}
 }
 
 static void fact_pack(msgpack_packer *packer,
 		      const struct backpressure_fact *fact)
 {
-	int64_t parts =
-		fact->limit < 0.0 ? -1 : (int64_t)(fact->limit * LIMIT_PARTS);
+	int64_t scaled =
+		fact->limit < 0.0 ? -1 : (int64_t)(fact->limit * LIMIT_SCALE);
 
 	msgpack_pack_array(packer, FACT_FIELDS);
 	msgpack_pack_uint64(packer, fact->server);
-	msgpack_pack_int64(packer, MIN(parts, LIMIT_PARTS_MAX));
+	msgpack_pack_int64(packer, MIN(scaled, LIMIT_SCALED_MAX));
 	msgpack_pack_uint64(packer, MIN((uint64_t)MAX(fact->age_usec, 0),
 					FACT_AGE_USEC_MAX));
 	msgpack_pack_uint8(packer, fact->leaving);
@@ -120,8 +121,8 @@
 			    (uint64_t)CLAMP(fact->cold_usec, 0,
 					    BACKPRESSURE_COLD_MAX_USEC));
 	msgpack_pack_int64(packer,
-			   MIN((int64_t)(fact->cold_limit * LIMIT_PARTS),
-			       LIMIT_PARTS_MAX));
+			   MIN((int64_t)(fact->cold_limit * LIMIT_SCALE),
+			       LIMIT_SCALED_MAX));
 }
 
 static void facts_pack(msgpack_packer *packer, const GArray *facts)
@@ -134,17 +135,18 @@
 			  &g_array_index(facts, struct backpressure_fact, i));
 }
 
-static void ask_pack(msgpack_packer *packer, const struct permit_request *ask)
+static void permit_request_pack(msgpack_packer *packer,
+				const struct permit_request *request)
 {
-	msgpack_pack_array(packer, ASK_FIELDS);
-	msgpack_pack_uint64(packer, ask->id);
-	fact_pack(packer, &ask->fact);
+	msgpack_pack_array(packer, PERMIT_REQUEST_FIELDS);
+	msgpack_pack_uint64(packer, request->id);
+	fact_pack(packer, &request->fact);
 }
 
-static void answer_pack(msgpack_packer *packer,
-			const struct permit_answer *answer)
+static void permit_answer_pack(msgpack_packer *packer,
+			       const struct permit_answer *answer)
 {
-	msgpack_pack_array(packer, ANSWER_FIELDS);
+	msgpack_pack_array(packer, PERMIT_ANSWER_FIELDS);
 	msgpack_pack_uint64(packer, answer->id);
 	msgpack_pack_uint64(packer, answer->server);
 	msgpack_pack_uint8(packer, answer->granted);
@@ -153,12 +155,12 @@
 }
 
 static void mirror_status_pack(msgpack_packer *packer,
-			       const struct mirror_status *summary)
+			       const struct mirror_status *status)
 {
-	msgpack_pack_array(packer, SHARE_FIELDS);
-	msgpack_pack_uint64(packer, summary->next);
-	msgpack_pack_uint64(packer, summary->changed);
-	msgpack_pack_int64(packer, summary->age_usec);
+	msgpack_pack_array(packer, MIRROR_FIELDS);
+	msgpack_pack_uint64(packer, status->next);
+	msgpack_pack_uint64(packer, status->changed);
+	msgpack_pack_int64(packer, status->age_usec);
 }
 
 static void address_pack(msgpack_packer *packer, const char *text)
@@ -191,12 +193,12 @@
 	}
 }
 
-static void lost_pack(msgpack_packer *packer,
-		      const struct gossip_summary *summary)
+static void unreachable_pack(msgpack_packer *packer,
+			     const struct gossip_summary *summary)
 {
 	msgpack_pack_array(packer, summary->unreachable_count);
 	for (uint32_t i = 0; i < summary->unreachable_count; i++) {
-		msgpack_pack_array(packer, LOST_FIELDS);
+		msgpack_pack_array(packer, UNREACHABLE_FIELDS);
 		msgpack_pack_uint64(packer, summary->unreachable[i].key);
 		msgpack_pack_uint32(
 			packer, (uint32_t)(summary->unreachable[i].left_usec /
@@ -209,11 +211,13 @@
 	return (message->summary.leaving ? FLAG_LEAVING : 0) |
 	       (message->summary.store_unreachable ? FLAG_STORE_UNREACHABLE
 						   : 0) |
-	       (message->first.store_unreachable ? FLAG_FIRST_STORELESS : 0);
+	       (message->lowest.store_unreachable
+			? FLAG_LOWEST_STORE_UNREACHABLE
+			: 0);
 }
 
-static void word_pack(msgpack_packer *packer,
-		      const struct gossip_message *message)
+static void summary_pack(msgpack_packer *packer,
+			 const struct gossip_message *message)
 {
 	const struct gossip_summary *summary = &message->summary;
 	guint addresses = MIN(message->addresses->len, GOSSIP_ADDRESSES_MAX);
@@ -230,38 +234,39 @@
 	msgpack_pack_array(packer, GOSSIP_MIRRORS);
 	for (int i = 0; i < GOSSIP_MIRRORS; i++)
 		mirror_status_pack(packer, &summary->mirrors[i]);
-	pack_text(packer, message->first.name);
+	pack_text(packer, message->lowest.name);
 	msgpack_pack_array(packer, addresses);
 	for (guint i = 0; i < addresses; i++)
 		address_pack(packer, g_array_index(message->addresses,
 						   struct gossip_address, i)
 					     .text);
-	uses_pack(packer, message->usage);
-	lost_pack(packer, summary);
+	usage_pack(packer, message->usage);
+	unreachable_pack(packer, summary);
 	facts_pack(packer, message->facts);
 }
 
 void gossip_encode(const struct gossip_message *message, GByteArray *out)
 {
-	bool summary = message->kind < GOSSIP_CHANGES;
+	bool is_summary = message->kind < GOSSIP_CHANGES;
 	msgpack_packer packer;
 
 	msgpack_packer_init(&packer, out, pack_append);
-	msgpack_pack_array(&packer, summary ? WORD_FIELDS : CHANGES_FIELDS);
+	msgpack_pack_array(&packer,
+			   is_summary ? SUMMARY_FIELDS : CHANGES_FIELDS);
 	msgpack_pack_int(&packer, GOSSIP_FORMAT);
 	msgpack_pack_int(&packer, (int)message->kind);
 	msgpack_pack_uint64(&packer, message->boot);
 	msgpack_pack_uint64(&packer, message->sequence);
 	if (message->kind == GOSSIP_QUARANTINE)
-		works_pack(&packer, message->works);
+		quarantine_pack(&packer, message->quarantine);
 	else if (message->kind == GOSSIP_USAGE)
-		uses_pack(&packer, message->usage);
+		usage_pack(&packer, message->usage);
 	else if (message->kind == GOSSIP_PERMIT_REQUEST)
-		ask_pack(&packer, &message->ask);
+		permit_request_pack(&packer, &message->request);
 	else if (message->kind == GOSSIP_PERMIT_ANSWER)
-		answer_pack(&packer, &message->answer);
+		permit_answer_pack(&packer, &message->answer);
 	else
 		loads_pack(&packer, message->loads);
-	if (summary)
-		word_pack(&packer, message);
+	if (is_summary)
+		summary_pack(&packer, message);
 }
--- a/forward/gossip_codec.h
+++ b/forward/gossip_codec.h
@@ -45,9 +45,9 @@
 #define GOSSIP_USAGE_MAX 48u
 
 enum gossip_kind {
-	GOSSIP_OWN,	       /* an instance's word, with its own loads */
-	GOSSIP_CENTRE,	       /* with the loads of all its data centre */
-	GOSSIP_CHANGES,	       /* of its own loads since the last one */
+	GOSSIP_INSTANCE_SUMMARY, /* an instance's word, with its own loads */
+	GOSSIP_GROUP_SUMMARY,	 /* with the loads of all its data centre */
+	GOSSIP_CHANGES,		 /* of its own loads since the last one */
 	GOSSIP_USAGE,	       /* of allotments: its own to peers near, its data
 				  centre's to others */
 	GOSSIP_PERMIT_REQUEST, /* for a permit */
@@ -63,8 +63,8 @@
 	struct load_sum load;
 };
 
-/* What a data centre's lowest name is, for gossip_lowest(). */
-struct gossip_first {
+/* What a data centre's lowest name is, for gossip_is_lowest(). */
+struct gossip_candidate {
 	char name[BACKEND_TEXT_MAX]; /* of those that reach the store, if any */
 	bool store_unreachable;	     /* none does */
 };
@@ -77,16 +77,17 @@
 	enum gossip_kind kind;
 	uint64_t boot;
 	uint64_t sequence;
-	GArray *loads; /* struct gossip_load */
-	GArray *works; /* struct quarantine_entry, of GOSSIP_QUARANTINE only */
-	GArray *usage; /* struct limit_entry, of words and GOSSIP_USAGE */
-	struct permit_request ask;   /* of GOSSIP_PERMIT_REQUEST only */
-	struct permit_answer answer; /* of GOSSIP_PERMIT_ANSWER only */
+	GArray *loads;	    /* struct gossip_load */
+	GArray *quarantine; /* struct quarantine_entry, of GOSSIP_QUARANTINE
+			       only */
+	GArray *usage;	    /* struct limit_entry, of words and GOSSIP_USAGE */
+	struct permit_request request; /* of GOSSIP_PERMIT_REQUEST only */
+	struct permit_answer answer;   /* of GOSSIP_PERMIT_ANSWER only */
 	/* What follows is empty in changes. */
 	char name[BACKEND_TEXT_MAX];
 	char group[GOSSIP_GROUP_MAX]; /* of the sender */
 	struct gossip_summary summary;
-	struct gossip_first first; /* of a data centre */
+	struct gossip_candidate lowest; /* of a data centre */
 	/* struct gossip_address: other instances; of a data centre all that
 	 * live there. */
 	GArray *addresses;
--- a/forward/gossip_decode.c
+++ b/forward/gossip_decode.c
@@ -87,14 +87,14 @@
 	return true;
 }
 
-static bool work_read(const msgpack_object *object,
-		      struct quarantine_entry *entry)
+static bool quarantine_entry_read(const msgpack_object *object,
+				  struct quarantine_entry *entry)
 {
 	const msgpack_object *fields;
 	uint64_t epoch;
 	uint64_t stored;
 
-	if (!is_tuple(object, WORK_FIELDS))
+	if (!is_tuple(object, QUARANTINE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
 	if (!number_read(&fields[0], UINT64_MAX, &entry->work.high) ||
@@ -107,50 +107,51 @@
 	return servers_read(&fields[4], entry);
 }
 
-static bool works_read(const msgpack_object *object, GArray *works)
+static bool quarantine_read(const msgpack_object *object, GArray *entries)
 {
 	if (!is_array(object, GOSSIP_QUARANTINE_MAX))
 		return false;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
 		struct quarantine_entry entry = {0};
 
-		if (!work_read(&object->via.array.ptr[i], &entry))
+		if (!quarantine_entry_read(&object->via.array.ptr[i], &entry))
 			return false;
-		g_array_append_val(works, entry);
+		g_array_append_val(entries, entry);
 	}
 	return true;
 }
 
-static bool use_read(const msgpack_object *object, struct limit_entry *use)
+static bool usage_entry_read(const msgpack_object *object,
+			     struct limit_entry *entry)
 {
 	const msgpack_object *fields;
 	uint64_t epoch;
 	uint64_t demand;
 
-	if (!is_tuple(object, USE_FIELDS))
+	if (!is_tuple(object, USAGE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &use->account) ||
+	if (!number_read(&fields[0], UINT64_MAX, &entry->account) ||
 	    !number_read(&fields[1], UINT32_MAX, &epoch) ||
-	    !sum_read(&fields[2], USED_MAX, &use->used) ||
+	    !sum_read(&fields[2], USED_MAX, &entry->used) ||
 	    !number_read(&fields[3], UINT32_MAX, &demand) ||
-	    !sum_read(&fields[4], USED_MAX, &use->level))
+	    !sum_read(&fields[4], USED_MAX, &entry->level))
 		return false;
-	use->epoch = (uint32_t)epoch;
-	use->demand = (uint32_t)demand;
+	entry->epoch = (uint32_t)epoch;
+	entry->demand = (uint32_t)demand;
 	return true;
 }
 
-static bool uses_read(const msgpack_object *object, GArray *usage)
+static bool usage_read(const msgpack_object *object, GArray *usage)
 {
 	if (!is_array(object, GOSSIP_USAGE_MAX))
 		return false;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
-		struct limit_entry use;
+		struct limit_entry entry;
 
-		if (!use_read(&object->via.array.ptr[i], &use))
+		if (!usage_entry_read(&object->via.array.ptr[i], &entry))
 			return false;
-		g_array_append_val(usage, use);
+		g_array_append_val(usage, entry);
 	}
 	return true;
 }
@@ -159,8 +160,8 @@
 		      struct backpressure_fact *fact)
 {
 	const msgpack_object *fields;
-	int64_t parts;
-	int64_t cold_parts;
+	int64_t scaled;
+	int64_t cold_scaled;
 	uint64_t leaving;
 	uint64_t cold;
 	uint64_t age;
@@ -169,19 +170,19 @@
 		return false;
 	fields = object->via.array.ptr;
 	if (!number_read(&fields[0], UINT64_MAX, &fact->server) ||
-	    !sum_read(&fields[1], LIMIT_PARTS_MAX, &parts) || parts < -1 ||
+	    !sum_read(&fields[1], LIMIT_SCALED_MAX, &scaled) || scaled < -1 ||
 	    !number_read(&fields[2], FACT_AGE_USEC_MAX, &age) ||
 	    !number_read(&fields[3], 1, &leaving) ||
 	    !number_read(&fields[4], BACKPRESSURE_COLD_MAX_USEC, &cold) ||
-	    !sum_read(&fields[5], LIMIT_PARTS_MAX, &cold_parts) ||
-	    cold_parts < 0)
+	    !sum_read(&fields[5], LIMIT_SCALED_MAX, &cold_scaled) ||
+	    cold_scaled < 0)
 		return false;
-	fact->limit = parts < 0 ? BACKPRESSURE_UNLIMITED
-				: (double)parts / LIMIT_PARTS;
+	fact->limit = scaled < 0 ? BACKPRESSURE_UNLIMITED
+				 : (double)scaled / LIMIT_SCALE;
 	fact->age_usec = (int64_t)age;
 	fact->leaving = leaving;
 	fact->cold_usec = (int64_t)cold;
-	fact->cold_limit = (double)cold_parts / LIMIT_PARTS;
+	fact->cold_limit = (double)cold_scaled / LIMIT_SCALE;
 	return true;
 }
 
@@ -199,21 +200,23 @@
 	return true;
 }
 
-static bool ask_read(const msgpack_object *object, struct permit_request *ask)
+static bool permit_request_read(const msgpack_object *object,
+				struct permit_request *request)
 {
-	return is_tuple(object, ASK_FIELDS) &&
-	       number_read(&object->via.array.ptr[0], UINT64_MAX, &ask->id) &&
-	       fact_read(&object->via.array.ptr[1], &ask->fact);
+	return is_tuple(object, PERMIT_REQUEST_FIELDS) &&
+	       number_read(&object->via.array.ptr[0], UINT64_MAX,
+			   &request->id) &&
+	       fact_read(&object->via.array.ptr[1], &request->fact);
 }
 
-static bool answer_read(const msgpack_object *object,
-			struct permit_answer *answer)
+static bool permit_answer_read(const msgpack_object *object,
+			       struct permit_answer *answer)
 {
 	const msgpack_object *fields;
 	uint64_t granted;
 	uint64_t retry;
 
-	if (!is_tuple(object, ANSWER_FIELDS))
+	if (!is_tuple(object, PERMIT_ANSWER_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
 	if (!number_read(&fields[0], UINT64_MAX, &answer->id) ||
@@ -227,23 +230,23 @@
 }
 
 static bool mirror_status_read(const msgpack_object *object,
-			       struct mirror_status *summary)
+			       struct mirror_status *status)
 {
 	const msgpack_object *fields;
 	uint64_t age;
 
-	if (!is_tuple(object, SHARE_FIELDS))
+	if (!is_tuple(object, MIRROR_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &summary->next) ||
-	    !number_read(&fields[1], UINT64_MAX, &summary->changed))
+	if (!number_read(&fields[0], UINT64_MAX, &status->next) ||
+	    !number_read(&fields[1], UINT64_MAX, &status->changed))
 		return false;
-	summary->age_usec = -1;
+	status->age_usec = -1;
 	if (fields[2].type == MSGPACK_OBJECT_NEGATIVE_INTEGER)
 		return true;
 	if (!number_read(&fields[2], INT64_MAX / 2, &age))
 		return false;
-	summary->age_usec = (int64_t)age;
+	status->age_usec = (int64_t)age;
 	return true;
 }
 
@@ -324,8 +327,8 @@
 	return true;
 }
 
-static bool lost_read(const msgpack_object *object,
-		      struct gossip_summary *summary)
+static bool unreachable_read(const msgpack_object *object,
+			     struct gossip_summary *summary)
 {
 	if (!is_array(object, GOSSIP_UNREACHABLE_MAX))
 		return false;
@@ -334,7 +337,7 @@
 		const msgpack_object *one = &object->via.array.ptr[i];
 		uint64_t left;
 
-		if (!is_tuple(one, LOST_FIELDS) ||
+		if (!is_tuple(one, UNREACHABLE_FIELDS) ||
 		    !number_read(&one->via.array.ptr[0], UINT64_MAX,
 				 &summary->unreachable[i].key) ||
 		    !number_read(&one->via.array.ptr[1], CHANGE_MSEC_MAX,
@@ -346,13 +349,13 @@
 	return true;
 }
 
-static bool word_read(const msgpack_object *fields,
-		      struct gossip_message *message)
+static bool summary_read(const msgpack_object *fields,
+			 struct gossip_message *message)
 {
 	uint64_t demand;
 	uint64_t waiting;
 	uint64_t rates;
-	uint64_t raters;
+	uint64_t rate_count;
 	uint64_t flags;
 
 	if (!unpack_text(&fields[0], message->name, sizeof(message->name)) ||
@@ -360,40 +363,41 @@
 	    !number_read(&fields[2], UINT64_MAX, &message->summary.version) ||
 	    !number_read(&fields[3], UINT32_MAX, &demand) ||
 	    !number_read(&fields[4], UINT32_MAX, &waiting) ||
-	    !number_read(&fields[5], RATES_MAX, &rates) ||
-	    !number_read(&fields[6], UINT32_MAX, &raters) ||
+	    !number_read(&fields[5], PREFILL_RATES_MAX, &rates) ||
+	    !number_read(&fields[6], UINT32_MAX, &rate_count) ||
 	    !number_read(&fields[7], FLAGS_ALL, &flags) ||
 	    !changing_read(&fields[8], &message->summary))
 		return false;
 	message->summary.demand = (double)demand;
 	message->summary.waiting = (uint32_t)waiting;
 	message->summary.prefill_rates = (double)rates;
-	message->summary.prefill_rate_count = (uint32_t)raters;
+	message->summary.prefill_rate_count = (uint32_t)rate_count;
 	message->summary.leaving = flags & FLAG_LEAVING;
 	message->summary.store_unreachable = flags & FLAG_STORE_UNREACHABLE;
-	message->first.store_unreachable = flags & FLAG_FIRST_STORELESS;
+	message->lowest.store_unreachable =
+		flags & FLAG_LOWEST_STORE_UNREACHABLE;
 	return mirrors_read(&fields[9], &message->summary) &&
-	       unpack_text(&fields[10], message->first.name,
-			   sizeof(message->first.name)) &&
+	       unpack_text(&fields[10], message->lowest.name,
+			   sizeof(message->lowest.name)) &&
 	       addresses_read(&fields[11], message) &&
-	       uses_read(&fields[12], message->usage) &&
-	       lost_read(&fields[13], &message->summary) &&
+	       usage_read(&fields[12], message->usage) &&
+	       unreachable_read(&fields[13], &message->summary) &&
 	       facts_read(&fields[14], message->facts);
 }
 
 /* What follows the head of messages that are no words and hold no loads. */
-static bool short_read(const msgpack_object *body,
-		       struct gossip_message *message)
+static bool body_read(const msgpack_object *body,
+		      struct gossip_message *message)
 {
 	switch (message->kind) {
 	case GOSSIP_QUARANTINE:
-		return works_read(body, message->works);
+		return quarantine_read(body, message->quarantine);
 	case GOSSIP_USAGE:
-		return uses_read(body, message->usage);
+		return usage_read(body, message->usage);
 	case GOSSIP_PERMIT_REQUEST:
-		return ask_read(body, &message->ask);
+		return permit_request_read(body, &message->request);
 	case GOSSIP_PERMIT_ANSWER:
-		return answer_read(body, &message->answer);
+		return permit_answer_read(body, &message->answer);
 	default:
 		return false;
 	}
@@ -406,7 +410,7 @@
 	uint64_t format;
 	uint64_t kind;
 
-	if (!is_array(object, WORD_FIELDS) ||
+	if (!is_array(object, SUMMARY_FIELDS) ||
 	    object->via.array.size < CHANGES_FIELDS ||
 	    !number_read(&fields[0], GOSSIP_FORMAT, &format) ||
 	    format != GOSSIP_FORMAT ||
@@ -417,13 +421,13 @@
 	message->kind = (enum gossip_kind)kind;
 	if (message->kind > GOSSIP_CHANGES)
 		return object->via.array.size == CHANGES_FIELDS &&
-		       short_read(&fields[4], message);
+		       body_read(&fields[4], message);
 	if (!loads_read(&fields[4], message->loads))
 		return false;
 	if (message->kind == GOSSIP_CHANGES)
 		return object->via.array.size == CHANGES_FIELDS;
-	return object->via.array.size == WORD_FIELDS &&
-	       word_read(&fields[CHANGES_FIELDS], message);
+	return object->via.array.size == SUMMARY_FIELDS &&
+	       summary_read(&fields[CHANGES_FIELDS], message);
 }
 
 bool gossip_decode(struct gossip_message *message, const void *data,
@@ -432,7 +436,7 @@
 	msgpack_unpacked unpacked;
 	bool good;
 
-	gossip_message_init(message, GOSSIP_OWN);
+	gossip_message_init(message, GOSSIP_INSTANCE_SUMMARY);
 	msgpack_unpacked_init(&unpacked);
 	good = message_unpack(&unpacked, data, size, err);
 	if (good && !message_read(&unpacked.data, message))
--- a/forward/gossip_groups.c
+++ b/forward/gossip_groups.c
@@ -2,7 +2,7 @@
  * gossip_groups.c - the groups of instances of a large data centre
  *
  * DESCRIPTION
- *	A data centre of up to GROUP_MOST instances is one group and has its
+ *	A data centre of up to GROUP_SIZE_MAX instances is one group and has its
  *	name. A larger one has a power of two of groups, "NAME/INDEX.COUNT"; the
  *	hash of its address tells the group of an instance, its key that of a
  *	server. The count follows the instances that are known, with hysteresis,
@@ -15,18 +15,18 @@
 #include "common/log.h"
 #include "gossip_private.h"
 
-#define GROUP_MOST 96u
-#define GROUP_LEAST 32u
+#define GROUP_SIZE_MAX 96u
+#define GROUP_SIZE_MIN 32u
 /* Beyond any data centre; what a peer says of more is malformed. */
-#define GROUPS_MOST 65536
+#define GROUPS_MAX 65536
 /* No instance name or data centre holds it. */
-#define GROUP_MARK '/'
+#define GROUP_SEPARATOR '/'
 
 uint32_t groups_for(uint32_t groups, uint32_t instances)
 {
-	while (instances > groups * GROUP_MOST)
+	while (instances > groups * GROUP_SIZE_MAX)
 		groups *= 2;
-	while (groups > 1 && instances < groups * GROUP_LEAST)
+	while (groups > 1 && instances < groups * GROUP_SIZE_MIN)
 		groups /= 2;
 	return groups;
 }
@@ -38,11 +38,11 @@
 		g_strlcpy(group, data_centre, GOSSIP_GROUP_MAX);
 	else
 		(void)snprintf(group, GOSSIP_GROUP_MAX, "%s%c%u.%u",
-			       data_centre, GROUP_MARK, (uint32_t)(key % count),
-			       count);
+			       data_centre, GROUP_SEPARATOR,
+			       (uint32_t)(key % count), count);
 }
 
-bool group_beside(const char *group, const char *other)
+bool group_same_data_centre(const char *group, const char *other)
 {
 	size_t size = strcspn(group, "/");
 
@@ -51,18 +51,18 @@
 
 bool group_within(const char *group, const char *data_centre)
 {
-	return !strchr(data_centre, GROUP_MARK) &&
-	       group_beside(group, data_centre);
+	return !strchr(data_centre, GROUP_SEPARATOR) &&
+	       group_same_data_centre(group, data_centre);
 }
 
 bool group_is_whole(const char *group)
 {
-	return !strchr(group, GROUP_MARK);
+	return !strchr(group, GROUP_SEPARATOR);
 }
 
 bool group_serves(const char *group, const char *data_centre, uint64_t key)
 {
-	const char *mark = strchr(group, GROUP_MARK);
+	const char *mark = strchr(group, GROUP_SEPARATOR);
 	char own[GOSSIP_GROUP_MAX];
 	const char *point;
 	long count;
@@ -71,7 +71,7 @@
 		return false;
 	point = mark ? strchr(mark, '.') : NULL;
 	count = point ? strtol(point + 1, NULL, 10) : 1;
-	if (count < 1 || count > GROUPS_MOST)
+	if (count < 1 || count > GROUPS_MAX)
 		return false;
 	group_print(own, data_centre, (uint32_t)count, key);
 	return strcmp(own, group) == 0;
@@ -93,26 +93,28 @@
 /* What the group told as another one is told by its instances from now on. */
 static void group_enter(struct gossip *gossip)
 {
-	struct centre *centre;
-
-	group_print(gossip->group, gossip->settings.data_centre, gossip->groups,
-		    gossip->key);
-	centre = g_hash_table_lookup(gossip->centres, gossip->group);
-	if (centre) {
-		loads_take_off(gossip, centre->loads);
-		centre->heard = GOSSIP_NEVER;
+	struct group_state *group;
+
+	group_print(gossip->group, gossip->settings.data_centre,
+		    gossip->group_count, gossip->key);
+	group = g_hash_table_lookup(gossip->other_groups, gossip->group);
+	if (group) {
+		loads_remove(gossip, group->loads);
+		group->last_seen = GOSSIP_NEVER;
 	}
-	fleet_set_group(gossip->fleet, (uint32_t)(gossip->key % gossip->groups),
-			gossip->groups);
+	fleet_set_group(gossip->fleet,
+			(uint32_t)(gossip->key % gossip->group_count),
+			gossip->group_count);
 }
 
 void groups_update(struct gossip *gossip)
 {
-	uint32_t groups = groups_for(gossip->groups, instances_here(gossip));
+	uint32_t groups =
+		groups_for(gossip->group_count, instances_here(gossip));
 
-	if (groups == gossip->groups)
+	if (groups == gossip->group_count)
 		return;
-	gossip->groups = groups;
+	gossip->group_count = groups;
 	group_enter(gossip);
 	gossip->revision++;
 	log_event(LOG_NOTICE, "group_entered", LOG_S("group", gossip->group),
--- a/forward/gossip_loads.c
+++ b/forward/gossip_loads.c
@@ -16,11 +16,11 @@
 	return !sum->requests && !sum->decode_tokens && !sum->prefill_tokens;
 }
 
-void loads_take_off(struct gossip *gossip, GArray *applied)
+void loads_remove(struct gossip *gossip, GArray *applied)
 {
 	for (guint i = 0; i < applied->len; i++) {
-		const struct applied *one =
-			&g_array_index(applied, struct applied, i);
+		const struct applied_load *one =
+			&g_array_index(applied, struct applied_load, i);
 		struct backend *backend = fleet_get(gossip->fleet, one->handle);
 
 		if (backend)
@@ -29,14 +29,14 @@
 	g_array_set_size(applied, 0);
 }
 
-void loads_change(struct gossip *gossip, GArray *applied, const GArray *changes)
+void loads_apply(struct gossip *gossip, GArray *applied, const GArray *changes)
 {
 	for (guint i = 0; i < changes->len; i++) {
 		const struct gossip_load *load =
 			&g_array_index(changes, struct gossip_load, i);
 		struct backend *backend =
 			fleet_find(gossip->fleet, load->backend);
-		struct applied one = {.load = load->load};
+		struct applied_load one = {.load = load->load};
 
 		if (!backend)
 			continue;
@@ -48,8 +48,8 @@
 
 void loads_replace(struct gossip *gossip, GArray *applied, const GArray *loads)
 {
-	loads_take_off(gossip, applied);
-	loads_change(gossip, applied, loads);
+	loads_remove(gossip, applied);
+	loads_apply(gossip, applied, loads);
 }
 
 void loads_own(const struct gossip *gossip, GArray *out)
@@ -76,9 +76,9 @@
 	struct gossip_load *load;
 
 	if (!at) {
-		struct gossip_load fresh = {.backend = key};
+		struct gossip_load added = {.backend = key};
 
-		g_array_append_val(list, fresh);
+		g_array_append_val(list, added);
 		at = GUINT_TO_POINTER(list->len);
 		g_hash_table_insert(index, g_memdup2(&key, sizeof(key)), at);
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-static void list_drop_zeroes(GArray *list)
+static void list_remove_zeroes(GArray *list)
 {
 	for (guint i = list->len; i > 0; i--)
 		if (sum_is_zero(&g_array_index(list, struct gossip_load, i - 1)
@@ -115,8 +115,8 @@
 			     GHashTable *index, const GArray *applied)
 {
 	for (guint i = 0; i < applied->len; i++) {
-		const struct applied *one =
-			&g_array_index(applied, struct applied, i);
+		const struct applied_load *one =
+			&g_array_index(applied, struct applied_load, i);
 		const struct backend *backend =
 			fleet_get(gossip->fleet, one->handle);
 
@@ -125,7 +125,7 @@
 	}
 }
 
-void loads_centre(const struct gossip *gossip, GArray *out)
+void loads_group(const struct gossip *gossip, GArray *out)
 {
 	g_autoptr(GHashTable) index = index_create();
 	g_autoptr(GArray) own =
@@ -138,14 +138,14 @@
 
 		list_add_applied(gossip, out, index, peer->loads);
 	}
-	list_drop_zeroes(out);
+	list_remove_zeroes(out);
 }
 
-void loads_differ(const GArray *before, const GArray *now, GArray *out)
+void loads_diff(const GArray *before, const GArray *now, GArray *out)
 {
 	g_autoptr(GHashTable) index = index_create();
 
 	list_add_all(out, index, now, 1);
 	list_add_all(out, index, before, -1);
-	list_drop_zeroes(out);
+	list_remove_zeroes(out);
 }
--- a/forward/gossip_peers.c
+++ b/forward/gossip_peers.c
@@ -8,14 +8,14 @@
 #include "gossip_private.h"
 
 /* For how long a peer that is not heard of stays known. */
-#define FORGET_USEC (30 * USEC_PER_SEC)
+#define PEER_FORGET_USEC (30 * USEC_PER_SEC)
 #define PEERS_MAX 4096u
 /* Peers that peers_update() goes through in a tick, on average. */
 #define PEERS_PER_TICK 200u
 #define UPDATE_MAX_USEC (1 * USEC_PER_SEC)
 /* Instances of a data centre that tell one elsewhere: the loss of one of them
  * leaves no gap. */
-#define TELLERS 2u
+#define SENDERS_PER_CENTRE 2u
 
 void peer_free(gpointer data)
 {
@@ -41,11 +41,11 @@
 	peer->key = id_of(address);
 	peer->to = to;
 	peer->to_size = size;
-	peer->met = gossip_now(gossip);
-	peer->heard = GOSSIP_NEVER;
-	peer->told = GOSSIP_NEVER;
+	peer->added_at = gossip_now(gossip);
+	peer->last_seen = GOSSIP_NEVER;
+	peer->sent_at = GOSSIP_NEVER;
 	peer->addresses_sent_at = GOSSIP_NEVER;
-	peer->loads = g_array_new(FALSE, FALSE, sizeof(struct applied));
+	peer->loads = g_array_new(FALSE, FALSE, sizeof(struct applied_load));
 	g_hash_table_insert(gossip->peers, peer->address, peer);
 	return peer;
 }
@@ -59,20 +59,20 @@
 		peer = peer_add(gossip, address);
 	/* Until it tells its group. */
 	if (peer && data_centre)
-		group_print(peer->group, data_centre, gossip->groups,
+		group_print(peer->group, data_centre, gossip->group_count,
 			    peer->key);
 }
 
 /* The group of a peer that has not told it yet follows the number of groups. */
-static void group_guess(const struct gossip *gossip, struct peer *peer)
+static void group_derive(const struct gossip *gossip, struct peer *peer)
 {
 	char data_centre[GOSSIP_GROUP_MAX];
 
-	if (peer->heard != GOSSIP_NEVER || !peer->group[0])
+	if (peer->last_seen != GOSSIP_NEVER || !peer->group[0])
 		return;
 	g_strlcpy(data_centre, peer->group, sizeof(data_centre));
 	data_centre[strcspn(data_centre, "/")] = '\0';
-	group_print(peer->group, data_centre, gossip->groups, peer->key);
+	group_print(peer->group, data_centre, gossip->group_count, peer->key);
 }
 
 bool peer_is_local(const struct gossip *gossip, const struct peer *peer)
@@ -86,8 +86,8 @@
 				? GOSSIP_STALE_USEC
 				: gossip_members_stale(gossip);
 
-	return peer->heard != GOSSIP_NEVER && !peer->leaving &&
-	       gossip_now(gossip) - peer->heard < stale;
+	return peer->last_seen != GOSSIP_NEVER && !peer->leaving &&
+	       gossip_now(gossip) - peer->last_seen < stale;
 }
 
 const struct gossip_summary *peer_summary(const struct peer *peer)
@@ -97,80 +97,83 @@
 	return peer->summary ? peer->summary : &none;
 }
 
-void peer_heard(struct gossip *gossip, struct peer *peer, const char *group)
+void peer_seen(struct gossip *gossip, struct peer *peer, const char *group)
 {
 	g_strlcpy(peer->group, group, sizeof(peer->group));
-	peer->heard = gossip_now(gossip);
+	peer->last_seen = gossip_now(gossip);
 }
 
 /* ---- data centres ---- */
 
-void centre_free(gpointer data)
+void group_state_free(gpointer data)
 {
-	struct centre *centre = data;
+	struct group_state *group = data;
 
-	g_array_unref(centre->loads);
-	g_ptr_array_unref(centre->peers);
-	g_free(centre);
+	g_array_unref(group->loads);
+	g_ptr_array_unref(group->peers);
+	g_free(group);
 }
 
-struct centre *centre_get(struct gossip *gossip, const char *name)
+struct group_state *group_state_get(struct gossip *gossip, const char *name)
 {
-	struct centre *centre = g_hash_table_lookup(gossip->centres, name);
-
-	if (centre)
-		return centre;
-	centre = g_new0(struct centre, 1);
-	g_strlcpy(centre->name, name, sizeof(centre->name));
-	centre->heard = GOSSIP_NEVER;
-	centre->loads = g_array_new(FALSE, FALSE, sizeof(struct applied));
-	centre->peers = g_ptr_array_new();
-	g_hash_table_insert(gossip->centres, centre->name, centre);
-	return centre;
+	struct group_state *group =
+		g_hash_table_lookup(gossip->other_groups, name);
+
+	if (group)
+		return group;
+	group = g_new0(struct group_state, 1);
+	g_strlcpy(group->name, name, sizeof(group->name));
+	group->last_seen = GOSSIP_NEVER;
+	group->loads = g_array_new(FALSE, FALSE, sizeof(struct applied_load));
+	group->peers = g_ptr_array_new();
+	g_hash_table_insert(gossip->other_groups, group->name, group);
+	return group;
 }
 
-bool centre_live(const struct gossip *gossip, const struct centre *centre)
+bool group_state_live(const struct gossip *gossip,
+		      const struct group_state *group)
 {
-	return centre->heard != GOSSIP_NEVER && !centre->left &&
-	       gossip_now(gossip) - centre->heard < gossip_stale(gossip);
+	return group->last_seen != GOSSIP_NEVER && !group->left &&
+	       gossip_now(gossip) - group->last_seen < gossip_stale(gossip);
 }
 
-static void centres_expire(struct gossip *gossip)
+static void groups_expire(struct gossip *gossip)
 {
-	struct centre *centre;
+	struct group_state *group;
 	GHashTableIter iter;
 	uint32_t live = 0;
 
-	g_hash_table_iter_init(&iter, gossip->centres);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre)) {
-		bool is_live = centre_live(gossip, centre);
+	g_hash_table_iter_init(&iter, gossip->other_groups);
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group)) {
+		bool is_live = group_state_live(gossip, group);
 
-		g_ptr_array_set_size(centre->peers, 0);
+		g_ptr_array_set_size(group->peers, 0);
 		live += is_live;
-		if (is_live || centre->loads->len == 0)
+		if (is_live || group->loads->len == 0)
 			continue;
 		log_event(LOG_NOTICE, "data_centre_silent",
-			  LOG_S("data_centre", centre->name));
-		loads_take_off(gossip, centre->loads);
+			  LOG_S("data_centre", group->name));
+		loads_remove(gossip, group->loads);
 	}
-	gossip->centres_live = live;
+	gossip->live_group_count = live;
 }
 
 /* ---- peers in order ---- */
 
 /* While a whole data centre is silent its instances stay known, so that they
  * are told again once it is back. */
-static bool is_cut_off(const struct gossip *gossip, const struct peer *peer)
+static bool is_partitioned(const struct gossip *gossip, const struct peer *peer)
 {
-	const struct centre *centre;
+	const struct group_state *group;
 	GHashTableIter iter;
 
-	if (!peer->group[0] || group_beside(peer->group, gossip->group))
+	if (!peer->group[0] ||
+	    group_same_data_centre(peer->group, gossip->group))
 		return false;
-	g_hash_table_iter_init(&iter, gossip->centres);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
-		if (group_beside(centre->name, peer->group) &&
-		    centre_live(gossip, centre))
+	g_hash_table_iter_init(&iter, gossip->other_groups);
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group))
+		if (group_same_data_centre(group->name, peer->group) &&
+		    group_state_live(gossip, group))
 			return false;
 	return true;
 }
@@ -181,14 +184,15 @@
 	struct peer *peer = value;
 	int64_t now = gossip_now(gossip);
 
-	if (peer->loads->len > 0 && now - peer->heard >= GOSSIP_STALE_USEC) {
+	if (peer->loads->len > 0 &&
+	    now - peer->last_seen >= GOSSIP_STALE_USEC) {
 		log_event(LOG_INFO, "peer_silent", LOG_S("peer", peer->name));
-		loads_take_off(gossip, peer->loads);
+		loads_remove(gossip, peer->loads);
 	}
-	if (now - MAX(peer->heard, peer->met) < FORGET_USEC ||
-	    is_cut_off(gossip, peer))
+	if (now - MAX(peer->last_seen, peer->added_at) < PEER_FORGET_USEC ||
+	    is_partitioned(gossip, peer))
 		return FALSE;
-	loads_take_off(gossip, peer->loads);
+	loads_remove(gossip, peer->loads);
 	return TRUE;
 }
 
@@ -205,7 +209,7 @@
 		bool live = peer_live(gossip, peer);
 
 		gossip->live += live;
-		group_guess(gossip, peer);
+		group_derive(gossip, peer);
 		if (!peer->group[0])
 			continue;
 		if (peer_is_local(gossip, peer)) {
@@ -214,29 +218,31 @@
 		}
 		g_ptr_array_add(gossip->remote, peer);
 		/* Its own group tells of it now. */
-		loads_take_off(gossip, peer->loads);
+		loads_remove(gossip, peer->loads);
 		g_free(peer->summary);
 		peer->summary = NULL;
 		if (live)
-			g_ptr_array_add(centre_get(gossip, peer->group)->peers,
-					peer);
+			g_ptr_array_add(
+				group_state_get(gossip, peer->group)->peers,
+				peer);
 	}
 }
 
 /* Whether this instance is one of its data centre's tellers of the peer: all
  * who live there rank themselves alike, by hashes of the two addresses. */
-static bool is_teller(const struct gossip *gossip, const struct peer *to)
+static bool is_sender(const struct gossip *gossip, const struct peer *to)
 {
 	uint64_t own = id_mix(to->key, gossip->key);
 	uint32_t before = 0;
 
-	for (guint i = 0; i < gossip->local->len && before < TELLERS; i++) {
+	for (guint i = 0; i < gossip->local->len && before < SENDERS_PER_CENTRE;
+	     i++) {
 		const struct peer *peer = gossip->local->pdata[i];
 
 		before += peer_live(gossip, peer) &&
 			  id_mix(to->key, peer->key) > own;
 	}
-	return before < TELLERS;
+	return before < SENDERS_PER_CENTRE;
 }
 
 /* Changes when an instance comes or goes. */
@@ -258,26 +264,26 @@
 {
 	uint64_t sum = keys_sum(gossip);
 
-	if (sum == gossip->receivers_of)
+	if (sum == gossip->receivers_sum)
 		return;
-	gossip->receivers_of = sum;
+	gossip->receivers_sum = sum;
 	g_ptr_array_set_size(gossip->receivers, 0);
 	for (guint i = 0; i < gossip->remote->len; i++)
-		if (is_teller(gossip, gossip->remote->pdata[i]))
+		if (is_sender(gossip, gossip->remote->pdata[i]))
 			g_ptr_array_add(gossip->receivers,
 					gossip->remote->pdata[i]);
 }
 
 void peers_update(struct gossip *gossip)
 {
-	int64_t every = GOSSIP_USEC *
+	int64_t every = GOSSIP_INTERVAL_USEC *
 			(g_hash_table_size(gossip->peers) / PEERS_PER_TICK);
 	int64_t now = gossip_now(gossip);
 
-	if (now - gossip->updated < MIN(every, UPDATE_MAX_USEC))
+	if (now - gossip->updated_at < MIN(every, UPDATE_MAX_USEC))
 		return;
-	gossip->updated = now;
-	centres_expire(gossip);
+	gossip->updated_at = now;
+	groups_expire(gossip);
 	g_hash_table_foreach_remove(gossip->peers, peer_expire, gossip);
 	groups_update(gossip);
 	peers_sort(gossip);
@@ -285,8 +291,8 @@
 	gossip->rank = gossip_rank_find(gossip);
 }
 
-void gossip_listed(struct gossip *gossip)
+void gossip_refresh_peers(struct gossip *gossip)
 {
-	gossip->updated = GOSSIP_NEVER / 2;
+	gossip->updated_at = GOSSIP_NEVER / 2;
 	peers_update(gossip);
 }
--- a/forward/gossip_permits.c
+++ b/forward/gossip_permits.c
@@ -7,13 +7,13 @@
 
 void gossip_facts_add(struct gossip *gossip, GArray *facts)
 {
-	struct backpressure_fact some[GOSSIP_FACTS_MAX];
+	struct backpressure_fact entries[GOSSIP_FACTS_MAX];
 	uint32_t count;
 
 	if (!gossip->ops.facts)
 		return;
-	count = gossip->ops.facts(gossip->ctx, some, GOSSIP_FACTS_MAX);
-	g_array_append_vals(facts, some, count);
+	count = gossip->ops.facts(gossip->ctx, entries, GOSSIP_FACTS_MAX);
+	g_array_append_vals(facts, entries, count);
 }
 
 void gossip_facts_receive(struct gossip *gossip, const GArray *facts)
@@ -34,7 +34,8 @@
 	bool found;
 };
 
-static void home_offer(struct home *home, uint64_t key, const struct peer *peer)
+static void home_consider(struct home *home, uint64_t key,
+			  const struct peer *peer)
 {
 	uint64_t value = id_mix(home->server, key);
 
@@ -45,14 +46,14 @@
 	home->found = true;
 }
 
-static void home_offer_peers(const struct gossip *gossip, struct home *home,
-			     const GPtrArray *peers)
+static void home_consider_peers(const struct gossip *gossip, struct home *home,
+				const GPtrArray *peers)
 {
 	for (guint i = 0; i < peers->len; i++) {
 		const struct peer *peer = peers->pdata[i];
 
 		if (peer_live(gossip, peer))
-			home_offer(home, peer->key, peer);
+			home_consider(home, peer->key, peer);
 	}
 }
 
@@ -61,23 +62,23 @@
 {
 	bool here = group_within(gossip->group, data_centre);
 	struct home home = {.server = server};
-	const struct centre *centre;
+	const struct group_state *group;
 	GHashTableIter iter;
 
 	if (here && may_be)
-		home_offer(&home, gossip->key, NULL);
+		home_consider(&home, gossip->key, NULL);
 	if (here)
-		home_offer_peers(gossip, &home, gossip->local);
-	g_hash_table_iter_init(&iter, gossip->centres);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
-		if (group_within(centre->name, data_centre))
-			home_offer_peers(gossip, &home, centre->peers);
+		home_consider_peers(gossip, &home, gossip->local);
+	g_hash_table_iter_init(&iter, gossip->other_groups);
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group))
+		if (group_within(group->name, data_centre))
+			home_consider_peers(gossip, &home, group->peers);
 	if (home.found)
 		return home;
 	if (may_be)
-		home_offer(&home, gossip->key, NULL);
-	home_offer_peers(gossip, &home, gossip->local);
-	home_offer_peers(gossip, &home, gossip->remote);
+		home_consider(&home, gossip->key, NULL);
+	home_consider_peers(gossip, &home, gossip->local);
+	home_consider_peers(gossip, &home, gossip->remote);
 	return home;
 }
 
@@ -100,32 +101,33 @@
 }
 
 bool gossip_request_permit(struct gossip *gossip,
-			   const struct permit_request *ask,
+			   const struct permit_request *request,
 			   const char *data_centre, bool may_be)
 {
 	struct home home =
-		home_find(gossip, ask->fact.server, data_centre, may_be);
+		home_find(gossip, request->fact.server, data_centre, may_be);
 	struct gossip_message message;
 
 	if (!home.peer)
 		return false;
 	message_begin(gossip, &message, GOSSIP_PERMIT_REQUEST);
-	message.ask = *ask;
+	message.request = *request;
 	message_send(gossip, &message, home.peer);
 	return true;
 }
 
-static void ask_hear(struct gossip *gossip, const struct peer *peer,
-		     const struct permit_request *ask)
+static void permit_request_answer(struct gossip *gossip,
+				  const struct peer *peer,
+				  const struct permit_request *request)
 {
 	struct gossip_message message;
 
 	if (!gossip->ops.permit_requested)
 		return;
 	message_begin(gossip, &message, GOSSIP_PERMIT_ANSWER);
-	message.answer.id = ask->id;
-	message.answer.server = ask->fact.server;
-	gossip->ops.permit_requested(gossip->ctx, ask, &message.answer);
+	message.answer.id = request->id;
+	message.answer.server = request->fact.server;
+	gossip->ops.permit_requested(gossip->ctx, request, &message.answer);
 	message_send(gossip, &message, peer);
 }
 
@@ -133,7 +135,7 @@
 			   const struct gossip_message *message)
 {
 	if (message->kind == GOSSIP_PERMIT_REQUEST)
-		ask_hear(gossip, peer, &message->ask);
+		permit_request_answer(gossip, peer, &message->request);
 	else if (gossip->ops.permit_answered)
 		gossip->ops.permit_answered(gossip->ctx, &message->answer);
 }
--- a/forward/gossip_private.h
+++ b/forward/gossip_private.h
@@ -18,41 +18,41 @@
 	char group[GOSSIP_GROUP_MAX]; /* empty until known */
 	uint64_t boot;
 	uint64_t sequence;
-	int64_t met;
-	int64_t heard; /* of it; GOSSIP_NEVER */
-	int64_t told;  /* GOSSIP_NEVER */
+	int64_t added_at;
+	int64_t last_seen; /* or GOSSIP_NEVER */
+	int64_t sent_at;   /* or GOSSIP_NEVER */
 	int64_t addresses_sent_at;
 	uint64_t sent_revision; /* of own loads, or the data centre's */
 	bool leaving;
 	/* Told by a near peer last, or NULL. */
 	struct gossip_summary *summary;
-	GArray *loads; /* of a near peer, struct applied */
+	GArray *loads; /* of a near peer, struct applied_load */
 };
 
 /* Another group of instances, a data centre's only one or a part of a large
  * one, as the last of its instances to tell saw it. */
-struct centre {
+struct group_state {
 	char name[GOSSIP_GROUP_MAX];
-	int64_t heard;
+	int64_t last_seen;
 	bool left; /* nobody is there any more */
 	struct gossip_summary total;
-	struct gossip_first first;
-	GArray *loads;	  /* struct applied */
+	struct gossip_candidate lowest;
+	GArray *loads;	  /* struct applied_load */
 	GPtrArray *peers; /* struct peer, those that live there */
 };
 
 /* A load that was added to a server, for taking it off again. */
-struct applied {
+struct applied_load {
 	uint64_t handle;
 	struct load_sum load;
 };
 
 /* Datagrams that may be sent at once. */
-struct allowance {
+struct token_bucket {
 	double per_sec;
-	double most;
-	double left;
-	int64_t at;
+	double burst;
+	double tokens;
+	int64_t updated_at;
 };
 
 struct gossip {
@@ -64,39 +64,39 @@
 	void *ctx;
 	int fd;
 	h2o_socket_t *socket;
-	uint64_t key;	     /* id_of() the own address */
-	GHashTable *peers;   /* address to struct peer */
-	GHashTable *centres; /* name to struct centre */
+	uint64_t key;		  /* id_of() the own address */
+	GHashTable *peers;	  /* address to struct peer */
+	GHashTable *other_groups; /* name to struct centre */
 	char group[GOSSIP_GROUP_MAX];
-	uint32_t groups;	  /* that the data centre consists of */
-	int64_t updated;	  /* when peers_update() went through them */
-	uint32_t live;		  /* peers, as of then */
-	uint32_t centres_live;	  /* other groups, likewise */
-	uint32_t rank;		  /* gossip_rank(), likewise */
-	bool store_unreachable;	  /* of the own word, as told last */
-	GPtrArray *local;	  /* struct peer of the same group */
-	GPtrArray *remote;	  /* struct peer of others */
-	GPtrArray *receivers;	  /* those of far that this instance tells */
-	uint64_t receivers_of;	  /* sum of the peers' keys that they follow */
-	GArray *last;		  /* struct gossip_load, as told last */
-	uint64_t revision;	  /* of these, rises when they change */
-	uint64_t centre_revision; /* of the loads of the data centre */
+	uint32_t group_count;	   /* that the data centre consists of */
+	int64_t updated_at;	   /* when peers_update() went through them */
+	uint32_t live;		   /* peers, as of then */
+	uint32_t live_group_count; /* other groups, likewise */
+	uint32_t rank;		   /* gossip_rank(), likewise */
+	bool store_unreachable;	   /* of the own word, as told last */
+	GPtrArray *local;	   /* struct peer of the same group */
+	GPtrArray *remote;	   /* struct peer of others */
+	GPtrArray *receivers;	   /* those of far that this instance tells */
+	uint64_t receivers_sum;	   /* sum of the peers' keys that they follow */
+	GArray *sent_loads;	   /* struct gossip_load, as told last */
+	uint64_t revision;	   /* of these, rises when they change */
+	uint64_t group_revision;   /* of the loads of the data centre */
 	int64_t changed_at;
-	struct allowance at_once;	 /* to those that use the server */
-	struct allowance at_once_remote; /* to others elsewhere */
+	struct token_bucket changes_bucket; /* to those that use the server */
+	struct token_bucket changes_bucket_remote; /* to others elsewhere */
 	struct gossip_traffic traffic;
 	double delay_local; /* mean time from a change to its telling, usec */
 	double delay_remote;
-	struct timer soon;	/* a change is told when it runs out */
-	GArray *findings_own;	/* struct quarantine_entry, found here */
-	GArray *findings_local; /* heard from peers near */
-	struct timer works_soon;
-	struct timer works_timer;
-	uint32_t works_turn; /* which peer is told next */
-	struct timer uses_soon;
+	struct timer changes_timer; /* a change is told when it runs out */
+	GArray *findings_own;	    /* struct quarantine_entry, found here */
+	GArray *findings_local;	    /* heard from peers near */
+	struct timer quarantine_soon;
+	struct timer quarantine_timer;
+	uint32_t next_peer; /* which peer is told next */
+	struct timer usage_soon;
 	int64_t usage_sent; /* apart from words */
 	uint64_t sequence;
-	uint32_t spread; /* which addresses to pass on next */
+	uint32_t next_address; /* which addresses to pass on next */
 	struct timer timer;
 };
 
@@ -107,15 +107,16 @@
 /* Of gossip_peers.c. */
 struct peer *peer_add(struct gossip *gossip, const char *address);
 void peer_free(gpointer data);
-void centre_free(gpointer data);
-struct centre *centre_get(struct gossip *gossip, const char *name);
+void group_state_free(gpointer data);
+struct group_state *group_state_get(struct gossip *gossip, const char *name);
 /* Of a peer that tells: group is where it is. */
-void peer_heard(struct gossip *gossip, struct peer *peer, const char *group);
+void peer_seen(struct gossip *gossip, struct peer *peer, const char *group);
 /* Heard of lately, and not leaving. */
 bool peer_live(const struct gossip *gossip, const struct peer *peer);
 /* In the same group; also false when its group is not known. */
 bool peer_is_local(const struct gossip *gossip, const struct peer *peer);
-bool centre_live(const struct gossip *gossip, const struct centre *centre);
+bool group_state_live(const struct gossip *gossip,
+		      const struct group_state *group);
 /* What a near peer told last; all zero when it has told nothing yet. */
 const struct gossip_summary *peer_summary(const struct peer *peer);
 /* Drops what is too old, and sorts peers into near, far and receivers; with
@@ -133,7 +134,7 @@
 bool group_within(const char *group, const char *data_centre);
 bool group_is_whole(const char *group);
 /* Whether both are of one data centre. */
-bool group_beside(const char *group, const char *other);
+bool group_same_data_centre(const char *group, const char *other);
 /* Whether the server with that key is one of the group's. */
 bool group_serves(const char *group, const char *data_centre, uint64_t key);
 /* Follows the number of instances. */
@@ -164,7 +165,7 @@
 void gossip_quarantine_send(struct gossip *gossip, const struct peer *peer);
 /* Takes in the works that a peer told. */
 void gossip_quarantine_receive(struct gossip *gossip, bool local,
-			       const GArray *works);
+			       const GArray *entries);
 
 /* Of gossip_usage.c. */
 void gossip_usage_start(struct gossip *gossip);
@@ -193,8 +194,8 @@
 /* gossip_rank(), computed anew. */
 uint32_t gossip_rank_find(const struct gossip *gossip);
 /* The lowest name of this data centre. */
-void gossip_first_local(const struct gossip *gossip, bool store_unreachable,
-			bool leaving, struct gossip_first *first);
+void gossip_lowest_local(const struct gossip *gossip, bool store_unreachable,
+			 bool leaving, struct gossip_candidate *first);
 /* What near peers told, added up with this instance's own word. */
 void gossip_total_local(const struct gossip *gossip,
 			struct gossip_summary *total);
@@ -208,17 +209,16 @@
 
 /* Of gossip_loads.c. */
 /* Takes off what a peer or data centre told. */
-void loads_take_off(struct gossip *gossip, GArray *applied);
+void loads_remove(struct gossip *gossip, GArray *applied);
 /* The same, and counts loads in its place. */
 void loads_replace(struct gossip *gossip, GArray *applied, const GArray *loads);
 /* Counts differences besides what was told. */
-void loads_change(struct gossip *gossip, GArray *applied,
-		  const GArray *changes);
+void loads_apply(struct gossip *gossip, GArray *applied, const GArray *changes);
 /* Own loads, struct gossip_load. */
 void loads_own(const struct gossip *gossip, GArray *out);
 /* The same with those of near peers added. */
-void loads_centre(const struct gossip *gossip, GArray *out);
+void loads_group(const struct gossip *gossip, GArray *out);
 /* What changed from before to now. */
-void loads_differ(const GArray *before, const GArray *now, GArray *out);
+void loads_diff(const GArray *before, const GArray *now, GArray *out);
 
 #endif
--- a/forward/gossip_quarantine.c
+++ b/forward/gossip_quarantine.c
@@ -3,68 +3,68 @@
  */
 #include "gossip_private.h"
 
-static GByteArray *works_encode(struct gossip *gossip,
-				const struct quarantine_entry *entries,
-				guint count)
+static GByteArray *quarantine_encode(struct gossip *gossip,
+				     const struct quarantine_entry *entries,
+				     guint count)
 {
 	GByteArray *out = g_byte_array_new();
 	struct gossip_message message;
 
 	message_begin(gossip, &message, GOSSIP_QUARANTINE);
-	g_array_append_vals(message.works, entries, count);
+	g_array_append_vals(message.quarantine, entries, count);
 	gossip_encode(&message, out);
 	gossip_message_clear(&message);
 	return out;
 }
 
-static void news_tell(struct gossip *gossip, GArray *news, bool local)
+static void findings_send(struct gossip *gossip, GArray *findings, bool local)
 {
-	for (guint at = 0; at < news->len; at += GOSSIP_QUARANTINE_MAX) {
-		g_autoptr(GByteArray) out = works_encode(
+	for (guint at = 0; at < findings->len; at += GOSSIP_QUARANTINE_MAX) {
+		g_autoptr(GByteArray) out = quarantine_encode(
 			gossip,
-			&g_array_index(news, struct quarantine_entry, at),
-			MIN(news->len - at, GOSSIP_QUARANTINE_MAX));
+			&g_array_index(findings, struct quarantine_entry, at),
+			MIN(findings->len - at, GOSSIP_QUARANTINE_MAX));
 
 		if (local)
 			peers_send(gossip, gossip->local, out);
 		peers_send(gossip, gossip->receivers, out);
 	}
-	g_array_set_size(news, 0);
+	g_array_set_size(findings, 0);
 }
 
 static void on_soon(struct timer *timer, void *ctx)
 {
 	struct gossip *gossip = ctx;
 
-	news_tell(gossip, gossip->findings_own, true);
-	news_tell(gossip, gossip->findings_local, false);
+	findings_send(gossip, gossip->findings_own, true);
+	findings_send(gossip, gossip->findings_local, false);
 }
 
-static void news_add(struct gossip *gossip, GArray *news,
-		     const struct quarantine_entry *entry)
+static void findings_add(struct gossip *gossip, GArray *findings,
+			 const struct quarantine_entry *entry)
 {
-	g_array_append_val(news, *entry);
-	if (!timer_running(&gossip->works_soon))
-		timer_start(&gossip->works_soon, 0);
+	g_array_append_val(findings, *entry);
+	if (!timer_running(&gossip->quarantine_soon))
+		timer_start(&gossip->quarantine_soon, 0);
 }
 
 void gossip_quarantine_changed(struct gossip *gossip,
 			       const struct quarantine_entry *entry)
 {
-	news_add(gossip, gossip->findings_own, entry);
+	findings_add(gossip, gossip->findings_own, entry);
 }
 
 void gossip_quarantine_receive(struct gossip *gossip, bool local,
-			       const GArray *works)
+			       const GArray *entries)
 {
-	for (guint i = 0; gossip->ops.quarantine_received && i < works->len;
+	for (guint i = 0; gossip->ops.quarantine_received && i < entries->len;
 	     i++) {
 		const struct quarantine_entry *entry =
-			&g_array_index(works, struct quarantine_entry, i);
+			&g_array_index(entries, struct quarantine_entry, i);
 
 		if (gossip->ops.quarantine_received(gossip->ctx, entry) &&
 		    local)
-			news_add(gossip, gossip->findings_local, entry);
+			findings_add(gossip, gossip->findings_local, entry);
 	}
 }
 
@@ -79,23 +79,24 @@
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&peer))
 		if (peer_live(gossip, peer))
 			g_ptr_array_add(live, peer);
-	return live->len > 0 ? live->pdata[gossip->works_turn++ % live->len]
+	return live->len > 0 ? live->pdata[gossip->next_peer++ % live->len]
 			     : NULL;
 }
 
 static uint32_t
-works_next(struct gossip *gossip,
-	   struct quarantine_entry entries[GOSSIP_QUARANTINE_MAX])
+entries_next(struct gossip *gossip,
+	     struct quarantine_entry entries[GOSSIP_QUARANTINE_MAX])
 {
-	if (!gossip->ops.works)
+	if (!gossip->ops.quarantine_next)
 		return 0;
-	return gossip->ops.works(gossip->ctx, entries, GOSSIP_QUARANTINE_MAX);
+	return gossip->ops.quarantine_next(gossip->ctx, entries,
+					   GOSSIP_QUARANTINE_MAX);
 }
 
-static void works_send(struct gossip *gossip, const struct peer *peer,
-		       const struct quarantine_entry *entries, uint32_t count)
+static void entries_send(struct gossip *gossip, const struct peer *peer,
+			 const struct quarantine_entry *entries, uint32_t count)
 {
-	g_autoptr(GByteArray) out = works_encode(gossip, entries, count);
+	g_autoptr(GByteArray) out = quarantine_encode(gossip, entries, count);
 
 	peer_send(gossip, peer, out);
 }
@@ -105,22 +106,22 @@
 void gossip_quarantine_send(struct gossip *gossip, const struct peer *peer)
 {
 	struct quarantine_entry entries[GOSSIP_QUARANTINE_MAX];
-	uint32_t count = works_next(gossip, entries);
+	uint32_t count = entries_next(gossip, entries);
 
 	if (count > 0)
-		works_send(gossip, peer, entries, count);
+		entries_send(gossip, peer, entries, count);
 }
 
 static void on_timer(struct timer *timer, void *ctx)
 {
 	struct gossip *gossip = ctx;
 	struct quarantine_entry entries[GOSSIP_QUARANTINE_MAX];
-	uint32_t count = works_next(gossip, entries);
+	uint32_t count = entries_next(gossip, entries);
 	const struct peer *peer = count > 0 ? peer_next(gossip) : NULL;
 
-	timer_start(timer, GOSSIP_QUARANTINE_USEC);
+	timer_start(timer, GOSSIP_QUARANTINE_INTERVAL_USEC);
 	if (peer)
-		works_send(gossip, peer, entries, count);
+		entries_send(gossip, peer, entries, count);
 }
 
 void gossip_quarantine_start(struct gossip *gossip)
@@ -129,18 +130,19 @@
 		g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
 	gossip->findings_local =
 		g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
-	timer_init(&gossip->works_soon, gossip->clock, on_soon, gossip);
-	timer_init(&gossip->works_timer, gossip->clock, on_timer, gossip);
+	timer_init(&gossip->quarantine_soon, gossip->clock, on_soon, gossip);
+	timer_init(&gossip->quarantine_timer, gossip->clock, on_timer, gossip);
 	/* Not all begin with the same peer. */
-	gossip->works_turn = (uint32_t)gossip->key;
-	if (gossip->ops.works)
-		timer_start(&gossip->works_timer, GOSSIP_QUARANTINE_USEC);
+	gossip->next_peer = (uint32_t)gossip->key;
+	if (gossip->ops.quarantine_next)
+		timer_start(&gossip->quarantine_timer,
+			    GOSSIP_QUARANTINE_INTERVAL_USEC);
 }
 
 void gossip_quarantine_stop(struct gossip *gossip)
 {
-	timer_stop(&gossip->works_soon);
-	timer_stop(&gossip->works_timer);
+	timer_stop(&gossip->quarantine_soon);
+	timer_stop(&gossip->quarantine_timer);
 	g_array_unref(gossip->findings_own);
 	g_array_unref(gossip->findings_local);
 }
--- a/forward/gossip_receive.c
+++ b/forward/gossip_receive.c
@@ -5,8 +5,8 @@
 #include "gossip_private.h"
 
 /* Another start of the peer, or the next message of the same one. */
-static bool is_news(const struct peer *peer,
-		    const struct gossip_message *message)
+static bool is_newer(const struct peer *peer,
+		     const struct gossip_message *message)
 {
 	if (message->boot != peer->boot)
 		return message->boot > peer->boot &&
@@ -15,8 +15,8 @@
 }
 
 /* An instance that told of itself. */
-static void own_take(struct gossip *gossip, struct peer *peer,
-		     const struct gossip_message *message)
+static void instance_summary_apply(struct gossip *gossip, struct peer *peer,
+				   const struct gossip_message *message)
 {
 	peer->leaving = message->summary.leaving;
 	if (peer_is_local(gossip, peer)) {
@@ -24,7 +24,7 @@
 		peer->summary =
 			g_memdup2(&message->summary, sizeof(message->summary));
 		loads_replace(gossip, peer->loads, message->loads);
-		gossip->centre_revision++;
+		gossip->group_revision++;
 	}
 	for (guint i = 0; i < message->addresses->len; i++)
 		gossip_add_peer(gossip,
@@ -35,8 +35,8 @@
 }
 
 /* All that live in another data centre. */
-static void members_take(struct gossip *gossip,
-			 const struct gossip_message *message)
+static void members_apply(struct gossip *gossip,
+			  const struct gossip_message *message)
 {
 	for (guint i = 0; i < message->addresses->len; i++) {
 		const char *address = g_array_index(message->addresses,
@@ -47,63 +47,64 @@
 		if (!peer)
 			peer = peer_add(gossip, address);
 		if (peer && !peer_is_local(gossip, peer))
-			peer_heard(gossip, peer, message->group);
+			peer_seen(gossip, peer, message->group);
 	}
 }
 
-static void centre_take(struct gossip *gossip, struct peer *peer,
-			const struct gossip_message *message)
+static void group_summary_apply(struct gossip *gossip, struct peer *peer,
+				const struct gossip_message *message)
 {
-	struct centre *centre;
+	struct group_state *group;
 
 	if (peer_is_local(gossip, peer))
 		return;
-	centre = centre_get(gossip, message->group);
-	if (centre->heard == GOSSIP_NEVER ||
-	    gossip_now(gossip) - centre->heard >= GOSSIP_STALE_USEC)
+	group = group_state_get(gossip, message->group);
+	if (group->last_seen == GOSSIP_NEVER ||
+	    gossip_now(gossip) - group->last_seen >= GOSSIP_STALE_USEC)
 		log_event(LOG_NOTICE, "data_centre_heard",
-			  LOG_S("data_centre", centre->name),
+			  LOG_S("data_centre", group->name),
 			  LOG_S("peer", message->name));
-	centre->heard = gossip_now(gossip);
-	centre->left = message->summary.leaving && message->addresses->len == 0;
-	centre->total = message->summary;
-	centre->first = message->first;
+	group->last_seen = gossip_now(gossip);
+	group->left = message->summary.leaving && message->addresses->len == 0;
+	group->total = message->summary;
+	group->lowest = message->lowest;
 	peer->leaving = message->summary.leaving;
-	loads_replace(gossip, centre->loads, message->loads);
-	members_take(gossip, message);
+	loads_replace(gossip, group->loads, message->loads);
+	members_apply(gossip, message);
 }
 
-static void changes_take(struct gossip *gossip, struct peer *peer,
-			 const struct gossip_message *message)
+static void changes_apply(struct gossip *gossip, struct peer *peer,
+			  const struct gossip_message *message)
 {
 	if (peer_is_local(gossip, peer)) {
-		loads_change(gossip, peer->loads, message->loads);
-		gossip->centre_revision++;
+		loads_apply(gossip, peer->loads, message->loads);
+		gossip->group_revision++;
 	} else {
-		loads_change(gossip, centre_get(gossip, peer->group)->loads,
-			     message->loads);
+		loads_apply(gossip, group_state_get(gossip, peer->group)->loads,
+			    message->loads);
 	}
 }
 
-static void word_take(struct gossip *gossip, struct peer *peer,
-		      const struct gossip_message *message)
+static void summary_apply(struct gossip *gossip, struct peer *peer,
+			  const struct gossip_message *message)
 {
 	if (!peer_live(gossip, peer) && !message->summary.leaving)
 		log_event(LOG_INFO, "peer_live", LOG_S("peer", message->name),
 			  LOG_S("address", peer->address));
 	g_strlcpy(peer->name, message->name, sizeof(peer->name));
-	peer_heard(gossip, peer, message->group);
-	if (message->kind == GOSSIP_OWN)
-		own_take(gossip, peer, message);
+	peer_seen(gossip, peer, message->group);
+	if (message->kind == GOSSIP_INSTANCE_SUMMARY)
+		instance_summary_apply(gossip, peer, message);
 	else
-		centre_take(gossip, peer, message);
+		group_summary_apply(gossip, peer, message);
 	gossip_facts_receive(gossip, message->facts);
 	/* A word of oneself to somebody elsewhere, as a stranger tells it, is
 	 * no sum of its data centre. */
-	if (message->kind == GOSSIP_CENTRE || peer_is_local(gossip, peer))
+	if (message->kind == GOSSIP_GROUP_SUMMARY ||
+	    peer_is_local(gossip, peer))
 		gossip_usage_receive(gossip, peer, message->usage);
-	gossip->ops.heard(gossip->ctx, peer->address,
-			  peer_is_local(gossip, peer), &message->summary);
+	gossip->ops.received(gossip->ctx, peer->address,
+			     peer_is_local(gossip, peer), &message->summary);
 }
 
 static bool is_permit(const struct gossip_message *message)
@@ -122,7 +123,7 @@
 	if (message->kind == GOSSIP_QUARANTINE) {
 		gossip_quarantine_receive(gossip,
 					  peer && peer_is_local(gossip, peer),
-					  message->works);
+					  message->quarantine);
 		return;
 	}
 	if (!peer && (message->kind < GOSSIP_CHANGES || is_permit(message)))
@@ -133,20 +134,20 @@
 		gossip_permit_receive(gossip, peer, message);
 		return;
 	}
-	if (!peer || !is_news(peer, message))
+	if (!peer || !is_newer(peer, message))
 		return;
 	starts = message->boot != peer->boot || !peer_live(gossip, peer);
 	peer->boot = message->boot;
 	peer->sequence = message->sequence;
 	if (message->kind < GOSSIP_CHANGES) {
-		word_take(gossip, peer, message);
+		summary_apply(gossip, peer, message);
 		if (starts && peer_live(gossip, peer))
 			gossip_quarantine_send(gossip, peer);
 		return;
 	}
-	peer->heard = gossip_now(gossip);
+	peer->last_seen = gossip_now(gossip);
 	if (message->kind == GOSSIP_USAGE)
 		gossip_usage_receive(gossip, peer, message->usage);
 	else
-		changes_take(gossip, peer, message);
+		changes_apply(gossip, peer, message);
 }
--- a/forward/gossip_send.c
+++ b/forward/gossip_send.c
@@ -7,11 +7,11 @@
 #include "gossip_private.h"
 
 /* A word is sent at least so often although nothing changed. */
-#define IDLE_USEC (300 * USEC_PER_MSEC)
+#define IDLE_INTERVAL_USEC (300 * USEC_PER_MSEC)
 /* How often an address that does not answer is tried. */
-#define TRY_USEC (1 * USEC_PER_SEC)
+#define PROBE_INTERVAL_USEC (1 * USEC_PER_SEC)
 /* Strangers told at a time; each tells in turn who else is near. */
-#define STRANGERS_MOST 64u
+#define UNKNOWN_PEERS_MAX 64u
 /* Peers that are looked at for one that lives. */
 #define ADDRESS_TRIES 16u
 /* Weight of a new measurement in the mean delay of telling. */
@@ -43,7 +43,7 @@
 	guint size = gossip->local->len + gossip->remote->len;
 
 	for (guint i = 0; i < MIN(size, ADDRESS_TRIES); i++) {
-		guint at = gossip->spread++ % size;
+		guint at = gossip->next_address++ % size;
 		const struct peer *peer =
 			at < gossip->local->len
 				? gossip->local->pdata[at]
@@ -67,41 +67,42 @@
 	g_strlcpy(message->group, gossip->group, sizeof(message->group));
 }
 
-static void last_replace(struct gossip *gossip, const GArray *loads)
+static void sent_loads_replace(struct gossip *gossip, const GArray *loads)
 {
-	g_array_set_size(gossip->last, 0);
-	g_array_append_vals(gossip->last, loads->data, loads->len);
+	g_array_set_size(gossip->sent_loads, 0);
+	g_array_append_vals(gossip->sent_loads, loads->data, loads->len);
 }
 
 static void loads_changed(struct gossip *gossip)
 {
 	gossip->revision++;
-	gossip->centre_revision++;
+	gossip->group_revision++;
 	gossip->changed_at = gossip_now(gossip);
 }
 
 /* This instance's word, to be sent now. */
-static GByteArray *own_encode(struct gossip *gossip)
+static GByteArray *instance_summary_encode(struct gossip *gossip)
 {
 	g_autoptr(GArray) changes =
 		g_array_new(FALSE, TRUE, sizeof(struct gossip_load));
 	GByteArray *out = g_byte_array_new();
 	struct gossip_message message;
 
-	message_begin(gossip, &message, GOSSIP_OWN);
+	message_begin(gossip, &message, GOSSIP_INSTANCE_SUMMARY);
 	gossip->ops.summary(gossip->ctx, &message.summary);
 	gossip->store_unreachable = message.summary.store_unreachable;
 	gossip_servers_own(gossip, &message.summary);
-	g_strlcpy(message.first.name, message.name, sizeof(message.first.name));
+	g_strlcpy(message.lowest.name, message.name,
+		  sizeof(message.lowest.name));
 	loads_own(gossip, message.loads);
 	address_add(gossip, &message);
 	gossip_usage_add(gossip, false, message.usage);
 	gossip_facts_add(gossip, message.facts);
 	gossip_encode(&message, out);
-	loads_differ(gossip->last, message.loads, changes);
+	loads_diff(gossip->sent_loads, message.loads, changes);
 	if (message.summary.leaving || changes->len > 0)
 		loads_changed(gossip);
-	last_replace(gossip, message.loads);
+	sent_loads_replace(gossip, message.loads);
 	gossip_message_clear(&message);
 	return out;
 }
@@ -121,17 +122,17 @@
 
 /* What this instance knows of its data centre; with who lives there, if asked.
  */
-static GByteArray *centre_encode(struct gossip *gossip, bool members)
+static GByteArray *group_summary_encode(struct gossip *gossip, bool members)
 {
 	GByteArray *out = g_byte_array_new();
 	struct gossip_message message;
 
-	message_begin(gossip, &message, GOSSIP_CENTRE);
+	message_begin(gossip, &message, GOSSIP_GROUP_SUMMARY);
 	gossip_total_local(gossip, &message.summary);
 	gossip_servers_local(gossip, &message.summary);
-	gossip_first_local(gossip, message.summary.store_unreachable,
-			   message.summary.leaving, &message.first);
-	loads_centre(gossip, message.loads);
+	gossip_lowest_local(gossip, message.summary.store_unreachable,
+			    message.summary.leaving, &message.lowest);
+	loads_group(gossip, message.loads);
 	if (members)
 		members_add(gossip, &message);
 	gossip_usage_add(gossip, true, message.usage);
@@ -146,30 +147,30 @@
 	*delay += DELAY_WEIGHT * ((double)usec - *delay);
 }
 
-static bool near_due(const struct gossip *gossip, const struct peer *peer,
-		     int64_t every)
+static bool local_due(const struct gossip *gossip, const struct peer *peer,
+		      int64_t every)
 {
-	if (peer->told == GOSSIP_NEVER)
+	if (peer->sent_at == GOSSIP_NEVER)
 		return true;
 	if (!peer_live(gossip, peer))
-		every = TRY_USEC;
+		every = PROBE_INTERVAL_USEC;
 	else if (peer->sent_revision == gossip->revision)
-		every = MAX(every, IDLE_USEC);
-	return gossip_now(gossip) - peer->told >= every;
+		every = MAX(every, IDLE_INTERVAL_USEC);
+	return gossip_now(gossip) - peer->sent_at >= every;
 }
 
-static void near_tell(struct gossip *gossip, const GByteArray *out)
+static void local_send(struct gossip *gossip, const GByteArray *out)
 {
 	int64_t every = gossip_interval(gossip, true);
 
 	if (gossip->ops.reads(gossip->ctx))
-		every = MIN(every, IDLE_USEC);
+		every = MIN(every, IDLE_INTERVAL_USEC);
 	for (guint i = 0; i < gossip->local->len; i++) {
 		struct peer *peer = gossip->local->pdata[i];
 
-		if (!near_due(gossip, peer, every))
+		if (!local_due(gossip, peer, every))
 			continue;
-		peer->told = gossip_now(gossip);
+		peer->sent_at = gossip_now(gossip);
 		peer->sent_revision = gossip->revision;
 		peer_send(gossip, peer, out);
 	}
@@ -177,10 +178,10 @@
 
 /* Whoever is not known to live anywhere. Its data centre's tellers hear of this
  * instance so, and its own tells it in turn. */
-static void strangers_tell(struct gossip *gossip, const GByteArray *out)
+static void unknown_peers_send(struct gossip *gossip, const GByteArray *out)
 {
 	int64_t now = gossip_now(gossip);
-	uint32_t left = STRANGERS_MOST;
+	uint32_t left = UNKNOWN_PEERS_MAX;
 	GHashTableIter iter;
 	struct peer *peer;
 
@@ -188,9 +189,10 @@
 	while (left > 0 &&
 	       g_hash_table_iter_next(&iter, NULL, (gpointer *)&peer)) {
 		if (peer->group[0] ||
-		    (peer->told != GOSSIP_NEVER && now - peer->told < TRY_USEC))
+		    (peer->sent_at != GOSSIP_NEVER &&
+		     now - peer->sent_at < PROBE_INTERVAL_USEC))
 			continue;
-		peer->told = now;
+		peer->sent_at = now;
 		peer_send(gossip, peer, out);
 		left--;
 	}
@@ -200,13 +202,13 @@
 {
 	int64_t every = gossip_interval(gossip, false);
 
-	if (peer->sent_revision == gossip->centre_revision)
-		every = MAX(every, IDLE_USEC);
-	return peer->told == GOSSIP_NEVER ||
-	       gossip_now(gossip) - peer->told >= every;
+	if (peer->sent_revision == gossip->group_revision)
+		every = MAX(every, IDLE_INTERVAL_USEC);
+	return peer->sent_at == GOSSIP_NEVER ||
+	       gossip_now(gossip) - peer->sent_at >= every;
 }
 
-static void receivers_tell(struct gossip *gossip)
+static void receivers_send(struct gossip *gossip)
 {
 	g_autoptr(GByteArray) brief = NULL;
 	g_autoptr(GByteArray) whole = NULL;
@@ -222,46 +224,46 @@
 		if (!receiver_due(gossip, peer))
 			continue;
 		if (!*out)
-			*out = centre_encode(gossip, members);
+			*out = group_summary_encode(gossip, members);
 		if (members)
 			peer->addresses_sent_at = now;
-		peer->told = now;
-		peer->sent_revision = gossip->centre_revision;
+		peer->sent_at = now;
+		peer->sent_revision = gossip->group_revision;
 		peer_send(gossip, peer, *out);
 	}
 }
 
 void gossip_send_due(struct gossip *gossip)
 {
-	g_autoptr(GByteArray) out = own_encode(gossip);
+	g_autoptr(GByteArray) out = instance_summary_encode(gossip);
 
-	near_tell(gossip, out);
-	if (gossip->updated == gossip_now(gossip))
-		strangers_tell(gossip, out);
-	receivers_tell(gossip);
+	local_send(gossip, out);
+	if (gossip->updated_at == gossip_now(gossip))
+		unknown_peers_send(gossip, out);
+	receivers_send(gossip);
 }
 
 /* ---- telling at once ---- */
 
 /* Takes so many datagrams off, or none at all. */
-static bool allowance_take(struct gossip *gossip, struct allowance *allowance,
-			   uint32_t count)
+static bool bucket_take(struct gossip *gossip, struct token_bucket *bucket,
+			uint32_t count)
 {
 	int64_t now = gossip_now(gossip);
-	double more = (double)(now - allowance->at) / (double)USEC_PER_SEC *
-		      allowance->per_sec;
+	double more = (double)(now - bucket->updated_at) /
+		      (double)USEC_PER_SEC * bucket->per_sec;
 
-	allowance->left = MIN(allowance->left + more, allowance->most);
-	allowance->at = now;
-	if (allowance->left < (double)count)
+	bucket->tokens = MIN(bucket->tokens + more, bucket->burst);
+	bucket->updated_at = now;
+	if (bucket->tokens < (double)count)
 		return false;
-	allowance->left -= (double)count;
+	bucket->tokens -= (double)count;
 	return true;
 }
 
-static void near_tell_at_once(struct gossip *gossip, const GByteArray *out)
+static void changes_send_local(struct gossip *gossip, const GByteArray *out)
 {
-	if (!allowance_take(gossip, &gossip->at_once, gossip->local->len)) {
+	if (!bucket_take(gossip, &gossip->changes_bucket, gossip->local->len)) {
 		delay_add(&gossip->delay_local, gossip_interval(gossip, true));
 		return;
 	}
@@ -278,8 +280,9 @@
 }
 
 /* Whether a server of the data centre is among them. */
-static bool changes_concern(const struct gossip *gossip, const GArray *changes,
-			    const struct centre *centre)
+static bool changes_affect_group(const struct gossip *gossip,
+				 const GArray *changes,
+				 const struct group_state *group)
 {
 	for (guint i = 0; i < changes->len; i++) {
 		const struct backend *backend = fleet_find(
@@ -287,45 +290,46 @@
 			g_array_index(changes, struct gossip_load, i).backend);
 
 		if (backend &&
-		    group_serves(centre->name, backend->info.data_centre,
+		    group_serves(group->name, backend->info.data_centre,
 				 backend->key))
 			return true;
 	}
 	return false;
 }
 
-static void centre_tell_at_once(struct gossip *gossip,
-				const struct centre *centre,
-				const GArray *changes, const GByteArray *out)
+static void changes_send_group(struct gossip *gossip,
+			       const struct group_state *group,
+			       const GArray *changes, const GByteArray *out)
 {
-	bool concerns = changes_concern(gossip, changes, centre);
-	struct allowance *allowance =
-		concerns ? &gossip->at_once : &gossip->at_once_remote;
+	bool is_affected = changes_affect_group(gossip, changes, group);
+	struct token_bucket *bucket = is_affected
+					      ? &gossip->changes_bucket
+					      : &gossip->changes_bucket_remote;
 
 	/* Where there are many groups their own servers are plenty. */
-	if (!concerns && !group_is_whole(centre->name))
+	if (!is_affected && !group_is_whole(group->name))
 		return;
-	if (!allowance_take(gossip, allowance, centre->peers->len)) {
+	if (!bucket_take(gossip, bucket, group->peers->len)) {
 		delay_add(&gossip->delay_remote,
 			  gossip_interval(gossip, false));
 		return;
 	}
 	delay_add(&gossip->delay_remote,
 		  gossip_now(gossip) - gossip->changed_at);
-	for (guint i = 0; i < centre->peers->len; i++)
-		peer_send(gossip, centre->peers->pdata[i], out);
+	for (guint i = 0; i < group->peers->len; i++)
+		peer_send(gossip, group->peers->pdata[i], out);
 }
 
-static void centres_tell_at_once(struct gossip *gossip, const GArray *changes,
-				 const GByteArray *out)
+static void changes_send_groups(struct gossip *gossip, const GArray *changes,
+				const GByteArray *out)
 {
-	struct centre *centre;
+	struct group_state *group;
 	GHashTableIter iter;
 
-	g_hash_table_iter_init(&iter, gossip->centres);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
-		if (centre_live(gossip, centre))
-			centre_tell_at_once(gossip, centre, changes, out);
+	g_hash_table_iter_init(&iter, gossip->other_groups);
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group))
+		if (group_state_live(gossip, group))
+			changes_send_group(gossip, group, changes, out);
 }
 
 void gossip_send_changes(struct gossip *gossip)
@@ -337,13 +341,13 @@
 
 	message_begin(gossip, &message, GOSSIP_CHANGES);
 	loads_own(gossip, now);
-	loads_differ(gossip->last, now, message.loads);
+	loads_diff(gossip->sent_loads, now, message.loads);
 	if (message.loads->len > 0) {
-		last_replace(gossip, now);
+		sent_loads_replace(gossip, now);
 		loads_changed(gossip);
 		gossip_encode(&message, out);
-		near_tell_at_once(gossip, out);
-		centres_tell_at_once(gossip, message.loads, out);
+		changes_send_local(gossip, out);
+		changes_send_groups(gossip, message.loads, out);
 	}
 	gossip_message_clear(&message);
 }
--- a/forward/gossip_usage.c
+++ b/forward/gossip_usage.c
@@ -15,7 +15,7 @@
 	g_array_append_vals(usage, entries, count);
 }
 
-static void uses_send(struct gossip *gossip, bool sums, const GPtrArray *peers)
+static void usage_send(struct gossip *gossip, bool sums, const GPtrArray *peers)
 {
 	g_autoptr(GByteArray) out = g_byte_array_new();
 	struct gossip_message message;
@@ -33,8 +33,8 @@
 	struct gossip *gossip = ctx;
 
 	gossip->usage_sent = gossip_now(gossip);
-	uses_send(gossip, false, gossip->local);
-	uses_send(gossip, true, gossip->receivers);
+	usage_send(gossip, false, gossip->local);
+	usage_send(gossip, true, gossip->receivers);
 	gossip->ops.usage_sent(gossip->ctx);
 }
 
@@ -42,9 +42,9 @@
 {
 	int64_t since = gossip_now(gossip) - gossip->usage_sent;
 
-	if (!timer_running(&gossip->uses_soon))
-		timer_start(&gossip->uses_soon,
-			    MAX(GOSSIP_USAGE_USEC - since, 0));
+	if (!timer_running(&gossip->usage_soon))
+		timer_start(&gossip->usage_soon,
+			    MAX(GOSSIP_USAGE_INTERVAL_USEC - since, 0));
 }
 
 void gossip_usage_receive(struct gossip *gossip, const struct peer *peer,
@@ -63,11 +63,11 @@
 
 void gossip_usage_start(struct gossip *gossip)
 {
-	timer_init(&gossip->uses_soon, gossip->clock, on_soon, gossip);
-	gossip->usage_sent = gossip_now(gossip) - GOSSIP_USAGE_USEC;
+	timer_init(&gossip->usage_soon, gossip->clock, on_soon, gossip);
+	gossip->usage_sent = gossip_now(gossip) - GOSSIP_USAGE_INTERVAL_USEC;
 }
 
 void gossip_usage_stop(struct gossip *gossip)
 {
-	timer_stop(&gossip->uses_soon);
+	timer_stop(&gossip->usage_soon);
 }
--- a/forward/gossip_view.c
+++ b/forward/gossip_view.c
@@ -8,22 +8,22 @@
 /* Near peers that are told at the base interval; more are told more seldom, as
  * changes of loads of engines go at once, and copies are heard of from the one
  * that reads the store. */
-#define FULL_RATE_NEAR 6u
+#define FULL_RATE_LOCAL 6u
 /* The same for peers elsewhere, each told by two only. */
-#define FULL_RATE_FAR 8u
+#define FULL_RATE_REMOTE 8u
 /* Slowest telling, well before what was told is taken for stale; and of other
  * data centres, whose loads are seen as old as that. */
-#define SLOWEST_USEC (1 * USEC_PER_SEC)
-#define SLOWEST_FAR_USEC (400 * USEC_PER_MSEC)
+#define INTERVAL_MAX_USEC (1 * USEC_PER_SEC)
+#define INTERVAL_REMOTE_MAX_USEC (400 * USEC_PER_MSEC)
 /* Each other group's tellers take so much of the time, so that the messages
  * that come in a second do not grow with the groups. */
-#define GROUP_SHARE_USEC (50 * USEC_PER_MSEC)
+#define INTERVAL_PER_GROUP_USEC (50 * USEC_PER_MSEC)
 /* Those elsewhere are told so often who lives in this group where it is a whole
  * data centre, and with each so many messages otherwise. */
-#define MEMBERS_USEC (1 * USEC_PER_SEC)
+#define MEMBERS_INTERVAL_USEC (1 * USEC_PER_SEC)
 #define MEMBERS_MESSAGES 4
 /* A data centre that was silent for so long is not waited for any more. */
-#define GIVEN_UP_USEC (30 * USEC_PER_SEC)
+#define GROUP_FORGET_USEC (30 * USEC_PER_SEC)
 
 int64_t gossip_now(const struct gossip *gossip)
 {
@@ -33,14 +33,15 @@
 int64_t gossip_interval(const struct gossip *gossip, bool local)
 {
 	uint32_t peers = local ? gossip->local->len : gossip->remote->len;
-	uint32_t full = local ? FULL_RATE_NEAR : FULL_RATE_FAR;
+	uint32_t full = local ? FULL_RATE_LOCAL : FULL_RATE_REMOTE;
 
-	int64_t every = MIN(GOSSIP_USEC * (int64_t)MAX(peers / full, 1u),
-			    local ? SLOWEST_USEC : SLOWEST_FAR_USEC);
+	int64_t every =
+		MIN(GOSSIP_INTERVAL_USEC * (int64_t)MAX(peers / full, 1u),
+		    local ? INTERVAL_MAX_USEC : INTERVAL_REMOTE_MAX_USEC);
 
 	if (local)
 		return every;
-	return MAX(every, gossip->centres_live * GROUP_SHARE_USEC);
+	return MAX(every, gossip->live_group_count * INTERVAL_PER_GROUP_USEC);
 }
 
 int64_t gossip_stale(const struct gossip *gossip)
@@ -50,10 +51,10 @@
 
 int64_t gossip_members_interval(const struct gossip *gossip)
 {
-	if (gossip->groups == 1)
-		return MEMBERS_USEC;
+	if (gossip->group_count == 1)
+		return MEMBERS_INTERVAL_USEC;
 	return MAX(gossip_interval(gossip, false) * MEMBERS_MESSAGES,
-		   MEMBERS_USEC);
+		   MEMBERS_INTERVAL_USEC);
 }
 
 int64_t gossip_members_stale(const struct gossip *gossip)
@@ -76,14 +77,14 @@
 	return g_hash_table_size(gossip->peers) + 1;
 }
 
-uint32_t gossip_live(const struct gossip *gossip)
+uint32_t gossip_live_count(const struct gossip *gossip)
 {
 	return gossip->live;
 }
 
 bool gossip_grouped(const struct gossip *gossip)
 {
-	return gossip->groups > 1;
+	return gossip->group_count > 1;
 }
 
 bool gossip_is_local(const struct gossip *gossip, const char *address)
@@ -95,28 +96,28 @@
 
 bool gossip_partitioned(const struct gossip *gossip)
 {
-	int64_t parted = MAX(GOSSIP_PARTITIONED_USEC,
-			     gossip_interval(gossip, false) * 3);
+	int64_t bound = MAX(GOSSIP_PARTITIONED_USEC,
+			    gossip_interval(gossip, false) * 3);
 	int64_t now = gossip_now(gossip);
-	struct centre *centre;
+	struct group_state *group;
 	GHashTableIter iter;
 	bool others = false;
 
-	g_hash_table_iter_init(&iter, gossip->centres);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre)) {
-		if (centre->heard == GOSSIP_NEVER || centre->left ||
-		    group_within(centre->name, gossip->settings.data_centre) ||
-		    now - centre->heard >= GIVEN_UP_USEC)
+	g_hash_table_iter_init(&iter, gossip->other_groups);
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group)) {
+		if (group->last_seen == GOSSIP_NEVER || group->left ||
+		    group_within(group->name, gossip->settings.data_centre) ||
+		    now - group->last_seen >= GROUP_FORGET_USEC)
 			continue;
-		if (now - centre->heard < parted)
+		if (now - group->last_seen < bound)
 			return false;
 		others = true;
 	}
 	return others;
 }
 
-static int first_compare(const struct gossip_first *a,
-			 const struct gossip_first *b)
+static int candidate_compare(const struct gossip_candidate *a,
+			     const struct gossip_candidate *b)
 {
 	int order = (int)a->store_unreachable - (int)b->store_unreachable;
 
@@ -129,33 +130,34 @@
 	return peer_live(gossip, peer) && peer->name[0];
 }
 
-static struct gossip_first peer_as_first(const struct peer *peer)
+static struct gossip_candidate peer_candidate(const struct peer *peer)
 {
-	struct gossip_first first = {
+	struct gossip_candidate first = {
 		.store_unreachable = peer_summary(peer)->store_unreachable};
 
 	g_strlcpy(first.name, peer->name, sizeof(first.name));
 	return first;
 }
 
-static uint32_t near_rank(const struct gossip *gossip)
+static uint32_t local_rank(const struct gossip *gossip)
 {
-	struct gossip_first own = {.store_unreachable =
-					   gossip->store_unreachable};
+	struct gossip_candidate own = {.store_unreachable =
+					       gossip->store_unreachable};
 	uint32_t rank = 0;
 
 	g_strlcpy(own.name, gossip->settings.name, sizeof(own.name));
 	for (guint i = 0; i < gossip->local->len; i++) {
 		const struct peer *peer = gossip->local->pdata[i];
-		struct gossip_first one = peer_as_first(peer);
+		struct gossip_candidate one = peer_candidate(peer);
 
 		rank += is_candidate(gossip, peer) &&
-			first_compare(&one, &own) < 0;
+			candidate_compare(&one, &own) < 0;
 	}
 	return rank;
 }
 
-static bool copies_old(const struct gossip_summary *summary, int64_t usec)
+static bool mirrors_are_stale(const struct gossip_summary *summary,
+			      int64_t usec)
 {
 	for (int i = 0; i < GOSSIP_MIRRORS; i++)
 		if (summary->mirrors[i].age_usec < 0 ||
@@ -165,7 +167,8 @@
 }
 
 /* Live near peers that the store does not answer and whose copies are old. */
-static uint32_t storeless_count(const struct gossip *gossip, int64_t usec)
+static uint32_t store_unreachable_count(const struct gossip *gossip,
+					int64_t usec)
 {
 	uint32_t count = 0;
 
@@ -174,30 +177,30 @@
 
 		count += peer_live(gossip, peer) &&
 			 peer_summary(peer)->store_unreachable &&
-			 copies_old(peer_summary(peer), usec);
+			 mirrors_are_stale(peer_summary(peer), usec);
 	}
 	return count;
 }
 
 /* Whether the first of another data centre comes before that of this one. */
-static bool is_after(const struct gossip *gossip)
+static bool other_group_is_lower(const struct gossip *gossip)
 {
-	struct gossip_first first;
-	struct centre *centre;
+	struct gossip_candidate first;
+	struct group_state *group;
 	GHashTableIter iter;
 
-	gossip_first_local(gossip, gossip->store_unreachable, false, &first);
-	g_hash_table_iter_init(&iter, gossip->centres);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
-		if (centre_live(gossip, centre) &&
-		    first_compare(&centre->first, &first) < 0)
+	gossip_lowest_local(gossip, gossip->store_unreachable, false, &first);
+	g_hash_table_iter_init(&iter, gossip->other_groups);
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group))
+		if (group_state_live(gossip, group) &&
+		    candidate_compare(&group->lowest, &first) < 0)
 			return true;
 	return false;
 }
 
 uint32_t gossip_rank_find(const struct gossip *gossip)
 {
-	return near_rank(gossip) + is_after(gossip);
+	return local_rank(gossip) + other_group_is_lower(gossip);
 }
 
 uint32_t gossip_rank(const struct gossip *gossip)
@@ -205,14 +208,14 @@
 	return gossip->rank;
 }
 
-static uint32_t unheard_count(const struct gossip *gossip)
+static uint32_t silent_count(const struct gossip *gossip)
 {
 	uint32_t count = 0;
 
 	for (guint i = 0; i < gossip->local->len; i++) {
 		const struct peer *peer = gossip->local->pdata[i];
 
-		count += peer->heard == GOSSIP_NEVER;
+		count += peer->last_seen == GOSSIP_NEVER;
 	}
 	return count;
 }
@@ -222,18 +225,18 @@
 	*place = (struct reader_place){
 		.rank = gossip->rank,
 		.peers = gossip->local->len,
-		.silent_peers = unheard_count(gossip),
+		.silent_peers = silent_count(gossip),
 		.instances = gossip_instances(gossip),
 		.store_unreachable =
-			storeless_count(gossip, READER_STALENESS_USEC),
+			store_unreachable_count(gossip, READER_STALENESS_USEC),
 		.delay_usec = gossip_grouped(gossip)
 				      ? gossip_interval(gossip, false)
 				      : 0,
 	};
 }
 
-void gossip_first_local(const struct gossip *gossip, bool store_unreachable,
-			bool leaving, struct gossip_first *first)
+void gossip_lowest_local(const struct gossip *gossip, bool store_unreachable,
+			 bool leaving, struct gossip_candidate *first)
 {
 	bool found = !leaving;
 
@@ -241,29 +244,29 @@
 	first->store_unreachable = store_unreachable;
 	for (guint i = 0; i < gossip->local->len; i++) {
 		const struct peer *peer = gossip->local->pdata[i];
-		struct gossip_first one = peer_as_first(peer);
+		struct gossip_candidate one = peer_candidate(peer);
 
 		if (!is_candidate(gossip, peer))
 			continue;
-		if (!found || first_compare(&one, first) < 0)
+		if (!found || candidate_compare(&one, first) < 0)
 			*first = one;
 		found = true;
 	}
 }
 
-bool gossip_lowest(const struct gossip *gossip, bool store_unreachable)
+bool gossip_is_lowest(const struct gossip *gossip, bool store_unreachable)
 {
-	struct gossip_first first;
-	struct centre *centre;
+	struct gossip_candidate first;
+	struct group_state *group;
 	GHashTableIter iter;
 
-	gossip_first_local(gossip, store_unreachable, false, &first);
+	gossip_lowest_local(gossip, store_unreachable, false, &first);
 	if (strcmp(first.name, gossip->settings.name) != 0)
 		return false;
-	g_hash_table_iter_init(&iter, gossip->centres);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
-		if (centre_live(gossip, centre) &&
-		    first_compare(&centre->first, &first) < 0)
+	g_hash_table_iter_init(&iter, gossip->other_groups);
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group))
+		if (group_state_live(gossip, group) &&
+		    candidate_compare(&group->lowest, &first) < 0)
 			return false;
 	return true;
 }
@@ -320,12 +323,12 @@
 
 void gossip_total(const struct gossip *gossip, struct gossip_summary *total)
 {
-	struct centre *centre;
+	struct group_state *group;
 	GHashTableIter iter;
 
 	gossip_total_local(gossip, total);
-	g_hash_table_iter_init(&iter, gossip->centres);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
-		if (centre_live(gossip, centre))
-			numbers_add(total, &centre->total);
+	g_hash_table_iter_init(&iter, gossip->other_groups);
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group))
+		if (group_state_live(gossip, group))
+			numbers_add(total, &group->total);
 }
--- a/forward/node.c
+++ b/forward/node.c
@@ -133,7 +133,7 @@
 {
 	return !node->draining &&
 	       clock_now(node->clock) >= NODE_DISCOVERY_USEC &&
-	       gossip_lowest(node->gossip, is_storeless(node));
+	       gossip_is_lowest(node->gossip, is_storeless(node));
 }
 
 static bool roles_decide(void *ctx)
@@ -260,10 +260,10 @@
 {
 	static const struct gossip_ops ops = {
 		.summary = word_fill,
-		.heard = on_heard,
+		.received = on_heard,
 		.reads = reads_store,
 		.quarantine_received = node_quarantine_received,
-		.works = node_quarantine_next,
+		.quarantine_next = node_quarantine_next,
 		.usage = node_usage,
 		.usage_sent = node_usage_sent,
 		.usage_received = node_usage_received,
--- a/forward/node_feeds.c
+++ b/forward/node_feeds.c
@@ -293,8 +293,9 @@
 void node_mirrors_merge(struct node *node, const char *address,
 			const struct gossip_summary *summary)
 {
-	int64_t spread = MIN(gossip_live(node->gossip) * FETCH_SPREAD_USEC,
-			     FETCH_SPREAD_MAX_USEC);
+	int64_t spread =
+		MIN(gossip_live_count(node->gossip) * FETCH_SPREAD_USEC,
+		    FETCH_SPREAD_MAX_USEC);
 
 	for (int i = 0; i < GOSSIP_MIRRORS; i++) {
 		struct node_mirror *mirror = &node->mirrors[i];
@@ -384,7 +385,7 @@
 	if (node->peers_listed)
 		return;
 	node->peers_listed = true;
-	gossip_listed(node->gossip);
+	gossip_refresh_peers(node->gossip);
 	for (int i = 0; i < GOSSIP_MIRRORS; i++)
 		mirror_start(node->mirrors[i].mirror, node->peers_lower);
 }
--- a/include/forward/gossip.h
+++ b/include/forward/gossip.h
@@ -24,14 +24,14 @@
  *	own. Who finds something new tells the peers near and its receivers
  *	elsewhere; who hears it from a peer near tells its own receivers, so
  *	two turns reach all. Lost datagrams, newcomers and healed cuts are made
- *	good by one datagram to one peer each GOSSIP_QUARANTINE_USEC, in turn,
- *and by one to each peer that starts or speaks again after a silence, at once.
- *	While nothing is suspected nothing of this is sent.
+ *	good by one datagram to one peer each GOSSIP_QUARANTINE_INTERVAL_USEC,
+ *in turn, and by one to each peer that starts or speaks again after a silence,
+ *at once. While nothing is suspected nothing of this is sent.
  *
  *	What is used of allotments (coord/limit.h) goes with the words: an
  *	instance's own to peers near, its data centre's to its receivers. Where
  *	much was used since, it is told in datagrams of its own, at most one to
- *	each of them every GOSSIP_USAGE_USEC.
+ *	each of them every GOSSIP_USAGE_INTERVAL_USEC.
  *
  *	Facts of coord/backpressure.h are part of the periodic messages of
  *	instances and of data centres. The home of a server with a limit is the
@@ -46,8 +46,9 @@
  *	that each carries.
  *
  *	With n peers in its data centre an instance sends each of them a word
- *	every GOSSIP_USEC * max(1, n / 6), a second at the most, and every 300
- *ms when it reads the store for others: at most 200 datagrams a second with
+ *	every GOSSIP_INTERVAL_USEC * max(1, n / 6), a second at the most, and
+ *every 300 ms when it reads the store for others: at most 200 datagrams a
+ *second with
  *	60. Elsewhere it tells about twice as many instances as there are other
  *	data centres, every 100 to 400 ms.
  */
@@ -66,7 +67,7 @@
 #include "forward/fleet.h"
 #include "forward/mirror.h"
 
-#define GOSSIP_USEC (100 * USEC_PER_MSEC)
+#define GOSSIP_INTERVAL_USEC (100 * USEC_PER_MSEC)
 /* Ten lost datagrams in a row, or five words of an idle peer. */
 #define GOSSIP_STALE_USEC (2500 * USEC_PER_MSEC)
 
@@ -76,12 +77,12 @@
 /* With n instances each of them is told so by another one each 0.5 s, so one
  * that was cut off knows all that matters well within the three seconds after
  * which it counts as back. */
-#define GOSSIP_QUARANTINE_USEC (500 * USEC_PER_MSEC)
+#define GOSSIP_QUARANTINE_INTERVAL_USEC (500 * USEC_PER_MSEC)
 
 /* So much of an allotment may be passed unheard of as is used within it: at
  * eight times an allotment that has a burst of one second, 0.8 bursts, of which
  * urgent tellings leave a part. */
-#define GOSSIP_USAGE_USEC (100 * USEC_PER_MSEC)
+#define GOSSIP_USAGE_INTERVAL_USEC (100 * USEC_PER_MSEC)
 
 /* Servers that change their role at the same time; more are ordered only as
  * these are done, one each half second. */
@@ -153,8 +154,8 @@
 	/* What this instance has to tell now, but for servers(). */
 	void (*summary)(void *ctx, struct gossip_summary *summary);
 	/* What a peer told; near: it is in the same data centre. */
-	void (*heard)(void *ctx, const char *address, bool local,
-		      const struct gossip_summary *summary);
+	void (*received)(void *ctx, const char *address, bool local,
+			 const struct gossip_summary *summary);
 	/* Whether this instance reads the store for others, who are to hear of
 	 * it more often. */
 	bool (*reads)(void *ctx);
@@ -163,8 +164,8 @@
 	bool (*quarantine_received)(void *ctx,
 				    const struct quarantine_entry *entry);
 	/* The next ones to tell, at most so many; returns how many. */
-	uint32_t (*works)(void *ctx, struct quarantine_entry *entries,
-			  uint32_t most);
+	uint32_t (*quarantine_next)(void *ctx, struct quarantine_entry *entries,
+				    uint32_t most);
 	/* What is used of allotments, as limit_export(), that all have
 	 * heard of it, as limit_exported(), and what somebody told of it. NULL
 	 * where there are none. */
@@ -182,7 +183,8 @@
 			  uint32_t most);
 	void (*fact_received)(void *ctx, const struct backpressure_fact *fact);
 	/* A peer asks; fills in granted and retry_usec. NULL: no answers. */
-	void (*permit_requested)(void *ctx, const struct permit_request *ask,
+	void (*permit_requested)(void *ctx,
+				 const struct permit_request *request,
 				 struct permit_answer *answer);
 	/* The answer to a permit that this instance asked for. */
 	void (*permit_answered)(void *ctx, const struct permit_answer *answer);
@@ -201,7 +203,7 @@
 /* All that are listed were met: sorts them now, and tells them in the next
  * turn.
  */
-void gossip_listed(struct gossip *gossip);
+void gossip_refresh_peers(struct gossip *gossip);
 /* Instances that may share budgets with this one, which counts too: those heard
  * of within the last half minute. */
 uint32_t gossip_instances(const struct gossip *gossip);
@@ -224,7 +226,7 @@
 		    const char *data_centre, bool may_be);
 /* Sends ask to the server's home; false when that is this instance. */
 bool gossip_request_permit(struct gossip *gossip,
-			   const struct permit_request *ask,
+			   const struct permit_request *request,
 			   const char *data_centre, bool may_be);
 /* How long a change has taken of late until peers near, or elsewhere, were told
  * of it, in microseconds: what they tell is about as old when it is used. */
@@ -235,7 +237,7 @@
 /* Whether the peer of that address is in this data centre. */
 bool gossip_is_local(const struct gossip *gossip, const char *address);
 /* Peers heard of lately. */
-uint32_t gossip_live(const struct gossip *gossip);
+uint32_t gossip_live_count(const struct gossip *gossip);
 /* Whether there are peers in other data centres, and none of them was heard of
  * for GOSSIP_PARTITIONED_USEC: this data centre, or this instance, is cut off.
  */
@@ -250,7 +252,7 @@
 /* Whether this instance has the lowest name of those live, itself included;
  * instances that reach the store come before those that do not, as storeless
  * says of this one. */
-bool gossip_lowest(const struct gossip *gossip, bool store_unreachable);
+bool gossip_is_lowest(const struct gossip *gossip, bool store_unreachable);
 /* What peers told, added up, and this instance's own word. */
 void gossip_total(const struct gossip *gossip, struct gossip_summary *total);
 
--- a/tests/forward/copies_world.c
+++ b/tests/forward/copies_world.c
@@ -252,12 +252,12 @@
 	for (uint32_t i = 0; i < count; i++)
 		shares_open(copies, i);
 	copies->site->summary = word_add;
-	copies->site->heard = on_heard;
-	copies->site->story = copies;
+	copies->site->received = on_heard;
+	copies->site->ctx = copies;
 	copies_run(copies, 6000);
 	g_assert_cmpuint(copies_late(copies), ==, 0);
 	for (uint32_t i = connected; i < CENTRES; i++)
-		copies->site->still[i] = true;
+		copies->site->paused[i] = true;
 	copies->centres = connected;
 	copies_run(copies, 4000);
 	copies->calls = 0;
--- a/tests/forward/fuzz_gossip.c
+++ b/tests/forward/fuzz_gossip.c
@@ -22,10 +22,10 @@
 	g_assert_cmpmem(
 		a->loads->data, a->loads->len * sizeof(struct gossip_load),
 		b->loads->data, b->loads->len * sizeof(struct gossip_load));
-	g_assert_cmpmem(a->works->data,
-			a->works->len * sizeof(struct quarantine_entry),
-			b->works->data,
-			b->works->len * sizeof(struct quarantine_entry));
+	g_assert_cmpmem(a->quarantine->data,
+			a->quarantine->len * sizeof(struct quarantine_entry),
+			b->quarantine->data,
+			b->quarantine->len * sizeof(struct quarantine_entry));
 	g_assert_cmpuint(a->summary.changing_count, ==,
 			 b->summary.changing_count);
 	for (uint32_t i = 0; i < a->summary.changing_count; i++)
@@ -43,7 +43,7 @@
 		g_assert_cmpint(one->level, ==, other->level);
 	}
 	g_assert_cmpstr(a->name, ==, b->name);
-	g_assert_cmpstr(a->first.name, ==, b->first.name);
+	g_assert_cmpstr(a->lowest.name, ==, b->lowest.name);
 	g_assert_cmpuint(a->summary.waiting, ==, b->summary.waiting);
 	g_assert_cmpuint(a->addresses->len, ==, b->addresses->len);
 }
@@ -82,7 +82,7 @@
 	message.sequence = (uint64_t)i;
 	g_strlcpy(message.name, "n1", sizeof(message.name));
 	g_strlcpy(message.group, "here", sizeof(message.group));
-	g_strlcpy(message.first.name, "n0", sizeof(message.first.name));
+	g_strlcpy(message.lowest.name, "n0", sizeof(message.lowest.name));
 	message.summary.waiting = 3;
 	message.summary.changing_count = (uint32_t)(i % 3);
 	message.summary.changing[0] =
@@ -103,12 +103,12 @@
 			.stored = k == 2,
 		};
 
-		g_array_append_val(message.works, entry);
+		g_array_append_val(message.quarantine, entry);
 	}
 	for (int k = g_test_rand_int_range(0, 4); k > 0; k--) {
-		struct limit_entry use = {(uint64_t)k, 3, -k, 70000, -9};
+		struct limit_entry entry = {(uint64_t)k, 3, -k, 70000, -9};
 
-		g_array_append_val(message.usage, use);
+		g_array_append_val(message.usage, entry);
 	}
 	gossip_message_add(&message, "127.0.0.1:70");
 	gossip_message_add(&message, "[::1]:7");
--- a/tests/forward/gossip_world.c
+++ b/tests/forward/gossip_world.c
@@ -4,24 +4,24 @@
 
 const char *const centres[CENTRES] = {"a", "b", "c", "d", "e"};
 
-static void summary(void *ctx, struct gossip_summary *out)
+static void on_summary(void *ctx, struct gossip_summary *out)
 {
 	const struct instance *instance = ctx;
 
 	*out = (struct gossip_summary){
 		.version = 1, .demand = 100, .waiting = 1};
 	if (instance->site->summary)
-		instance->site->summary(instance->site->story, instance, out);
+		instance->site->summary(instance->site->ctx, instance, out);
 }
 
-static void heard(void *ctx, const char *address, bool local,
-		  const struct gossip_summary *from)
+static void on_received(void *ctx, const char *address, bool local,
+			const struct gossip_summary *from)
 {
 	const struct instance *instance = ctx;
 
-	if (instance->site->heard)
-		instance->site->heard(instance->site->story, instance, address,
-				      from);
+	if (instance->site->received)
+		instance->site->received(instance->site->ctx, instance, address,
+					 from);
 }
 
 static bool reads(void *ctx)
@@ -38,8 +38,8 @@
 	return quarantine_merge(instance->quarantine, entry);
 }
 
-static uint32_t works(void *ctx, struct quarantine_entry *entries,
-		      uint32_t most)
+static uint32_t quarantine_entries(void *ctx, struct quarantine_entry *entries,
+				   uint32_t most)
 {
 	const struct instance *instance = ctx;
 
@@ -123,11 +123,11 @@
 void instance_start(struct instance *instance)
 {
 	static const struct gossip_ops ops = {
-		.summary = summary,
-		.heard = heard,
+		.summary = on_summary,
+		.received = on_received,
 		.reads = reads,
 		.quarantine_received = quarantine_received,
-		.works = works,
+		.quarantine_next = quarantine_entries,
 		.facts = facts,
 		.fact_received = fact_received,
 		.permit_requested = permit_requested,
@@ -166,7 +166,7 @@
 	instance->gossip = NULL;
 }
 
-void meet_all(struct site *site, struct instance *instance)
+void add_all_peers(struct site *site, struct instance *instance)
 {
 	for (uint32_t i = 0; i < site->count; i++)
 		gossip_add_peer(instance->gossip, site->instances[i].address,
@@ -187,18 +187,18 @@
 	return instance;
 }
 
-static void works_store(struct site *site)
+static void quarantine_store(struct site *site)
 {
 	for (uint32_t i = 0; i < site->count; i++) {
 		struct instance *instance = &site->instances[i];
 		struct quarantine_entry entry;
 
-		if (!instance->gossip || site->still[instance->centre] ||
+		if (!instance->gossip || site->paused[instance->centre] ||
 		    !quarantine_unstored(instance->quarantine, &entry) ||
-		    !gossip_lowest(instance->gossip, false))
+		    !gossip_is_lowest(instance->gossip, false))
 			continue;
 		entry.stored = true;
-		g_assert_cmpuint(site->stored_count, <, STORED_MOST);
+		g_assert_cmpuint(site->stored_count, <, STORED_MAX);
 		site->stored[site->stored_count++] = entry;
 		quarantine_stored(instance->quarantine, &entry.work, true);
 	}
@@ -210,9 +210,9 @@
 		clock_advance(site->clock,
 			      clock_now(site->clock) + 50 * USEC_PER_MSEC);
 		for (int k = 0; k < 3 * CENTRES; k++)
-			if (!site->still[k % CENTRES])
+			if (!site->paused[k % CENTRES])
 				loop_turn_h2o(site->loops[k % CENTRES], 0);
-		works_store(site);
+		quarantine_store(site);
 	}
 }
 
@@ -230,7 +230,7 @@
 	for (uint32_t i = 0; i < count; i++)
 		instance_add(site);
 	for (uint32_t i = 0; i < count; i++)
-		meet_all(site, &site->instances[i]);
+		add_all_peers(site, &site->instances[i]);
 	/* All start at once: some first words are lost in full sockets. */
 	turn(site, 3000);
 	return site;
@@ -276,7 +276,7 @@
 
 	for (uint32_t i = 0; i < site->count; i++)
 		count += site->instances[i].gossip &&
-			 !site->still[site->instances[i].centre] &&
-			 gossip_lowest(site->instances[i].gossip, false);
+			 !site->paused[site->instances[i].centre] &&
+			 gossip_is_lowest(site->instances[i].gossip, false);
 	return count;
 }
--- a/tests/forward/gossip_world.h
+++ b/tests/forward/gossip_world.h
@@ -21,7 +21,7 @@
 
 #define CENTRES 5
 #define MOST 1024
-#define STORED_MOST 64
+#define STORED_MAX 64
 
 struct instance {
 	struct site *site;
@@ -40,23 +40,23 @@
 typedef void (*site_granted_fn)(struct instance *instance, uint64_t server);
 
 /* Called for what an instance tells, and for what it hears of a peer. */
-typedef void (*site_word_fn)(void *story, const struct instance *instance,
-			     struct gossip_summary *summary);
-typedef void (*site_heard_fn)(void *story, const struct instance *instance,
-			      const char *address,
-			      const struct gossip_summary *summary);
+typedef void (*site_summary_fn)(void *story, const struct instance *instance,
+				struct gossip_summary *summary);
+typedef void (*site_received_fn)(void *story, const struct instance *instance,
+				 const char *address,
+				 const struct gossip_summary *summary);
 
 struct site {
 	struct clock *clock;
 	site_granted_fn granted;
-	site_word_fn summary; /* or NULL */
-	site_heard_fn heard;  /* or NULL */
-	void *story;
+	site_summary_fn summary;   /* or NULL */
+	site_received_fn received; /* or NULL */
+	void *ctx;
 	struct loop *loops[CENTRES];
-	bool still[CENTRES];
+	bool paused[CENTRES];
 	struct instance instances[MOST];
 	uint32_t count;
-	struct quarantine_entry stored[STORED_MOST];
+	struct quarantine_entry stored[STORED_MAX];
 	uint32_t stored_count;
 };
 
@@ -70,7 +70,7 @@
 void instance_start(struct instance *instance);
 void instance_stop(struct instance *instance);
 /* Tells it the addresses of all. */
-void meet_all(struct site *site, struct instance *instance);
+void add_all_peers(struct site *site, struct instance *instance);
 /* Asks for a permit as a request would: true when it is granted at once. */
 bool permit(struct instance *instance, uint32_t centre);
 /* The server of engines of that data centre, as the instance sees it. */
--- a/tests/forward/test_gossip.c
+++ b/tests/forward/test_gossip.c
@@ -18,17 +18,17 @@
 };
 
 /* What a callback is given: whose it is. */
-struct peer_of {
+struct callback_ctx {
 	int number;
 };
 
-static struct peer_of peers[PEERS] = {{0}, {1}, {2}};
+static struct callback_ctx peers[PEERS] = {{0}, {1}, {2}};
 static bool changing; /* the first one says that two servers change */
-static uint32_t changes_heard[PEERS];
+static uint32_t changes_received[PEERS];
 
-static void summary(void *ctx, struct gossip_summary *out)
+static void on_summary(void *ctx, struct gossip_summary *out)
 {
-	const struct peer_of *peer = ctx;
+	const struct callback_ctx *peer = ctx;
 
 	*out = (struct gossip_summary){.version = 1};
 	if (!changing || peer->number > 0)
@@ -38,14 +38,14 @@
 	out->changing_count = 2;
 }
 
-static void heard(void *ctx, const char *address, bool near,
-		  const struct gossip_summary *from)
+static void on_received(void *ctx, const char *address, bool local,
+			const struct gossip_summary *from)
 {
-	const struct peer_of *peer = ctx;
+	const struct callback_ctx *peer = ctx;
 
 	for (uint32_t i = 0; i < from->changing_count; i++)
 		if (from->changing[i].left_usec == (i ? 8000000 : 9000000))
-			changes_heard[peer->number] = i + 1;
+			changes_received[peer->number] = i + 1;
 }
 
 static bool reads(void *ctx)
@@ -72,7 +72,7 @@
 static void site_open(struct site *site)
 {
 	static const struct gossip_ops ops = {
-		.summary = summary, .heard = heard, .reads = reads};
+		.summary = on_summary, .received = on_received, .reads = reads};
 	static const char *const names[PEERS] = {"n0", "n1", "n2"};
 
 	*site = (struct site){.clock = clock_create(0)};
@@ -101,7 +101,7 @@
 			gossip_add_peer(site->gossips[i], site->addresses[k],
 					NULL);
 	turn(site, USEC_PER_SEC);
-	g_assert_cmpuint(gossip_live(site->gossips[0]), ==, PEERS - 1);
+	g_assert_cmpuint(gossip_live_count(site->gossips[0]), ==, PEERS - 1);
 }
 
 static void site_close(struct site *site)
@@ -140,7 +140,8 @@
 		g_assert_cmpuint(backend->peers.requests, ==, 3);
 		g_assert_cmpuint(backend_decode_tokens(backend), ==, 3000);
 	}
-	g_assert_cmpint(gossip_delay(site.gossips[0], true), <, GOSSIP_USEC);
+	g_assert_cmpint(gossip_delay(site.gossips[0], true), <,
+			GOSSIP_INTERVAL_USEC);
 	site_close(&site);
 }
 
@@ -154,7 +155,7 @@
 	turn(&site, USEC_PER_SEC);
 	changing = false;
 	for (int i = 1; i < PEERS; i++)
-		g_assert_cmpuint(changes_heard[i], ==, 2);
+		g_assert_cmpuint(changes_received[i], ==, 2);
 	site_close(&site);
 }
 
--- a/tests/forward/test_gossip_fleet.c
+++ b/tests/forward/test_gossip_fleet.c
@@ -3,10 +3,10 @@
 
 #include "gossip_world.h"
 
-#define FLEET 985u
+#define INSTANCES 985u
 /* An instance is told this often at the most, whatever the size of the site. */
-#define HEARD_PER_SEC_MOST 160u
-#define BYTES_PER_SEC_MOST 40000u
+#define RECEIVED_PER_SEC_MAX 160u
+#define BYTES_PER_SEC_MAX 40000u
 
 static uint64_t received(const struct site *site)
 {
@@ -45,34 +45,34 @@
 
 static void test_fleet(void)
 {
-	struct site *site = site_open(FLEET);
+	struct site *site = site_open(INSTANCES);
 	uint64_t count;
 	uint64_t bytes;
 
 	turn(site, 3000);
-	all_know_all(site, FLEET);
+	all_know_all(site, INSTANCES);
 	/* A load is known to all within two rounds of the groups. */
 	load_put(&site->instances[0], 0, 3);
 	turn(site, 2500);
-	g_assert_cmpuint(seen_by(site, 0, 3), ==, FLEET);
+	g_assert_cmpuint(seen_by(site, 0, 3), ==, INSTANCES);
 	load_put(&site->instances[0], 0, 0);
 	count = received(site);
 	bytes = received_bytes(site);
 	turn(site, 2000);
-	count = (received(site) - count) / 2 / FLEET;
-	bytes = (received_bytes(site) - bytes) / 2 / FLEET;
+	count = (received(site) - count) / 2 / INSTANCES;
+	bytes = (received_bytes(site) - bytes) / 2 / INSTANCES;
 	g_test_message("%d datagrams and %d bytes a second", (int)count,
 		       (int)bytes);
-	g_assert_cmpuint(count, <=, HEARD_PER_SEC_MOST);
-	g_assert_cmpuint(bytes, <=, BYTES_PER_SEC_MOST);
+	g_assert_cmpuint(count, <=, RECEIVED_PER_SEC_MAX);
+	g_assert_cmpuint(bytes, <=, BYTES_PER_SEC_MAX);
 	/* A tenth are gone, among them the lowest of all. */
 	load_put(&site->instances[0], 0, 7);
 	turn(site, 1500);
-	for (uint32_t i = 0; i < FLEET / 10; i++)
+	for (uint32_t i = 0; i < INSTANCES / 10; i++)
 		instance_stop(&site->instances[i]);
 	turn(site, 6000);
-	g_assert_cmpuint(seen_by(site, 0, 0), ==, FLEET - FLEET / 10);
-	all_know_all(site, FLEET - FLEET / 10);
+	g_assert_cmpuint(seen_by(site, 0, 0), ==, INSTANCES - INSTANCES / 10);
+	all_know_all(site, INSTANCES - INSTANCES / 10);
 	site_close(site);
 }
 
--- a/tests/forward/test_gossip_permits.c
+++ b/tests/forward/test_gossip_permits.c
@@ -8,98 +8,99 @@
 #include "gossip_world.h"
 
 #define WINDOW_USEC (4 * USEC_PER_SEC)
-#define OVER_PART 1.5
-#define OVER_REQUESTS 5.0
-#define LEAST_USED 0.8
+#define ALLOWED_FACTOR 1.5
+#define ALLOWED_EXTRA 5.0
+#define MIN_UTILISATION 0.8
 /* From when on the limit binds after it was first named. */
-#define CONTACT_MSEC 3000
+#define SETTLE_MSEC 3000
 #define STEP_MSEC 50
 #define SERVER_CENTRE 1
 
-struct story {
+struct scenario {
 	struct site *site;
 	double limit;
-	double asked; /* requests a second, by all */
-	uint32_t askers;
+	double requested_rate; /* requests a second, by all */
+	uint32_t callers;
 	GArray *sent; /* int64_t, when a request reached the server */
 	int64_t binds;
 };
 
-static void request_send(struct story *story, struct instance *instance)
+static void request_send(struct scenario *scenario, struct instance *instance)
 {
 	const struct backpressure_signals signals = {
 		.limited = true,
-		.limit = story->limit,
+		.limit = scenario->limit,
 		.of_request = true,
 	};
-	int64_t now = clock_now(story->site->clock);
+	int64_t now = clock_now(scenario->site->clock);
 
-	g_array_append_val(story->sent, now);
+	g_array_append_val(scenario->sent, now);
 	backpressure_answer(instance->backpressure, now,
 			    server(instance, SERVER_CENTRE)->key, &signals);
 }
 
 static void granted(struct instance *instance, uint64_t key)
 {
-	request_send(instance->site->story, instance);
+	request_send(instance->site->ctx, instance);
 }
 
-static void request_come(struct story *story)
+static void request_arrive(struct scenario *scenario)
 {
-	gint32 at = g_test_rand_int_range(0, (gint32)story->askers);
-	struct instance *instance = &story->site->instances[at];
+	gint32 at = g_test_rand_int_range(0, (gint32)scenario->callers);
+	struct instance *instance = &scenario->site->instances[at];
 
-	if (instance->gossip && !story->site->still[instance->centre] &&
+	if (instance->gossip && !scenario->site->paused[instance->centre] &&
 	    permit(instance, SERVER_CENTRE))
-		request_send(story, instance);
+		request_send(scenario, instance);
 }
 
-static void requests_come(struct story *story, int64_t msec)
+static void requests_run(struct scenario *scenario, int64_t msec)
 {
-	double expected = story->asked * STEP_MSEC / 1000.0;
+	double expected = scenario->requested_rate * STEP_MSEC / 1000.0;
 	double due = 0.0;
 
 	for (int64_t i = 0; i < msec; i += STEP_MSEC) {
 		due += expected;
 		while (due >= 1.0) {
-			request_come(story);
+			request_arrive(scenario);
 			due -= 1.0;
 		}
-		turn(story->site, STEP_MSEC);
+		turn(scenario->site, STEP_MSEC);
 	}
 }
 
-static struct story *story_open(uint32_t count, double limit, double asked)
+static struct scenario *scenario_open(uint32_t count, double limit,
+				      double requested_rate)
 {
-	struct story *story = g_new0(struct story, 1);
-
-	story->site = site_open(count);
-	story->limit = limit;
-	story->asked = asked;
-	story->askers = count;
-	story->sent = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	story->site->granted = granted;
-	story->site->story = story;
-	requests_come(story, CONTACT_MSEC);
-	g_array_set_size(story->sent, 0);
-	return story;
+	struct scenario *scenario = g_new0(struct scenario, 1);
+
+	scenario->site = site_open(count);
+	scenario->limit = limit;
+	scenario->requested_rate = requested_rate;
+	scenario->callers = count;
+	scenario->sent = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	scenario->site->granted = granted;
+	scenario->site->ctx = scenario;
+	requests_run(scenario, SETTLE_MSEC);
+	g_array_set_size(scenario->sent, 0);
+	return scenario;
 }
 
-static void story_close(struct story *story)
+static void scenario_close(struct scenario *scenario)
 {
-	site_close(story->site);
-	g_array_unref(story->sent);
-	g_free(story);
+	site_close(scenario->site);
+	g_array_unref(scenario->sent);
+	g_free(scenario);
 }
 
-static guint most_sent(const struct story *story)
+static guint max_sent(const struct scenario *scenario)
 {
 	guint most = 0;
 	guint from = 0;
 
-	for (guint to = 0; to < story->sent->len; to++) {
-		while (g_array_index(story->sent, int64_t, to) -
-			       g_array_index(story->sent, int64_t, from) >
+	for (guint to = 0; to < scenario->sent->len; to++) {
+		while (g_array_index(scenario->sent, int64_t, to) -
+			       g_array_index(scenario->sent, int64_t, from) >
 		       WINDOW_USEC)
 			from++;
 		most = MAX(most, to + 1 - from);
@@ -107,65 +108,66 @@
 	return most;
 }
 
-static void most_check(const struct story *story, const char *what)
+static void rate_check(const struct scenario *scenario, const char *what)
 {
-	double allowed = OVER_PART * story->limit * WINDOW_USEC / USEC_PER_SEC +
-			 OVER_REQUESTS;
+	double allowed =
+		ALLOWED_FACTOR * scenario->limit * WINDOW_USEC / USEC_PER_SEC +
+		ALLOWED_EXTRA;
 
 	g_test_message("%u instances, limit %.1f, %.0f asked, %s: most %u in "
 		       "4 s, allowed %.0f, taken %.0f",
-		       story->site->count, story->limit, story->asked, what,
-		       most_sent(story), allowed,
-		       story->limit * WINDOW_USEC / USEC_PER_SEC);
-	g_assert_cmpfloat(most_sent(story), <=, allowed);
+		       scenario->site->count, scenario->limit,
+		       scenario->requested_rate, what, max_sent(scenario),
+		       allowed, scenario->limit * WINDOW_USEC / USEC_PER_SEC);
+	g_assert_cmpfloat(max_sent(scenario), <=, allowed);
 }
 
-static void used_check(const struct story *story, int64_t msec)
+static void utilisation_check(const struct scenario *scenario, int64_t msec)
 {
-	double used = (double)story->sent->len * 1000.0 /
-		      (story->limit * (double)msec);
+	double used = (double)scenario->sent->len * 1000.0 /
+		      (scenario->limit * (double)msec);
 
 	g_test_message("%.2f used", used);
-	g_assert_cmpfloat(used, >=, LEAST_USED);
+	g_assert_cmpfloat(used, >=, MIN_UTILISATION);
 }
 
-static void play_limit(uint32_t count, double limit, double asked)
+static void limit_check(uint32_t count, double limit, double requested_rate)
 {
-	struct story *story = story_open(count, limit, asked);
+	struct scenario *scenario = scenario_open(count, limit, requested_rate);
 
-	requests_come(story, 12000);
-	most_check(story, "all ask");
-	used_check(story, 12000);
-	story_close(story);
+	requests_run(scenario, 12000);
+	rate_check(scenario, "all ask");
+	utilisation_check(scenario, 12000);
+	scenario_close(scenario);
 }
 
-static void play_all(uint32_t count)
+static void limits_check(uint32_t count)
 {
 	static const double limits[] = {0.7, 4.7, 30.0};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(limits); i++) {
-		play_limit(count, limits[i], 60.0);
-		play_limit(count, limits[i], 300.0);
+		limit_check(count, limits[i], 60.0);
+		limit_check(count, limits[i], 300.0);
 	}
 }
 
 /* One instance alone has the callers. */
-static void play_one(uint32_t count)
+static void one_caller_check(uint32_t count)
 {
-	struct story *story = story_open(count, 4.7, 60.0);
+	struct scenario *scenario = scenario_open(count, 4.7, 60.0);
 
-	story->askers = 1;
-	requests_come(story, 12000);
-	most_check(story, "one asks");
-	used_check(story, 12000);
-	story_close(story);
+	scenario->callers = 1;
+	requests_run(scenario, 12000);
+	rate_check(scenario, "one asks");
+	utilisation_check(scenario, 12000);
+	scenario_close(scenario);
 }
 
 /* All are stopped three times, each time knowing nothing. */
-static void play_restarts(uint32_t count)
+static void restarts_check(uint32_t count)
 {
-	struct story *story = story_open(count, 4.7, 300.0);
-	struct site *site = story->site;
+	struct scenario *scenario = scenario_open(count, 4.7, 300.0);
+	struct site *site = scenario->site;
 
 	for (int k = 0; k < 3; k++) {
 		for (uint32_t i = 0; i < count; i++) {
@@ -173,81 +175,81 @@
 			instance_start(&site->instances[i]);
 		}
 		for (uint32_t i = 0; i < count; i++)
-			meet_all(site, &site->instances[i]);
-		requests_come(story, CONTACT_MSEC);
-		g_array_set_size(story->sent, 0);
-		requests_come(story, 5000);
-		most_check(story, "all restarted");
+			add_all_peers(site, &site->instances[i]);
+		requests_run(scenario, SETTLE_MSEC);
+		g_array_set_size(scenario->sent, 0);
+		requests_run(scenario, 5000);
+		rate_check(scenario, "all restarted");
 	}
-	story_close(story);
+	scenario_close(scenario);
 }
 
 /* The server's data centre stands still, and wakes up again. */
-static void play_still(uint32_t count)
+static void paused_check(uint32_t count)
 {
-	struct story *story = story_open(count, 4.7, 300.0);
-
-	story->site->still[SERVER_CENTRE] = true;
-	requests_come(story, 6000);
-	story->site->still[SERVER_CENTRE] = false;
-	requests_come(story, 6000);
-	most_check(story, "homes stood still");
-	story_close(story);
+	struct scenario *scenario = scenario_open(count, 4.7, 300.0);
+
+	scenario->site->paused[SERVER_CENTRE] = true;
+	requests_run(scenario, 6000);
+	scenario->site->paused[SERVER_CENTRE] = false;
+	requests_run(scenario, 6000);
+	rate_check(scenario, "homes stood still");
+	scenario_close(scenario);
 }
 
 /* A limit that goes down, up, and ends. */
-static void play_changes(uint32_t count)
+static void limit_changes_check(uint32_t count)
 {
-	struct story *story = story_open(count, 30.0, 300.0);
-	struct instance *first = &story->site->instances[0];
+	struct scenario *scenario = scenario_open(count, 30.0, 300.0);
+	struct instance *first = &scenario->site->instances[0];
 	uint64_t key = server(first, SERVER_CENTRE)->key;
 	const struct backpressure_signals none = {.of_request = true};
 
-	story->limit = 4.7;
-	requests_come(story, CONTACT_MSEC);
-	g_array_set_size(story->sent, 0);
-	requests_come(story, 6000);
-	most_check(story, "lowered");
-	story->limit = 30.0;
-	requests_come(story, CONTACT_MSEC);
-	g_array_set_size(story->sent, 0);
-	requests_come(story, 6000);
-	most_check(story, "raised");
-	used_check(story, 6000);
-	turn(story->site, 1000);
-	backpressure_answer(first->backpressure, clock_now(story->site->clock),
-			    key, &none);
-	turn(story->site, 2000);
+	scenario->limit = 4.7;
+	requests_run(scenario, SETTLE_MSEC);
+	g_array_set_size(scenario->sent, 0);
+	requests_run(scenario, 6000);
+	rate_check(scenario, "lowered");
+	scenario->limit = 30.0;
+	requests_run(scenario, SETTLE_MSEC);
+	g_array_set_size(scenario->sent, 0);
+	requests_run(scenario, 6000);
+	rate_check(scenario, "raised");
+	utilisation_check(scenario, 6000);
+	turn(scenario->site, 1000);
+	backpressure_answer(first->backpressure,
+			    clock_now(scenario->site->clock), key, &none);
+	turn(scenario->site, 2000);
 	for (uint32_t i = 0; i < count; i++)
 		g_assert_true(
-			permit(&story->site->instances[i], SERVER_CENTRE));
-	story_close(story);
+			permit(&scenario->site->instances[i], SERVER_CENTRE));
+	scenario_close(scenario);
 }
 
-static void count_play(uint32_t count)
+static void count_check(uint32_t count)
 {
-	play_all(count);
-	play_one(count);
-	play_restarts(count);
-	play_still(count);
-	play_changes(count);
+	limits_check(count);
+	one_caller_check(count);
+	restarts_check(count);
+	paused_check(count);
+	limit_changes_check(count);
 }
 
 static void test_few(void)
 {
-	count_play(7);
+	count_check(7);
 }
 
 static void test_many(void)
 {
-	count_play(73);
+	count_check(73);
 }
 
 static void test_most(void)
 {
-	play_limit(300, 4.7, 300.0);
-	play_restarts(300);
-	play_still(300);
+	limit_check(300, 4.7, 300.0);
+	restarts_check(300);
+	paused_check(300);
 }
 
 int main(int argc, char **argv)
--- a/tests/forward/test_gossip_site.c
+++ b/tests/forward/test_gossip_site.c
@@ -9,7 +9,8 @@
 		const struct gossip *gossip = site->instances[i].gossip;
 		struct gossip_summary total;
 
-		g_assert_cmpuint(gossip_live(gossip), ==, site->count - 1);
+		g_assert_cmpuint(gossip_live_count(gossip), ==,
+				 site->count - 1);
 		g_assert_cmpuint(gossip_instances(gossip), ==, site->count);
 		gossip_total(gossip, &total);
 		g_assert_cmpuint(total.waiting, ==, site->count);
@@ -98,7 +99,7 @@
 	struct site *site = site_open(100);
 
 	for (int i = 0; i < 24; i++)
-		meet_all(site, instance_add(site));
+		add_all_peers(site, instance_add(site));
 	turn(site, 3000);
 	all_know_all(site);
 	for (uint32_t i = 0; i < 12; i++) {
@@ -106,7 +107,7 @@
 		turn(site, 50);
 		instance_stop(&site->instances[i]);
 		instance_start(&site->instances[i]);
-		meet_all(site, &site->instances[i]);
+		add_all_peers(site, &site->instances[i]);
 		turn(site, 200);
 	}
 	turn(site, 3000);
@@ -147,7 +148,7 @@
 
 	load_put(&site->instances[3], 3, 6);
 	turn(site, 1500);
-	site->still[3] = true;
+	site->paused[3] = true;
 	turn(site, 7000);
 	for (uint32_t i = 0; i < site->count; i++)
 		if (site->instances[i].centre != 3)
@@ -156,7 +157,7 @@
 					 ==, 0);
 	g_assert_cmpuint(lowest_count(site), ==, 1);
 	turn(site, 33000);
-	site->still[3] = false;
+	site->paused[3] = false;
 	turn(site, 3000);
 	all_know_all(site);
 	g_assert_cmpuint(seen_by(site, 3, 6), ==, site->count);
--- a/tests/forward/test_groups.c
+++ b/tests/forward/test_groups.c
@@ -77,7 +77,7 @@
 	struct clock *clock = clock_create(0);
 	struct loop *loop = loop_create(clock);
 	struct fleet *fleet = fleet_create(clock, "here");
-	struct gossip_first first;
+	struct gossip_candidate first;
 	struct gossip *gossip;
 	struct error err;
 
@@ -86,10 +86,10 @@
 			       &(struct gossip_ops){.summary = NULL}, NULL,
 			       &err);
 	g_assert_nonnull(gossip);
-	peer_heard(gossip, peer_add(gossip, "127.0.0.1:9"), "here");
+	peer_seen(gossip, peer_add(gossip, "127.0.0.1:9"), "here");
 	peers_update(gossip);
 	g_assert_cmpuint(gossip->local->len, ==, 1);
-	gossip_first_local(gossip, false, false, &first);
+	gossip_lowest_local(gossip, false, false, &first);
 	g_assert_cmpstr(first.name, ==, "b");
 	g_assert_cmpuint(gossip_rank(gossip), ==, 0);
 	gossip_destroy(gossip);
--- a/tests/forward/test_mirror.c
+++ b/tests/forward/test_mirror.c
@@ -675,10 +675,10 @@
 {
 	struct gossip_load load = {7, {1, -2, 3}};
 
-	gossip_message_init(message, GOSSIP_CENTRE);
+	gossip_message_init(message, GOSSIP_GROUP_SUMMARY);
 	g_strlcpy(message->name, "a", sizeof(message->name));
 	g_strlcpy(message->group, "here", sizeof(message->group));
-	g_strlcpy(message->first.name, "b", sizeof(message->first.name));
+	g_strlcpy(message->lowest.name, "b", sizeof(message->lowest.name));
 	message->boot = 5;
 	message->sequence = 6;
 	message->summary = (struct gossip_summary){
@@ -709,8 +709,8 @@
 	g_assert_cmpuint(got.summary.mirrors[0].changed, ==, 3);
 	g_assert_cmpint(got.summary.mirrors[1].age_usec, ==, -1);
 	g_assert_cmpuint(got.loads->len, ==, 1);
-	g_assert_cmpint(got.kind, ==, GOSSIP_CENTRE);
-	g_assert_cmpstr(got.first.name, ==, "b");
+	g_assert_cmpint(got.kind, ==, GOSSIP_GROUP_SUMMARY);
+	g_assert_cmpstr(got.lowest.name, ==, "b");
 	g_assert_cmpint(g_array_index(got.loads, struct gossip_load, 0)
 				.load.decode_tokens,
 			==, -2);
--- a/tests/forward/test_size.c
+++ b/tests/forward/test_size.c
@@ -7,7 +7,7 @@
 
 #define SERVICE 1u
 #define CENTRES 5
-#define VISITS_MOST 64u
+#define VISITS_MAX 64u
 
 static const struct engine_traits engine = {.slots = 12,
 					    .memory_tokens = 27000};
@@ -76,10 +76,10 @@
 
 		site_open(&site, sizes[i]);
 		to = place_decode(&site.place, &engine, 3000);
-		g_assert_cmpuint(site.visits, <=, VISITS_MOST);
+		g_assert_cmpuint(site.visits, <=, VISITS_MAX);
 		site.visits = 0;
 		g_assert_nonnull(place_prefill(&site.place, to));
-		g_assert_cmpuint(site.visits, <=, VISITS_MOST);
+		g_assert_cmpuint(site.visits, <=, VISITS_MAX);
 		site_close(&site);
 	}
 }
--- a/tests/forward/test_views.c
+++ b/tests/forward/test_views.c
@@ -18,7 +18,7 @@
 #define RATE 7.0
 
 /* A load that changed, to be heard by the others later. */
-struct news {
+struct load_update {
 	int64_t at;
 	int from;
 	int server;
@@ -31,15 +31,15 @@
 	struct fleet *fleets[INSTANCES];
 	struct backend *views[INSTANCES][SERVERS];
 	uint32_t requests[SERVERS]; /* in truth */
-	GQueue news;		    /* struct news, by time */
-	GQueue far_news;	    /* the same, for the other data centre */
+	GQueue local_updates;	    /* struct load_update, by time */
+	GQueue remote_updates;	    /* the same, for the other data centre */
 	GQueue ends;		    /* the same, from: whose request ends */
 	int64_t delay;		    /* of words in the data centre */
 	int64_t delay_remote;	    /* between the two */
-	bool trusting;		    /* old views are taken for new ones */
+	bool ignore_staleness;	    /* old views are taken for new ones */
 	uint32_t placed;
-	uint32_t overrun; /* placed where memory will run out */
-	uint32_t waits;	  /* found no room */
+	uint32_t overloaded; /* placed where memory will run out */
+	uint32_t unplaced;   /* found no room */
 };
 
 /* Every second instance and server is in another data centre, if there are two.
@@ -55,7 +55,7 @@
 		.clock = clock_create(0),
 		.delay = delay,
 		.delay_remote = delay_remote,
-		.trusting = site->trusting,
+		.ignore_staleness = site->ignore_staleness,
 	};
 	site->rand = g_rand_new_with_seed(21);
 	clock_advance(site->clock, 60 * USEC_PER_SEC);
@@ -78,8 +78,8 @@
 
 static void site_close(struct site *site)
 {
-	g_queue_clear_full(&site->news, g_free);
-	g_queue_clear_full(&site->far_news, g_free);
+	g_queue_clear_full(&site->local_updates, g_free);
+	g_queue_clear_full(&site->remote_updates, g_free);
 	g_queue_clear_full(&site->ends, g_free);
 	for (int i = 0; i < INSTANCES; i++)
 		fleet_destroy(site->fleets[i]);
@@ -99,13 +99,13 @@
 	load->decode_tokens += (int64_t)change * TOKENS;
 }
 
-static void later(GQueue *queue, int64_t at, int from, int server,
-		  int32_t change)
+static void update_schedule(GQueue *queue, int64_t at, int from, int server,
+			    int32_t change)
 {
-	struct news *news = g_new(struct news, 1);
+	struct load_update *update = g_new(struct load_update, 1);
 
-	*news = (struct news){at, from, server, change};
-	g_queue_push_tail(queue, news);
+	*update = (struct load_update){at, from, server, change};
+	g_queue_push_tail(queue, update);
 }
 
 /* The instance's own load, at once for itself and later for the others. */
@@ -113,30 +113,32 @@
 {
 	own_change(&site->views[instance][server]->own, by);
 	site->requests[server] += (uint32_t)by;
-	later(&site->news, clock_now(site->clock) + site->delay, instance,
-	      server, by);
+	update_schedule(&site->local_updates,
+			clock_now(site->clock) + site->delay, instance, server,
+			by);
 	if (site->delay_remote > 0)
-		later(&site->far_news,
-		      clock_now(site->clock) + site->delay_remote, instance,
-		      server, by);
+		update_schedule(&site->remote_updates,
+				clock_now(site->clock) + site->delay_remote,
+				instance, server, by);
 }
 
-static struct news *due(GQueue *queue, int64_t now)
+static struct load_update *update_due(GQueue *queue, int64_t now)
 {
-	struct news *first = g_queue_peek_head(queue);
+	struct load_update *first = g_queue_peek_head(queue);
 
 	return first && first->at <= now ? g_queue_pop_head(queue) : NULL;
 }
 
-static void hear(struct site *site, const struct news *news, bool far)
+static void update_apply(struct site *site, const struct load_update *update,
+			 bool remote)
 {
-	const char *from = centre_of(site, news->from);
+	const char *from = centre_of(site, update->from);
 
 	for (int i = 0; i < INSTANCES; i++)
-		if (i != news->from &&
-		    (strcmp(centre_of(site, i), from) != 0) == far)
-			peers_change(&site->views[i][news->server]->peers,
-				     news->change);
+		if (i != update->from &&
+		    (strcmp(centre_of(site, i), from) != 0) == remote)
+			peers_change(&site->views[i][update->server]->peers,
+				     update->change);
 }
 
 static int server_of(const struct site *site, int instance,
@@ -149,7 +151,7 @@
 	return k;
 }
 
-static void arrive(struct site *site)
+static void request_arrive(struct site *site)
 {
 	static const struct engine_traits engine = {.slots = 12,
 						    .memory_tokens = MEMORY};
@@ -159,48 +161,49 @@
 		.now = clock_now(site->clock),
 		.service = 1,
 		.rand = site->rand,
-		.stale_local = site->trusting ? 0 : site->delay,
-		.stale_remote = site->trusting ? 0 : site->delay_remote,
+		.stale_local = site->ignore_staleness ? 0 : site->delay,
+		.stale_remote = site->ignore_staleness ? 0 : site->delay_remote,
 	};
 	struct backend *backend = place_decode(&place, &engine, TOKENS);
 	int server;
 
 	if (!backend) {
-		site->waits++;
+		site->unplaced++;
 		return;
 	}
 	server = server_of(site, instance, backend);
 	change(site, instance, server, 1);
-	later(&site->ends, place.now + HELD_USEC, instance, server, -1);
+	update_schedule(&site->ends, place.now + HELD_USEC, instance, server,
+			-1);
 	site->placed++;
-	site->overrun += site->requests[server] * TOKENS > MEMORY;
+	site->overloaded += site->requests[server] * TOKENS > MEMORY;
 }
 
 static void step(struct site *site, double rate)
 {
 	int64_t now = clock_now(site->clock);
-	struct news *one;
+	struct load_update *one;
 
-	while ((one = due(&site->ends, now))) {
+	while ((one = update_due(&site->ends, now))) {
 		change(site, one->from, one->server, -1);
 		g_free(one);
 	}
-	while ((one = due(&site->news, now))) {
-		hear(site, one, false);
+	while ((one = update_due(&site->local_updates, now))) {
+		update_apply(site, one, false);
 		g_free(one);
 	}
-	while ((one = due(&site->far_news, now))) {
-		hear(site, one, true);
+	while ((one = update_due(&site->remote_updates, now))) {
+		update_apply(site, one, true);
 		g_free(one);
 	}
 	if (g_rand_double(site->rand) <
 	    rate * (double)STEP / (double)USEC_PER_SEC)
-		arrive(site);
+		request_arrive(site);
 	clock_advance(site->clock, now + STEP);
 }
 
-static void play(struct site *site, int64_t delay, int64_t delay_remote,
-		 double rate)
+static void site_run(struct site *site, int64_t delay, int64_t delay_remote,
+		     double rate)
 {
 	site_open(site, delay, delay_remote);
 	for (int64_t i = 0; i < SECONDS * USEC_PER_SEC / STEP; i++)
@@ -210,23 +213,23 @@
 		       "memory runs out",
 		       (int)(delay / USEC_PER_MSEC),
 		       (int)(delay_remote / USEC_PER_MSEC),
-		       site->trusting ? ", trusted" : "", site->placed,
-		       site->waits, site->overrun);
+		       site->ignore_staleness ? ", trusted" : "", site->placed,
+		       site->unplaced, site->overloaded);
 	site_close(site);
 }
 
-/* Words that take 350 ms, the mean of near and far when loads are told at
+/* Words that take 350 ms, the mean of near and remote when loads are told at
  * intervals only: 164 of 845 requests are placed where memory will run out.
  * With words that take 3 ms: 3 of 780, and 69 more find no room and wait. */
 static void test_load(void)
 {
-	struct site late = {.trusting = true};
-	struct site soon = {.trusting = true};
+	struct site late = {.ignore_staleness = true};
+	struct site soon = {.ignore_staleness = true};
 
-	play(&late, 350 * USEC_PER_MSEC, 0, RATE);
-	play(&soon, 3 * USEC_PER_MSEC, 0, RATE);
-	g_assert_cmpuint(late.overrun, >, 4 * soon.overrun);
-	g_assert_cmpuint(soon.overrun * 50, <, soon.placed);
+	site_run(&late, 350 * USEC_PER_MSEC, 0, RATE);
+	site_run(&soon, 3 * USEC_PER_MSEC, 0, RATE);
+	g_assert_cmpuint(late.overloaded, >, 4 * soon.overloaded);
+	g_assert_cmpuint(soon.overloaded * 50, <, soon.placed);
 	g_assert_cmpuint(soon.placed, >, late.placed * 9 / 10);
 }
 
@@ -234,13 +237,15 @@
  * between them. */
 static void test_elsewhere(void)
 {
-	struct site trusting = {.trusting = true};
-	struct site careful = {0};
+	struct site ignore_staleness = {.ignore_staleness = true};
+	struct site cautious = {0};
 
-	play(&trusting, 3 * USEC_PER_MSEC, 350 * USEC_PER_MSEC, 1.4 * RATE);
-	play(&careful, 3 * USEC_PER_MSEC, 350 * USEC_PER_MSEC, 1.4 * RATE);
-	g_assert_cmpuint(careful.overrun * 4, <, trusting.overrun);
-	g_assert_cmpuint(careful.placed, >, trusting.placed * 8 / 10);
+	site_run(&ignore_staleness, 3 * USEC_PER_MSEC, 350 * USEC_PER_MSEC,
+		 1.4 * RATE);
+	site_run(&cautious, 3 * USEC_PER_MSEC, 350 * USEC_PER_MSEC, 1.4 * RATE);
+	g_assert_cmpuint(cautious.overloaded * 4, <,
+			 ignore_staleness.overloaded);
+	g_assert_cmpuint(cautious.placed, >, ignore_staleness.placed * 8 / 10);
 }
 
 int main(int argc, char **argv)
