--- a/forward/gossip.c
+++ b/forward/gossip.c
@@ -12,16 +12,16 @@
 #include "gossip_private.h"
 #include "web/loop.h"
 
-/* Datagrams read in one turn. */
+/* Datagrams read in one iteration of the event loop. */
 #define DATAGRAMS_PER_READ 64
-/* A change of load on a server of engines is told at once to the peers near,
- * and to those of the server's data centre, as long as datagrams are left of
- * this many a second, and this many saved up: told later, instances that place
- * at the same time choose the same server, which then preempts. */
+/* Load changes on an engine server that are sent at once to the local peers and
+ * to those of the server's data centre: datagrams a second, and burst. If sent
+ * later, instances that place requests at the same time choose the same server,
+ * which then preempts. */
 #define CHANGES_PER_SEC 450.0
 #define CHANGES_BURST 900.0
-/* The same for the peers of all other data centres, who only use the server
- * when theirs are full, and hear of it from their tellers soon. */
+/* The same for all other data centres. They use the server only when their own
+ * servers are full, and the next summary has the change. */
 #define CHANGES_REMOTE_PER_SEC 150.0
 #define CHANGES_REMOTE_BURST 300.0
 
--- a/forward/gossip_codec.h
+++ b/forward/gossip_codec.h
@@ -2,23 +2,30 @@
  * gossip_codec.h - the datagrams of gossip.h as MessagePack
  *
  * DESCRIPTION
- *	A word, of an instance itself or of its data centre:
- *	[format, kind, boot, sequence, [[backend, requests, decode tokens,
- *	 prefill tokens], ...], name, group, version, demand, waiting,
- *	 read rates, read raters,
- *	 flags, [[backend, stage, milliseconds left], ...], [[next, changed, age
- *in microseconds], ...], first, [address, ...], [use, ...],
- *	 [[backend, milliseconds left], ...], [fact, ...]]
- *	A fact is [backend, thousandths of a request a second or -1, age of
- *	that in microseconds, leaving, microseconds that it stays cold,
- *	thousandths of a request a second meanwhile]. Ask: [format, kind, boot,
- *sequence, [id, fact]]. Answer: [format, kind, boot, sequence, [id, backend,
- *granted, microseconds]]. Uses: [format, kind, boot, sequence, [[organisation,
- *epoch, used, demand, level], ...]], of an instance or of its data centre
- *Works: [format, kind, boot, sequence,
- *[[work, work, epoch, stored, [life of a server, ...]], ...]] Changes: [format,
- *kind, boot, sequence, [[backend, ...], ...]] An address of IPv4 is one number,
- *any other a text.
+ *	Each message begins with format, kind, boot and sequence. They are left
+ *	out below, and so is the outer array.
+ *
+ *	Summary, of an instance or of a group:
+ *	[[backend, requests, decode tokens, prefill tokens], ...], name, group,
+ *	version, demand, waiting, sum of prefill rates, number of these rates,
+ *	flags, [[backend, stage, milliseconds left], ...],
+ *	[[next, changed, age in microseconds], ...], name of the lowest
+ *	instance, [address, ...], [usage, ...],
+ *	[[backend, milliseconds left], ...], [fact, ...]
+ *
+ *	Changes: [[backend, requests, decode tokens, prefill tokens], ...]
+ *	Usage: [usage, ...], of an instance or of its data centre
+ *	Permit request: [id, fact]
+ *	Permit answer: [id, backend, granted, microseconds]
+ *	Quarantine: [[high, low, epoch, stored, [incarnation, ...]], ...], with
+ *	the two halves of a request fingerprint and the incarnations of servers
+ *	that crashed
+ *
+ *	A usage is [organisation, epoch, used, demand, level]. A fact is
+ *	[backend, limit or -1, age of the limit in microseconds, leaving,
+ *	microseconds left of a cold start, limit during the cold start], with
+ *	limits in thousandths of a request a second. An address of IPv4 is one
+ *	number, any other a text.
  */
 #ifndef FORWARD_GOSSIP_CODEC_H
 #define FORWARD_GOSSIP_CODEC_H
@@ -31,31 +38,30 @@
 #include "forward/gossip.h"
 
 #define GOSSIP_FORMAT 4
-/* Fits a datagram on loopback and on links with jumbo frames; on others IP
+/* Fits a datagram on loopback and on links with jumbo frames; elsewhere IP
  * fragments it. 600 servers with load take 14 KiB. */
 #define GOSSIP_BYTES_MAX (32u << 10)
 #define GOSSIP_LOADS_MAX 1024u
 #define GOSSIP_ADDRESSES_MAX 1024u
-/* Fit a datagram that is not cut into pieces (1,400 bytes) when each names
- * three servers. */
+/* Fit an unfragmented datagram (1,400 bytes) when each names three servers. */
 #define GOSSIP_QUARANTINE_MAX 24u
 
-/* Organisations told in one datagram; others follow in turn. Fit one of 1,400
+/* Organisations in one datagram; the next one holds further ones. Fit 1,400
  * bytes. */
 #define GOSSIP_USAGE_MAX 48u
 
 enum gossip_kind {
-	GOSSIP_INSTANCE_SUMMARY, /* an instance's word, with its own loads */
-	GOSSIP_GROUP_SUMMARY,	 /* with the loads of all its data centre */
-	GOSSIP_CHANGES,		 /* of its own loads since the last one */
-	GOSSIP_USAGE,	       /* of allotments: its own to peers near, its data
-				  centre's to others */
-	GOSSIP_PERMIT_REQUEST, /* for a permit */
-	GOSSIP_PERMIT_ANSWER,  /* to that */
-	GOSSIP_QUARANTINE,     /* in the quarantine */
+	GOSSIP_INSTANCE_SUMMARY, /* of an instance, with its own loads */
+	GOSSIP_GROUP_SUMMARY,	 /* of a group, with the sum of its loads */
+	GOSSIP_CHANGES,		 /* of own loads since the last message */
+	GOSSIP_USAGE, /* of allotments: own to local peers, the data centre's to
+			 remote ones */
+	GOSSIP_PERMIT_REQUEST,
+	GOSSIP_PERMIT_ANSWER,
+	GOSSIP_QUARANTINE, /* entries of the quarantine */
 };
 
-/* A data centre's name, and which group of it. */
+/* Name of a data centre, with the index and number of its groups. */
 #define GOSSIP_GROUP_MAX (BACKEND_TEXT_MAX + 16)
 
 struct gossip_load {
@@ -63,10 +69,10 @@
 	struct load_sum load;
 };
 
-/* What a data centre's lowest name is, for gossip_is_lowest(). */
+/* Candidate of a group for gossip_is_lowest(). */
 struct gossip_candidate {
-	char name[BACKEND_TEXT_MAX]; /* of those that reach the store, if any */
-	bool store_unreachable;	     /* none does */
+	char name[BACKEND_TEXT_MAX]; /* lowest that reaches the store, if any */
+	bool store_unreachable;	     /* none reaches it */
 };
 
 struct gossip_address {
@@ -78,28 +84,29 @@
 	uint64_t boot;
 	uint64_t sequence;
 	GArray *loads;	    /* struct gossip_load */
-	GArray *quarantine; /* struct quarantine_entry, of GOSSIP_QUARANTINE
+	GArray *quarantine; /* struct quarantine_entry, for GOSSIP_QUARANTINE
 			       only */
-	GArray *usage;	    /* struct limit_entry, of words and GOSSIP_USAGE */
-	struct permit_request request; /* of GOSSIP_PERMIT_REQUEST only */
-	struct permit_answer answer;   /* of GOSSIP_PERMIT_ANSWER only */
-	/* What follows is empty in changes. */
+	GArray *usage; /* struct limit_entry, for summaries and GOSSIP_USAGE */
+	struct permit_request request; /* for GOSSIP_PERMIT_REQUEST only */
+	struct permit_answer answer;   /* for GOSSIP_PERMIT_ANSWER only */
+	/* The following fields are set in summaries only. */
 	char name[BACKEND_TEXT_MAX];
 	char group[GOSSIP_GROUP_MAX]; /* of the sender */
 	struct gossip_summary summary;
-	struct gossip_candidate lowest; /* of a data centre */
-	/* struct gossip_address: other instances; of a data centre all that
-	 * live there. */
+	struct gossip_candidate
+		lowest; /* for GOSSIP_GROUP_SUMMARY: of the group */
+	/* struct gossip_address: some other instances; in a group summary all
+	 * of the group, if any. */
 	GArray *addresses;
 	GArray *facts; /* struct backpressure_fact */
 };
 
-/* Makes the arrays; cleared with gossip_message_clear(). */
+/* Creates the arrays; to be freed with gossip_message_clear(). */
 void gossip_message_init(struct gossip_message *message, enum gossip_kind kind);
 void gossip_message_add(struct gossip_message *message, const char *address);
-/* out is a GByteArray. */
+/* Appends to out. */
 void gossip_encode(const struct gossip_message *message, GByteArray *out);
-/* message is made; to be cleared in any case. */
+/* Initialises message, which is to be cleared also on failure. */
 bool gossip_decode(struct gossip_message *message, const void *data,
 		   size_t size, struct error *err);
 void gossip_message_clear(struct gossip_message *message);
--- a/forward/gossip_decode.c
+++ b/forward/gossip_decode.c
@@ -1,6 +1,6 @@
 /*
- * gossip_decode.c - datagrams read: whatever does not have the form of
- * gossip_codec.h is refused whole
+ * gossip_decode.c - decoding of datagrams. One that does not have the form of
+ * gossip_codec.h is rejected as a whole.
  */
 #include "gossip_codec.h"
 
@@ -385,7 +385,7 @@
 	       facts_read(&fields[14], message->facts);
 }
 
-/* What follows the head of messages that are no words and hold no loads. */
+/* Reads the body of messages that are no summaries and hold no loads. */
 static bool body_read(const msgpack_object *body,
 		      struct gossip_message *message)
 {
@@ -441,7 +441,7 @@
 	good = message_unpack(&unpacked, data, size, err);
 	if (good && !message_read(&unpacked.data, message))
 		good = error_set(err, RESULT_BAD_MESSAGE,
-				 "no datagram of instances");
+				 "malformed gossip datagram");
 	msgpack_unpacked_destroy(&unpacked);
 	return good;
 }
--- a/forward/gossip_groups.c
+++ b/forward/gossip_groups.c
@@ -3,10 +3,10 @@
  *
  * DESCRIPTION
  *	A data centre of up to GROUP_SIZE_MAX instances is one group and has its
- *	name. A larger one has a power of two of groups, "NAME/INDEX.COUNT"; the
- *	hash of its address tells the group of an instance, its key that of a
- *	server. The count follows the instances that are known, with hysteresis,
- *	so groups stay as they are while instances restart.
+ *	name. A larger one has a power of two of groups, "NAME/INDEX.COUNT". The
+ *	group of an instance follows from the hash of its address, that of a
+ *	server from its key. The number of groups follows the number of known
+ *	instances, with hysteresis, so restarts of instances do not change it.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,9 +17,9 @@
 
 #define GROUP_SIZE_MAX 96u
 #define GROUP_SIZE_MIN 32u
-/* Beyond any data centre; what a peer says of more is malformed. */
+/* More than any data centre has; a larger count from a peer is malformed. */
 #define GROUPS_MAX 65536
-/* No instance name or data centre holds it. */
+/* No name of an instance or data centre contains it. */
 #define GROUP_SEPARATOR '/'
 
 uint32_t groups_for(uint32_t groups, uint32_t instances)
@@ -90,7 +90,8 @@
 	return count;
 }
 
-/* What the group told as another one is told by its instances from now on. */
+/* Enters the current group. Its own instances now send the loads that came in
+ * its summary before. */
 static void group_enter(struct gossip *gossip)
 {
 	struct group_state *group;
--- a/forward/gossip_loads.c
+++ b/forward/gossip_loads.c
@@ -1,5 +1,5 @@
 /*
- * gossip_loads.c - loads of peers, added to the servers they name
+ * gossip_loads.c - the loads that peers put on servers
  */
 #include "gossip_private.h"
 
@@ -68,7 +68,8 @@
 	}
 }
 
-/* Adds a load to the list, which index finds by key. */
+/* Adds a load to the list. index maps the key of a server to its position,
+ * counted from 1. */
 static void list_add(GArray *list, GHashTable *index, uint64_t key,
 		     const struct load_sum *sum, int64_t times)
 {
--- a/forward/gossip_peers.c
+++ b/forward/gossip_peers.c
@@ -1,5 +1,6 @@
 /*
- * gossip_peers.c - the peers: who is known, who lives, who tells whom
+ * gossip_peers.c - the known peers and groups, their expiry, and the choice of
+ * receivers
  */
 #include <string.h>
 
@@ -7,14 +8,14 @@
 #include "common/log.h"
 #include "gossip_private.h"
 
-/* For how long a peer that is not heard of stays known. */
+/* A silent peer is forgotten after this time. */
 #define PEER_FORGET_USEC (30 * USEC_PER_SEC)
 #define PEERS_MAX 4096u
-/* Peers that peers_update() goes through in a tick, on average. */
+/* Peers that peers_update() examines per interval, on average. */
 #define PEERS_PER_TICK 200u
 #define UPDATE_MAX_USEC (1 * USEC_PER_SEC)
-/* Instances of a data centre that tell one elsewhere: the loss of one of them
- * leaves no gap. */
+/* Instances of a group that send to one remote peer, so that the loss of one
+ * sender leaves no gap. */
 #define SENDERS_PER_CENTRE 2u
 
 void peer_free(gpointer data)
@@ -57,13 +58,14 @@
 
 	if (!g_hash_table_contains(gossip->peers, address))
 		peer = peer_add(gossip, address);
-	/* Until it tells its group. */
+	/* Valid until the peer announces its group. */
 	if (peer && data_centre)
 		group_print(peer->group, data_centre, gossip->group_count,
 			    peer->key);
 }
 
-/* The group of a peer that has not told it yet follows the number of groups. */
+/* Recomputes the group of a peer that has not announced it, from the current
+ * number of groups. */
 static void group_derive(const struct gossip *gossip, struct peer *peer)
 {
 	char data_centre[GOSSIP_GROUP_MAX];
@@ -103,7 +105,7 @@
 	peer->last_seen = gossip_now(gossip);
 }
 
-/* ---- data centres ---- */
+/* ---- groups ---- */
 
 void group_state_free(gpointer data)
 {
@@ -158,10 +160,10 @@
 	gossip->live_group_count = live;
 }
 
-/* ---- peers in order ---- */
+/* ---- expiry and order of peers ---- */
 
-/* While a whole data centre is silent its instances stay known, so that they
- * are told again once it is back. */
+/* Whether the whole data centre of the peer is silent. Its instances then stay
+ * known, so that they are sent to again after the partition. */
 static bool is_partitioned(const struct gossip *gossip, const struct peer *peer)
 {
 	const struct group_state *group;
@@ -217,7 +219,7 @@
 			continue;
 		}
 		g_ptr_array_add(gossip->remote, peer);
-		/* Its own group tells of it now. */
+		/* The summary of its own group has its load now. */
 		loads_remove(gossip, peer->loads);
 		g_free(peer->summary);
 		peer->summary = NULL;
@@ -228,8 +230,8 @@
 	}
 }
 
-/* Whether this instance is one of its data centre's tellers of the peer: all
- * who live there rank themselves alike, by hashes of the two addresses. */
+/* Whether this instance sends to the peer for its group. All instances of the
+ * group compute the same rank, by rendezvous hashing of the two addresses. */
 static bool is_sender(const struct gossip *gossip, const struct peer *to)
 {
 	uint64_t own = id_mix(to->key, gossip->key);
@@ -245,7 +247,7 @@
 	return before < SENDERS_PER_CENTRE;
 }
 
-/* Changes when an instance comes or goes. */
+/* Changes when an instance joins or leaves. */
 static uint64_t keys_sum(const struct gossip *gossip)
 {
 	uint64_t sum = gossip->remote->len + 1;
--- a/forward/gossip_permits.c
+++ b/forward/gossip_permits.c
@@ -1,6 +1,6 @@
 /*
- * gossip_permits.c - facts about servers in messages, the home of a server, and
- * the messages that ask it for permits
+ * gossip_permits.c - backpressure facts in messages, the home of a server, and
+ * permit requests to it
  */
 #include "common/id.h"
 #include "gossip_private.h"
--- a/forward/gossip_quarantine.c
+++ b/forward/gossip_quarantine.c
@@ -1,5 +1,5 @@
 /*
- * gossip_quarantine.c - which works end servers, told to all
+ * gossip_quarantine.c - exchange of quarantine entries
  */
 #include "gossip_private.h"
 
@@ -68,7 +68,7 @@
 	}
 }
 
-/* Each live peer in its turn, wherever it is; NULL when there is none. */
+/* Next live peer, local or remote, in rotation; NULL without one. */
 static const struct peer *peer_next(struct gossip *gossip)
 {
 	g_autoptr(GPtrArray) live = g_ptr_array_new();
@@ -101,8 +101,8 @@
 	peer_send(gossip, peer, out);
 }
 
-/* By turns alone an instance that starts without a store hears of what is held
- * too late. */
+/* Rotation alone would be too slow for an instance that starts without a store.
+ */
 void gossip_quarantine_send(struct gossip *gossip, const struct peer *peer)
 {
 	struct quarantine_entry entries[GOSSIP_QUARANTINE_MAX];
@@ -132,7 +132,7 @@
 		g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
 	timer_init(&gossip->quarantine_soon, gossip->clock, on_soon, gossip);
 	timer_init(&gossip->quarantine_timer, gossip->clock, on_timer, gossip);
-	/* Not all begin with the same peer. */
+	/* Instances start the rotation at different peers. */
 	gossip->next_peer = (uint32_t)gossip->key;
 	if (gossip->ops.quarantine_next)
 		timer_start(&gossip->quarantine_timer,
--- a/forward/gossip_receive.c
+++ b/forward/gossip_receive.c
@@ -1,10 +1,11 @@
 /*
- * gossip_receive.c - what becomes of a datagram of a peer
+ * gossip_receive.c - handling of the messages of peers
  */
 #include "common/log.h"
 #include "gossip_private.h"
 
-/* Another start of the peer, or the next message of the same one. */
+/* Whether the message is of a later start of the peer, which must begin with a
+ * summary, or the next one of the same start. */
 static bool is_newer(const struct peer *peer,
 		     const struct gossip_message *message)
 {
@@ -14,7 +15,6 @@
 	return message->sequence > peer->sequence;
 }
 
-/* An instance that told of itself. */
 static void instance_summary_apply(struct gossip *gossip, struct peer *peer,
 				   const struct gossip_message *message)
 {
@@ -34,7 +34,7 @@
 				NULL);
 }
 
-/* All that live in another data centre. */
+/* Adds or refreshes the instances of another group. */
 static void members_apply(struct gossip *gossip,
 			  const struct gossip_message *message)
 {
@@ -98,8 +98,8 @@
 	else
 		group_summary_apply(gossip, peer, message);
 	gossip_facts_receive(gossip, message->facts);
-	/* A word of oneself to somebody elsewhere, as a stranger tells it, is
-	 * no sum of its data centre. */
+	/* An instance sends its own summary to peers whose group it does not
+	 * know. Its usage is not the total of its data centre. */
 	if (message->kind == GOSSIP_GROUP_SUMMARY ||
 	    peer_is_local(gossip, peer))
 		gossip_usage_receive(gossip, peer, message->usage);
@@ -119,7 +119,7 @@
 	struct peer *peer = g_hash_table_lookup(gossip->peers, from);
 	bool starts;
 
-	/* Works are the same in whatever order they come. */
+	/* Entries can be merged in any order. */
 	if (message->kind == GOSSIP_QUARANTINE) {
 		gossip_quarantine_receive(gossip,
 					  peer && peer_is_local(gossip, peer),
@@ -128,8 +128,8 @@
 	}
 	if (!peer && (message->kind < GOSSIP_CHANGES || is_permit(message)))
 		peer = peer_add(gossip, from);
-	/* They answer each other, by their numbers: of an instance elsewhere
-	 * nothing else may have come yet. */
+	/* Requests and answers match by id. A remote instance may have sent
+	 * nothing else yet. */
 	if (peer && is_permit(message)) {
 		gossip_permit_receive(gossip, peer, message);
 		return;
--- a/forward/gossip_send.c
+++ b/forward/gossip_send.c
@@ -1,20 +1,21 @@
 /*
- * gossip_send.c - whom this instance tells what, and when
+ * gossip_send.c - schedule and contents of summaries and load changes
  */
 #include <string.h>
 #include <sys/socket.h>
 
 #include "gossip_private.h"
 
-/* A word is sent at least so often although nothing changed. */
+/* Interval between summaries while nothing changes. */
 #define IDLE_INTERVAL_USEC (300 * USEC_PER_MSEC)
-/* How often an address that does not answer is tried. */
+/* Interval at which a silent or unknown address is tried. */
 #define PROBE_INTERVAL_USEC (1 * USEC_PER_SEC)
-/* Strangers told at a time; each tells in turn who else is near. */
+/* Peers of unknown group sent to at a time. Summaries in return hold the
+ * addresses of others. */
 #define UNKNOWN_PEERS_MAX 64u
-/* Peers that are looked at for one that lives. */
+/* Peers examined in search of a live one. */
 #define ADDRESS_TRIES 16u
-/* Weight of a new measurement in the mean delay of telling. */
+/* Weight of a new measurement in the mean delay of load changes. */
 #define DELAY_WEIGHT 0.05
 
 void peer_send(struct gossip *gossip, const struct peer *peer,
@@ -22,7 +23,7 @@
 {
 	gossip->traffic.sent++;
 	gossip->traffic.sent_bytes += out->len;
-	/* What cannot be sent is made good by the next one. */
+	/* The next datagram makes up for one that could not be sent. */
 	(void)sendto(gossip->fd, out->data, out->len,
 		     MSG_DONTWAIT | MSG_NOSIGNAL, (struct sockaddr *)&peer->to,
 		     peer->to_size);
@@ -36,8 +37,8 @@
 			peer_send(gossip, peers->pdata[i], out);
 }
 
-/* One address rides along, another each time, so that an instance that could
- * not read the store learns of all peers from one. */
+/* Each message holds one address, in rotation, so that an instance that could
+ * not read the store learns all peers from one. */
 static void address_add(struct gossip *gossip, struct gossip_message *message)
 {
 	guint size = gossip->local->len + gossip->remote->len;
@@ -80,7 +81,7 @@
 	gossip->changed_at = gossip_now(gossip);
 }
 
-/* This instance's word, to be sent now. */
+/* Encodes the current summary of this instance. */
 static GByteArray *instance_summary_encode(struct gossip *gossip)
 {
 	g_autoptr(GArray) changes =
@@ -120,8 +121,8 @@
 	}
 }
 
-/* What this instance knows of its data centre; with who lives there, if asked.
- */
+/* Encodes the summary of this group, with the addresses of its instances if
+ * members is set. */
 static GByteArray *group_summary_encode(struct gossip *gossip, bool members)
 {
 	GByteArray *out = g_byte_array_new();
@@ -176,8 +177,9 @@
 	}
 }
 
-/* Whoever is not known to live anywhere. Its data centre's tellers hear of this
- * instance so, and its own tells it in turn. */
+/* Sends to peers whose group is unknown. The instances that send for their
+ * group learn of this instance so, and the peer's own data centre sends to it
+ * in turn. */
 static void unknown_peers_send(struct gossip *gossip, const GByteArray *out)
 {
 	int64_t now = gossip_now(gossip);
@@ -243,9 +245,9 @@
 	receivers_send(gossip);
 }
 
-/* ---- telling at once ---- */
+/* ---- load changes ---- */
 
-/* Takes so many datagrams off, or none at all. */
+/* Takes tokens for all of the datagrams, or none. */
 static bool bucket_take(struct gossip *gossip, struct token_bucket *bucket,
 			uint32_t count)
 {
@@ -279,7 +281,7 @@
 	}
 }
 
-/* Whether a server of the data centre is among them. */
+/* Whether any of the changes is on a server of the group. */
 static bool changes_affect_group(const struct gossip *gossip,
 				 const GArray *changes,
 				 const struct group_state *group)
@@ -306,7 +308,7 @@
 					      ? &gossip->changes_bucket
 					      : &gossip->changes_bucket_remote;
 
-	/* Where there are many groups their own servers are plenty. */
+	/* A group of a large data centre has enough servers of its own. */
 	if (!is_affected && !group_is_whole(group->name))
 		return;
 	if (!bucket_take(gossip, bucket, group->peers->len)) {
--- a/forward/gossip_usage.c
+++ b/forward/gossip_usage.c
@@ -1,5 +1,5 @@
 /*
- * gossip_usage.c - what is used of allotments, told to all
+ * gossip_usage.c - exchange of the usage of allotments
  */
 #include "common/id.h"
 #include "gossip_private.h"
--- a/forward/gossip_view.c
+++ b/forward/gossip_view.c
@@ -1,28 +1,30 @@
 /*
- * gossip_view.c - what is known of the peers
+ * gossip_view.c - intervals, ranks and totals from the state of the peers
  */
 #include <string.h>
 
 #include "gossip_private.h"
 
-/* Near peers that are told at the base interval; more are told more seldom, as
- * changes of loads of engines go at once, and copies are heard of from the one
- * that reads the store. */
+/* Local peers that the base interval allows; it grows with more. Load changes
+ * on engine servers are sent at once, and the instance that reads the store
+ * announces its mirrors more often. */
 #define FULL_RATE_LOCAL 6u
-/* The same for peers elsewhere, each told by two only. */
+/* The same for remote peers. Each of them has only two senders in a data
+ * centre. */
 #define FULL_RATE_REMOTE 8u
-/* Slowest telling, well before what was told is taken for stale; and of other
- * data centres, whose loads are seen as old as that. */
+/* Longest intervals. A local summary must arrive well before GOSSIP_STALE_USEC,
+ * and remote loads are as old as the remote interval. */
 #define INTERVAL_MAX_USEC (1 * USEC_PER_SEC)
 #define INTERVAL_REMOTE_MAX_USEC (400 * USEC_PER_MSEC)
-/* Each other group's tellers take so much of the time, so that the messages
- * that come in a second do not grow with the groups. */
+/* Interval per other group, so that the messages received in a second do not
+ * grow with the number of groups. */
 #define INTERVAL_PER_GROUP_USEC (50 * USEC_PER_MSEC)
-/* Those elsewhere are told so often who lives in this group where it is a whole
- * data centre, and with each so many messages otherwise. */
+/* Interval at which remote peers receive the addresses of this group when it is
+ * a whole data centre, and the number of summaries between two such when it is
+ * not. */
 #define MEMBERS_INTERVAL_USEC (1 * USEC_PER_SEC)
 #define MEMBERS_MESSAGES 4
-/* A data centre that was silent for so long is not waited for any more. */
+/* After this silence a data centre no longer counts as partitioned. */
 #define GROUP_FORGET_USEC (30 * USEC_PER_SEC)
 
 int64_t gossip_now(const struct gossip *gossip)
@@ -124,7 +126,7 @@
 	return order ? order : strcmp(a->name, b->name);
 }
 
-/* One that only others have told of has no name yet. */
+/* A peer known only from the summaries of others has no name yet. */
 static bool is_candidate(const struct gossip *gossip, const struct peer *peer)
 {
 	return peer_live(gossip, peer) && peer->name[0];
@@ -166,7 +168,8 @@
 	return false;
 }
 
-/* Live near peers that the store does not answer and whose copies are old. */
+/* Live local peers that the store does not answer and whose mirrors are stale.
+ */
 static uint32_t store_unreachable_count(const struct gossip *gossip,
 					int64_t usec)
 {
@@ -182,7 +185,8 @@
 	return count;
 }
 
-/* Whether the first of another data centre comes before that of this one. */
+/* Whether the lowest instance of another group precedes the lowest of this
+ * group. */
 static bool other_group_is_lower(const struct gossip *gossip)
 {
 	struct gossip_candidate first;
--- a/include/forward/gossip.h
+++ b/include/forward/gossip.h
@@ -1,56 +1,58 @@
 /*
- * gossip.h - what instances tell each other of the load they put on servers
+ * gossip.h - exchange of load and state between instances, over UDP
  *
  * DESCRIPTION
- *	A data centre of more than 96 instances consists of groups, each of
- *	which does what is said of a data centre here. Loads that change are
- *	told at once to the instance's group and to the server's only, and who
- *	lives in a group with each fourth of its sums.
+ *	An instance sends each peer of its data centre a summary with the load
+ *	that it puts on each backend server. Each instance receives the summary
+ *	of every other data centre, which holds its total load and the addresses
+ *	of its instances, from two instances of that data centre. Rendezvous
+ *	hashing chooses the two. So what an instance sends and receives is
+ *	bounded by its own data centre and the number of data centres, not by
+ *	the number of all instances.
  *
- *	An instance tells the peers in its data centre, in datagrams, what load
- *	it puts on each backend server. Each instance is told of every other
- *	data centre by two of that one's instances, chosen by rendezvous
- *	hashing: its sums of load, and who lives there. So what an instance
- *	sends and reads is bounded by its own data centre and the number of
- *	data centres, not by all instances.
+ *	A data centre of more than 96 instances is divided into groups. Each of
+ *	them does what is described here for a data centre, with two
+ *	differences: load changes are sent at once only within the instance's
+ *	group and to the group of the server, and the addresses of the instances
+ *	are part of every fourth summary of a group.
  *
- *	What is told is whole, so a lost datagram is made good by the next. In
- *	between, a load that changes on a server of engines is told at once, as
- *	a difference, to the peers near and to those of the server's data
- *	centre, as long as an allowance of 450 datagrams a second lasts, and to
- *	all others within one of 150.
+ *	A summary holds the full state, so the next one makes up for a lost
+ *	datagram. A load that changes on an engine server is also sent at once,
+ *	as a difference, to the local peers and to those of the server's data
+ *	centre, at up to 450 datagrams a second, and to all others at up to 150
+ *	a second.
  *
- *	Works in the quarantine (coord/quarantine.h) go in datagrams of their
- *	own. Who finds something new tells the peers near and its receivers
- *	elsewhere; who hears it from a peer near tells its own receivers, so
- *	two turns reach all. Lost datagrams, newcomers and healed cuts are made
- *	good by one datagram to one peer each GOSSIP_QUARANTINE_INTERVAL_USEC,
- *in turn, and by one to each peer that starts or speaks again after a silence,
- *at once. While nothing is suspected nothing of this is sent.
+ *	Entries of the quarantine (coord/quarantine.h) have datagrams of their
+ *	own. An instance sends a new finding to its local peers and its remote
+ *	receivers. An instance that receives it from a local peer forwards it to
+ *	its own receivers, so two hops reach all. For anti-entropy each instance
+ *	also sends one datagram to one peer, in rotation, every
+ *	GOSSIP_QUARANTINE_INTERVAL_USEC, and one at once to each peer that
+ *	starts or is back after a silence. That makes up for lost datagrams, new
+ *	instances and healed partitions. An empty quarantine sends nothing.
  *
- *	What is used of allotments (coord/limit.h) goes with the words: an
- *	instance's own to peers near, its data centre's to its receivers. Where
- *	much was used since, it is told in datagrams of its own, at most one to
- *	each of them every GOSSIP_USAGE_INTERVAL_USEC.
+ *	Usage of allotments (coord/limit.h) is part of the summaries: an
+ *	instance sends its own usage to local peers and the total of its data
+ *	centre to its receivers. After heavy use it is sent in separate
+ *	datagrams, at most one to each peer every GOSSIP_USAGE_INTERVAL_USEC.
  *
- *	Facts of coord/backpressure.h are part of the periodic messages of
- *	instances and of data centres. The home of a server with a limit is the
- *	live instance of the server's data centre that rendezvous hashing gives,
- *	or of all data centres where none lives there. Other instances ask it
- *	for each permit, one datagram each way; a lost one is a timeout for the
- *	asker. An instance that is not the home by its own view denies.
+ *	Facts of coord/backpressure.h are part of the summaries of instances and
+ *	of data centres. The home of a server with a limit is the live instance
+ *	of the server's data centre that rendezvous hashing gives, or of all
+ *	data centres when none is live there. Other instances request each
+ *	permit from it, one datagram each way; a lost one is a timeout for the
+ *	requester. An instance that is not the home by its own view denies.
  *
- *	What a peer or data centre told is dropped GOSSIP_STALE_USEC after its
- *	last word. Nothing waits for a peer. Peers are first learnt from the
- *	store, then from datagrams: from their senders, and from the addresses
- *	that each carries.
+ *	State of a peer or data centre expires GOSSIP_STALE_USEC after its last
+ *	summary. Nothing waits for a peer. Peers are first read from the store,
+ *	then learnt from the senders of datagrams and from the addresses in
+ *	them.
  *
- *	With n peers in its data centre an instance sends each of them a word
- *	every GOSSIP_INTERVAL_USEC * max(1, n / 6), a second at the most, and
- *every 300 ms when it reads the store for others: at most 200 datagrams a
- *second with
- *	60. Elsewhere it tells about twice as many instances as there are other
- *	data centres, every 100 to 400 ms.
+ *	With n peers in its data centre an instance sends each of them a summary
+ *	every GOSSIP_INTERVAL_USEC * max(1, n / 6), at most one second, and at
+ *	most 300 ms when it reads the store for others: up to 200 datagrams a
+ *	second with 60 peers. It also sends to about twice as many remote
+ *	instances as there are other data centres, every 100 to 400 ms.
  */
 #ifndef FORWARD_GOSSIP_H
 #define FORWARD_GOSSIP_H
@@ -68,33 +70,33 @@
 #include "forward/mirror.h"
 
 #define GOSSIP_INTERVAL_USEC (100 * USEC_PER_MSEC)
-/* Ten lost datagrams in a row, or five words of an idle peer. */
+/* Ten lost datagrams in a row, or five summaries of an idle peer. */
 #define GOSSIP_STALE_USEC (2500 * USEC_PER_MSEC)
 
-/* Two words of an idle peer, and some. */
+/* More than two summaries of an idle peer. */
 #define GOSSIP_PARTITIONED_USEC (1200 * USEC_PER_MSEC)
 
-/* With n instances each of them is told so by another one each 0.5 s, so one
- * that was cut off knows all that matters well within the three seconds after
- * which it counts as back. */
+/* With n instances each receives such a datagram every 0.5 s on average, so one
+ * that was partitioned has all relevant entries well within the three seconds
+ * after which it counts as recovered. */
 #define GOSSIP_QUARANTINE_INTERVAL_USEC (500 * USEC_PER_MSEC)
 
-/* So much of an allotment may be passed unheard of as is used within it: at
- * eight times an allotment that has a burst of one second, 0.8 bursts, of which
- * urgent tellings leave a part. */
+/* Usage within this time may exceed an allotment unnoticed: at eight times an
+ * allotment with a burst of one second, 0.8 bursts, of which urgent updates
+ * leave a part. */
 #define GOSSIP_USAGE_INTERVAL_USEC (100 * USEC_PER_MSEC)
 
-/* Servers that change their role at the same time; more are ordered only as
- * these are done, one each half second. */
+/* Servers that change their role at the same time. Further changes are ordered
+ * as these complete, one every 0.5 s. */
 #define GOSSIP_CHANGING_MAX 48
 
-/* Servers told of as out of reach; 500 bytes. */
+/* Unreachable servers in a summary; 500 bytes. */
 #define GOSSIP_UNREACHABLE_MAX 48
 
-/* Facts in one message; others follow in the next. */
+/* Facts in one message; the next message holds further ones. */
 #define GOSSIP_FACTS_MAX 48
 
-/* Streams whose copies are told of. */
+/* Mirrored streams whose status is part of a summary. */
 #define GOSSIP_MIRRORS 2
 
 struct loop;
@@ -107,31 +109,32 @@
 	uint64_t boot;	     /* rises with each start */
 };
 
-/* What an instance tells besides loads. */
+/* State that an instance, or a data centre as a total, announces besides its
+ * loads. */
 struct gossip_summary {
 	uint64_t version; /* of its catalog */
 	double demand;	  /* prompt tokens a second */
 	uint32_t waiting; /* requests without decode memory */
-	/* What instances saw of the rate at which prefill servers read, tokens
-	 * a second added up, and how many saw it. */
+	/* Prompt tokens a second that prefill servers process: the sum over the
+	 * instances that measured a rate, and the number of these instances. */
 	double prefill_rates;
 	uint32_t prefill_rate_count;
 	bool leaving;
-	bool store_unreachable; /* the store does not answer it */
-	/* Servers ordered to another role, all of them: runs sent to one
-	 * that changes are refused, and their prompts were read in vain. */
+	bool store_unreachable; /* the store does not answer this instance */
+	/* All servers ordered to another role. A server in transition refuses
+	 * requests, after their prefill was done in vain. */
 	struct backend_change changing[GOSSIP_CHANGING_MAX];
 	uint32_t changing_count;
 	struct mirror_status mirrors[GOSSIP_MIRRORS];
-	/* Servers that could not be reached; of an instance only. Who is
-	 * told need not try them all one after the other. */
+	/* Unreachable servers, in summaries of an instance only. The receiver
+	 * need not try them all one after the other. */
 	struct unreachable_backend unreachable[GOSSIP_UNREACHABLE_MAX];
 	uint32_t unreachable_count;
 };
 
 /* A request for a permit to send one request to a server with a limit. */
 struct permit_request {
-	uint64_t id; /* chosen by the asker, returned in the answer */
+	uint64_t id; /* chosen by the requester, returned in the answer */
 	struct backpressure_fact fact;
 };
 
@@ -139,7 +142,7 @@
 	uint64_t id;
 	uint64_t server;
 	bool granted;
-	int64_t retry_usec; /* when to ask again, if not granted */
+	int64_t retry_usec; /* delay before a retry, if not granted */
 };
 
 /* Datagrams since the start, and their bytes without headers. */
@@ -151,42 +154,44 @@
 };
 
 struct gossip_ops {
-	/* What this instance has to tell now, but for servers(). */
+	/* Fills in this instance's state, except for what servers() adds. */
 	void (*summary)(void *ctx, struct gossip_summary *summary);
-	/* What a peer told; near: it is in the same data centre. */
+	/* A peer sent a summary; local: it is in the same data centre. */
 	void (*received)(void *ctx, const char *address, bool local,
 			 const struct gossip_summary *summary);
-	/* Whether this instance reads the store for others, who are to hear of
-	 * it more often. */
+	/* Whether this instance reads the store for others. It then sends
+	 * summaries more often. */
 	bool (*reads)(void *ctx);
-	/* A peer told of a work in the quarantine; true when that is news. NULL
-	 * where there is no quarantine. */
+	/* A peer sent a quarantine entry; true when it changes the local state.
+	 * NULL without a quarantine. */
 	bool (*quarantine_received)(void *ctx,
 				    const struct quarantine_entry *entry);
-	/* The next ones to tell, at most so many; returns how many. */
+	/* Copies the next entries to send, up to the given maximum; returns
+	 * their number. */
 	uint32_t (*quarantine_next)(void *ctx, struct quarantine_entry *entries,
 				    uint32_t most);
-	/* What is used of allotments, as limit_export(), that all have
-	 * heard of it, as limit_exported(), and what somebody told of it. NULL
-	 * where there are none. */
+	/* Usage of allotments: to send, as limit_export(); sent to all, as
+	 * limit_exported(); and received from a peer. NULL without allotments.
+	 */
 	uint32_t (*usage)(void *ctx, bool sums, struct limit_entry *entries,
 			  uint32_t most);
 	void (*usage_sent)(void *ctx);
 	void (*usage_received)(void *ctx, const struct limit_source *source,
 			       const struct limit_entry *entry);
-	/* Adds the servers that change their role and those out of reach, which
-	 * only words hold that are sent. NULL where none are told. */
+	/* Adds the servers that change their role and the unreachable ones.
+	 * Called only for summaries that are sent. NULL: none. */
 	void (*servers)(void *ctx, struct gossip_summary *summary);
-	/* Facts as of backpressure_export(), and one that a peer told. NULL
-	 * where nothing is told. */
+	/* Facts to send, as backpressure_export(), and a fact received from a
+	 * peer. NULL: none. */
 	uint32_t (*facts)(void *ctx, struct backpressure_fact *facts,
 			  uint32_t most);
 	void (*fact_received)(void *ctx, const struct backpressure_fact *fact);
-	/* A peer asks; fills in granted and retry_usec. NULL: no answers. */
+	/* A peer requests a permit; fills in granted and retry_usec. NULL:
+	 * requests are not answered. */
 	void (*permit_requested)(void *ctx,
 				 const struct permit_request *request,
 				 struct permit_answer *answer);
-	/* The answer to a permit that this instance asked for. */
+	/* The answer to a permit request of this instance. */
 	void (*permit_answered)(void *ctx, const struct permit_answer *answer);
 };
 
@@ -196,64 +201,65 @@
 			     const struct gossip_ops *ops, void *ctx,
 			     struct error *err);
 void gossip_destroy(struct gossip *gossip);
-/* A peer may be found there, in that data centre or, with NULL, anywhere; own
- * and known addresses are ignored. */
+/* Adds a possible peer, in the given data centre or, with NULL, in an unknown
+ * one. The own address and known ones are ignored. */
 void gossip_add_peer(struct gossip *gossip, const char *address,
 		     const char *data_centre);
-/* All that are listed were met: sorts them now, and tells them in the next
- * turn.
- */
+/* Sorts the peers at once, after all listed instances were added. They are sent
+ * a summary at the next interval. */
 void gossip_refresh_peers(struct gossip *gossip);
-/* Instances that may share budgets with this one, which counts too: those heard
- * of within the last half minute. */
+/* Instances that may share budgets with this one, itself included: those seen
+ * within the last 30 s. */
 uint32_t gossip_instances(const struct gossip *gossip);
-/* How often peers in the same data centre, or in others, are told of loads that
- * change when the allowance is spent. */
+/* Interval, in microseconds, at which local or remote peers receive load
+ * changes once the token buckets are empty. */
 int64_t gossip_interval(const struct gossip *gossip, bool local);
-/* This instance's load on a server of engines has changed: peers are told at
- * once as long as its allowance of datagrams lasts, otherwise at the interval.
- */
+/* This instance's load on an engine server has changed. Peers are notified at
+ * once while the token buckets last, otherwise at the interval. */
 void gossip_load_changed(struct gossip *gossip);
-/* Something new is known of a work: this instance's own finding, so all are
- * told at once. */
+/* This instance has changed a quarantine entry by a finding of its own. It is
+ * sent to all at once. */
 void gossip_quarantine_changed(struct gossip *gossip,
 			       const struct quarantine_entry *entry);
-/* So much of an allotment was used here that others should hear of it soon. */
+/* So much of an allotment was used here that peers need the usage before the
+ * next summary. */
 void gossip_usage_changed(struct gossip *gossip);
-/* Whether this instance is the server's home. An instance with may_be false is
- * no candidate. */
+/* Whether this instance is the server's home. With may_be false it is no
+ * candidate. */
 bool gossip_is_home(const struct gossip *gossip, uint64_t server,
 		    const char *data_centre, bool may_be);
-/* Sends ask to the server's home; false when that is this instance. */
+/* Sends the request to the server's home; false when this instance is the home.
+ */
 bool gossip_request_permit(struct gossip *gossip,
 			   const struct permit_request *request,
 			   const char *data_centre, bool may_be);
-/* How long a change has taken of late until peers near, or elsewhere, were told
- * of it, in microseconds: what they tell is about as old when it is used. */
+/* Recent mean delay, in microseconds, until a load change was sent to local or
+ * remote peers. Received loads are about as old. */
 int64_t gossip_delay(const struct gossip *gossip, bool local);
 const struct gossip_traffic *gossip_traffic(const struct gossip *gossip);
-/* Whether the data centre is so large that its instances form groups. */
+/* Whether the data centre is divided into groups. */
 bool gossip_grouped(const struct gossip *gossip);
 /* Whether the peer of that address is in this data centre. */
 bool gossip_is_local(const struct gossip *gossip, const char *address);
-/* Peers heard of lately. */
+/* Number of live peers. */
 uint32_t gossip_live_count(const struct gossip *gossip);
-/* Whether there are peers in other data centres, and none of them was heard of
- * for GOSSIP_PARTITIONED_USEC: this data centre, or this instance, is cut off.
+/* Whether there are peers in other data centres and none was seen for
+ * GOSSIP_PARTITIONED_USEC: this data centre, or this instance, is partitioned.
  */
 bool gossip_partitioned(const struct gossip *gossip);
-/* Which instance this is among those that may read the store for others: how
- * many live peers of the same data centre come before it, and one more when the
- * first of another live data centre does. Those that the store does not answer
- * come after all others, and each kind is in the order of names. */
+/* Rank of this instance among those that may read the store for others: the
+ * number of live peers of the same data centre that precede it, plus one when
+ * the lowest instance of another live data centre does. Instances that the
+ * store does not answer come last; otherwise the order is that of the names. */
 uint32_t gossip_rank(const struct gossip *gossip);
-/* Where this instance stands among those that may read the store for others. */
+/* Fills in the rank and the counts that decide when this instance reads the
+ * store. */
 void gossip_place(const struct gossip *gossip, struct reader_place *place);
-/* Whether this instance has the lowest name of those live, itself included;
- * instances that reach the store come before those that do not, as storeless
- * says of this one. */
+/* Whether this instance precedes all live ones: by name, and instances that
+ * reach the store before those that do not. store_unreachable says which kind
+ * this one is. */
 bool gossip_is_lowest(const struct gossip *gossip, bool store_unreachable);
-/* What peers told, added up, and this instance's own word. */
+/* Sum of this instance's summary and those of all live peers and groups. */
 void gossip_total(const struct gossip *gossip, struct gossip_summary *total);
 
 #endif
