--- a/forward/gossip.c
+++ b/forward/gossip.c
@@ -69,12 +69,12 @@
 		timer_start(&gossip->changes_timer, 0);
 }
 
-static void on_soon(struct timer *timer, void *ctx)
+static void on_changes_timer(struct timer *timer, void *ctx)
 {
 	gossip_send_changes(ctx);
 }
 
-static void on_timer(struct timer *timer, void *ctx)
+static void on_interval_timer(struct timer *timer, void *ctx)
 {
 	struct gossip *gossip = ctx;
 
@@ -145,8 +145,9 @@
 		CHANGES_REMOTE_BURST, gossip_now(gossip)};
 	gossip->delay_local = (double)GOSSIP_INTERVAL_USEC;
 	gossip->delay_remote = (double)GOSSIP_INTERVAL_USEC;
-	timer_init(&gossip->changes_timer, gossip->clock, on_soon, gossip);
-	timer_init(&gossip->timer, gossip->clock, on_timer, gossip);
+	timer_init(&gossip->changes_timer, gossip->clock, on_changes_timer,
+		   gossip);
+	timer_init(&gossip->timer, gossip->clock, on_interval_timer, gossip);
 	timer_start(&gossip->timer, 0);
 	gossip_quarantine_start(gossip);
 	gossip_usage_start(gossip);
--- a/forward/gossip_codec.h
+++ b/forward/gossip_codec.h
@@ -93,8 +93,8 @@
 	char name[BACKEND_TEXT_MAX];
 	char group[GOSSIP_GROUP_MAX]; /* of the sender */
 	struct gossip_summary summary;
-	struct gossip_candidate
-		lowest; /* for GOSSIP_GROUP_SUMMARY: of the group */
+	/* Of the group, in a group summary. */
+	struct gossip_candidate lowest;
 	/* struct gossip_address: some other instances; in a group summary all
 	 * of the group, if any. */
 	GArray *addresses;
--- a/forward/gossip_decode.c
+++ b/forward/gossip_decode.c
@@ -13,8 +13,8 @@
 #include "common/unpack.h"
 #include "gossip_fields.h"
 
-static bool number_read(const msgpack_object *object, uint64_t max,
-			uint64_t *value)
+static bool unsigned_read(const msgpack_object *object, uint64_t max,
+			  uint64_t *value)
 {
 	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 	    object->via.u64 > max)
@@ -23,23 +23,24 @@
 	return true;
 }
 
-static bool sum_read(const msgpack_object *object, int64_t most, int64_t *value)
+static bool signed_read(const msgpack_object *object, int64_t max,
+			int64_t *value)
 {
 	if (object->type == MSGPACK_OBJECT_NEGATIVE_INTEGER) {
 		*value = object->via.i64;
-		return object->via.i64 >= -most;
+		return object->via.i64 >= -max;
 	}
 	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-	    object->via.u64 > (uint64_t)most)
+	    object->via.u64 > (uint64_t)max)
 		return false;
 	*value = (int64_t)object->via.u64;
 	return true;
 }
 
-static bool is_array(const msgpack_object *object, uint32_t most)
+static bool is_array(const msgpack_object *object, uint32_t max)
 {
 	return object->type == MSGPACK_OBJECT_ARRAY &&
-	       object->via.array.size <= most;
+	       object->via.array.size <= max;
 }
 
 static bool is_tuple(const msgpack_object *object, uint32_t fields)
@@ -54,10 +55,10 @@
 	if (!is_tuple(object, LOAD_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	return number_read(&fields[0], UINT64_MAX, &load->backend) &&
-	       sum_read(&fields[1], LOAD_MAX, &load->load.requests) &&
-	       sum_read(&fields[2], LOAD_MAX, &load->load.decode_tokens) &&
-	       sum_read(&fields[3], LOAD_MAX, &load->load.prefill_tokens);
+	return unsigned_read(&fields[0], UINT64_MAX, &load->backend) &&
+	       signed_read(&fields[1], LOAD_MAX, &load->load.requests) &&
+	       signed_read(&fields[2], LOAD_MAX, &load->load.decode_tokens) &&
+	       signed_read(&fields[3], LOAD_MAX, &load->load.prefill_tokens);
 }
 
 static bool loads_read(const msgpack_object *object, GArray *loads)
@@ -81,8 +82,8 @@
 		return false;
 	entry->count = object->via.array.size;
 	for (uint32_t i = 0; i < entry->count; i++)
-		if (!number_read(&object->via.array.ptr[i], UINT64_MAX,
-				 &entry->servers[i]))
+		if (!unsigned_read(&object->via.array.ptr[i], UINT64_MAX,
+				   &entry->servers[i]))
 			return false;
 	return true;
 }
@@ -97,10 +98,10 @@
 	if (!is_tuple(object, QUARANTINE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &entry->work.high) ||
-	    !number_read(&fields[1], UINT64_MAX, &entry->work.low) ||
-	    !number_read(&fields[2], UINT32_MAX, &epoch) ||
-	    !number_read(&fields[3], 1, &stored))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &entry->work.high) ||
+	    !unsigned_read(&fields[1], UINT64_MAX, &entry->work.low) ||
+	    !unsigned_read(&fields[2], UINT32_MAX, &epoch) ||
+	    !unsigned_read(&fields[3], 1, &stored))
 		return false;
 	entry->epoch = (uint32_t)epoch;
 	entry->stored = stored;
@@ -131,11 +132,11 @@
 	if (!is_tuple(object, USAGE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &entry->account) ||
-	    !number_read(&fields[1], UINT32_MAX, &epoch) ||
-	    !sum_read(&fields[2], USED_MAX, &entry->used) ||
-	    !number_read(&fields[3], UINT32_MAX, &demand) ||
-	    !sum_read(&fields[4], USED_MAX, &entry->level))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &entry->account) ||
+	    !unsigned_read(&fields[1], UINT32_MAX, &epoch) ||
+	    !signed_read(&fields[2], USED_MAX, &entry->used) ||
+	    !unsigned_read(&fields[3], UINT32_MAX, &demand) ||
+	    !signed_read(&fields[4], USED_MAX, &entry->level))
 		return false;
 	entry->epoch = (uint32_t)epoch;
 	entry->demand = (uint32_t)demand;
@@ -169,12 +170,13 @@
 	if (!is_tuple(object, FACT_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &fact->server) ||
-	    !sum_read(&fields[1], LIMIT_SCALED_MAX, &scaled) || scaled < -1 ||
-	    !number_read(&fields[2], FACT_AGE_USEC_MAX, &age) ||
-	    !number_read(&fields[3], 1, &leaving) ||
-	    !number_read(&fields[4], BACKPRESSURE_COLD_MAX_USEC, &cold) ||
-	    !sum_read(&fields[5], LIMIT_SCALED_MAX, &cold_scaled) ||
+	if (!unsigned_read(&fields[0], UINT64_MAX, &fact->server) ||
+	    !signed_read(&fields[1], LIMIT_SCALED_MAX, &scaled) ||
+	    scaled < -1 ||
+	    !unsigned_read(&fields[2], FACT_AGE_USEC_MAX, &age) ||
+	    !unsigned_read(&fields[3], 1, &leaving) ||
+	    !unsigned_read(&fields[4], BACKPRESSURE_COLD_MAX_USEC, &cold) ||
+	    !signed_read(&fields[5], LIMIT_SCALED_MAX, &cold_scaled) ||
 	    cold_scaled < 0)
 		return false;
 	fact->limit = scaled < 0 ? BACKPRESSURE_UNLIMITED
@@ -204,8 +206,8 @@
 				struct permit_request *request)
 {
 	return is_tuple(object, PERMIT_REQUEST_FIELDS) &&
-	       number_read(&object->via.array.ptr[0], UINT64_MAX,
-			   &request->id) &&
+	       unsigned_read(&object->via.array.ptr[0], UINT64_MAX,
+			     &request->id) &&
 	       fact_read(&object->via.array.ptr[1], &request->fact);
 }
 
@@ -219,10 +221,10 @@
 	if (!is_tuple(object, PERMIT_ANSWER_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &answer->id) ||
-	    !number_read(&fields[1], UINT64_MAX, &answer->server) ||
-	    !number_read(&fields[2], 1, &granted) ||
-	    !number_read(&fields[3], RETRY_USEC_MAX, &retry))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &answer->id) ||
+	    !unsigned_read(&fields[1], UINT64_MAX, &answer->server) ||
+	    !unsigned_read(&fields[2], 1, &granted) ||
+	    !unsigned_read(&fields[3], RETRY_USEC_MAX, &retry))
 		return false;
 	answer->granted = granted;
 	answer->retry_usec = (int64_t)retry;
@@ -238,13 +240,13 @@
 	if (!is_tuple(object, MIRROR_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &status->next) ||
-	    !number_read(&fields[1], UINT64_MAX, &status->changed))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &status->next) ||
+	    !unsigned_read(&fields[1], UINT64_MAX, &status->changed))
 		return false;
 	status->age_usec = -1;
 	if (fields[2].type == MSGPACK_OBJECT_NEGATIVE_INTEGER)
 		return true;
-	if (!number_read(&fields[2], INT64_MAX / 2, &age))
+	if (!unsigned_read(&fields[2], INT64_MAX / 2, &age))
 		return false;
 	status->age_usec = (int64_t)age;
 	return true;
@@ -274,7 +276,7 @@
 		if (!unpack_text(object, text, sizeof(text)))
 			return false;
 	} else {
-		if (!number_read(object, ((uint64_t)1 << 48) - 1, &number))
+		if (!unsigned_read(object, ((uint64_t)1 << 48) - 1, &number))
 			return false;
 		in->sin_addr.s_addr = htonl((uint32_t)(number >> 16));
 		in->sin_port = htons((uint16_t)number);
@@ -305,9 +307,9 @@
 	if (!is_tuple(object, CHANGE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &change->key) ||
-	    !number_read(&fields[1], STAGE_DECODE, &stage) ||
-	    !number_read(&fields[2], CHANGE_MSEC_MAX, &left))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &change->key) ||
+	    !unsigned_read(&fields[1], STAGE_DECODE, &stage) ||
+	    !unsigned_read(&fields[2], CHANGE_MSEC_MAX, &left))
 		return false;
 	change->stage = (enum backend_stage)stage;
 	change->left_usec = (int64_t)left * USEC_PER_MSEC;
@@ -338,10 +340,10 @@
 		uint64_t left;
 
 		if (!is_tuple(one, UNREACHABLE_FIELDS) ||
-		    !number_read(&one->via.array.ptr[0], UINT64_MAX,
-				 &summary->unreachable[i].key) ||
-		    !number_read(&one->via.array.ptr[1], CHANGE_MSEC_MAX,
-				 &left))
+		    !unsigned_read(&one->via.array.ptr[0], UINT64_MAX,
+				   &summary->unreachable[i].key) ||
+		    !unsigned_read(&one->via.array.ptr[1], CHANGE_MSEC_MAX,
+				   &left))
 			return false;
 		summary->unreachable[i].left_usec =
 			(int64_t)left * USEC_PER_MSEC;
@@ -360,12 +362,12 @@
 
 	if (!unpack_text(&fields[0], message->name, sizeof(message->name)) ||
 	    !unpack_text(&fields[1], message->group, sizeof(message->group)) ||
-	    !number_read(&fields[2], UINT64_MAX, &message->summary.version) ||
-	    !number_read(&fields[3], UINT32_MAX, &demand) ||
-	    !number_read(&fields[4], UINT32_MAX, &waiting) ||
-	    !number_read(&fields[5], PREFILL_RATES_MAX, &rates) ||
-	    !number_read(&fields[6], UINT32_MAX, &rate_count) ||
-	    !number_read(&fields[7], FLAGS_ALL, &flags) ||
+	    !unsigned_read(&fields[2], UINT64_MAX, &message->summary.version) ||
+	    !unsigned_read(&fields[3], UINT32_MAX, &demand) ||
+	    !unsigned_read(&fields[4], UINT32_MAX, &waiting) ||
+	    !unsigned_read(&fields[5], PREFILL_RATES_MAX, &rates) ||
+	    !unsigned_read(&fields[6], UINT32_MAX, &rate_count) ||
+	    !unsigned_read(&fields[7], FLAGS_ALL, &flags) ||
 	    !changing_read(&fields[8], &message->summary))
 		return false;
 	message->summary.demand = (double)demand;
@@ -412,11 +414,11 @@
 
 	if (!is_array(object, SUMMARY_FIELDS) ||
 	    object->via.array.size < CHANGES_FIELDS ||
-	    !number_read(&fields[0], GOSSIP_FORMAT, &format) ||
+	    !unsigned_read(&fields[0], GOSSIP_FORMAT, &format) ||
 	    format != GOSSIP_FORMAT ||
-	    !number_read(&fields[1], GOSSIP_QUARANTINE, &kind) ||
-	    !number_read(&fields[2], UINT64_MAX, &message->boot) ||
-	    !number_read(&fields[3], UINT64_MAX, &message->sequence))
+	    !unsigned_read(&fields[1], GOSSIP_QUARANTINE, &kind) ||
+	    !unsigned_read(&fields[2], UINT64_MAX, &message->boot) ||
+	    !unsigned_read(&fields[3], UINT64_MAX, &message->sequence))
 		return false;
 	message->kind = (enum gossip_kind)kind;
 	if (message->kind > GOSSIP_CHANGES)
@@ -434,14 +436,14 @@
 		   size_t size, struct error *err)
 {
 	msgpack_unpacked unpacked;
-	bool good;
+	bool ok;
 
 	gossip_message_init(message, GOSSIP_INSTANCE_SUMMARY);
 	msgpack_unpacked_init(&unpacked);
-	good = message_unpack(&unpacked, data, size, err);
-	if (good && !message_read(&unpacked.data, message))
-		good = error_set(err, RESULT_BAD_MESSAGE,
-				 "malformed gossip datagram");
+	ok = message_unpack(&unpacked, data, size, err);
+	if (ok && !message_read(&unpacked.data, message))
+		ok = error_set(err, RESULT_BAD_MESSAGE,
+			       "malformed gossip datagram");
 	msgpack_unpacked_destroy(&unpacked);
-	return good;
+	return ok;
 }
--- a/forward/gossip_groups.c
+++ b/forward/gossip_groups.c
@@ -62,22 +62,22 @@
 
 bool group_serves(const char *group, const char *data_centre, uint64_t key)
 {
-	const char *mark = strchr(group, GROUP_SEPARATOR);
+	const char *separator = strchr(group, GROUP_SEPARATOR);
 	char own[GOSSIP_GROUP_MAX];
-	const char *point;
+	const char *dot;
 	long count;
 
 	if (!group_within(group, data_centre))
 		return false;
-	point = mark ? strchr(mark, '.') : NULL;
-	count = point ? strtol(point + 1, NULL, 10) : 1;
+	dot = separator ? strchr(separator, '.') : NULL;
+	count = dot ? strtol(dot + 1, NULL, 10) : 1;
 	if (count < 1 || count > GROUPS_MAX)
 		return false;
 	group_print(own, data_centre, (uint32_t)count, key);
 	return strcmp(own, group) == 0;
 }
 
-static uint32_t instances_here(const struct gossip *gossip)
+static uint32_t local_instance_count(const struct gossip *gossip)
 {
 	GHashTableIter iter;
 	struct peer *peer;
@@ -111,7 +111,7 @@
 void groups_update(struct gossip *gossip)
 {
 	uint32_t groups =
-		groups_for(gossip->group_count, instances_here(gossip));
+		groups_for(gossip->group_count, local_instance_count(gossip));
 
 	if (groups == gossip->group_count)
 		return;
--- a/forward/gossip_loads.c
+++ b/forward/gossip_loads.c
@@ -3,15 +3,15 @@
  */
 #include "gossip_private.h"
 
-static void sum_add(struct load_sum *sum, const struct load_sum *load,
-		    int64_t times)
+static void load_sum_add(struct load_sum *sum, const struct load_sum *load,
+			 int64_t factor)
 {
-	sum->requests += times * load->requests;
-	sum->decode_tokens += times * load->decode_tokens;
-	sum->prefill_tokens += times * load->prefill_tokens;
+	sum->requests += factor * load->requests;
+	sum->decode_tokens += factor * load->decode_tokens;
+	sum->prefill_tokens += factor * load->prefill_tokens;
 }
 
-static bool sum_is_zero(const struct load_sum *sum)
+static bool load_sum_is_zero(const struct load_sum *sum)
 {
 	return !sum->requests && !sum->decode_tokens && !sum->prefill_tokens;
 }
@@ -24,7 +24,7 @@
 		struct backend *backend = fleet_get(gossip->fleet, one->handle);
 
 		if (backend)
-			sum_add(&backend->peers, &one->load, -1);
+			load_sum_add(&backend->peers, &one->load, -1);
 	}
 	g_array_set_size(applied, 0);
 }
@@ -41,7 +41,7 @@
 		if (!backend)
 			continue;
 		one.handle = backend->handle;
-		sum_add(&backend->peers, &one.load, 1);
+		load_sum_add(&backend->peers, &one.load, 1);
 		g_array_append_val(applied, one);
 	}
 }
@@ -63,7 +63,7 @@
 		load.load.requests = backend->own.requests;
 		load.load.decode_tokens = backend->own.decode_tokens;
 		load.load.prefill_tokens = backend->own.prefill_tokens;
-		if (!sum_is_zero(&load.load))
+		if (!load_sum_is_zero(&load.load))
 			g_array_append_val(out, load);
 	}
 }
@@ -71,7 +71,7 @@
 /* Adds a load to the list. index maps the key of a server to its position,
  * counted from 1. */
 static void list_add(GArray *list, GHashTable *index, uint64_t key,
-		     const struct load_sum *sum, int64_t times)
+		     const struct load_sum *sum, int64_t factor)
 {
 	gpointer at = g_hash_table_lookup(index, &key);
 	struct gossip_load *load;
@@ -85,7 +85,7 @@
 	}
 	load = &g_array_index(list, struct gossip_load,
 			      GPOINTER_TO_UINT(at) - 1);
-	sum_add(&load->load, sum, times);
+	load_sum_add(&load->load, sum, factor);
 }
 
 static GHashTable *index_create(void)
@@ -94,21 +94,22 @@
 }
 
 static void list_add_all(GArray *list, GHashTable *index, const GArray *loads,
-			 int64_t times)
+			 int64_t factor)
 {
 	for (guint i = 0; i < loads->len; i++) {
 		const struct gossip_load *load =
 			&g_array_index(loads, struct gossip_load, i);
 
-		list_add(list, index, load->backend, &load->load, times);
+		list_add(list, index, load->backend, &load->load, factor);
 	}
 }
 
 static void list_remove_zeroes(GArray *list)
 {
 	for (guint i = list->len; i > 0; i--)
-		if (sum_is_zero(&g_array_index(list, struct gossip_load, i - 1)
-					 .load))
+		if (load_sum_is_zero(
+			    &g_array_index(list, struct gossip_load, i - 1)
+				     .load))
 			g_array_remove_index_fast(list, i - 1);
 }
 
--- a/forward/gossip_peers.c
+++ b/forward/gossip_peers.c
@@ -278,11 +278,11 @@
 
 void peers_update(struct gossip *gossip)
 {
-	int64_t every = GOSSIP_INTERVAL_USEC *
-			(g_hash_table_size(gossip->peers) / PEERS_PER_TICK);
+	int64_t interval = GOSSIP_INTERVAL_USEC *
+			   (g_hash_table_size(gossip->peers) / PEERS_PER_TICK);
 	int64_t now = gossip_now(gossip);
 
-	if (now - gossip->updated_at < MIN(every, UPDATE_MAX_USEC))
+	if (now - gossip->updated_at < MIN(interval, UPDATE_MAX_USEC))
 		return;
 	gossip->updated_at = now;
 	groups_expire(gossip);
--- a/forward/gossip_quarantine.c
+++ b/forward/gossip_quarantine.c
@@ -32,7 +32,7 @@
 	g_array_set_size(findings, 0);
 }
 
-static void on_soon(struct timer *timer, void *ctx)
+static void on_findings_timer(struct timer *timer, void *ctx)
 {
 	struct gossip *gossip = ctx;
 
@@ -112,7 +112,7 @@
 		entries_send(gossip, peer, entries, count);
 }
 
-static void on_timer(struct timer *timer, void *ctx)
+static void on_rotation_timer(struct timer *timer, void *ctx)
 {
 	struct gossip *gossip = ctx;
 	struct quarantine_entry entries[GOSSIP_QUARANTINE_MAX];
@@ -130,8 +130,10 @@
 		g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
 	gossip->findings_local =
 		g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
-	timer_init(&gossip->quarantine_soon, gossip->clock, on_soon, gossip);
-	timer_init(&gossip->quarantine_timer, gossip->clock, on_timer, gossip);
+	timer_init(&gossip->quarantine_soon, gossip->clock, on_findings_timer,
+		   gossip);
+	timer_init(&gossip->quarantine_timer, gossip->clock, on_rotation_timer,
+		   gossip);
 	/* Instances start the rotation at different peers. */
 	gossip->next_peer = (uint32_t)gossip->key;
 	if (gossip->ops.quarantine_next)
--- a/forward/gossip_send.c
+++ b/forward/gossip_send.c
@@ -143,33 +143,33 @@
 	return out;
 }
 
-static void delay_add(double *delay, int64_t usec)
+static void delay_update(double *delay, int64_t usec)
 {
 	*delay += DELAY_WEIGHT * ((double)usec - *delay);
 }
 
 static bool local_due(const struct gossip *gossip, const struct peer *peer,
-		      int64_t every)
+		      int64_t interval)
 {
 	if (peer->sent_at == GOSSIP_NEVER)
 		return true;
 	if (!peer_live(gossip, peer))
-		every = PROBE_INTERVAL_USEC;
+		interval = PROBE_INTERVAL_USEC;
 	else if (peer->sent_revision == gossip->revision)
-		every = MAX(every, IDLE_INTERVAL_USEC);
-	return gossip_now(gossip) - peer->sent_at >= every;
+		interval = MAX(interval, IDLE_INTERVAL_USEC);
+	return gossip_now(gossip) - peer->sent_at >= interval;
 }
 
 static void local_send(struct gossip *gossip, const GByteArray *out)
 {
-	int64_t every = gossip_interval(gossip, true);
+	int64_t interval = gossip_interval(gossip, true);
 
 	if (gossip->ops.reads(gossip->ctx))
-		every = MIN(every, IDLE_INTERVAL_USEC);
+		interval = MIN(interval, IDLE_INTERVAL_USEC);
 	for (guint i = 0; i < gossip->local->len; i++) {
 		struct peer *peer = gossip->local->pdata[i];
 
-		if (!local_due(gossip, peer, every))
+		if (!local_due(gossip, peer, interval))
 			continue;
 		peer->sent_at = gossip_now(gossip);
 		peer->sent_revision = gossip->revision;
@@ -202,18 +202,18 @@
 
 static bool receiver_due(const struct gossip *gossip, const struct peer *peer)
 {
-	int64_t every = gossip_interval(gossip, false);
+	int64_t interval = gossip_interval(gossip, false);
 
 	if (peer->sent_revision == gossip->group_revision)
-		every = MAX(every, IDLE_INTERVAL_USEC);
+		interval = MAX(interval, IDLE_INTERVAL_USEC);
 	return peer->sent_at == GOSSIP_NEVER ||
-	       gossip_now(gossip) - peer->sent_at >= every;
+	       gossip_now(gossip) - peer->sent_at >= interval;
 }
 
 static void receivers_send(struct gossip *gossip)
 {
-	g_autoptr(GByteArray) brief = NULL;
-	g_autoptr(GByteArray) whole = NULL;
+	g_autoptr(GByteArray) without_members = NULL;
+	g_autoptr(GByteArray) with_members = NULL;
 	int64_t now = gossip_now(gossip);
 
 	for (guint i = 0; i < gossip->receivers->len; i++) {
@@ -221,7 +221,7 @@
 		bool members = peer->addresses_sent_at == GOSSIP_NEVER ||
 			       now - peer->addresses_sent_at >=
 				       gossip_members_interval(gossip);
-		GByteArray **out = members ? &whole : &brief;
+		GByteArray **out = members ? &with_members : &without_members;
 
 		if (!receiver_due(gossip, peer))
 			continue;
@@ -266,11 +266,12 @@
 static void changes_send_local(struct gossip *gossip, const GByteArray *out)
 {
 	if (!bucket_take(gossip, &gossip->changes_bucket, gossip->local->len)) {
-		delay_add(&gossip->delay_local, gossip_interval(gossip, true));
+		delay_update(&gossip->delay_local,
+			     gossip_interval(gossip, true));
 		return;
 	}
-	delay_add(&gossip->delay_local,
-		  gossip_now(gossip) - gossip->changed_at);
+	delay_update(&gossip->delay_local,
+		     gossip_now(gossip) - gossip->changed_at);
 	for (guint i = 0; i < gossip->local->len; i++) {
 		struct peer *peer = gossip->local->pdata[i];
 
@@ -312,12 +313,12 @@
 	if (!is_affected && !group_is_whole(group->name))
 		return;
 	if (!bucket_take(gossip, bucket, group->peers->len)) {
-		delay_add(&gossip->delay_remote,
-			  gossip_interval(gossip, false));
+		delay_update(&gossip->delay_remote,
+			     gossip_interval(gossip, false));
 		return;
 	}
-	delay_add(&gossip->delay_remote,
-		  gossip_now(gossip) - gossip->changed_at);
+	delay_update(&gossip->delay_remote,
+		     gossip_now(gossip) - gossip->changed_at);
 	for (guint i = 0; i < group->peers->len; i++)
 		peer_send(gossip, group->peers->pdata[i], out);
 }
--- a/forward/gossip_usage.c
+++ b/forward/gossip_usage.c
@@ -28,7 +28,7 @@
 	gossip_message_clear(&message);
 }
 
-static void on_soon(struct timer *timer, void *ctx)
+static void on_usage_timer(struct timer *timer, void *ctx)
 {
 	struct gossip *gossip = ctx;
 
@@ -63,7 +63,7 @@
 
 void gossip_usage_start(struct gossip *gossip)
 {
-	timer_init(&gossip->usage_soon, gossip->clock, on_soon, gossip);
+	timer_init(&gossip->usage_soon, gossip->clock, on_usage_timer, gossip);
 	gossip->usage_sent = gossip_now(gossip) - GOSSIP_USAGE_INTERVAL_USEC;
 }
 
--- a/forward/gossip_view.c
+++ b/forward/gossip_view.c
@@ -35,15 +35,16 @@
 int64_t gossip_interval(const struct gossip *gossip, bool local)
 {
 	uint32_t peers = local ? gossip->local->len : gossip->remote->len;
-	uint32_t full = local ? FULL_RATE_LOCAL : FULL_RATE_REMOTE;
+	uint32_t full_rate = local ? FULL_RATE_LOCAL : FULL_RATE_REMOTE;
 
-	int64_t every =
-		MIN(GOSSIP_INTERVAL_USEC * (int64_t)MAX(peers / full, 1u),
+	int64_t interval =
+		MIN(GOSSIP_INTERVAL_USEC * (int64_t)MAX(peers / full_rate, 1u),
 		    local ? INTERVAL_MAX_USEC : INTERVAL_REMOTE_MAX_USEC);
 
 	if (local)
-		return every;
-	return MAX(every, gossip->live_group_count * INTERVAL_PER_GROUP_USEC);
+		return interval;
+	return MAX(interval,
+		   gossip->live_group_count * INTERVAL_PER_GROUP_USEC);
 }
 
 int64_t gossip_stale(const struct gossip *gossip)
@@ -304,8 +305,8 @@
 	}
 }
 
-static void numbers_add(struct gossip_summary *total,
-			const struct gossip_summary *summary)
+static void totals_add(struct gossip_summary *total,
+		       const struct gossip_summary *summary)
 {
 	total->demand += summary->demand;
 	total->waiting += summary->waiting;
@@ -321,7 +322,7 @@
 		const struct peer *peer = gossip->local->pdata[i];
 
 		if (peer_live(gossip, peer))
-			numbers_add(total, peer_summary(peer));
+			totals_add(total, peer_summary(peer));
 	}
 }
 
@@ -334,5 +335,5 @@
 	g_hash_table_iter_init(&iter, gossip->other_groups);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group))
 		if (group_state_live(gossip, group))
-			numbers_add(total, &group->total);
+			totals_add(total, &group->total);
 }
