--- a/tests/forward/fuzz_gossip.c
+++ b/tests/forward/fuzz_gossip.c
@@ -1,8 +1,8 @@
 /*
- * Reads bytes as a datagram of instances; what is taken must be the same when
- * it is written and read again. With clang's -fsanitize=fuzzer and
- * -DFUZZ_ENGINE this is a fuzz target; as a test it runs seeded mutations of
- * sound ones.
+ * Decodes bytes as a gossip datagram. A message that is accepted must be the
+ * same after it is encoded and decoded again. With clang's -fsanitize=fuzzer
+ * and -DFUZZ_ENGINE this is a fuzz target; as a test it runs seeded mutations
+ * of valid datagrams.
  */
 #include <glib.h>
 #include <stdint.h>
@@ -51,16 +51,17 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct gossip_message first;
-	struct gossip_message again;
+	struct gossip_message second;
 	struct error err;
 
 	if (gossip_decode(&first, data, size, &err)) {
 		GByteArray *out = g_byte_array_new();
 
 		gossip_encode(&first, out);
-		g_assert_true(gossip_decode(&again, out->data, out->len, &err));
-		same_check(&first, &again);
-		gossip_message_clear(&again);
+		g_assert_true(
+			gossip_decode(&second, out->data, out->len, &err));
+		same_check(&first, &second);
+		gossip_message_clear(&second);
 		g_byte_array_unref(out);
 	}
 	gossip_message_clear(&first);
@@ -72,7 +73,7 @@
 
 #define MUTATIONS 60000
 
-static GByteArray *sound(int i)
+static GByteArray *valid_datagram(int i)
 {
 	GByteArray *out = g_byte_array_new();
 	struct gossip_message message;
@@ -120,7 +121,7 @@
 static void test_mutations(void)
 {
 	for (int i = 0; i < MUTATIONS; i++) {
-		GByteArray *bytes = sound(i);
+		GByteArray *bytes = valid_datagram(i);
 
 		LLVMFuzzerTestOneInput(bytes->data, bytes->len);
 		bytes_mutate(bytes, 3);
--- a/tests/forward/gossip_world.c
+++ b/tests/forward/gossip_world.c
@@ -109,7 +109,6 @@
 	return grant(instance, key, &retry);
 }
 
-/* One server of engines in each data centre. */
 struct backend *server(struct instance *instance, uint32_t centre)
 {
 	struct backend_info info = {
@@ -224,14 +223,15 @@
 	clock_advance(site->clock, 60 * USEC_PER_SEC);
 	for (int i = 0; i < CENTRES; i++) {
 		site->loops[i] = loop_create(site->clock);
-		/* Or its first datagram would set the clock. */
+		/* Otherwise its first datagram would set the clock. */
 		loop_enter(site->loops[i]);
 	}
 	for (uint32_t i = 0; i < count; i++)
 		instance_add(site);
 	for (uint32_t i = 0; i < count; i++)
 		add_all_peers(site, &site->instances[i]);
-	/* All start at once: some first words are lost in full sockets. */
+	/* All start at once, so some first summaries are lost in full socket
+	 * buffers. */
 	turn(site, 3000);
 	return site;
 }
--- a/tests/forward/gossip_world.h
+++ b/tests/forward/gossip_world.h
@@ -1,13 +1,13 @@
 /*
- * gossip_world.h - hundreds of instances that tell each other, on a paused
+ * gossip_world.h - hundreds of instances that exchange gossip, on a paused
  *clock
  *
  * DESCRIPTION
- *	Each data centre has a loop of its own, so that one of them can stand
- *	still. Each instance sees one server of engines in each data centre, and
- *	has a quarantine; what that holds is kept by a store that outlives the
- *	instances, written by the one that decides. What servers ask for is
- *	told, and permits are granted as by the real process.
+ *	Each data centre has its own event loop, so that one can be paused. Each
+ *	instance has a quarantine and a view of one engine server in each data
+ *	centre. The site has a store that outlives the instances; the lowest
+ *	instance writes quarantine entries to it. Backpressure facts are
+ *	exchanged and permits granted as by the real process.
  */
 #ifndef TESTS_FORWARD_GOSSIP_WORLD_H
 #define TESTS_FORWARD_GOSSIP_WORLD_H
@@ -36,10 +36,11 @@
 	uint64_t boot;
 };
 
-/* Called when an instance was granted a permit by its home. */
+/* Called when the home has granted an instance a permit. */
 typedef void (*site_granted_fn)(struct instance *instance, uint64_t server);
 
-/* Called for what an instance tells, and for what it hears of a peer. */
+/* Called to fill in the summary of an instance, and when it receives one from a
+ * peer. */
 typedef void (*site_summary_fn)(void *story, const struct instance *instance,
 				struct gossip_summary *summary);
 typedef void (*site_received_fn)(void *story, const struct instance *instance,
@@ -64,22 +65,24 @@
 
 struct site *site_open(uint32_t count);
 void site_close(struct site *site);
-/* Time goes on, 50 ms a turn. */
+/* Runs all loops that are not paused for so much time, in steps of 50 ms. */
 void turn(struct site *site, int64_t msec);
 struct instance *instance_add(struct site *site);
 void instance_start(struct instance *instance);
 void instance_stop(struct instance *instance);
-/* Tells it the addresses of all. */
+/* Adds all instances as peers. */
 void add_all_peers(struct site *site, struct instance *instance);
-/* Asks for a permit as a request would: true when it is granted at once. */
+/* Requests a permit as a request would: true when it is granted at once. */
 bool permit(struct instance *instance, uint32_t centre);
-/* The server of engines of that data centre, as the instance sees it. */
+/* The instance's view of the engine server of that data centre. */
 struct backend *server(struct instance *instance, uint32_t centre);
-/* The instance has that many requests at the server of a data centre. */
+/* Sets the instance's number of requests at the server of a data centre. */
 void load_put(struct instance *instance, uint32_t centre, uint32_t requests);
-/* How many see so many requests at the server of a data centre. */
+/* Number of instances that see the given number of requests at the server of a
+ * data centre. */
 uint32_t seen_by(struct site *site, uint32_t centre, uint32_t requests);
-/* How many of those that do not stand still take themselves for the lowest. */
+/* Number of instances, without those of paused data centres, for which
+ * gossip_is_lowest() holds. */
 uint32_t lowest_count(const struct site *site);
 
 #endif
--- a/tests/forward/test_gossip.c
+++ b/tests/forward/test_gossip.c
@@ -1,4 +1,4 @@
-/* When peers are told of a load that changed. */
+/* Delay and rate at which peers receive load changes. */
 #include <glib.h>
 #include <string.h>
 
@@ -17,13 +17,14 @@
 	char addresses[PEERS][ADDRESS_FREE_MAX];
 };
 
-/* What a callback is given: whose it is. */
+/* The instance of a callback. */
 struct callback_ctx {
 	int number;
 };
 
 static struct callback_ctx peers[PEERS] = {{0}, {1}, {2}};
-static bool changing; /* the first one says that two servers change */
+/* The first instance announces two servers that change role. */
+static bool changing;
 static uint32_t changes_received[PEERS];
 
 static void on_summary(void *ctx, struct gossip_summary *out)
@@ -125,8 +126,9 @@
 	gossip_load_changed(site->gossips[0]);
 }
 
-/* Peers near and elsewhere know of a changed load long before the next regular
- * word: those who place at the same moment do not choose the same server. */
+/* Local and remote peers receive a load change long before the next regular
+ * summary. Otherwise instances that place at the same moment choose the same
+ * server. */
 static void test_at_once(void)
 {
 	struct site site;
@@ -145,7 +147,8 @@
 	site_close(&site);
 }
 
-/* Who changes is known to all, in other data centres by the sum of this one. */
+/* Servers that change role are known to all peers, in other data centres from
+ * the summary of the data centre. */
 static void test_changing(void)
 {
 	struct site site;
@@ -168,8 +171,8 @@
 	return sent;
 }
 
-/* A load that changes all the time does not send without bound: beyond the
- * allowance peers are told at the interval. */
+/* A load that changes all the time does not send without bound: once the token
+ * buckets are empty, peers receive it at the interval. */
 static void test_allowance(void)
 {
 	struct site site;
@@ -182,8 +185,8 @@
 		load_put(&site, i % 7);
 		turn(&site, USEC_PER_MSEC / 2);
 	}
-	/* Ten seconds, two peers: what was saved, 600 a second, and the regular
-	 * words of three instances. */
+	/* Ten seconds, two peers: the bursts, 600 a second, and the regular
+	 * summaries of three instances. */
 	sent = sent_by_all(&site) - before;
 	g_assert_cmpuint(sent, <, 1200 + 6000 + 700);
 	g_assert_cmpuint(sent, >, 5000);
--- a/tests/forward/test_gossip_fleet.c
+++ b/tests/forward/test_gossip_fleet.c
@@ -1,10 +1,12 @@
-/* A thousand instances in groups: what each knows, and what that costs it. */
+/* A thousand instances in groups: the view of each, and the traffic that it
+ * receives. */
 #include <glib.h>
 
 #include "gossip_world.h"
 
 #define INSTANCES 985u
-/* An instance is told this often at the most, whatever the size of the site. */
+/* Bounds of the datagrams and bytes that an instance receives, whatever the
+ * size of the site. */
 #define RECEIVED_PER_SEC_MAX 160u
 #define BYTES_PER_SEC_MAX 40000u
 
@@ -51,7 +53,7 @@
 
 	turn(site, 3000);
 	all_know_all(site, INSTANCES);
-	/* A load is known to all within two rounds of the groups. */
+	/* A load is known to all after two intervals between groups. */
 	load_put(&site->instances[0], 0, 3);
 	turn(site, 2500);
 	g_assert_cmpuint(seen_by(site, 0, 3), ==, INSTANCES);
@@ -65,7 +67,7 @@
 		       (int)bytes);
 	g_assert_cmpuint(count, <=, RECEIVED_PER_SEC_MAX);
 	g_assert_cmpuint(bytes, <=, BYTES_PER_SEC_MAX);
-	/* A tenth are gone, among them the lowest of all. */
+	/* A tenth of the instances stop, among them the lowest of all. */
 	load_put(&site->instances[0], 0, 7);
 	turn(site, 1500);
 	for (uint32_t i = 0; i < INSTANCES / 10; i++)
--- a/tests/forward/test_gossip_permits.c
+++ b/tests/forward/test_gossip_permits.c
@@ -1,7 +1,7 @@
 /*
- * One server that names a limit, before 7, 73 and 300 instances: what reaches
- * it in any four seconds, and how much of what it takes is used. The bound is
- * that of the users: one and a half times the limit, and five.
+ * One server that announces a limit, with 7, 73 and 300 instances: the requests
+ * that reach it in any four seconds, and the part of its limit that is used.
+ * The users require at most one and a half times the limit, and five requests.
  */
 #include <glib.h>
 
@@ -11,7 +11,7 @@
 #define ALLOWED_FACTOR 1.5
 #define ALLOWED_EXTRA 5.0
 #define MIN_UTILISATION 0.8
-/* From when on the limit binds after it was first named. */
+/* Time from the first announcement of a limit until it must hold. */
 #define SETTLE_MSEC 3000
 #define STEP_MSEC 50
 #define SERVER_CENTRE 1
@@ -114,11 +114,12 @@
 		ALLOWED_FACTOR * scenario->limit * WINDOW_USEC / USEC_PER_SEC +
 		ALLOWED_EXTRA;
 
-	g_test_message("%u instances, limit %.1f, %.0f asked, %s: most %u in "
-		       "4 s, allowed %.0f, taken %.0f",
-		       scenario->site->count, scenario->limit,
-		       scenario->requested_rate, what, max_sent(scenario),
-		       allowed, scenario->limit * WINDOW_USEC / USEC_PER_SEC);
+	g_test_message(
+		"%u instances, limit %.1f, %.0f requested, %s: max %u in "
+		"4 s, allowed %.0f, limit %.0f",
+		scenario->site->count, scenario->limit,
+		scenario->requested_rate, what, max_sent(scenario), allowed,
+		scenario->limit * WINDOW_USEC / USEC_PER_SEC);
 	g_assert_cmpfloat(max_sent(scenario), <=, allowed);
 }
 
@@ -127,7 +128,7 @@
 	double used = (double)scenario->sent->len * 1000.0 /
 		      (scenario->limit * (double)msec);
 
-	g_test_message("%.2f used", used);
+	g_test_message("%.2f of the limit used", used);
 	g_assert_cmpfloat(used, >=, MIN_UTILISATION);
 }
 
@@ -136,7 +137,7 @@
 	struct scenario *scenario = scenario_open(count, limit, requested_rate);
 
 	requests_run(scenario, 12000);
-	rate_check(scenario, "all ask");
+	rate_check(scenario, "all instances");
 	utilisation_check(scenario, 12000);
 	scenario_close(scenario);
 }
@@ -151,19 +152,19 @@
 	}
 }
 
-/* One instance alone has the callers. */
+/* All callers use one instance. */
 static void one_caller_check(uint32_t count)
 {
 	struct scenario *scenario = scenario_open(count, 4.7, 60.0);
 
 	scenario->callers = 1;
 	requests_run(scenario, 12000);
-	rate_check(scenario, "one asks");
+	rate_check(scenario, "one instance");
 	utilisation_check(scenario, 12000);
 	scenario_close(scenario);
 }
 
-/* All are stopped three times, each time knowing nothing. */
+/* All instances restart at once without any state, three times. */
 static void restarts_check(uint32_t count)
 {
 	struct scenario *scenario = scenario_open(count, 4.7, 300.0);
@@ -184,7 +185,7 @@
 	scenario_close(scenario);
 }
 
-/* The server's data centre stands still, and wakes up again. */
+/* The server's data centre, with the homes, is paused and resumes. */
 static void paused_check(uint32_t count)
 {
 	struct scenario *scenario = scenario_open(count, 4.7, 300.0);
@@ -193,11 +194,11 @@
 	requests_run(scenario, 6000);
 	scenario->site->paused[SERVER_CENTRE] = false;
 	requests_run(scenario, 6000);
-	rate_check(scenario, "homes stood still");
+	rate_check(scenario, "homes paused");
 	scenario_close(scenario);
 }
 
-/* A limit that goes down, up, and ends. */
+/* A limit that is lowered, raised, and removed. */
 static void limit_changes_check(uint32_t count)
 {
 	struct scenario *scenario = scenario_open(count, 30.0, 300.0);
--- a/tests/forward/test_gossip_site.c
+++ b/tests/forward/test_gossip_site.c
@@ -1,4 +1,4 @@
-/* Hundreds of instances that tell each other of loads, on a paused clock. */
+/* Hundreds of instances that exchange loads, on a paused clock. */
 #include <glib.h>
 
 #include "gossip_world.h"
@@ -19,7 +19,7 @@
 	g_assert_cmpuint(lowest_count(site), ==, 1);
 }
 
-/* Everyone knows of everyone, of the sums of all and of each server's load. */
+/* Each instance knows all others, the totals and the load of each server. */
 static void test_views(void)
 {
 	struct site *site = site_open(300);
@@ -37,8 +37,9 @@
 	site_close(site);
 }
 
-/* A load on a server elsewhere is known there, and near, at once. */
-static void test_used_elsewhere(void)
+/* A load on a remote server is known at once to local instances and to those of
+ * the server's data centre. */
+static void test_used_remotely(void)
 {
 	struct site *site = site_open(60);
 	struct instance *user = &site->instances[0];
@@ -66,7 +67,7 @@
 	return bytes;
 }
 
-/* Bytes a second of one instance, whose load does not change, on average. */
+/* Mean bytes a second that an instance sends while its load does not change. */
 static uint64_t idle_bytes(uint32_t count)
 {
 	struct site *site = site_open(count);
@@ -79,8 +80,9 @@
 	return bytes;
 }
 
-/* What an instance sends grows with its own data centre up to 60 there at most:
- * five times as many instances are told no more than three times as much. */
+/* Traffic of an instance is bounded by its own data centre, up to 60 instances
+ * there: with five times as many instances it sends less than three times as
+ * many bytes. */
 static void test_bytes(void)
 {
 	uint64_t few = idle_bytes(60);
@@ -92,8 +94,8 @@
 	g_assert_cmpuint(many, <, 24000);
 }
 
-/* Instances that join by the dozen, and restart in turn, are known within three
- * seconds, and no load of an earlier start is left. */
+/* Instances that join two dozen at a time, or restart in turn, are known within
+ * three seconds, and no load of an earlier start is left. */
 static void test_joins(void)
 {
 	struct site *site = site_open(100);
@@ -116,9 +118,9 @@
 	site_close(site);
 }
 
-/* Instances that are gone are not known after half a minute, and their loads
- * after 2.5 s; meanwhile others tell in their place. */
-static void test_gone(void)
+/* Stopped instances are forgotten after 30 s, and their loads after 2.5 s.
+ * Meanwhile other instances send in their place. */
+static void test_stopped(void)
 {
 	struct site *site = site_open(100);
 
@@ -140,9 +142,9 @@
 	site_close(site);
 }
 
-/* A data centre that stands still for longer than instances are remembered is
- * taken for cut off, and found again by itself. */
-static void test_still(void)
+/* A data centre that is paused for longer than silent instances are remembered
+ * counts as partitioned, and is found again by itself. */
+static void test_paused(void)
 {
 	struct site *site = site_open(100);
 
@@ -169,10 +171,10 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/forward/gossip/site/views", test_views);
 	g_test_add_func("/forward/gossip/site/used-elsewhere",
-			test_used_elsewhere);
+			test_used_remotely);
 	g_test_add_func("/forward/gossip/site/bytes", test_bytes);
 	g_test_add_func("/forward/gossip/site/joins", test_joins);
-	g_test_add_func("/forward/gossip/site/gone", test_gone);
-	g_test_add_func("/forward/gossip/site/still", test_still);
+	g_test_add_func("/forward/gossip/site/gone", test_stopped);
+	g_test_add_func("/forward/gossip/site/still", test_paused);
 	return g_test_run();
 }
--- a/tests/forward/test_gossip_works.c
+++ b/tests/forward/test_gossip_works.c
@@ -1,24 +1,23 @@
 /*
- * A request that ends each server that begins to run it, repeated for half a
- * minute at instances anywhere: how many servers it ends, and how soon all
- * refuse it, with 7, 83 and 300 instances. Without the quarantine it ended one
- * with each repeat.
+ * A request that crashes each server that begins to run it, repeated for half a
+ * minute at random instances: the number of servers that crash, and the time
+ * until all instances refuse it, with 7, 83 and 300 instances. Without the
+ * quarantine each repeat crashed a server.
  */
 #include <glib.h>
 
 #include "gossip_world.h"
 
-/* A server that begins to run it ends so much later. */
+/* Time from the start of the run to the crash of the server. */
 #define CRASH_DELAY_MSEC 100
-/* After the third end at most three more repeats may reach a server, once this
- * time has gone by. */
+/* No repeat may reach a server later than this after the third crash. */
 #define SETTLE_USEC (3 * USEC_PER_SEC)
 
 struct scenario {
 	struct site *site;
 	struct request_fingerprint fingerprint;
 	uint32_t crashed;
-	int64_t third_at; /* when the third server ended */
+	int64_t third_at; /* when the third server crashed */
 	uint32_t refused; /* repeats */
 	uint32_t late;	  /* sent to servers after SETTLE_USEC */
 };
@@ -45,7 +44,7 @@
 					&scenario->fingerprint));
 }
 
-/* The request comes to some instances at the same time. */
+/* The request arrives at several instances at the same time. */
 static void request_repeat(struct scenario *scenario, uint32_t times)
 {
 	struct instance *sent[MOST];
@@ -92,14 +91,14 @@
 	};
 }
 
-/* One after the other, as callers repeat that wait for an answer. */
+/* One at a time, as from a caller that waits for each answer. */
 static void one_by_one_check(uint32_t count)
 {
 	struct scenario scenario = scenario_open(count, 1);
 
 	for (int i = 0; i < 300; i++)
 		request_repeat(&scenario, 1);
-	g_test_message("%u instances: %u servers ended, %u repeats refused",
+	g_test_message("%u instances: %u servers crashed, %u repeats refused",
 		       count, scenario.crashed, scenario.refused);
 	g_assert_cmpuint(scenario.crashed, <=, 4);
 	g_assert_cmpuint(scenario.late, ==, 0);
@@ -114,15 +113,15 @@
 	one_by_one_check(300);
 }
 
-/* Twelve at a time, at as many instances: what is sent before the first server
- * has ended cannot be helped; one more round at the most is sent after. */
+/* Twelve at a time, at as many instances. Requests sent before the first crash
+ * cannot be prevented; at most one more round is sent after it. */
 static void at_once_check(uint32_t count)
 {
 	struct scenario scenario = scenario_open(count, 2);
 
 	for (int i = 0; i < 100; i++)
 		request_repeat(&scenario, 12);
-	g_test_message("%u instances: %u servers ended, %u repeats refused",
+	g_test_message("%u instances: %u servers crashed, %u repeats refused",
 		       count, scenario.crashed, scenario.refused);
 	g_assert_cmpuint(scenario.crashed, <=, 24);
 	g_assert_cmpuint(scenario.late, ==, 0);
@@ -137,8 +136,9 @@
 	at_once_check(300);
 }
 
-/* A data centre that stood still meanwhile, and instances that start, know
- * within three seconds; so do all after they were stopped at once. */
+/* A data centre that was paused meanwhile, and instances that restart, have the
+ * entry within three seconds. All have it at once after a restart of all, from
+ * the store. */
 static void recovery_check(uint32_t count)
 {
 	struct scenario scenario = scenario_open(count, 3);
@@ -177,7 +177,7 @@
 	recovery_check(300);
 }
 
-/* What instances start with that had no store: they learn from the others. */
+/* Instances that start without the store receive the entry from the others. */
 static void test_without_store(void)
 {
 	struct scenario scenario = scenario_open(100, 4);
@@ -196,8 +196,8 @@
 	site_close(site);
 }
 
-/* Sent by one instance in twelve seconds, on average: a multiple of the time
- * from one list of members to the next. */
+/* Mean traffic sent by an instance in twelve seconds, a multiple of the
+ * interval between two lists of members. */
 static struct gossip_traffic traffic(struct site *site)
 {
 	struct gossip_traffic sum = {0};
@@ -220,15 +220,15 @@
 	return sum;
 }
 
-/* Told for good, a held work costs each instance two datagrams a second, of
- * some 60 bytes. */
+/* In the steady state a held request costs each instance two datagrams a
+ * second, of some 60 bytes. */
 static void test_bytes(void)
 {
 	struct scenario scenario = scenario_open(100, 5);
 	struct gossip_traffic calm;
 	struct gossip_traffic held;
 
-	/* Strangers are no more tried then. */
+	/* Unknown peers are no longer tried after this time. */
 	turn(scenario.site, 15000);
 	calm = traffic(scenario.site);
 	for (int i = 0; i < 10; i++)
@@ -238,7 +238,8 @@
 	g_test_message("calm %d datagrams, %d bytes; held %d, %d",
 		       (int)calm.sent, (int)calm.sent_bytes, (int)held.sent,
 		       (int)held.sent_bytes);
-	/* The rest differs by some 20 from one ten seconds to the next. */
+	/* Other traffic varies by some 20 datagrams from one measurement to the
+	 * next. */
 	g_assert_cmpuint(held.sent, <=, calm.sent + 21 + 40);
 	g_assert_cmpuint(held.sent_bytes, <, calm.sent_bytes + 2000);
 	site_close(scenario.site);
--- a/tests/forward/test_groups.c
+++ b/tests/forward/test_groups.c
@@ -55,7 +55,7 @@
 	g_assert_false(group_serves(group, "south", 11));
 }
 
-/* Names that a peer made up. */
+/* Malformed names from a peer. */
 static void test_malformed_names(void)
 {
 	g_assert_false(group_serves("north/", "north", 0));
@@ -67,8 +67,9 @@
 	g_assert_false(group_serves("/1.4", "north", 1));
 }
 
-/* A peer that another group told of, and that has told nothing itself, is of
- * the own group after the groups changed. */
+/* A peer known only from the summary of another group has no name. When the
+ * groups change and it becomes local, it must not count as the lowest instance.
+ */
 static void test_nameless_first(void)
 {
 	char address[ADDRESS_FREE_MAX];
--- a/tests/forward/test_size.c
+++ b/tests/forward/test_size.c
@@ -1,4 +1,4 @@
-/* What a choice costs and how good it is with 10,000 servers, or more. */
+/* Cost and quality of placement with 2,000 to 20,000 servers. */
 #include <glib.h>
 
 #include "common/clock.h"
@@ -84,8 +84,8 @@
 	}
 }
 
-/* Requests go to servers of the own group while these have room, and no server
- * has many more of them than others. */
+/* Requests go to servers of the instance's own group while these have room, and
+ * are spread evenly over them. */
 static void test_spread(void)
 {
 	const struct backend_load load = {1, 3000, 0};
@@ -122,8 +122,8 @@
 	site_close(&site);
 }
 
-/* Those with something under way, and those out of reach, are found without a
- * look at all others, and forgotten with the server. */
+/* Servers with load and unreachable servers are found without a scan of all,
+ * and are forgotten when they are removed. */
 static void test_few(void)
 {
 	const struct backend_load load = {1, 3000, 0};
--- a/tests/forward/test_views.c
+++ b/tests/forward/test_views.c
@@ -1,6 +1,5 @@
-/* What callers get where many instances place by what they tell each other:
- * plays a load on a site of many small instances, with words that take short or
- * long. */
+/* Placement by many small instances on views of the load that are out of date,
+ * with short and long delays of load updates. */
 #include <glib.h>
 #include <string.h>
 
@@ -9,15 +8,15 @@
 #define INSTANCES 28
 #define SERVERS 5
 #define MEMORY 67000u
-#define TOKENS 12000u /* counted for a request, as much as it comes to */
+#define TOKENS 12000u /* load of a request, the same in truth */
 #define HELD_USEC (3300 * USEC_PER_MSEC)
 #define STEP (1 * USEC_PER_MSEC)
 #define SECONDS 120
-/* Arrivals a second that fill the servers nearly: they hold 5 each, for 3.3 s.
- */
+/* Arrivals a second that nearly fill the servers, which hold 5 requests each
+ * for 3.3 s. */
 #define RATE 7.0
 
-/* A load that changed, to be heard by the others later. */
+/* A load change, applied to the other instances' views at a later time. */
 struct load_update {
 	int64_t at;
 	int from;
@@ -30,19 +29,19 @@
 	GRand *rand;
 	struct fleet *fleets[INSTANCES];
 	struct backend *views[INSTANCES][SERVERS];
-	uint32_t requests[SERVERS]; /* in truth */
+	uint32_t requests[SERVERS]; /* actual */
 	GQueue local_updates;	    /* struct load_update, by time */
 	GQueue remote_updates;	    /* the same, for the other data centre */
-	GQueue ends;		    /* the same, from: whose request ends */
-	int64_t delay;		    /* of words in the data centre */
+	GQueue ends;		    /* the same; requests of from end */
+	int64_t delay;		    /* of updates in the data centre */
 	int64_t delay_remote;	    /* between the two */
-	bool ignore_staleness;	    /* old views are taken for new ones */
+	bool ignore_staleness;	    /* views are used as if up to date */
 	uint32_t placed;
-	uint32_t overloaded; /* placed where memory will run out */
-	uint32_t unplaced;   /* found no room */
+	uint32_t overloaded; /* placed on a server without enough memory */
+	uint32_t unplaced;   /* found no server with room */
 };
 
-/* Every second instance and server is in another data centre, if there are two.
+/* With two data centres every second instance and server is in the other one.
  */
 static const char *centre_of(const struct site *site, int i)
 {
@@ -108,7 +107,8 @@
 	g_queue_push_tail(queue, update);
 }
 
-/* The instance's own load, at once for itself and later for the others. */
+/* Changes the instance's own load: at once in its own view, later in those of
+ * the others. */
 static void change(struct site *site, int instance, int server, int32_t by)
 {
 	own_change(&site->views[instance][server]->own, by);
@@ -208,19 +208,19 @@
 	site_open(site, delay, delay_remote);
 	for (int64_t i = 0; i < SECONDS * USEC_PER_SEC / STEP; i++)
 		step(site, rate);
-	g_test_message("words take %d ms, %d ms elsewhere%s: %u placed, %u "
-		       "found no room, %u where "
-		       "memory runs out",
+	g_test_message("updates take %d ms, %d ms remote%s: %u placed, %u "
+		       "found no room, %u without enough memory",
 		       (int)(delay / USEC_PER_MSEC),
 		       (int)(delay_remote / USEC_PER_MSEC),
-		       site->ignore_staleness ? ", trusted" : "", site->placed,
-		       site->unplaced, site->overloaded);
+		       site->ignore_staleness ? ", staleness ignored" : "",
+		       site->placed, site->unplaced, site->overloaded);
 	site_close(site);
 }
 
-/* Words that take 350 ms, the mean of near and remote when loads are told at
- * intervals only: 164 of 845 requests are placed where memory will run out.
- * With words that take 3 ms: 3 of 780, and 69 more find no room and wait. */
+/* With updates that take 350 ms, the mean of local and remote peers when loads
+ * are sent at intervals only, 164 of 845 requests are placed on a server whose
+ * memory runs out. With 3 ms it is 3 of 780, and 69 more find no room and wait.
+ */
 static void test_load(void)
 {
 	struct site late = {.ignore_staleness = true};
@@ -233,8 +233,7 @@
 	g_assert_cmpuint(soon.placed, >, late.placed * 9 / 10);
 }
 
-/* Two data centres under more load than they can take, whose words take 350 ms
- * between them. */
+/* Two data centres under overload, with 350 ms for updates between them. */
 static void test_elsewhere(void)
 {
 	struct site ignore_staleness = {.ignore_staleness = true};
