--- a/tests/forward/copies_world.c
+++ b/tests/forward/copies_world.c
@@ -186,7 +186,7 @@
 void copies_run(struct copies *copies, int64_t msec)
 {
 	for (int64_t at = 0; at < msec; at += STEP_MSEC) {
-		turn(copies->site, STEP_MSEC);
+		site_advance(copies->site, STEP_MSEC);
 		for (uint32_t i = 0; i < copies->site->count; i++)
 			if (copies_has(copies, i))
 				instance_turn(copies, i);
--- a/tests/forward/copies_world.h
+++ b/tests/forward/copies_world.h
@@ -42,11 +42,11 @@
 	uint32_t centres; /* that are not cut off */
 	uint64_t next;	  /* of both streams; of the first also the version */
 	int64_t published;
-	bool refused[MOST];
+	bool refused[INSTANCES_MAX];
 	int64_t answer_usec; /* that the store takes */
 	uint32_t calls;
 	uint32_t refusals;
-	struct copy_mirror mirrors[MOST][COPY_STREAMS];
+	struct copy_mirror mirrors[INSTANCES_MAX][COPY_STREAMS];
 };
 
 /* count instances in five data centres, of which all but so many are cut off
--- a/tests/forward/gossip_world.c
+++ b/tests/forward/gossip_world.c
@@ -203,7 +203,7 @@
 	}
 }
 
-void turn(struct site *site, int64_t msec)
+void site_advance(struct site *site, int64_t msec)
 {
 	for (int64_t i = 0; i < msec; i += 50) {
 		clock_advance(site->clock,
@@ -232,7 +232,7 @@
 		add_all_peers(site, &site->instances[i]);
 	/* All start at once, so some first summaries are lost in full socket
 	 * buffers. */
-	turn(site, 3000);
+	site_advance(site, 3000);
 	return site;
 }
 
--- a/tests/forward/gossip_world.h
+++ b/tests/forward/gossip_world.h
@@ -20,7 +20,7 @@
 #include "web/loop.h"
 
 #define CENTRES 5
-#define MOST 1024
+#define INSTANCES_MAX 1024
 #define STORED_MAX 64
 
 struct instance {
@@ -55,7 +55,7 @@
 	void *ctx;
 	struct loop *loops[CENTRES];
 	bool paused[CENTRES];
-	struct instance instances[MOST];
+	struct instance instances[INSTANCES_MAX];
 	uint32_t count;
 	struct quarantine_entry stored[STORED_MAX];
 	uint32_t stored_count;
@@ -66,7 +66,7 @@
 struct site *site_open(uint32_t count);
 void site_close(struct site *site);
 /* Runs all loops that are not paused for so much time, in steps of 50 ms. */
-void turn(struct site *site, int64_t msec);
+void site_advance(struct site *site, int64_t msec);
 struct instance *instance_add(struct site *site);
 void instance_start(struct instance *instance);
 void instance_stop(struct instance *instance);
--- a/tests/forward/test_gossip.c
+++ b/tests/forward/test_gossip.c
@@ -62,7 +62,7 @@
 	return fleet_put(site->fleets[peer], &info);
 }
 
-static void turn(struct site *site, int64_t usec)
+static void site_advance(struct site *site, int64_t usec)
 {
 	for (int i = 0; i < 4; i++) {
 		clock_advance(site->clock, clock_now(site->clock) + usec / 4);
@@ -101,7 +101,7 @@
 		for (int k = 0; k < PEERS; k++)
 			gossip_add_peer(site->gossips[i], site->addresses[k],
 					NULL);
-	turn(site, USEC_PER_SEC);
+	site_advance(site, USEC_PER_SEC);
 	g_assert_cmpuint(gossip_live_count(site->gossips[0]), ==, PEERS - 1);
 }
 
@@ -135,7 +135,7 @@
 
 	site_open(&site);
 	load_put(&site, 3);
-	turn(&site, 2 * USEC_PER_MSEC);
+	site_advance(&site, 2 * USEC_PER_MSEC);
 	for (int i = 1; i < PEERS; i++) {
 		const struct backend *backend = server(&site, i);
 
@@ -155,7 +155,7 @@
 
 	site_open(&site);
 	changing = true;
-	turn(&site, USEC_PER_SEC);
+	site_advance(&site, USEC_PER_SEC);
 	changing = false;
 	for (int i = 1; i < PEERS; i++)
 		g_assert_cmpuint(changes_received[i], ==, 2);
@@ -183,7 +183,7 @@
 	before = sent_by_all(&site);
 	for (uint32_t i = 0; i < 20000; i++) {
 		load_put(&site, i % 7);
-		turn(&site, USEC_PER_MSEC / 2);
+		site_advance(&site, USEC_PER_MSEC / 2);
 	}
 	/* Ten seconds, two peers: the bursts, 600 a second, and the regular
 	 * summaries of three instances. */
--- a/tests/forward/test_gossip_fleet.c
+++ b/tests/forward/test_gossip_fleet.c
@@ -51,16 +51,16 @@
 	uint64_t count;
 	uint64_t bytes;
 
-	turn(site, 3000);
+	site_advance(site, 3000);
 	all_know_all(site, INSTANCES);
 	/* A load is known to all after two intervals between groups. */
 	load_put(&site->instances[0], 0, 3);
-	turn(site, 2500);
+	site_advance(site, 2500);
 	g_assert_cmpuint(seen_by(site, 0, 3), ==, INSTANCES);
 	load_put(&site->instances[0], 0, 0);
 	count = received(site);
 	bytes = received_bytes(site);
-	turn(site, 2000);
+	site_advance(site, 2000);
 	count = (received(site) - count) / 2 / INSTANCES;
 	bytes = (received_bytes(site) - bytes) / 2 / INSTANCES;
 	g_test_message("%d datagrams and %d bytes a second", (int)count,
@@ -69,10 +69,10 @@
 	g_assert_cmpuint(bytes, <=, BYTES_PER_SEC_MAX);
 	/* A tenth of the instances stop, among them the lowest of all. */
 	load_put(&site->instances[0], 0, 7);
-	turn(site, 1500);
+	site_advance(site, 1500);
 	for (uint32_t i = 0; i < INSTANCES / 10; i++)
 		instance_stop(&site->instances[i]);
-	turn(site, 6000);
+	site_advance(site, 6000);
 	g_assert_cmpuint(seen_by(site, 0, 0), ==, INSTANCES - INSTANCES / 10);
 	all_know_all(site, INSTANCES - INSTANCES / 10);
 	site_close(site);
--- a/tests/forward/test_gossip_permits.c
+++ b/tests/forward/test_gossip_permits.c
@@ -65,7 +65,7 @@
 			request_arrive(scenario);
 			due -= 1.0;
 		}
-		turn(scenario->site, STEP_MSEC);
+		site_advance(scenario->site, STEP_MSEC);
 	}
 }
 
@@ -217,10 +217,10 @@
 	requests_run(scenario, 6000);
 	rate_check(scenario, "raised");
 	utilisation_check(scenario, 6000);
-	turn(scenario->site, 1000);
+	site_advance(scenario->site, 1000);
 	backpressure_answer(first->backpressure,
 			    clock_now(scenario->site->clock), key, &none);
-	turn(scenario->site, 2000);
+	site_advance(scenario->site, 2000);
 	for (uint32_t i = 0; i < count; i++)
 		g_assert_true(
 			permit(&scenario->site->instances[i], SERVER_CENTRE));
--- a/tests/forward/test_gossip_site.c
+++ b/tests/forward/test_gossip_site.c
@@ -27,12 +27,12 @@
 	all_know_all(site);
 	for (uint32_t i = 0; i < site->count; i += 3)
 		load_put(&site->instances[i], i % CENTRES, 2);
-	turn(site, 1500);
+	site_advance(site, 1500);
 	for (uint32_t i = 0; i < CENTRES; i++)
 		g_assert_cmpuint(seen_by(site, i, 40), ==, site->count);
 	for (uint32_t i = 0; i < site->count; i += 3)
 		load_put(&site->instances[i], i % CENTRES, 0);
-	turn(site, 1500);
+	site_advance(site, 1500);
 	g_assert_cmpuint(seen_by(site, 0, 0), ==, site->count);
 	site_close(site);
 }
@@ -45,7 +45,7 @@
 	struct instance *user = &site->instances[0];
 
 	load_put(user, 2, 3);
-	turn(site, 50);
+	site_advance(site, 50);
 	for (uint32_t i = 0; i < site->count; i++) {
 		struct instance *instance = &site->instances[i];
 
@@ -53,7 +53,7 @@
 			g_assert_cmpuint(backend_requests(server(instance, 2)),
 					 ==, 3);
 	}
-	turn(site, 1500);
+	site_advance(site, 1500);
 	g_assert_cmpuint(seen_by(site, 2, 3), ==, site->count);
 	site_close(site);
 }
@@ -74,7 +74,7 @@
 	uint64_t before = bytes_sent(site);
 	uint64_t bytes;
 
-	turn(site, 10000);
+	site_advance(site, 10000);
 	bytes = (bytes_sent(site) - before) / 10 / count;
 	site_close(site);
 	return bytes;
@@ -102,17 +102,17 @@
 
 	for (int i = 0; i < 24; i++)
 		add_all_peers(site, instance_add(site));
-	turn(site, 3000);
+	site_advance(site, 3000);
 	all_know_all(site);
 	for (uint32_t i = 0; i < 12; i++) {
 		load_put(&site->instances[i], 1, 5);
-		turn(site, 50);
+		site_advance(site, 50);
 		instance_stop(&site->instances[i]);
 		instance_start(&site->instances[i]);
 		add_all_peers(site, &site->instances[i]);
-		turn(site, 200);
+		site_advance(site, 200);
 	}
-	turn(site, 3000);
+	site_advance(site, 3000);
 	all_know_all(site);
 	g_assert_cmpuint(seen_by(site, 1, 0), ==, site->count);
 	site_close(site);
@@ -126,16 +126,16 @@
 
 	for (uint32_t i = 0; i < 40; i++) {
 		load_put(&site->instances[i], 1, 5);
-		turn(site, 50);
+		site_advance(site, 50);
 		instance_stop(&site->instances[i]);
 	}
-	turn(site, 6000);
+	site_advance(site, 6000);
 	g_assert_cmpuint(seen_by(site, 1, 0), ==, 60);
 	g_assert_cmpuint(lowest_count(site), ==, 1);
 	load_put(&site->instances[99], 4, 7);
-	turn(site, 1500);
+	site_advance(site, 1500);
 	g_assert_cmpuint(seen_by(site, 4, 7), ==, 60);
-	turn(site, 32000);
+	site_advance(site, 32000);
 	for (uint32_t i = 40; i < 100; i++)
 		g_assert_cmpuint(gossip_instances(site->instances[i].gossip),
 				 ==, 60);
@@ -149,18 +149,18 @@
 	struct site *site = site_open(100);
 
 	load_put(&site->instances[3], 3, 6);
-	turn(site, 1500);
+	site_advance(site, 1500);
 	site->paused[3] = true;
-	turn(site, 7000);
+	site_advance(site, 7000);
 	for (uint32_t i = 0; i < site->count; i++)
 		if (site->instances[i].centre != 3)
 			g_assert_cmpuint(backend_requests(server(
 						 &site->instances[i], 3)),
 					 ==, 0);
 	g_assert_cmpuint(lowest_count(site), ==, 1);
-	turn(site, 33000);
+	site_advance(site, 33000);
 	site->paused[3] = false;
-	turn(site, 3000);
+	site_advance(site, 3000);
 	all_know_all(site);
 	g_assert_cmpuint(seen_by(site, 3, 6), ==, site->count);
 	site_close(site);
--- a/tests/forward/test_gossip_works.c
+++ b/tests/forward/test_gossip_works.c
@@ -47,7 +47,7 @@
 /* The request arrives at several instances at the same time. */
 static void request_repeat(struct scenario *scenario, uint32_t times)
 {
-	struct instance *sent[MOST];
+	struct instance *sent[INSTANCES_MAX];
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < times; i++) {
@@ -63,7 +63,7 @@
 		else
 			sent[count++] = instance;
 	}
-	turn(scenario->site, CRASH_DELAY_MSEC);
+	site_advance(scenario->site, CRASH_DELAY_MSEC);
 	for (uint32_t i = 0; i < count; i++)
 		if (is_up(sent[i]))
 			server_crash(scenario, sent[i]);
@@ -148,14 +148,14 @@
 	for (int i = 0; i < 60; i++)
 		request_repeat(&scenario, 1);
 	site->paused[2] = false;
-	turn(site, 3000);
+	site_advance(site, 3000);
 	g_assert_cmpuint(holding_count(&scenario), ==, count);
 	for (uint32_t i = 0; i < count; i += 4) {
 		instance_stop(&site->instances[i]);
 		instance_start(&site->instances[i]);
 		add_all_peers(site, &site->instances[i]);
 	}
-	turn(site, 3000);
+	site_advance(site, 3000);
 	g_assert_cmpuint(holding_count(&scenario), ==, count);
 	for (uint32_t i = 0; i < count; i++)
 		instance_stop(&site->instances[i]);
@@ -191,7 +191,7 @@
 		instance_start(&site->instances[i]);
 		add_all_peers(site, &site->instances[i]);
 	}
-	turn(site, 3000);
+	site_advance(site, 3000);
 	g_assert_cmpuint(holding_count(&scenario), ==, 100);
 	site_close(site);
 }
@@ -212,7 +212,7 @@
 				after ? one->sent_bytes : -one->sent_bytes;
 		}
 		if (!after)
-			turn(site, 12000);
+			site_advance(site, 12000);
 	}
 	g_assert_cmpuint(site->count, >, 0);
 	sum.sent /= site->count;
@@ -229,11 +229,11 @@
 	struct gossip_traffic held;
 
 	/* Unknown peers are no longer tried after this time. */
-	turn(scenario.site, 15000);
+	site_advance(scenario.site, 15000);
 	calm = traffic(scenario.site);
 	for (int i = 0; i < 10; i++)
 		request_repeat(&scenario, 1);
-	turn(scenario.site, 3000);
+	site_advance(scenario.site, 3000);
 	held = traffic(scenario.site);
 	g_test_message("calm %d datagrams, %d bytes; held %d, %d",
 		       (int)calm.sent, (int)calm.sent_bytes, (int)held.sent,
