--- a/forward/gossip_peers.c
+++ b/forward/gossip_peers.c
@@ -16,7 +16,7 @@
 #define UPDATE_MAX_USEC (1 * USEC_PER_SEC)
 /* Instances of a group that send to one remote peer, so that the loss of one
  * sender leaves no gap. */
-#define SENDERS_PER_CENTRE 2u
+#define SENDERS_PER_GROUP 2u
 
 void peer_free(gpointer data)
 {
@@ -237,14 +237,14 @@
 	uint64_t own = id_mix(to->key, gossip->key);
 	uint32_t before = 0;
 
-	for (guint i = 0; i < gossip->local->len && before < SENDERS_PER_CENTRE;
+	for (guint i = 0; i < gossip->local->len && before < SENDERS_PER_GROUP;
 	     i++) {
 		const struct peer *peer = gossip->local->pdata[i];
 
 		before += peer_live(gossip, peer) &&
 			  id_mix(to->key, peer->key) > own;
 	}
-	return before < SENDERS_PER_CENTRE;
+	return before < SENDERS_PER_GROUP;
 }
 
 /* Changes when an instance joins or leaves. */
--- a/forward/gossip_private.h
+++ b/forward/gossip_private.h
@@ -92,10 +92,10 @@
 	struct timer changes_timer; /* sends load changes */
 	GArray *findings_own;	/* struct quarantine_entry, of this instance */
 	GArray *findings_local; /* received from local peers */
-	struct timer quarantine_soon;
-	struct timer quarantine_timer;
+	struct timer findings_timer;
+	struct timer rotation_timer;
 	uint32_t next_peer; /* for rotation over the live peers */
-	struct timer usage_soon;
+	struct timer usage_timer;
 	int64_t usage_sent; /* last datagram with usage alone */
 	uint64_t sequence;
 	uint32_t next_address; /* for rotation over the peers' addresses */
--- a/forward/gossip_quarantine.c
+++ b/forward/gossip_quarantine.c
@@ -44,8 +44,8 @@
 			 const struct quarantine_entry *entry)
 {
 	g_array_append_val(findings, *entry);
-	if (!timer_running(&gossip->quarantine_soon))
-		timer_start(&gossip->quarantine_soon, 0);
+	if (!timer_running(&gossip->findings_timer))
+		timer_start(&gossip->findings_timer, 0);
 }
 
 void gossip_quarantine_changed(struct gossip *gossip,
@@ -130,21 +130,21 @@
 		g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
 	gossip->findings_local =
 		g_array_new(FALSE, FALSE, sizeof(struct quarantine_entry));
-	timer_init(&gossip->quarantine_soon, gossip->clock, on_findings_timer,
+	timer_init(&gossip->findings_timer, gossip->clock, on_findings_timer,
 		   gossip);
-	timer_init(&gossip->quarantine_timer, gossip->clock, on_rotation_timer,
+	timer_init(&gossip->rotation_timer, gossip->clock, on_rotation_timer,
 		   gossip);
 	/* Instances start the rotation at different peers. */
 	gossip->next_peer = (uint32_t)gossip->key;
 	if (gossip->ops.quarantine_next)
-		timer_start(&gossip->quarantine_timer,
+		timer_start(&gossip->rotation_timer,
 			    GOSSIP_QUARANTINE_INTERVAL_USEC);
 }
 
 void gossip_quarantine_stop(struct gossip *gossip)
 {
-	timer_stop(&gossip->quarantine_soon);
-	timer_stop(&gossip->quarantine_timer);
+	timer_stop(&gossip->findings_timer);
+	timer_stop(&gossip->rotation_timer);
 	g_array_unref(gossip->findings_own);
 	g_array_unref(gossip->findings_local);
 }
--- a/forward/gossip_send.c
+++ b/forward/gossip_send.c
@@ -6,7 +6,8 @@
 
 #include "gossip_private.h"
 
-/* Interval between summaries while nothing changes. */
+/* Shortest interval between summaries to a peer while nothing changes, and
+ * longest interval for an instance that reads the store. */
 #define IDLE_INTERVAL_USEC (300 * USEC_PER_MSEC)
 /* Interval at which a silent or unknown address is tried. */
 #define PROBE_INTERVAL_USEC (1 * USEC_PER_SEC)
@@ -37,8 +38,8 @@
 			peer_send(gossip, peers->pdata[i], out);
 }
 
-/* Each message holds one address, in rotation, so that an instance that could
- * not read the store learns all peers from one. */
+/* Adds the address of one live peer, in rotation, so that an instance that
+ * could not read the store learns all peers from one. */
 static void address_add(struct gossip *gossip, struct gossip_message *message)
 {
 	guint size = gossip->local->len + gossip->remote->len;
@@ -177,9 +178,8 @@
 	}
 }
 
-/* Sends to peers whose group is unknown. The instances that send for their
- * group learn of this instance so, and the peer's own data centre sends to it
- * in turn. */
+/* Sends to peers whose group is unknown. The senders of their group learn of
+ * this instance that way and send it their summaries. */
 static void unknown_peers_send(struct gossip *gossip, const GByteArray *out)
 {
 	int64_t now = gossip_now(gossip);
--- a/forward/gossip_usage.c
+++ b/forward/gossip_usage.c
@@ -42,8 +42,8 @@
 {
 	int64_t since = gossip_now(gossip) - gossip->usage_sent;
 
-	if (!timer_running(&gossip->usage_soon))
-		timer_start(&gossip->usage_soon,
+	if (!timer_running(&gossip->usage_timer))
+		timer_start(&gossip->usage_timer,
 			    MAX(GOSSIP_USAGE_INTERVAL_USEC - since, 0));
 }
 
@@ -63,11 +63,11 @@
 
 void gossip_usage_start(struct gossip *gossip)
 {
-	timer_init(&gossip->usage_soon, gossip->clock, on_usage_timer, gossip);
+	timer_init(&gossip->usage_timer, gossip->clock, on_usage_timer, gossip);
 	gossip->usage_sent = gossip_now(gossip) - GOSSIP_USAGE_INTERVAL_USEC;
 }
 
 void gossip_usage_stop(struct gossip *gossip)
 {
-	timer_stop(&gossip->usage_soon);
+	timer_stop(&gossip->usage_timer);
 }
--- a/include/forward/gossip.h
+++ b/include/forward/gossip.h
@@ -81,9 +81,9 @@
  * after which it counts as recovered. */
 #define GOSSIP_QUARANTINE_INTERVAL_USEC (500 * USEC_PER_MSEC)
 
-/* Usage within this time may exceed an allotment unnoticed: at eight times an
- * allotment with a burst of one second, 0.8 bursts, of which urgent updates
- * leave a part. */
+/* Usage within this time may exceed an allotment before peers know of it: 0.8
+ * bursts at a demand of eight times an allotment with a burst of one second.
+ * Urgent updates leave only a part of that. */
 #define GOSSIP_USAGE_INTERVAL_USEC (100 * USEC_PER_MSEC)
 
 /* Servers that change their role at the same time. Further changes are ordered
@@ -121,13 +121,13 @@
 	uint32_t prefill_rate_count;
 	bool leaving;
 	bool store_unreachable; /* the store does not answer this instance */
-	/* All servers ordered to another role. A server in transition refuses
-	 * requests, after their prefill was done in vain. */
+	/* All servers ordered to another role. A server that changes its role
+	 * refuses requests, so their prefill would be wasted. */
 	struct backend_change changing[GOSSIP_CHANGING_MAX];
 	uint32_t changing_count;
 	struct mirror_status mirrors[GOSSIP_MIRRORS];
-	/* Unreachable servers, in summaries of an instance only. The receiver
-	 * need not try them all one after the other. */
+	/* Unreachable servers, in summaries of an instance only. They save the
+	 * receiver a connection attempt to each of them. */
 	struct unreachable_backend unreachable[GOSSIP_UNREACHABLE_MAX];
 	uint32_t unreachable_count;
 };
@@ -221,8 +221,7 @@
  * sent to all at once. */
 void gossip_quarantine_changed(struct gossip *gossip,
 			       const struct quarantine_entry *entry);
-/* So much of an allotment was used here that peers need the usage before the
- * next summary. */
+/* Usage here has grown so that peers need it before the next summary. */
 void gossip_usage_changed(struct gossip *gossip);
 /* Whether this instance is the server's home. With may_be false it is no
  * candidate. */
--- a/tests/forward/gossip_world.h
+++ b/tests/forward/gossip_world.h
@@ -41,9 +41,9 @@
 
 /* Called to fill in the summary of an instance, and when it receives one from a
  * peer. */
-typedef void (*site_summary_fn)(void *story, const struct instance *instance,
+typedef void (*site_summary_fn)(void *ctx, const struct instance *instance,
 				struct gossip_summary *summary);
-typedef void (*site_received_fn)(void *story, const struct instance *instance,
+typedef void (*site_received_fn)(void *ctx, const struct instance *instance,
 				 const char *address,
 				 const struct gossip_summary *summary);
 
@@ -65,7 +65,7 @@
 
 struct site *site_open(uint32_t count);
 void site_close(struct site *site);
-/* Runs all loops that are not paused for so much time, in steps of 50 ms. */
+/* Runs all loops that are not paused for the given time, in steps of 50 ms. */
 void site_advance(struct site *site, int64_t msec);
 struct instance *instance_add(struct site *site);
 void instance_start(struct instance *instance);
