--- a/forward/gossip_decode.c
+++ b/forward/gossip_decode.c
@@ -1,6 +1,6 @@
 /*
- * gossip_decode.c - datagrams read: whatever does not have the form of
- * gossip_codec.h is refused whole
+ * gossip_decode.c - decoding of datagrams. One that does not have the form of
+ * gossip_codec.h is rejected as a whole.
  */
 #include "gossip_codec.h"
 
@@ -13,8 +13,8 @@
 #include "common/unpack.h"
 #include "gossip_fields.h"
 
-static bool number_read(const msgpack_object *object, uint64_t max,
-			uint64_t *value)
+static bool unsigned_read(const msgpack_object *object, uint64_t max,
+			  uint64_t *value)
 {
 	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 	    object->via.u64 > max)
@@ -23,23 +23,24 @@
 	return true;
 }
 
-static bool sum_read(const msgpack_object *object, int64_t most, int64_t *value)
+static bool signed_read(const msgpack_object *object, int64_t max,
+			int64_t *value)
 {
 	if (object->type == MSGPACK_OBJECT_NEGATIVE_INTEGER) {
 		*value = object->via.i64;
-		return object->via.i64 >= -most;
+		return object->via.i64 >= -max;
 	}
 	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-	    object->via.u64 > (uint64_t)most)
+	    object->via.u64 > (uint64_t)max)
 		return false;
 	*value = (int64_t)object->via.u64;
 	return true;
 }
 
-static bool is_array(const msgpack_object *object, uint32_t most)
+static bool is_array(const msgpack_object *object, uint32_t max)
 {
 	return object->type == MSGPACK_OBJECT_ARRAY &&
-	       object->via.array.size <= most;
+	       object->via.array.size <= max;
 }
 
 static bool is_tuple(const msgpack_object *object, uint32_t fields)
@@ -54,10 +55,10 @@
 	if (!is_tuple(object, LOAD_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	return number_read(&fields[0], UINT64_MAX, &load->backend) &&
-	       sum_read(&fields[1], LOAD_MAX, &load->load.requests) &&
-	       sum_read(&fields[2], LOAD_MAX, &load->load.decode_tokens) &&
-	       sum_read(&fields[3], LOAD_MAX, &load->load.prefill_tokens);
+	return unsigned_read(&fields[0], UINT64_MAX, &load->backend) &&
+	       signed_read(&fields[1], LOAD_MAX, &load->load.requests) &&
+	       signed_read(&fields[2], LOAD_MAX, &load->load.decode_tokens) &&
+	       signed_read(&fields[3], LOAD_MAX, &load->load.prefill_tokens);
 }
 
 static bool loads_read(const msgpack_object *object, GArray *loads)
@@ -81,76 +82,77 @@
 		return false;
 	entry->count = object->via.array.size;
 	for (uint32_t i = 0; i < entry->count; i++)
-		if (!number_read(&object->via.array.ptr[i], UINT64_MAX,
-				 &entry->servers[i]))
+		if (!unsigned_read(&object->via.array.ptr[i], UINT64_MAX,
+				   &entry->servers[i]))
 			return false;
 	return true;
 }
 
-static bool work_read(const msgpack_object *object,
-		      struct quarantine_entry *entry)
+static bool quarantine_entry_read(const msgpack_object *object,
+				  struct quarantine_entry *entry)
 {
 	const msgpack_object *fields;
 	uint64_t epoch;
 	uint64_t stored;
 
-	if (!is_tuple(object, WORK_FIELDS))
+	if (!is_tuple(object, QUARANTINE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &entry->work.high) ||
-	    !number_read(&fields[1], UINT64_MAX, &entry->work.low) ||
-	    !number_read(&fields[2], UINT32_MAX, &epoch) ||
-	    !number_read(&fields[3], 1, &stored))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &entry->work.high) ||
+	    !unsigned_read(&fields[1], UINT64_MAX, &entry->work.low) ||
+	    !unsigned_read(&fields[2], UINT32_MAX, &epoch) ||
+	    !unsigned_read(&fields[3], 1, &stored))
 		return false;
 	entry->epoch = (uint32_t)epoch;
 	entry->stored = stored;
 	return servers_read(&fields[4], entry);
 }
 
-static bool works_read(const msgpack_object *object, GArray *works)
+static bool quarantine_read(const msgpack_object *object, GArray *entries)
 {
 	if (!is_array(object, GOSSIP_QUARANTINE_MAX))
 		return false;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
 		struct quarantine_entry entry = {0};
 
-		if (!work_read(&object->via.array.ptr[i], &entry))
+		if (!quarantine_entry_read(&object->via.array.ptr[i], &entry))
 			return false;
-		g_array_append_val(works, entry);
+		g_array_append_val(entries, entry);
 	}
 	return true;
 }
 
-static bool use_read(const msgpack_object *object, struct limit_entry *use)
+static bool usage_entry_read(const msgpack_object *object,
+			     struct limit_entry *entry)
 {
 	const msgpack_object *fields;
 	uint64_t epoch;
 	uint64_t demand;
 
-	if (!is_tuple(object, USE_FIELDS))
+	if (!is_tuple(object, USAGE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &use->account) ||
-	    !number_read(&fields[1], UINT32_MAX, &epoch) ||
-	    !sum_read(&fields[2], USED_MAX, &use->used) ||
-	    !number_read(&fields[3], UINT32_MAX, &demand) ||
-	    !sum_read(&fields[4], USED_MAX, &use->level))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &entry->account) ||
+	    !unsigned_read(&fields[1], UINT32_MAX, &epoch) ||
+	    !signed_read(&fields[2], USED_MAX, &entry->used) ||
+	    !unsigned_read(&fields[3], UINT32_MAX, &demand) ||
+	    !signed_read(&fields[4], USED_MAX, &entry->level))
 		return false;
-	use->epoch = (uint32_t)epoch;
-	use->demand = (uint32_t)demand;
+	entry->epoch = (uint32_t)epoch;
+	entry->demand = (uint32_t)demand;
 	return true;
 }
 
-static bool uses_read(const msgpack_object *object, GArray *usage)
+static bool usage_read(const msgpack_object *object, GArray *usage)
 {
 	if (!is_array(object, GOSSIP_USAGE_MAX))
 		return false;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
-		struct limit_entry use;
+		struct limit_entry entry;
 
-		if (!use_read(&object->via.array.ptr[i], &use))
+		if (!usage_entry_read(&object->via.array.ptr[i], &entry))
 			return false;
-		g_array_append_val(usage, use);
+		g_array_append_val(usage, entry);
 	}
 	return true;
 }
@@ -159,8 +161,8 @@
 		      struct backpressure_fact *fact)
 {
 	const msgpack_object *fields;
-	int64_t parts;
-	int64_t cold_parts;
+	int64_t scaled;
+	int64_t cold_scaled;
 	uint64_t leaving;
 	uint64_t cold;
 	uint64_t age;
@@ -168,20 +170,21 @@
 	if (!is_tuple(object, FACT_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &fact->server) ||
-	    !sum_read(&fields[1], LIMIT_PARTS_MAX, &parts) || parts < -1 ||
-	    !number_read(&fields[2], FACT_AGE_USEC_MAX, &age) ||
-	    !number_read(&fields[3], 1, &leaving) ||
-	    !number_read(&fields[4], BACKPRESSURE_COLD_MAX_USEC, &cold) ||
-	    !sum_read(&fields[5], LIMIT_PARTS_MAX, &cold_parts) ||
-	    cold_parts < 0)
+	if (!unsigned_read(&fields[0], UINT64_MAX, &fact->server) ||
+	    !signed_read(&fields[1], LIMIT_SCALED_MAX, &scaled) ||
+	    scaled < -1 ||
+	    !unsigned_read(&fields[2], FACT_AGE_USEC_MAX, &age) ||
+	    !unsigned_read(&fields[3], 1, &leaving) ||
+	    !unsigned_read(&fields[4], BACKPRESSURE_COLD_MAX_USEC, &cold) ||
+	    !signed_read(&fields[5], LIMIT_SCALED_MAX, &cold_scaled) ||
+	    cold_scaled < 0)
 		return false;
-	fact->limit = parts < 0 ? BACKPRESSURE_UNLIMITED
-				: (double)parts / LIMIT_PARTS;
+	fact->limit = scaled < 0 ? BACKPRESSURE_UNLIMITED
+				 : (double)scaled / LIMIT_SCALE;
 	fact->age_usec = (int64_t)age;
 	fact->leaving = leaving;
 	fact->cold_usec = (int64_t)cold;
-	fact->cold_limit = (double)cold_parts / LIMIT_PARTS;
+	fact->cold_limit = (double)cold_scaled / LIMIT_SCALE;
 	return true;
 }
 
@@ -199,27 +202,29 @@
 	return true;
 }
 
-static bool ask_read(const msgpack_object *object, struct permit_request *ask)
+static bool permit_request_read(const msgpack_object *object,
+				struct permit_request *request)
 {
-	return is_tuple(object, ASK_FIELDS) &&
-	       number_read(&object->via.array.ptr[0], UINT64_MAX, &ask->id) &&
-	       fact_read(&object->via.array.ptr[1], &ask->fact);
+	return is_tuple(object, PERMIT_REQUEST_FIELDS) &&
+	       unsigned_read(&object->via.array.ptr[0], UINT64_MAX,
+			     &request->id) &&
+	       fact_read(&object->via.array.ptr[1], &request->fact);
 }
 
-static bool answer_read(const msgpack_object *object,
-			struct permit_answer *answer)
+static bool permit_answer_read(const msgpack_object *object,
+			       struct permit_answer *answer)
 {
 	const msgpack_object *fields;
 	uint64_t granted;
 	uint64_t retry;
 
-	if (!is_tuple(object, ANSWER_FIELDS))
+	if (!is_tuple(object, PERMIT_ANSWER_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &answer->id) ||
-	    !number_read(&fields[1], UINT64_MAX, &answer->server) ||
-	    !number_read(&fields[2], 1, &granted) ||
-	    !number_read(&fields[3], RETRY_USEC_MAX, &retry))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &answer->id) ||
+	    !unsigned_read(&fields[1], UINT64_MAX, &answer->server) ||
+	    !unsigned_read(&fields[2], 1, &granted) ||
+	    !unsigned_read(&fields[3], RETRY_USEC_MAX, &retry))
 		return false;
 	answer->granted = granted;
 	answer->retry_usec = (int64_t)retry;
@@ -227,23 +232,23 @@
 }
 
 static bool mirror_status_read(const msgpack_object *object,
-			       struct mirror_status *summary)
+			       struct mirror_status *status)
 {
 	const msgpack_object *fields;
 	uint64_t age;
 
-	if (!is_tuple(object, SHARE_FIELDS))
+	if (!is_tuple(object, MIRROR_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &summary->next) ||
-	    !number_read(&fields[1], UINT64_MAX, &summary->changed))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &status->next) ||
+	    !unsigned_read(&fields[1], UINT64_MAX, &status->changed))
 		return false;
-	summary->age_usec = -1;
+	status->age_usec = -1;
 	if (fields[2].type == MSGPACK_OBJECT_NEGATIVE_INTEGER)
 		return true;
-	if (!number_read(&fields[2], INT64_MAX / 2, &age))
+	if (!unsigned_read(&fields[2], INT64_MAX / 2, &age))
 		return false;
-	summary->age_usec = (int64_t)age;
+	status->age_usec = (int64_t)age;
 	return true;
 }
 
@@ -271,7 +276,7 @@
 		if (!unpack_text(object, text, sizeof(text)))
 			return false;
 	} else {
-		if (!number_read(object, ((uint64_t)1 << 48) - 1, &number))
+		if (!unsigned_read(object, ((uint64_t)1 << 48) - 1, &number))
 			return false;
 		in->sin_addr.s_addr = htonl((uint32_t)(number >> 16));
 		in->sin_port = htons((uint16_t)number);
@@ -302,9 +307,9 @@
 	if (!is_tuple(object, CHANGE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &change->key) ||
-	    !number_read(&fields[1], STAGE_DECODE, &stage) ||
-	    !number_read(&fields[2], CHANGE_MSEC_MAX, &left))
+	if (!unsigned_read(&fields[0], UINT64_MAX, &change->key) ||
+	    !unsigned_read(&fields[1], STAGE_DECODE, &stage) ||
+	    !unsigned_read(&fields[2], CHANGE_MSEC_MAX, &left))
 		return false;
 	change->stage = (enum backend_stage)stage;
 	change->left_usec = (int64_t)left * USEC_PER_MSEC;
@@ -324,8 +329,8 @@
 	return true;
 }
 
-static bool lost_read(const msgpack_object *object,
-		      struct gossip_summary *summary)
+static bool unreachable_read(const msgpack_object *object,
+			     struct gossip_summary *summary)
 {
 	if (!is_array(object, GOSSIP_UNREACHABLE_MAX))
 		return false;
@@ -334,11 +339,11 @@
 		const msgpack_object *one = &object->via.array.ptr[i];
 		uint64_t left;
 
-		if (!is_tuple(one, LOST_FIELDS) ||
-		    !number_read(&one->via.array.ptr[0], UINT64_MAX,
-				 &summary->unreachable[i].key) ||
-		    !number_read(&one->via.array.ptr[1], CHANGE_MSEC_MAX,
-				 &left))
+		if (!is_tuple(one, UNREACHABLE_FIELDS) ||
+		    !unsigned_read(&one->via.array.ptr[0], UINT64_MAX,
+				   &summary->unreachable[i].key) ||
+		    !unsigned_read(&one->via.array.ptr[1], CHANGE_MSEC_MAX,
+				   &left))
 			return false;
 		summary->unreachable[i].left_usec =
 			(int64_t)left * USEC_PER_MSEC;
@@ -346,54 +351,55 @@
 	return true;
 }
 
-static bool word_read(const msgpack_object *fields,
-		      struct gossip_message *message)
+static bool summary_read(const msgpack_object *fields,
+			 struct gossip_message *message)
 {
 	uint64_t demand;
 	uint64_t waiting;
 	uint64_t rates;
-	uint64_t raters;
+	uint64_t rate_count;
 	uint64_t flags;
 
 	if (!unpack_text(&fields[0], message->name, sizeof(message->name)) ||
 	    !unpack_text(&fields[1], message->group, sizeof(message->group)) ||
-	    !number_read(&fields[2], UINT64_MAX, &message->summary.version) ||
-	    !number_read(&fields[3], UINT32_MAX, &demand) ||
-	    !number_read(&fields[4], UINT32_MAX, &waiting) ||
-	    !number_read(&fields[5], RATES_MAX, &rates) ||
-	    !number_read(&fields[6], UINT32_MAX, &raters) ||
-	    !number_read(&fields[7], FLAGS_ALL, &flags) ||
+	    !unsigned_read(&fields[2], UINT64_MAX, &message->summary.version) ||
+	    !unsigned_read(&fields[3], UINT32_MAX, &demand) ||
+	    !unsigned_read(&fields[4], UINT32_MAX, &waiting) ||
+	    !unsigned_read(&fields[5], PREFILL_RATES_MAX, &rates) ||
+	    !unsigned_read(&fields[6], UINT32_MAX, &rate_count) ||
+	    !unsigned_read(&fields[7], FLAGS_ALL, &flags) ||
 	    !changing_read(&fields[8], &message->summary))
 		return false;
 	message->summary.demand = (double)demand;
 	message->summary.waiting = (uint32_t)waiting;
 	message->summary.prefill_rates = (double)rates;
-	message->summary.prefill_rate_count = (uint32_t)raters;
+	message->summary.prefill_rate_count = (uint32_t)rate_count;
 	message->summary.leaving = flags & FLAG_LEAVING;
 	message->summary.store_unreachable = flags & FLAG_STORE_UNREACHABLE;
-	message->first.store_unreachable = flags & FLAG_FIRST_STORELESS;
+	message->lowest.store_unreachable =
+		flags & FLAG_LOWEST_STORE_UNREACHABLE;
 	return mirrors_read(&fields[9], &message->summary) &&
-	       unpack_text(&fields[10], message->first.name,
-			   sizeof(message->first.name)) &&
+	       unpack_text(&fields[10], message->lowest.name,
+			   sizeof(message->lowest.name)) &&
 	       addresses_read(&fields[11], message) &&
-	       uses_read(&fields[12], message->usage) &&
-	       lost_read(&fields[13], &message->summary) &&
+	       usage_read(&fields[12], message->usage) &&
+	       unreachable_read(&fields[13], &message->summary) &&
 	       facts_read(&fields[14], message->facts);
 }
 
-/* What follows the head of messages that are no words and hold no loads. */
-static bool short_read(const msgpack_object *body,
-		       struct gossip_message *message)
+/* Reads the body of messages that are no summaries and hold no loads. */
+static bool body_read(const msgpack_object *body,
+		      struct gossip_message *message)
 {
 	switch (message->kind) {
 	case GOSSIP_QUARANTINE:
-		return works_read(body, message->works);
+		return quarantine_read(body, message->quarantine);
 	case GOSSIP_USAGE:
-		return uses_read(body, message->usage);
+		return usage_read(body, message->usage);
 	case GOSSIP_PERMIT_REQUEST:
-		return ask_read(body, &message->ask);
+		return permit_request_read(body, &message->request);
 	case GOSSIP_PERMIT_ANSWER:
-		return answer_read(body, &message->answer);
+		return permit_answer_read(body, &message->answer);
 	default:
 		return false;
 	}
@@ -406,38 +412,38 @@
 	uint64_t format;
 	uint64_t kind;
 
-	if (!is_array(object, WORD_FIELDS) ||
+	if (!is_array(object, SUMMARY_FIELDS) ||
 	    object->via.array.size < CHANGES_FIELDS ||
-	    !number_read(&fields[0], GOSSIP_FORMAT, &format) ||
+	    !unsigned_read(&fields[0], GOSSIP_FORMAT, &format) ||
 	    format != GOSSIP_FORMAT ||
-	    !number_read(&fields[1], GOSSIP_QUARANTINE, &kind) ||
-	    !number_read(&fields[2], UINT64_MAX, &message->boot) ||
-	    !number_read(&fields[3], UINT64_MAX, &message->sequence))
+	    !unsigned_read(&fields[1], GOSSIP_QUARANTINE, &kind) ||
+	    !unsigned_read(&fields[2], UINT64_MAX, &message->boot) ||
+	    !unsigned_read(&fields[3], UINT64_MAX, &message->sequence))
 		return false;
 	message->kind = (enum gossip_kind)kind;
 	if (message->kind > GOSSIP_CHANGES)
 		return object->via.array.size == CHANGES_FIELDS &&
-		       short_read(&fields[4], message);
+		       body_read(&fields[4], message);
 	if (!loads_read(&fields[4], message->loads))
 		return false;
 	if (message->kind == GOSSIP_CHANGES)
 		return object->via.array.size == CHANGES_FIELDS;
-	return object->via.array.size == WORD_FIELDS &&
-	       word_read(&fields[CHANGES_FIELDS], message);
+	return object->via.array.size == SUMMARY_FIELDS &&
+	       summary_read(&fields[CHANGES_FIELDS], message);
 }
 
 bool gossip_decode(struct gossip_message *message, const void *data,
 		   size_t size, struct error *err)
 {
 	msgpack_unpacked unpacked;
-	bool good;
+	bool ok;
 
-	gossip_message_init(message, GOSSIP_OWN);
+	gossip_message_init(message, GOSSIP_INSTANCE_SUMMARY);
 	msgpack_unpacked_init(&unpacked);
-	good = message_unpack(&unpacked, data, size, err);
-	if (good && !message_read(&unpacked.data, message))
-		good = error_set(err, RESULT_BAD_MESSAGE,
-				 "no datagram of instances");
+	ok = message_unpack(&unpacked, data, size, err);
+	if (ok && !message_read(&unpacked.data, message))
+		ok = error_set(err, RESULT_BAD_MESSAGE,
+			       "malformed gossip datagram");
 	msgpack_unpacked_destroy(&unpacked);
-	return good;
+	return ok;
 }
--- a/forward/gossip_send.c
+++ b/forward/gossip_send.c
@@ -1,20 +1,22 @@
 /*
- * gossip_send.c - whom this instance tells what, and when
+ * gossip_send.c - schedule and contents of summaries and load changes
  */
 #include <string.h>
 #include <sys/socket.h>
 
 #include "gossip_private.h"
 
-/* A word is sent at least so often although nothing changed. */
-#define IDLE_USEC (300 * USEC_PER_MSEC)
-/* How often an address that does not answer is tried. */
-#define TRY_USEC (1 * USEC_PER_SEC)
-/* Strangers told at a time; each tells in turn who else is near. */
-#define STRANGERS_MOST 64u
-/* Peers that are looked at for one that lives. */
+/* Shortest interval between summaries to a peer while nothing changes, and
+ * longest interval for an instance that reads the store. */
+#define IDLE_INTERVAL_USEC (300 * USEC_PER_MSEC)
+/* Interval at which a silent or unknown address is tried. */
+#define PROBE_INTERVAL_USEC (1 * USEC_PER_SEC)
+/* Peers of unknown group sent to at a time. Summaries in return hold the
+ * addresses of others. */
+#define UNKNOWN_PEERS_MAX 64u
+/* Peers examined in search of a live one. */
 #define ADDRESS_TRIES 16u
-/* Weight of a new measurement in the mean delay of telling. */
+/* Weight of a new measurement in the mean delay of load changes. */
 #define DELAY_WEIGHT 0.05
 
 void peer_send(struct gossip *gossip, const struct peer *peer,
@@ -22,7 +24,7 @@
 {
 	gossip->traffic.sent++;
 	gossip->traffic.sent_bytes += out->len;
-	/* What cannot be sent is made good by the next one. */
+	/* The next datagram makes up for one that could not be sent. */
 	(void)sendto(gossip->fd, out->data, out->len,
 		     MSG_DONTWAIT | MSG_NOSIGNAL, (struct sockaddr *)&peer->to,
 		     peer->to_size);
@@ -36,14 +38,14 @@
 			peer_send(gossip, peers->pdata[i], out);
 }
 
-/* One address rides along, another each time, so that an instance that could
- * not read the store learns of all peers from one. */
+/* Adds the address of one live peer, in rotation, so that an instance that
+ * could not read the store learns all peers from one. */
 static void address_add(struct gossip *gossip, struct gossip_message *message)
 {
 	guint size = gossip->local->len + gossip->remote->len;
 
 	for (guint i = 0; i < MIN(size, ADDRESS_TRIES); i++) {
-		guint at = gossip->spread++ % size;
+		guint at = gossip->next_address++ % size;
 		const struct peer *peer =
 			at < gossip->local->len
 				? gossip->local->pdata[at]
@@ -67,41 +69,42 @@
 	g_strlcpy(message->group, gossip->group, sizeof(message->group));
 }
 
-static void last_replace(struct gossip *gossip, const GArray *loads)
+static void sent_loads_replace(struct gossip *gossip, const GArray *loads)
 {
-	g_array_set_size(gossip->last, 0);
-	g_array_append_vals(gossip->last, loads->data, loads->len);
+	g_array_set_size(gossip->sent_loads, 0);
+	g_array_append_vals(gossip->sent_loads, loads->data, loads->len);
 }
 
 static void loads_changed(struct gossip *gossip)
 {
 	gossip->revision++;
-	gossip->centre_revision++;
+	gossip->group_revision++;
 	gossip->changed_at = gossip_now(gossip);
 }
 
-/* This instance's word, to be sent now. */
-static GByteArray *own_encode(struct gossip *gossip)
+/* Encodes the current summary of this instance. */
+static GByteArray *instance_summary_encode(struct gossip *gossip)
 {
 	g_autoptr(GArray) changes =
 		g_array_new(FALSE, TRUE, sizeof(struct gossip_load));
 	GByteArray *out = g_byte_array_new();
 	struct gossip_message message;
 
-	message_begin(gossip, &message, GOSSIP_OWN);
+	message_begin(gossip, &message, GOSSIP_INSTANCE_SUMMARY);
 	gossip->ops.summary(gossip->ctx, &message.summary);
 	gossip->store_unreachable = message.summary.store_unreachable;
 	gossip_servers_own(gossip, &message.summary);
-	g_strlcpy(message.first.name, message.name, sizeof(message.first.name));
+	g_strlcpy(message.lowest.name, message.name,
+		  sizeof(message.lowest.name));
 	loads_own(gossip, message.loads);
 	address_add(gossip, &message);
 	gossip_usage_add(gossip, false, message.usage);
 	gossip_facts_add(gossip, message.facts);
 	gossip_encode(&message, out);
-	loads_differ(gossip->last, message.loads, changes);
+	loads_diff(gossip->sent_loads, message.loads, changes);
 	if (message.summary.leaving || changes->len > 0)
 		loads_changed(gossip);
-	last_replace(gossip, message.loads);
+	sent_loads_replace(gossip, message.loads);
 	gossip_message_clear(&message);
 	return out;
 }
@@ -119,19 +122,19 @@
 	}
 }
 
-/* What this instance knows of its data centre; with who lives there, if asked.
- */
-static GByteArray *centre_encode(struct gossip *gossip, bool members)
+/* Encodes the summary of this group, with the addresses of its instances if
+ * members is set. */
+static GByteArray *group_summary_encode(struct gossip *gossip, bool members)
 {
 	GByteArray *out = g_byte_array_new();
 	struct gossip_message message;
 
-	message_begin(gossip, &message, GOSSIP_CENTRE);
+	message_begin(gossip, &message, GOSSIP_GROUP_SUMMARY);
 	gossip_total_local(gossip, &message.summary);
 	gossip_servers_local(gossip, &message.summary);
-	gossip_first_local(gossip, message.summary.store_unreachable,
-			   message.summary.leaving, &message.first);
-	loads_centre(gossip, message.loads);
+	gossip_lowest_local(gossip, message.summary.store_unreachable,
+			    message.summary.leaving, &message.lowest);
+	loads_group(gossip, message.loads);
 	if (members)
 		members_add(gossip, &message);
 	gossip_usage_add(gossip, true, message.usage);
@@ -141,46 +144,46 @@
 	return out;
 }
 
-static void delay_add(double *delay, int64_t usec)
+static void delay_update(double *delay, int64_t usec)
 {
 	*delay += DELAY_WEIGHT * ((double)usec - *delay);
 }
 
-static bool near_due(const struct gossip *gossip, const struct peer *peer,
-		     int64_t every)
+static bool local_due(const struct gossip *gossip, const struct peer *peer,
+		      int64_t interval)
 {
-	if (peer->told == GOSSIP_NEVER)
+	if (peer->sent_at == GOSSIP_NEVER)
 		return true;
 	if (!peer_live(gossip, peer))
-		every = TRY_USEC;
+		interval = PROBE_INTERVAL_USEC;
 	else if (peer->sent_revision == gossip->revision)
-		every = MAX(every, IDLE_USEC);
-	return gossip_now(gossip) - peer->told >= every;
+		interval = MAX(interval, IDLE_INTERVAL_USEC);
+	return gossip_now(gossip) - peer->sent_at >= interval;
 }
 
-static void near_tell(struct gossip *gossip, const GByteArray *out)
+static void local_send(struct gossip *gossip, const GByteArray *out)
 {
-	int64_t every = gossip_interval(gossip, true);
+	int64_t interval = gossip_interval(gossip, true);
 
 	if (gossip->ops.reads(gossip->ctx))
-		every = MIN(every, IDLE_USEC);
+		interval = MIN(interval, IDLE_INTERVAL_USEC);
 	for (guint i = 0; i < gossip->local->len; i++) {
 		struct peer *peer = gossip->local->pdata[i];
 
-		if (!near_due(gossip, peer, every))
+		if (!local_due(gossip, peer, interval))
 			continue;
-		peer->told = gossip_now(gossip);
+		peer->sent_at = gossip_now(gossip);
 		peer->sent_revision = gossip->revision;
 		peer_send(gossip, peer, out);
 	}
 }
 
-/* Whoever is not known to live anywhere. Its data centre's tellers hear of this
- * instance so, and its own tells it in turn. */
-static void strangers_tell(struct gossip *gossip, const GByteArray *out)
+/* Sends to peers whose group is unknown. The senders of their group learn of
+ * this instance that way and send it their summaries. */
+static void unknown_peers_send(struct gossip *gossip, const GByteArray *out)
 {
 	int64_t now = gossip_now(gossip);
-	uint32_t left = STRANGERS_MOST;
+	uint32_t left = UNKNOWN_PEERS_MAX;
 	GHashTableIter iter;
 	struct peer *peer;
 
@@ -188,9 +191,10 @@
 	while (left > 0 &&
 	       g_hash_table_iter_next(&iter, NULL, (gpointer *)&peer)) {
 		if (peer->group[0] ||
-		    (peer->told != GOSSIP_NEVER && now - peer->told < TRY_USEC))
+		    (peer->sent_at != GOSSIP_NEVER &&
+		     now - peer->sent_at < PROBE_INTERVAL_USEC))
 			continue;
-		peer->told = now;
+		peer->sent_at = now;
 		peer_send(gossip, peer, out);
 		left--;
 	}
@@ -198,18 +202,18 @@
 
 static bool receiver_due(const struct gossip *gossip, const struct peer *peer)
 {
-	int64_t every = gossip_interval(gossip, false);
+	int64_t interval = gossip_interval(gossip, false);
 
-	if (peer->sent_revision == gossip->centre_revision)
-		every = MAX(every, IDLE_USEC);
-	return peer->told == GOSSIP_NEVER ||
-	       gossip_now(gossip) - peer->told >= every;
+	if (peer->sent_revision == gossip->group_revision)
+		interval = MAX(interval, IDLE_INTERVAL_USEC);
+	return peer->sent_at == GOSSIP_NEVER ||
+	       gossip_now(gossip) - peer->sent_at >= interval;
 }
 
-static void receivers_tell(struct gossip *gossip)
+static void receivers_send(struct gossip *gossip)
 {
-	g_autoptr(GByteArray) brief = NULL;
-	g_autoptr(GByteArray) whole = NULL;
+	g_autoptr(GByteArray) without_members = NULL;
+	g_autoptr(GByteArray) with_members = NULL;
 	int64_t now = gossip_now(gossip);
 
 	for (guint i = 0; i < gossip->receivers->len; i++) {
@@ -217,56 +221,57 @@
 		bool members = peer->addresses_sent_at == GOSSIP_NEVER ||
 			       now - peer->addresses_sent_at >=
 				       gossip_members_interval(gossip);
-		GByteArray **out = members ? &whole : &brief;
+		GByteArray **out = members ? &with_members : &without_members;
 
 		if (!receiver_due(gossip, peer))
 			continue;
 		if (!*out)
-			*out = centre_encode(gossip, members);
+			*out = group_summary_encode(gossip, members);
 		if (members)
 			peer->addresses_sent_at = now;
-		peer->told = now;
-		peer->sent_revision = gossip->centre_revision;
+		peer->sent_at = now;
+		peer->sent_revision = gossip->group_revision;
 		peer_send(gossip, peer, *out);
 	}
 }
 
 void gossip_send_due(struct gossip *gossip)
 {
-	g_autoptr(GByteArray) out = own_encode(gossip);
+	g_autoptr(GByteArray) out = instance_summary_encode(gossip);
 
-	near_tell(gossip, out);
-	if (gossip->updated == gossip_now(gossip))
-		strangers_tell(gossip, out);
-	receivers_tell(gossip);
+	local_send(gossip, out);
+	if (gossip->updated_at == gossip_now(gossip))
+		unknown_peers_send(gossip, out);
+	receivers_send(gossip);
 }
 
-/* ---- telling at once ---- */
+/* ---- load changes ---- */
 
-/* Takes so many datagrams off, or none at all. */
-static bool allowance_take(struct gossip *gossip, struct allowance *allowance,
-			   uint32_t count)
+/* Takes tokens for all of the datagrams, or none. */
+static bool bucket_take(struct gossip *gossip, struct token_bucket *bucket,
+			uint32_t count)
 {
 	int64_t now = gossip_now(gossip);
-	double more = (double)(now - allowance->at) / (double)USEC_PER_SEC *
-		      allowance->per_sec;
+	double more = (double)(now - bucket->updated_at) /
+		      (double)USEC_PER_SEC * bucket->per_sec;
 
-	allowance->left = MIN(allowance->left + more, allowance->most);
-	allowance->at = now;
-	if (allowance->left < (double)count)
+	bucket->tokens = MIN(bucket->tokens + more, bucket->burst);
+	bucket->updated_at = now;
+	if (bucket->tokens < (double)count)
 		return false;
-	allowance->left -= (double)count;
+	bucket->tokens -= (double)count;
 	return true;
 }
 
-static void near_tell_at_once(struct gossip *gossip, const GByteArray *out)
+static void changes_send_local(struct gossip *gossip, const GByteArray *out)
 {
-	if (!allowance_take(gossip, &gossip->at_once, gossip->local->len)) {
-		delay_add(&gossip->delay_local, gossip_interval(gossip, true));
+	if (!bucket_take(gossip, &gossip->changes_bucket, gossip->local->len)) {
+		delay_update(&gossip->delay_local,
+			     gossip_interval(gossip, true));
 		return;
 	}
-	delay_add(&gossip->delay_local,
-		  gossip_now(gossip) - gossip->changed_at);
+	delay_update(&gossip->delay_local,
+		     gossip_now(gossip) - gossip->changed_at);
 	for (guint i = 0; i < gossip->local->len; i++) {
 		struct peer *peer = gossip->local->pdata[i];
 
@@ -277,9 +282,10 @@
 	}
 }
 
-/* Whether a server of the data centre is among them. */
-static bool changes_concern(const struct gossip *gossip, const GArray *changes,
-			    const struct centre *centre)
+/* Whether any of the changes is on a server of the group. */
+static bool changes_affect_group(const struct gossip *gossip,
+				 const GArray *changes,
+				 const struct group_state *group)
 {
 	for (guint i = 0; i < changes->len; i++) {
 		const struct backend *backend = fleet_find(
@@ -287,45 +293,46 @@
 			g_array_index(changes, struct gossip_load, i).backend);
 
 		if (backend &&
-		    group_serves(centre->name, backend->info.data_centre,
+		    group_serves(group->name, backend->info.data_centre,
 				 backend->key))
 			return true;
 	}
 	return false;
 }
 
-static void centre_tell_at_once(struct gossip *gossip,
-				const struct centre *centre,
-				const GArray *changes, const GByteArray *out)
+static void changes_send_group(struct gossip *gossip,
+			       const struct group_state *group,
+			       const GArray *changes, const GByteArray *out)
 {
-	bool concerns = changes_concern(gossip, changes, centre);
-	struct allowance *allowance =
-		concerns ? &gossip->at_once : &gossip->at_once_remote;
+	bool is_affected = changes_affect_group(gossip, changes, group);
+	struct token_bucket *bucket = is_affected
+					      ? &gossip->changes_bucket
+					      : &gossip->changes_bucket_remote;
 
-	/* Where there are many groups their own servers are plenty. */
-	if (!concerns && !group_is_whole(centre->name))
+	/* A group of a large data centre has enough servers of its own. */
+	if (!is_affected && !group_is_whole(group->name))
 		return;
-	if (!allowance_take(gossip, allowance, centre->peers->len)) {
-		delay_add(&gossip->delay_remote,
-			  gossip_interval(gossip, false));
+	if (!bucket_take(gossip, bucket, group->peers->len)) {
+		delay_update(&gossip->delay_remote,
+			     gossip_interval(gossip, false));
 		return;
 	}
-	delay_add(&gossip->delay_remote,
-		  gossip_now(gossip) - gossip->changed_at);
-	for (guint i = 0; i < centre->peers->len; i++)
-		peer_send(gossip, centre->peers->pdata[i], out);
+	delay_update(&gossip->delay_remote,
+		     gossip_now(gossip) - gossip->changed_at);
+	for (guint i = 0; i < group->peers->len; i++)
+		peer_send(gossip, group->peers->pdata[i], out);
 }
 
-static void centres_tell_at_once(struct gossip *gossip, const GArray *changes,
-				 const GByteArray *out)
+static void changes_send_groups(struct gossip *gossip, const GArray *changes,
+				const GByteArray *out)
 {
-	struct centre *centre;
+	struct group_state *group;
 	GHashTableIter iter;
 
-	g_hash_table_iter_init(&iter, gossip->centres);
-	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&centre))
-		if (centre_live(gossip, centre))
-			centre_tell_at_once(gossip, centre, changes, out);
+	g_hash_table_iter_init(&iter, gossip->other_groups);
+	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&group))
+		if (group_state_live(gossip, group))
+			changes_send_group(gossip, group, changes, out);
 }
 
 void gossip_send_changes(struct gossip *gossip)
@@ -337,13 +344,13 @@
 
 	message_begin(gossip, &message, GOSSIP_CHANGES);
 	loads_own(gossip, now);
-	loads_differ(gossip->last, now, message.loads);
+	loads_diff(gossip->sent_loads, now, message.loads);
 	if (message.loads->len > 0) {
-		last_replace(gossip, now);
+		sent_loads_replace(gossip, now);
 		loads_changed(gossip);
 		gossip_encode(&message, out);
-		near_tell_at_once(gossip, out);
-		centres_tell_at_once(gossip, message.loads, out);
+		changes_send_local(gossip, out);
+		changes_send_groups(gossip, message.loads, out);
 	}
 	gossip_message_clear(&message);
 }
--- a/tests/forward/copies_world.c
+++ b/tests/forward/copies_world.c
@@ -186,7 +186,7 @@
 void copies_run(struct copies *copies, int64_t msec)
 {
 	for (int64_t at = 0; at < msec; at += STEP_MSEC) {
-		turn(copies->site, STEP_MSEC);
+		site_advance(copies->site, STEP_MSEC);
 		for (uint32_t i = 0; i < copies->site->count; i++)
 			if (copies_has(copies, i))
 				instance_turn(copies, i);
@@ -252,12 +252,12 @@
 	for (uint32_t i = 0; i < count; i++)
 		shares_open(copies, i);
 	copies->site->summary = word_add;
-	copies->site->heard = on_heard;
-	copies->site->story = copies;
+	copies->site->received = on_heard;
+	copies->site->ctx = copies;
 	copies_run(copies, 6000);
 	g_assert_cmpuint(copies_late(copies), ==, 0);
 	for (uint32_t i = connected; i < CENTRES; i++)
-		copies->site->still[i] = true;
+		copies->site->paused[i] = true;
 	copies->centres = connected;
 	copies_run(copies, 4000);
 	copies->calls = 0;
--- a/tests/forward/fuzz_gossip.c
+++ b/tests/forward/fuzz_gossip.c
@@ -1,8 +1,8 @@
 /*
- * Reads bytes as a datagram of instances; what is taken must be the same when
- * it is written and read again. With clang's -fsanitize=fuzzer and
- * -DFUZZ_ENGINE this is a fuzz target; as a test it runs seeded mutations of
- * sound ones.
+ * Decodes bytes as a gossip datagram. A message that is accepted must be the
+ * same after it is encoded and decoded again. With clang's -fsanitize=fuzzer
+ * and -DFUZZ_ENGINE this is a fuzz target; as a test it runs seeded mutations
+ * of valid datagrams.
  */
 #include <glib.h>
 #include <stdint.h>
@@ -22,10 +22,10 @@
 	g_assert_cmpmem(
 		a->loads->data, a->loads->len * sizeof(struct gossip_load),
 		b->loads->data, b->loads->len * sizeof(struct gossip_load));
-	g_assert_cmpmem(a->works->data,
-			a->works->len * sizeof(struct quarantine_entry),
-			b->works->data,
-			b->works->len * sizeof(struct quarantine_entry));
+	g_assert_cmpmem(a->quarantine->data,
+			a->quarantine->len * sizeof(struct quarantine_entry),
+			b->quarantine->data,
+			b->quarantine->len * sizeof(struct quarantine_entry));
 	g_assert_cmpuint(a->summary.changing_count, ==,
 			 b->summary.changing_count);
 	for (uint32_t i = 0; i < a->summary.changing_count; i++)
@@ -43,7 +43,7 @@
 		g_assert_cmpint(one->level, ==, other->level);
 	}
 	g_assert_cmpstr(a->name, ==, b->name);
-	g_assert_cmpstr(a->first.name, ==, b->first.name);
+	g_assert_cmpstr(a->lowest.name, ==, b->lowest.name);
 	g_assert_cmpuint(a->summary.waiting, ==, b->summary.waiting);
 	g_assert_cmpuint(a->addresses->len, ==, b->addresses->len);
 }
@@ -51,16 +51,17 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct gossip_message first;
-	struct gossip_message again;
+	struct gossip_message second;
 	struct error err;
 
 	if (gossip_decode(&first, data, size, &err)) {
 		GByteArray *out = g_byte_array_new();
 
 		gossip_encode(&first, out);
-		g_assert_true(gossip_decode(&again, out->data, out->len, &err));
-		same_check(&first, &again);
-		gossip_message_clear(&again);
+		g_assert_true(
+			gossip_decode(&second, out->data, out->len, &err));
+		same_check(&first, &second);
+		gossip_message_clear(&second);
 		g_byte_array_unref(out);
 	}
 	gossip_message_clear(&first);
@@ -72,7 +73,7 @@
 
 #define MUTATIONS 60000
 
-static GByteArray *sound(int i)
+static GByteArray *valid_datagram(int i)
 {
 	GByteArray *out = g_byte_array_new();
 	struct gossip_message message;
@@ -82,7 +83,7 @@
 	message.sequence = (uint64_t)i;
 	g_strlcpy(message.name, "n1", sizeof(message.name));
 	g_strlcpy(message.group, "here", sizeof(message.group));
-	g_strlcpy(message.first.name, "n0", sizeof(message.first.name));
+	g_strlcpy(message.lowest.name, "n0", sizeof(message.lowest.name));
 	message.summary.waiting = 3;
 	message.summary.changing_count = (uint32_t)(i % 3);
 	message.summary.changing[0] =
@@ -103,12 +104,12 @@
 			.stored = k == 2,
 		};
 
-		g_array_append_val(message.works, entry);
+		g_array_append_val(message.quarantine, entry);
 	}
 	for (int k = g_test_rand_int_range(0, 4); k > 0; k--) {
-		struct limit_entry use = {(uint64_t)k, 3, -k, 70000, -9};
+		struct limit_entry entry = {(uint64_t)k, 3, -k, 70000, -9};
 
-		g_array_append_val(message.usage, use);
+		g_array_append_val(message.usage, entry);
 	}
 	gossip_message_add(&message, "127.0.0.1:70");
 	gossip_message_add(&message, "[::1]:7");
@@ -120,7 +121,7 @@
 static void test_mutations(void)
 {
 	for (int i = 0; i < MUTATIONS; i++) {
-		GByteArray *bytes = sound(i);
+		GByteArray *bytes = valid_datagram(i);
 
 		LLVMFuzzerTestOneInput(bytes->data, bytes->len);
 		bytes_mutate(bytes, 3);
--- a/tests/forward/test_gossip.c
+++ b/tests/forward/test_gossip.c
@@ -1,4 +1,4 @@
-/* When peers are told of a load that changed. */
+/* Delay and rate at which peers receive load changes. */
 #include <glib.h>
 #include <string.h>
 
@@ -17,18 +17,19 @@
 	char addresses[PEERS][ADDRESS_FREE_MAX];
 };
 
-/* What a callback is given: whose it is. */
-struct peer_of {
+/* The instance of a callback. */
+struct callback_ctx {
 	int number;
 };
 
-static struct peer_of peers[PEERS] = {{0}, {1}, {2}};
-static bool changing; /* the first one says that two servers change */
-static uint32_t changes_heard[PEERS];
+static struct callback_ctx peers[PEERS] = {{0}, {1}, {2}};
+/* The first instance announces two servers that change role. */
+static bool changing;
+static uint32_t changes_received[PEERS];
 
-static void summary(void *ctx, struct gossip_summary *out)
+static void on_summary(void *ctx, struct gossip_summary *out)
 {
-	const struct peer_of *peer = ctx;
+	const struct callback_ctx *peer = ctx;
 
 	*out = (struct gossip_summary){.version = 1};
 	if (!changing || peer->number > 0)
@@ -38,14 +39,14 @@
 	out->changing_count = 2;
 }
 
-static void heard(void *ctx, const char *address, bool near,
-		  const struct gossip_summary *from)
+static void on_received(void *ctx, const char *address, bool local,
+			const struct gossip_summary *from)
 {
-	const struct peer_of *peer = ctx;
+	const struct callback_ctx *peer = ctx;
 
 	for (uint32_t i = 0; i < from->changing_count; i++)
 		if (from->changing[i].left_usec == (i ? 8000000 : 9000000))
-			changes_heard[peer->number] = i + 1;
+			changes_received[peer->number] = i + 1;
 }
 
 static bool reads(void *ctx)
@@ -61,7 +62,7 @@
 	return fleet_put(site->fleets[peer], &info);
 }
 
-static void turn(struct site *site, int64_t usec)
+static void site_advance(struct site *site, int64_t usec)
 {
 	for (int i = 0; i < 4; i++) {
 		clock_advance(site->clock, clock_now(site->clock) + usec / 4);
@@ -72,7 +73,7 @@
 static void site_open(struct site *site)
 {
 	static const struct gossip_ops ops = {
-		.summary = summary, .heard = heard, .reads = reads};
+		.summary = on_summary, .received = on_received, .reads = reads};
 	static const char *const names[PEERS] = {"n0", "n1", "n2"};
 
 	*site = (struct site){.clock = clock_create(0)};
@@ -100,8 +101,8 @@
 		for (int k = 0; k < PEERS; k++)
 			gossip_add_peer(site->gossips[i], site->addresses[k],
 					NULL);
-	turn(site, USEC_PER_SEC);
-	g_assert_cmpuint(gossip_live(site->gossips[0]), ==, PEERS - 1);
+	site_advance(site, USEC_PER_SEC);
+	g_assert_cmpuint(gossip_live_count(site->gossips[0]), ==, PEERS - 1);
 }
 
 static void site_close(struct site *site)
@@ -125,36 +126,39 @@
 	gossip_load_changed(site->gossips[0]);
 }
 
-/* Peers near and elsewhere know of a changed load long before the next regular
- * word: those who place at the same moment do not choose the same server. */
+/* Local and remote peers receive a load change long before the next regular
+ * summary. Otherwise instances that place at the same moment choose the same
+ * server. */
 static void test_at_once(void)
 {
 	struct site site;
 
 	site_open(&site);
 	load_put(&site, 3);
-	turn(&site, 2 * USEC_PER_MSEC);
+	site_advance(&site, 2 * USEC_PER_MSEC);
 	for (int i = 1; i < PEERS; i++) {
 		const struct backend *backend = server(&site, i);
 
 		g_assert_cmpuint(backend->peers.requests, ==, 3);
 		g_assert_cmpuint(backend_decode_tokens(backend), ==, 3000);
 	}
-	g_assert_cmpint(gossip_delay(site.gossips[0], true), <, GOSSIP_USEC);
+	g_assert_cmpint(gossip_delay(site.gossips[0], true), <,
+			GOSSIP_INTERVAL_USEC);
 	site_close(&site);
 }
 
-/* Who changes is known to all, in other data centres by the sum of this one. */
+/* Servers that change role are known to all peers, in other data centres from
+ * the summary of the data centre. */
 static void test_changing(void)
 {
 	struct site site;
 
 	site_open(&site);
 	changing = true;
-	turn(&site, USEC_PER_SEC);
+	site_advance(&site, USEC_PER_SEC);
 	changing = false;
 	for (int i = 1; i < PEERS; i++)
-		g_assert_cmpuint(changes_heard[i], ==, 2);
+		g_assert_cmpuint(changes_received[i], ==, 2);
 	site_close(&site);
 }
 
@@ -167,8 +171,8 @@
 	return sent;
 }
 
-/* A load that changes all the time does not send without bound: beyond the
- * allowance peers are told at the interval. */
+/* A load that changes all the time does not send without bound: once the token
+ * buckets are empty, peers receive it at the interval. */
 static void test_allowance(void)
 {
 	struct site site;
@@ -179,10 +183,10 @@
 	before = sent_by_all(&site);
 	for (uint32_t i = 0; i < 20000; i++) {
 		load_put(&site, i % 7);
-		turn(&site, USEC_PER_MSEC / 2);
+		site_advance(&site, USEC_PER_MSEC / 2);
 	}
-	/* Ten seconds, two peers: what was saved, 600 a second, and the regular
-	 * words of three instances. */
+	/* Ten seconds, two peers: the bursts, 600 a second, and the regular
+	 * summaries of three instances. */
 	sent = sent_by_all(&site) - before;
 	g_assert_cmpuint(sent, <, 1200 + 6000 + 700);
 	g_assert_cmpuint(sent, >, 5000);
--- a/tests/forward/test_groups.c
+++ b/tests/forward/test_groups.c
@@ -55,7 +55,7 @@
 	g_assert_false(group_serves(group, "south", 11));
 }
 
-/* Names that a peer made up. */
+/* Malformed names from a peer. */
 static void test_malformed_names(void)
 {
 	g_assert_false(group_serves("north/", "north", 0));
@@ -67,8 +67,9 @@
 	g_assert_false(group_serves("/1.4", "north", 1));
 }
 
-/* A peer that another group told of, and that has told nothing itself, is of
- * the own group after the groups changed. */
+/* A peer known only from the summary of another group has no name. When the
+ * groups change and it becomes local, it must not count as the lowest instance.
+ */
 static void test_nameless_first(void)
 {
 	char address[ADDRESS_FREE_MAX];
@@ -77,7 +78,7 @@
 	struct clock *clock = clock_create(0);
 	struct loop *loop = loop_create(clock);
 	struct fleet *fleet = fleet_create(clock, "here");
-	struct gossip_first first;
+	struct gossip_candidate first;
 	struct gossip *gossip;
 	struct error err;
 
@@ -86,10 +87,10 @@
 			       &(struct gossip_ops){.summary = NULL}, NULL,
 			       &err);
 	g_assert_nonnull(gossip);
-	peer_heard(gossip, peer_add(gossip, "127.0.0.1:9"), "here");
+	peer_seen(gossip, peer_add(gossip, "127.0.0.1:9"), "here");
 	peers_update(gossip);
 	g_assert_cmpuint(gossip->local->len, ==, 1);
-	gossip_first_local(gossip, false, false, &first);
+	gossip_lowest_local(gossip, false, false, &first);
 	g_assert_cmpstr(first.name, ==, "b");
 	g_assert_cmpuint(gossip_rank(gossip), ==, 0);
 	gossip_destroy(gossip);
--- a/tests/forward/test_size.c
+++ b/tests/forward/test_size.c
@@ -1,4 +1,4 @@
-/* What a choice costs and how good it is with 10,000 servers, or more. */
+/* Cost and quality of placement with 2,000 to 20,000 servers. */
 #include <glib.h>
 
 #include "common/clock.h"
@@ -7,7 +7,7 @@
 
 #define SERVICE 1u
 #define CENTRES 5
-#define VISITS_MOST 64u
+#define VISITS_MAX 64u
 
 static const struct engine_traits engine = {.slots = 12,
 					    .memory_tokens = 27000};
@@ -76,16 +76,16 @@
 
 		site_open(&site, sizes[i]);
 		to = place_decode(&site.place, &engine, 3000);
-		g_assert_cmpuint(site.visits, <=, VISITS_MOST);
+		g_assert_cmpuint(site.visits, <=, VISITS_MAX);
 		site.visits = 0;
 		g_assert_nonnull(place_prefill(&site.place, to));
-		g_assert_cmpuint(site.visits, <=, VISITS_MOST);
+		g_assert_cmpuint(site.visits, <=, VISITS_MAX);
 		site_close(&site);
 	}
 }
 
-/* Requests go to servers of the own group while these have room, and no server
- * has many more of them than others. */
+/* Requests go to servers of the instance's own group while these have room, and
+ * are spread evenly over them. */
 static void test_spread(void)
 {
 	const struct backend_load load = {1, 3000, 0};
@@ -122,8 +122,8 @@
 	site_close(&site);
 }
 
-/* Those with something under way, and those out of reach, are found without a
- * look at all others, and forgotten with the server. */
+/* Servers with load and unreachable servers are found without a scan of all,
+ * and are forgotten when they are removed. */
 static void test_few(void)
 {
 	const struct backend_load load = {1, 3000, 0};
