--- a/forward/feed.c
+++ b/forward/feed.c
@@ -27,12 +27,13 @@
 	uint64_t next;
 	char *after; /* last key of the snapshot so far */
 	bool has_snapshot;
-	bool started_snapshot;
+	bool snapshot_started;
 	uint32_t failures;
-	int64_t failed; /* when the last read failed */
-	int64_t lag;	/* feed_lag() */
-	int64_t fresh;
-	int64_t asked; /* when the read, or a snapshot's first page, was sent */
+	int64_t failed_at; /* when the last read failed */
+	int64_t latency;   /* feed_latency() */
+	int64_t synced_at;
+	int64_t sent_at; /* when the read, or a snapshot's first page, was sent
+			  */
 };
 
 static void feed_next(struct feed *feed);
@@ -53,7 +54,7 @@
 	feed->settings = *settings;
 	feed->ops = *ops;
 	feed->ctx = ctx;
-	feed->fresh = FEED_NEVER;
+	feed->synced_at = FEED_NEVER;
 	timer_init(&feed->timer, clock, on_timer, feed);
 	return feed;
 }
@@ -78,7 +79,7 @@
 
 static void feed_failed(struct feed *feed)
 {
-	feed->failed = clock_now(feed->clock);
+	feed->failed_at = clock_now(feed->clock);
 	if (feed->failures++ == 0)
 		log_event(LOG_WARNING, "stream_lost",
 			  LOG_S("stream", feed->settings.stream),
@@ -90,20 +91,20 @@
 static void feed_succeeded(struct feed *feed)
 {
 	uint32_t failures = feed->failures;
-	int64_t took = clock_now(feed->clock) - feed->asked;
+	int64_t elapsed = clock_now(feed->clock) - feed->sent_at;
 
-	feed->lag = MAX(took - feed->settings.wait_usec, 0);
+	feed->latency = MAX(elapsed - feed->settings.wait_usec, 0);
 	feed->failures = 0;
 	if (failures == 0)
 		return;
 	log_event(LOG_NOTICE, "stream_regained",
 		  LOG_S("stream", feed->settings.stream),
 		  LOG_D("failures", failures));
-	if (feed->ops.regained)
-		feed->ops.regained(feed->ctx);
+	if (feed->ops.recovered)
+		feed->ops.recovered(feed->ctx);
 }
 
-static void records_hand_over(struct feed *feed, const struct feed_page *page)
+static void records_deliver(struct feed *feed, const struct feed_page *page)
 {
 	for (size_t i = 0; i < page->count; i++)
 		feed->ops.record(feed->ctx, &page->records[i]);
@@ -111,15 +112,15 @@
 
 /* Pages are not read at one moment, so what changed since the first of them is
  * read again from there. */
-static void snapshot_take(struct feed *feed, const struct feed_page *page)
+static void snapshot_apply(struct feed *feed, const struct feed_page *page)
 {
-	if (!feed->started_snapshot) {
-		feed->started_snapshot = true;
+	if (!feed->snapshot_started) {
+		feed->snapshot_started = true;
 		feed->next = page->next;
 		if (feed->ops.snapshot_begin)
 			feed->ops.snapshot_begin(feed->ctx);
 	}
-	records_hand_over(feed, page);
+	records_deliver(feed, page);
 	g_free(feed->after);
 	feed->after = g_strdup(page->more);
 	if (page->more) {
@@ -127,7 +128,7 @@
 		return;
 	}
 	feed->has_snapshot = true;
-	feed->fresh = feed->asked;
+	feed->synced_at = feed->sent_at;
 	if (feed->ops.snapshot_end)
 		feed->ops.snapshot_end(feed->ctx);
 }
@@ -135,7 +136,7 @@
 static void snapshot_restart(struct feed *feed)
 {
 	feed->has_snapshot = false;
-	feed->started_snapshot = false;
+	feed->snapshot_started = false;
 	g_free(feed->after);
 	feed->after = NULL;
 }
@@ -144,17 +145,17 @@
  * no sooner than its wait after it was sent: taken as of its sending, copies of
  * a waiting read look 0.7 s older than they are, and all who had them read the
  * store as well (6,934 calls on a quiet day of 48 s with 295 instances). */
-static int64_t end_known_at(const struct feed *feed,
-			    const struct feed_page *page)
+static int64_t end_seen_at(const struct feed *feed,
+			   const struct feed_page *page)
 {
-	int64_t waited = feed->asked + feed->settings.wait_usec;
+	int64_t waited = feed->sent_at + feed->settings.wait_usec;
 
 	if (page->count > 0 || clock_now(feed->clock) < waited)
-		return feed->asked;
+		return feed->sent_at;
 	return waited;
 }
 
-static void records_take(struct feed *feed, const struct feed_page *page)
+static void records_apply(struct feed *feed, const struct feed_page *page)
 {
 	if (page->gap) {
 		log_event(LOG_NOTICE, "stream_gap",
@@ -164,12 +165,12 @@
 		feed_next(feed);
 		return;
 	}
-	records_hand_over(feed, page);
+	records_deliver(feed, page);
 	feed->next = page->next;
 	if (page->next < page->end)
 		feed_next(feed);
 	else
-		feed->fresh = end_known_at(feed, page);
+		feed->synced_at = end_seen_at(feed, page);
 }
 
 static void on_page(void *ctx, enum result_code code,
@@ -191,9 +192,9 @@
 	}
 	feed_succeeded(feed);
 	if (snapshot)
-		snapshot_take(feed, page);
+		snapshot_apply(feed, page);
 	else
-		records_take(feed, page);
+		records_apply(feed, page);
 }
 
 static void feed_next(struct feed *feed)
@@ -207,8 +208,8 @@
 	call->feed = feed;
 	call->snapshot = !feed->has_snapshot;
 	feed->call = call;
-	if (!call->snapshot || !feed->started_snapshot)
-		feed->asked = clock_now(feed->clock);
+	if (!call->snapshot || !feed->snapshot_started)
+		feed->sent_at = clock_now(feed->clock);
 	if (call->snapshot)
 		feed->store.snapshot(feed->store.ctx, feed->settings.stream,
 				     feed->after, on_page, call);
@@ -239,14 +240,14 @@
 	feed_next(feed);
 }
 
-int64_t feed_lag(const struct feed *feed)
+int64_t feed_latency(const struct feed *feed)
 {
-	return feed->lag;
+	return feed->latency;
 }
 
 int64_t feed_failed_at(const struct feed *feed)
 {
-	return feed->failed;
+	return feed->failed_at;
 }
 
 bool feed_failing(const struct feed *feed)
@@ -254,17 +255,18 @@
 	return feed->failures > 0;
 }
 
-bool feed_advance(struct feed *feed, uint64_t next, int64_t fresh)
+bool feed_advance(struct feed *feed, uint64_t next, int64_t synced_at)
 {
 	if (feed->has_snapshot && next < feed->next)
 		return false;
 	if (!feed->has_snapshot || next > feed->next)
 		call_abandon(feed);
 	feed->has_snapshot = true;
-	feed->started_snapshot = true;
+	feed->snapshot_started = true;
 	feed->next = next;
-	feed->fresh = MAX(feed->fresh, fresh);
-	feed->lag = MIN(feed->lag, clock_now(feed->clock) - feed->fresh);
+	feed->synced_at = MAX(feed->synced_at, synced_at);
+	feed->latency =
+		MIN(feed->latency, clock_now(feed->clock) - feed->synced_at);
 	return true;
 }
 
@@ -273,7 +275,7 @@
 	return feed->has_snapshot ? feed->next : 0;
 }
 
-int64_t feed_fresh(const struct feed *feed)
+int64_t feed_synced_at(const struct feed *feed)
 {
-	return feed->fresh;
+	return feed->synced_at;
 }
--- a/forward/forward.c
+++ b/forward/forward.c
@@ -177,7 +177,7 @@
 	demand = g_new0(struct demand, 1);
 	demand->service = service;
 	demand->at = clock_now(forward->parts.clock);
-	median_init(&demand->rates.read, PREFILL_RATE_START);
+	median_init(&demand->rates.prefill, PREFILL_RATE_START);
 	g_hash_table_insert(forward->demand, &demand->service, demand);
 	return demand;
 }
@@ -215,8 +215,8 @@
 	if (demand) {
 		out->prompt_tokens_per_s =
 			demand_decayed(demand, now) / demand_sec(forward, now);
-		if (demand->rates.read.samples >= RATE_SAMPLES)
-			out->prefill_rate = demand->rates.read.value;
+		if (demand->rates.prefill.samples >= RATE_SAMPLES)
+			out->prefill_rate = demand->rates.prefill.value;
 	}
 	for (GList *link = forward->waiting.head; link; link = link->next) {
 		const struct request *request = link->data;
--- a/forward/mirror.c
+++ b/forward/mirror.c
@@ -8,15 +8,15 @@
 
 /* A copy that a peer has told of is on its way for so long at the most; and at
  * a start it is waited for no longer than the second. */
-#define OFFER_USEC (3 * USEC_PER_SEC)
-#define OFFERS_USEC (8 * USEC_PER_SEC)
+#define FETCH_WAIT_USEC (3 * USEC_PER_SEC)
+#define FETCH_WAITS_USEC (8 * USEC_PER_SEC)
 /* How much older than it says what a peer tells of its copy is taken to be: the
  * way, and the queue of a busy instance. Words that are told back and forth
  * would stay as young as they are. */
-#define HOP_USEC (20 * USEC_PER_MSEC)
+#define STATUS_DELAY_USEC (20 * USEC_PER_MSEC)
 /* Reads no further apart are those of one reader. */
-#define READ_PAUSE_USEC (1 * USEC_PER_SEC)
-#define FIELDS 6
+#define READ_BREAK_USEC (1 * USEC_PER_SEC)
+#define COPY_FIELDS 6
 #define VALUE_FIELDS 3
 /* Changes that are remembered, for peers that are not far behind; to others the
  * whole copy is sent. */
@@ -24,18 +24,19 @@
 
 struct mirror {
 	struct clock *clock;
-	int64_t began;	 /* or the peers were listed */
-	int64_t offered; /* when a peer told of a copy last */
-	int64_t read;	 /* when this instance read the store last; 0: never */
-	bool listed;
+	int64_t started_at;	  /* or the peers were listed */
+	int64_t fetch_offered_at; /* when a peer told of a copy last */
+	int64_t read_at; /* when this instance read the store last; 0: never */
+	bool peers_listed;
 	struct feed *feed;
 	struct feed_settings settings;
 	struct mirror_ops ops;
 	void *ctx;
 	GHashTable *values; /* key to struct value */
-	GHashTable *before; /* values before the snapshot being read, or NULL */
-	GArray *changes;    /* struct change, by offset */
-	uint64_t floor;	    /* changes before it are not told apart */
+	GHashTable
+		*previous; /* values before the snapshot being read, or NULL */
+	GArray *changes;   /* struct change, by offset */
+	uint64_t delta_floor; /* changes before it are not told apart */
 	uint64_t changed;
 };
 
@@ -70,13 +71,14 @@
 	return &g_array_index(mirror->changes, struct change, i);
 }
 
-static void change_note(struct mirror *mirror, const char *key, uint64_t offset)
+static void change_add(struct mirror *mirror, const char *key, uint64_t offset)
 {
 	struct change change = {g_strdup(key), offset};
 	guint at = mirror->changes->len;
 
 	if (at >= CHANGES_MAX) {
-		mirror->floor = change_at(mirror, CHANGES_MAX / 2)->offset + 1;
+		mirror->delta_floor =
+			change_at(mirror, CHANGES_MAX / 2)->offset + 1;
 		g_array_remove_range(mirror->changes, 0, CHANGES_MAX / 2 + 1);
 		at = mirror->changes->len;
 	}
@@ -102,8 +104,8 @@
 	gpointer name;
 	gpointer value;
 
-	if (!mirror->before ||
-	    !g_hash_table_steal_extended(mirror->before, key, &name, &value))
+	if (!mirror->previous ||
+	    !g_hash_table_steal_extended(mirror->previous, key, &name, &value))
 		return false;
 	g_hash_table_replace(mirror->values, name, value);
 	return true;
@@ -119,24 +121,24 @@
 	       mirror->ops.repeats(mirror->ctx, old, before, data, size);
 }
 
-static void value_take(struct mirror *mirror, uint64_t offset, const char *key,
-		       const void *data, size_t size)
+static void value_apply(struct mirror *mirror, uint64_t offset, const char *key,
+			const void *data, size_t size)
 {
 	const struct value *known = g_hash_table_lookup(mirror->values, key);
 	enum mirror_effect effect;
-	bool is_new;
+	bool is_change;
 
 	if (data && known && is_repeated(mirror, known, data, size))
 		return;
 	effect = mirror->ops.value(mirror->ctx, offset, key, data, size);
 	if (effect == MIRROR_REJECTED && (known || value_restore(mirror, key)))
 		return;
-	is_new = effect == MIRROR_CHANGED || !known;
-	if (is_new || !data)
-		change_note(mirror, key, offset);
+	is_change = effect == MIRROR_CHANGED || !known;
+	if (is_change || !data)
+		change_add(mirror, key, offset);
 	if (data)
 		value_set(mirror, key, data, size,
-			  is_new ? offset : known->changed);
+			  is_change ? offset : known->changed);
 	else
 		g_hash_table_remove(mirror->values, key);
 	if (effect == MIRROR_CHANGED)
@@ -145,8 +147,8 @@
 
 static void on_record(void *ctx, const struct feed_record *record)
 {
-	value_take(ctx, record->offset, record->key, record->value,
-		   record->size);
+	value_apply(ctx, record->offset, record->key, record->value,
+		    record->size);
 }
 
 static GHashTable *values_create(void)
@@ -155,11 +157,11 @@
 				     value_free);
 }
 
-static void before_drop(struct mirror *mirror)
+static void previous_drop(struct mirror *mirror)
 {
-	if (mirror->before)
-		g_hash_table_destroy(mirror->before);
-	mirror->before = NULL;
+	if (mirror->previous)
+		g_hash_table_destroy(mirror->previous);
+	mirror->previous = NULL;
 }
 
 static void on_begin(void *ctx)
@@ -167,10 +169,10 @@
 	struct mirror *mirror = ctx;
 
 	/* One that was broken off has not replaced anything. */
-	if (mirror->before)
+	if (mirror->previous)
 		g_hash_table_destroy(mirror->values);
 	else
-		mirror->before = mirror->values;
+		mirror->previous = mirror->values;
 	mirror->values = values_create();
 	g_array_set_size(mirror->changes, 0);
 	if (mirror->ops.begin)
@@ -182,9 +184,9 @@
 {
 	struct mirror *mirror = ctx;
 
-	before_drop(mirror);
+	previous_drop(mirror);
 	mirror->changed = MAX(mirror->changed, feed_position(mirror->feed));
-	mirror->floor = mirror->changed;
+	mirror->delta_floor = mirror->changed;
 	if (mirror->ops.end)
 		mirror->ops.end(mirror->ctx);
 }
@@ -207,7 +209,7 @@
 	struct mirror *mirror = g_new0(struct mirror, 1);
 
 	mirror->clock = clock;
-	mirror->began = clock_now(clock);
+	mirror->started_at = clock_now(clock);
 	mirror->settings = *settings;
 	mirror->settings.on_demand = true;
 	mirror->ops = *ops;
@@ -225,7 +227,7 @@
 	if (!mirror)
 		return;
 	feed_destroy(mirror->feed);
-	before_drop(mirror);
+	previous_drop(mirror);
 	g_hash_table_destroy(mirror->values);
 	g_array_unref(mirror->changes);
 	g_free(mirror);
@@ -233,43 +235,43 @@
 
 static bool has_copy(const struct mirror *mirror)
 {
-	return feed_fresh(mirror->feed) != FEED_NEVER;
+	return feed_synced_at(mirror->feed) != FEED_NEVER;
 }
 
 void mirror_start(struct mirror *mirror, uint32_t lower)
 {
-	mirror->listed = true;
-	mirror->began = clock_now(mirror->clock);
+	mirror->peers_listed = true;
+	mirror->started_at = clock_now(mirror->clock);
 	if (!has_copy(mirror) && lower < MIRROR_STARTUP_READERS)
 		feed_poll(mirror->feed);
 }
 
 void mirror_fetch_pending(struct mirror *mirror)
 {
-	mirror->offered = clock_now(mirror->clock);
+	mirror->fetch_offered_at = clock_now(mirror->clock);
 }
 
 /* Whether a first copy is about to come from a peer. */
-static bool is_coming(const struct mirror *mirror)
+static bool is_fetching(const struct mirror *mirror)
 {
 	int64_t now = clock_now(mirror->clock);
 
-	return !has_copy(mirror) && mirror->offered > 0 &&
-	       now - mirror->offered < OFFER_USEC &&
-	       now - mirror->began < OFFERS_USEC;
+	return !has_copy(mirror) && mirror->fetch_offered_at > 0 &&
+	       now - mirror->fetch_offered_at < FETCH_WAIT_USEC &&
+	       now - mirror->started_at < FETCH_WAITS_USEC;
 }
 
 static struct reader_state reader_state(const struct mirror *mirror)
 {
 	return (struct reader_state){
 		.has_copy = has_copy(mirror),
-		.fresh = has_copy(mirror) ? feed_fresh(mirror->feed)
-					  : mirror->began,
-		.listed = mirror->listed,
-		.waits = mirror->settings.wait_usec > 0,
-		.lag = feed_lag(mirror->feed),
+		.synced_at = has_copy(mirror) ? feed_synced_at(mirror->feed)
+					      : mirror->started_at,
+		.peers_listed = mirror->peers_listed,
+		.long_poll = mirror->settings.wait_usec > 0,
+		.latency = feed_latency(mirror->feed),
 		.failing = feed_failing(mirror->feed),
-		.failed = feed_failed_at(mirror->feed),
+		.failed_at = feed_failed_at(mirror->feed),
 		.backoff = feed_backoff(mirror->feed),
 		.seed = mirror->settings.seed,
 	};
@@ -280,17 +282,19 @@
 		     const struct reader_place *place)
 {
 	int64_t now = clock_now(mirror->clock);
-	int64_t patience = reader_staleness_bound(state, place, now);
-	bool goes_on = mirror->read > 0 && now - mirror->read < READ_PAUSE_USEC;
+	int64_t bound = reader_staleness_bound(state, place, now);
+	bool continues =
+		mirror->read_at > 0 && now - mirror->read_at < READ_BREAK_USEC;
 
-	mirror->read = now;
-	if (!goes_on)
+	mirror->read_at = now;
+	if (!continues)
 		log_event(LOG_INFO, "store_read_begun",
 			  LOG_S("stream", mirror->settings.stream),
 			  LOG_D("rank", place->rank),
 			  LOG_D("storeless", place->store_unreachable),
-			  LOG_D("age_ms", (now - state->fresh) / USEC_PER_MSEC),
-			  LOG_D("patience_ms", patience / USEC_PER_MSEC));
+			  LOG_D("age_ms",
+				(now - state->synced_at) / USEC_PER_MSEC),
+			  LOG_D("patience_ms", bound / USEC_PER_MSEC));
 }
 
 void mirror_tick(struct mirror *mirror, const struct reader_place *place)
@@ -298,7 +302,7 @@
 	struct reader_state state = reader_state(mirror);
 
 	if (reader_is_due(&state, place, clock_now(mirror->clock)) &&
-	    !is_coming(mirror) && feed_poll(mirror->feed))
+	    !is_fetching(mirror) && feed_poll(mirror->feed))
 		read_log(mirror, &state, place);
 }
 
@@ -307,26 +311,28 @@
 	feed_restart(mirror->feed);
 }
 
-void mirror_status(const struct mirror *mirror, struct mirror_status *word)
+void mirror_status(const struct mirror *mirror, struct mirror_status *status)
 {
-	int64_t fresh = feed_fresh(mirror->feed);
+	int64_t synced_at = feed_synced_at(mirror->feed);
 
-	word->next = feed_position(mirror->feed);
-	word->changed = mirror->changed;
-	word->age_usec =
-		fresh == FEED_NEVER ? -1 : clock_now(mirror->clock) - fresh;
+	status->next = feed_position(mirror->feed);
+	status->changed = mirror->changed;
+	status->age_usec = synced_at == FEED_NEVER
+				   ? -1
+				   : clock_now(mirror->clock) - synced_at;
 }
 
 bool mirror_merge_status(struct mirror *mirror,
-			 const struct mirror_status *word)
+			 const struct mirror_status *status)
 {
-	if (word->age_usec < 0)
+	if (status->age_usec < 0)
 		return false;
-	if (feed_fresh(mirror->feed) == FEED_NEVER ||
-	    word->changed > feed_position(mirror->feed))
+	if (feed_synced_at(mirror->feed) == FEED_NEVER ||
+	    status->changed > feed_position(mirror->feed))
 		return true;
-	feed_advance(mirror->feed, word->next,
-		     clock_now(mirror->clock) - word->age_usec - HOP_USEC);
+	feed_advance(mirror->feed, status->next,
+		     clock_now(mirror->clock) - status->age_usec -
+			     STATUS_DELAY_USEC);
 	return false;
 }
 
@@ -336,9 +342,9 @@
 }
 
 /* Whether what changed since from can be told. */
-static bool has_since(const struct mirror *mirror, uint64_t from)
+static bool has_changes_since(const struct mirror *mirror, uint64_t from)
 {
-	return from > 0 && from >= mirror->floor;
+	return from > 0 && from >= mirror->delta_floor;
 }
 
 /* The first of the changes from base on. */
@@ -373,7 +379,7 @@
 	GHashTableIter iter;
 	size_t size = 0;
 
-	if (has_since(mirror, from)) {
+	if (has_changes_since(mirror, from)) {
 		for (guint i = changes_from(mirror, from);
 		     i < mirror->changes->len; i++)
 			size += value_size(
@@ -386,8 +392,8 @@
 	return size;
 }
 
-static void value_pack(msgpack_packer *packer, const char *key,
-		       const struct value *value)
+static void value_encode(msgpack_packer *packer, const char *key,
+			 const struct value *value)
 {
 	gsize size;
 	const void *data = g_bytes_get_data(value->data, &size);
@@ -399,7 +405,7 @@
 	msgpack_pack_uint64(packer, value->changed);
 }
 
-static void all_pack(const struct mirror *mirror, msgpack_packer *packer)
+static void values_encode(const struct mirror *mirror, msgpack_packer *packer)
 {
 	const struct value *value;
 	const char *key;
@@ -409,12 +415,12 @@
 	g_hash_table_iter_init(&iter, mirror->values);
 	while (g_hash_table_iter_next(&iter, (gpointer *)&key,
 				      (gpointer *)&value))
-		value_pack(packer, key, value);
+		value_encode(packer, key, value);
 	msgpack_pack_array(packer, 0);
 }
 
-static void changes_pack(const struct mirror *mirror, uint64_t base,
-			 msgpack_packer *packer)
+static void changes_encode(const struct mirror *mirror, uint64_t base,
+			   msgpack_packer *packer)
 {
 	guint first = changes_from(mirror, base);
 	uint32_t values = 0;
@@ -432,7 +438,7 @@
 		const struct value *value = change_value(mirror, change);
 
 		if (value)
-			value_pack(packer, change->key, value);
+			value_encode(packer, change->key, value);
 	}
 	msgpack_pack_array(packer, dropped);
 	for (guint i = first; i < mirror->changes->len; i++)
@@ -443,24 +449,24 @@
 
 void mirror_encode(const struct mirror *mirror, uint64_t from, GByteArray *out)
 {
-	uint64_t base = has_since(mirror, from) ? from : 0;
-	struct mirror_status word;
+	uint64_t base = has_changes_since(mirror, from) ? from : 0;
+	struct mirror_status status;
 	msgpack_packer packer;
 
-	mirror_status(mirror, &word);
+	mirror_status(mirror, &status);
 	msgpack_packer_init(&packer, out, pack_append);
-	msgpack_pack_array(&packer, FIELDS);
-	msgpack_pack_uint64(&packer, word.next);
-	msgpack_pack_uint64(&packer, word.changed);
-	msgpack_pack_int64(&packer, word.age_usec);
+	msgpack_pack_array(&packer, COPY_FIELDS);
+	msgpack_pack_uint64(&packer, status.next);
+	msgpack_pack_uint64(&packer, status.changed);
+	msgpack_pack_int64(&packer, status.age_usec);
 	msgpack_pack_uint64(&packer, base);
 	if (base == 0)
-		all_pack(mirror, &packer);
+		values_encode(mirror, &packer);
 	else
-		changes_pack(mirror, base, &packer);
+		changes_encode(mirror, base, &packer);
 }
 
-static bool value_is_sound(const msgpack_object *item)
+static bool value_is_valid(const msgpack_object *item)
 {
 	const msgpack_object *fields = item->via.array.ptr;
 	char key[256];
@@ -472,55 +478,55 @@
 	       fields[2].type == MSGPACK_OBJECT_POSITIVE_INTEGER;
 }
 
-static bool key_is_sound(const msgpack_object *item)
+static bool key_is_valid(const msgpack_object *item)
 {
 	char key[256];
 
 	return unpack_text(item, key, sizeof(key));
 }
 
-static bool list_is_sound(const msgpack_object *list,
-			  bool (*sound)(const msgpack_object *item))
+static bool list_is_valid(const msgpack_object *list,
+			  bool (*valid)(const msgpack_object *item))
 {
 	if (list->type != MSGPACK_OBJECT_ARRAY)
 		return false;
 	for (uint32_t i = 0; i < list->via.array.size; i++)
-		if (!sound(&list->via.array.ptr[i]))
+		if (!valid(&list->via.array.ptr[i]))
 			return false;
 	return true;
 }
 
 /* What a peer packed; the lists point into the unpacked bytes. */
 struct copy {
-	struct mirror_status word;
+	struct mirror_status status;
 	uint64_t base;
 	const msgpack_object *values;
 	const msgpack_object *dropped;
 };
 
-static bool copy_read(const msgpack_object *object, struct copy *copy)
+static bool copy_decode(const msgpack_object *object, struct copy *copy)
 {
 	const msgpack_object *fields;
 
 	if (object->type != MSGPACK_OBJECT_ARRAY ||
-	    object->via.array.size != FIELDS)
+	    object->via.array.size != COPY_FIELDS)
 		return false;
 	fields = object->via.array.ptr;
-	for (int i = 0; i < FIELDS - 2; i++)
+	for (int i = 0; i < COPY_FIELDS - 2; i++)
 		if (fields[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 		    fields[i].via.u64 > INT64_MAX / 2)
 			return false;
-	copy->word.next = fields[0].via.u64;
-	copy->word.changed = fields[1].via.u64;
-	copy->word.age_usec = (int64_t)fields[2].via.u64;
+	copy->status.next = fields[0].via.u64;
+	copy->status.changed = fields[1].via.u64;
+	copy->status.age_usec = (int64_t)fields[2].via.u64;
 	copy->base = fields[3].via.u64;
 	copy->values = &fields[4];
 	copy->dropped = &fields[5];
-	return list_is_sound(copy->values, value_is_sound) &&
-	       list_is_sound(copy->dropped, key_is_sound);
+	return list_is_valid(copy->values, value_is_valid) &&
+	       list_is_valid(copy->dropped, key_is_valid);
 }
 
-static void copy_take(struct mirror *mirror, const struct copy *copy)
+static void copy_apply(struct mirror *mirror, const struct copy *copy)
 {
 	const msgpack_object_array *values = &copy->values->via.array;
 	const msgpack_object_array *dropped = &copy->dropped->via.array;
@@ -532,24 +538,24 @@
 		const msgpack_object *item = values->ptr[i].via.array.ptr;
 
 		(void)unpack_text(&item[0], key, sizeof(key));
-		value_take(mirror, item[2].via.u64, key, item[1].via.bin.ptr,
-			   item[1].via.bin.size);
+		value_apply(mirror, item[2].via.u64, key, item[1].via.bin.ptr,
+			    item[1].via.bin.size);
 	}
 	for (uint32_t i = 0; i < dropped->size; i++) {
 		(void)unpack_text(&dropped->ptr[i], key, sizeof(key));
-		value_take(mirror, copy->word.next - 1, key, NULL, 0);
+		value_apply(mirror, copy->status.next - 1, key, NULL, 0);
 	}
 	if (copy->base == 0) {
-		mirror->floor = copy->word.next;
-		before_drop(mirror);
+		mirror->delta_floor = copy->status.next;
+		previous_drop(mirror);
 		if (mirror->ops.end)
 			mirror->ops.end(mirror->ctx);
 	}
-	mirror->changed = copy->word.changed;
+	mirror->changed = copy->status.changed;
 }
 
 /* What changed since a base that we have not reached leaves a hole. */
-static bool copy_fits(const struct mirror *mirror, const struct copy *copy)
+static bool copy_applies(const struct mirror *mirror, const struct copy *copy)
 {
 	return copy->base == 0 || copy->base <= feed_position(mirror->feed);
 }
@@ -563,15 +569,15 @@
 
 	msgpack_unpacked_init(&unpacked);
 	good = message_unpack(&unpacked, data, size, err);
-	if (good && !copy_read(&unpacked.data, &copy))
+	if (good && !copy_decode(&unpacked.data, &copy))
 		good = error_set(err, RESULT_BAD_MESSAGE,
 				 "no copy of the stream %s",
 				 mirror->settings.stream);
-	if (good && copy.values && copy_fits(mirror, &copy) &&
-	    feed_advance(mirror->feed, copy.word.next,
-			 clock_now(mirror->clock) - copy.word.age_usec -
-				 HOP_USEC))
-		copy_take(mirror, &copy);
+	if (good && copy.values && copy_applies(mirror, &copy) &&
+	    feed_advance(mirror->feed, copy.status.next,
+			 clock_now(mirror->clock) - copy.status.age_usec -
+				 STATUS_DELAY_USEC))
+		copy_apply(mirror, &copy);
 	msgpack_unpacked_destroy(&unpacked);
 	return good;
 }
--- a/forward/node.c
+++ b/forward/node.c
@@ -94,7 +94,7 @@
 	summary->unreachable_count = fleet_unreachable(
 		node->fleet, summary->unreachable, GOSSIP_UNREACHABLE_MAX);
 	if (node->roles)
-		summary->changing_count = roles_moving(
+		summary->changing_count = roles_pending_changes(
 			node->roles, summary->changing, GOSSIP_CHANGING_MAX);
 }
 
--- a/forward/node_feeds.c
+++ b/forward/node_feeds.c
@@ -193,9 +193,9 @@
 static void list_tick(struct node *node)
 {
 	const struct reader_state state = {
-		.fresh = node->registered_at,
+		.synced_at = node->registered_at,
 		.failing = feed_failing(node->peer_feed),
-		.failed = feed_failed_at(node->peer_feed),
+		.failed_at = feed_failed_at(node->peer_feed),
 		.backoff = feed_backoff(node->peer_feed),
 		.seed = id_of(node->settings.name),
 	};
--- a/forward/permit.c
+++ b/forward/permit.c
@@ -16,9 +16,9 @@
 #include "common/log.h"
 
 /* Timeout for an answer, well above a round trip between data centres. */
-#define ANSWER_USEC (40 * USEC_PER_MSEC)
+#define ANSWER_TIMEOUT_USEC (40 * USEC_PER_MSEC)
 /* How long a server is avoided after its home has not answered. */
-#define SILENT_USEC (200 * USEC_PER_MSEC)
+#define AVOID_USEC (200 * USEC_PER_MSEC)
 
 static void limit_log(const struct forward *forward,
 		      const struct backend *backend, double before,
@@ -160,11 +160,11 @@
 	request->permit_attempts++;
 	request->permit_step = step;
 	request->permit_from = backend->key;
-	timer_start(&request->permit_timer, ANSWER_USEC);
+	timer_start(&request->permit_timer, ANSWER_TIMEOUT_USEC);
 	return PERMIT_ASKED;
 }
 
-void permit_forget(struct request *request)
+void permit_cancel(struct request *request)
 {
 	timer_stop(&request->permit_timer);
 	request->permit_step = PERMIT_STEP_NONE;
@@ -187,7 +187,7 @@
 	enum permit_step step = request->permit_step;
 	struct backend *backend = granted ? permit_backend(request) : NULL;
 
-	permit_forget(request);
+	permit_cancel(request);
 	switch (step) {
 	case PERMIT_STEP_CALL:
 		plain_permitted(request, backend);
@@ -203,13 +203,13 @@
 	}
 }
 
-void permit_unanswered(struct timer *timer, void *ctx)
+void permit_timed_out(struct timer *timer, void *ctx)
 {
 	struct request *request = ctx;
 	struct backend *backend = permit_backend(request);
 
 	if (backend)
-		permit_deny(request, backend, SILENT_USEC, "home is silent");
+		permit_deny(request, backend, AVOID_USEC, "home is silent");
 	permit_settle(request, false);
 }
 
--- a/forward/place.c
+++ b/forward/place.c
@@ -340,7 +340,8 @@
 		if (backend->info.stage == STAGE_DECODE &&
 		    regions_allow(&place->regions, backend->region) &&
 		    backend_usable(backend, place->now))
-			sum += overload_places(each, limit_of(place, backend));
+			sum += overload_concurrency(each,
+						    limit_of(place, backend));
 	}
 	return sum;
 }
--- a/forward/rates.c
+++ b/forward/rates.c
@@ -5,9 +5,9 @@
 #include "common/clock.h"
 
 /* Shorter prompts tell more of connections and queues than of reading. */
-#define TOKENS_LEAST 500u
+#define TOKENS_MIN 500u
 /* Bounds of a weight, either way: callers' estimates are often far off. */
-#define WEIGHT_MOST 2.0
+#define WEIGHT_MAX 2.0
 
 void median_init(struct median *median, double value)
 {
@@ -29,18 +29,19 @@
 	       (double)MAX(output, 1u);
 }
 
-double engine_rates_weight(const struct engine_rates *rates, double work)
+double engine_rates_weight(const struct engine_rates *rates, double cost)
 {
-	if (rates->work.value <= 0.0)
+	if (rates->cost.value <= 0.0)
 		return 1.0;
-	return CLAMP(work / rates->work.value, 1.0 / WEIGHT_MOST, WEIGHT_MOST);
+	return CLAMP(cost / rates->cost.value, 1.0 / WEIGHT_MAX, WEIGHT_MAX);
 }
 
 void engine_rates_add_prefill(struct engine_rates *rates, uint32_t tokens,
 			      uint32_t ahead, int64_t usec)
 {
-	if (tokens < TOKENS_LEAST || usec <= 0)
+	if (tokens < TOKENS_MIN || usec <= 0)
 		return;
-	median_add(&rates->read, ((double)tokens + (double)ahead) *
-					 (double)USEC_PER_SEC / (double)usec);
+	median_add(&rates->prefill, ((double)tokens + (double)ahead) *
+					    (double)USEC_PER_SEC /
+					    (double)usec);
 }
--- a/forward/reader.c
+++ b/forward/reader.c
@@ -10,23 +10,23 @@
  * all within some three seconds of a start of all. */
 #define START_RANK_MAX 10u
 /* How much longer each rank waits then where copies pass between groups. */
-#define START_GROUPED 4
+#define START_GROUPED_FACTOR 4
 /* Peers are heard of within this time of being listed, if there are any. */
-#define START_USEC (150 * USEC_PER_MSEC)
+#define DISCOVERY_USEC (150 * USEC_PER_MSEC)
 /* So long the list of peers, and a word of them, is waited for. */
-#define LISTED_USEC (1 * USEC_PER_SEC)
+#define LIST_WAIT_USEC (1 * USEC_PER_SEC)
 /* Each instance that is known widens the time over which all ask, and that
  * between reads that failed: the store answers thousands a second. */
-#define INSTANCE_USEC (2 * USEC_PER_MSEC)
-/* From so many instances near on that the store refuses they take turns, so far
+#define PER_INSTANCE_USEC (2 * USEC_PER_MSEC)
+/* From so many instances near on that the store refuses they take slots, so far
  * apart. */
-#define STORELESS_LEAST 2u
-#define TURN_USEC (300 * USEC_PER_MSEC)
-/* One without a copy cannot serve, and waits for few turns. */
-#define TURNS_WITHOUT_COPY 4u
+#define UNREACHABLE_MIN 2u
+#define SLOT_USEC (300 * USEC_PER_MSEC)
+/* One without a copy cannot serve, and waits for few slots. */
+#define SLOTS_WITHOUT_COPY 4u
 /* All instances read the list of instances at a start; those that failed come
  * again so far apart. */
-#define LIST_TURN_USEC (20 * USEC_PER_MSEC)
+#define LIST_SLOT_USEC (20 * USEC_PER_MSEC)
 /* How often an instance that the store refuses, and that has a copy from a
  * peer, asks whether it still does. */
 #define PROBE_USEC (5 * USEC_PER_SEC)
@@ -35,37 +35,38 @@
 static uint32_t start_rank(const struct reader_state *state,
 			   const struct reader_place *place, int64_t now)
 {
-	bool is_early = now - state->fresh < LISTED_USEC;
+	bool is_starting = now - state->synced_at < LIST_WAIT_USEC;
 
-	if (is_early && place->silent_peers > place->peers / 2)
+	if (is_starting && place->silent_peers > place->peers / 2)
 		return START_RANK_MAX;
 	return MIN(place->rank, START_RANK_MAX);
 }
 
-static int64_t start_patience(const struct reader_state *state,
-			      const struct reader_place *place, int64_t now)
+static int64_t start_staleness_bound(const struct reader_state *state,
+				     const struct reader_place *place,
+				     int64_t now)
 {
-	int64_t patience = (int64_t)start_rank(state, place, now) *
-				   READER_RANK_STALENESS_USEC +
-			   (state->listed ? START_USEC : LISTED_USEC);
+	int64_t bound = (int64_t)start_rank(state, place, now) *
+				READER_RANK_STALENESS_USEC +
+			(state->peers_listed ? DISCOVERY_USEC : LIST_WAIT_USEC);
 
-	return patience * (place->delay_usec > 0 ? START_GROUPED : 1);
+	return bound * (place->delay_usec > 0 ? START_GROUPED_FACTOR : 1);
 }
 
 /* In [0, 1): which part of a time an instance waits where it does not know who
  * else waits. As many have waited it out as grows exponentially with it. */
-static double drawn_part(const struct reader_state *state,
-			 const struct reader_place *place)
+static double random_part(const struct reader_state *state,
+			  const struct reader_place *place)
 {
 	double scale = log((double)place->instances + 1.0) + 1.0;
-	uint64_t hash = id_mix(state->seed, (uint64_t)state->fresh);
-	double drawn = (double)(hash >> 32) / (double)UINT32_MAX;
+	uint64_t hash = id_mix(state->seed, (uint64_t)state->synced_at);
+	double uniform = (double)(hash >> 32) / (double)UINT32_MAX;
 
-	return log1p(drawn * expm1(scale)) / scale;
+	return log1p(uniform * expm1(scale)) / scale;
 }
 
-/* The same by rank, which is known once peers are. */
-static double ranked_part(const struct reader_place *place)
+/* The same by rank, which is known is_first_retry peers are. */
+static double rank_part(const struct reader_place *place)
 {
 	double all = log(MAX(place->peers + 1, 2u));
 
@@ -77,78 +78,82 @@
 static int64_t rank_staleness(const struct reader_state *state,
 			      const struct reader_place *place)
 {
-	int64_t most = MAX(READER_RANK_STALENESS_USEC,
-			   (int64_t)place->instances * INSTANCE_USEC);
+	int64_t widest = MAX(READER_RANK_STALENESS_USEC,
+			     (int64_t)place->instances * PER_INSTANCE_USEC);
 
-	if (!state->listed)
+	if (!state->peers_listed)
 		return START_RANK_MAX * READER_RANK_STALENESS_USEC +
-		       (int64_t)((double)most * drawn_part(state, place));
+		       (int64_t)((double)widest * random_part(state, place));
 	return READER_RANK_STALENESS_USEC +
-	       (int64_t)((double)most * ranked_part(place));
+	       (int64_t)((double)widest * rank_part(place));
 }
 
 int64_t reader_staleness_bound(const struct reader_state *state,
 			       const struct reader_place *place, int64_t now)
 {
 	if (!state->has_copy)
-		return start_patience(state, place, now);
+		return start_staleness_bound(state, place, now);
 	/* No rank is sure before peers are known. What a reader holds is up to
 	 * two answers old. */
-	if (place->rank > 0 || (!state->listed && place->instances > 1))
+	if (place->rank > 0 || (!state->peers_listed && place->instances > 1))
 		return READER_STALENESS_USEC + place->delay_usec +
-		       rank_staleness(state, place) + 2 * state->lag;
-	/* A read that waits is begun at once by the first. */
-	return state->waits ? 0 : READER_STALENESS_USEC;
+		       rank_staleness(state, place) + 2 * state->latency;
+	/* A read that waits is begun at is_first_retry by the first. */
+	return state->long_poll ? 0 : READER_STALENESS_USEC;
 }
 
 /* Instances that were refused at the same moment do not come again together. */
-static int64_t pause_spread(const struct reader_state *state, int64_t pause)
+static int64_t pause_jittered(const struct reader_state *state, int64_t pause)
 {
-	uint64_t hash = id_mix(state->seed, (uint64_t)state->failed);
+	uint64_t hash = id_mix(state->seed, (uint64_t)state->failed_at);
 
 	return pause / 2 + (int64_t)(hash % (uint64_t)(pause + 1));
 }
 
 /* Instances that are refused ask one after the other, in the order of ranks. */
-static bool is_turn(const struct reader_state *state,
-		    const struct reader_place *place, int64_t now)
+static bool is_own_slot(const struct reader_state *state,
+			const struct reader_place *place, int64_t now)
 {
-	int64_t old_at = state->fresh + READER_STALENESS_USEC +
-			 2 * READER_RANK_STALENESS_USEC;
-	uint32_t turns = place->store_unreachable + 1;
+	int64_t stale_at = state->synced_at + READER_STALENESS_USEC +
+			   2 * READER_RANK_STALENESS_USEC;
+	uint32_t slots = place->store_unreachable + 1;
 
 	if (!state->has_copy)
-		turns = MIN(turns, TURNS_WITHOUT_COPY);
-	return MAX(now - old_at, 0) / TURN_USEC % turns == place->rank % turns;
+		slots = MIN(slots, SLOTS_WITHOUT_COPY);
+	return MAX(now - stale_at, 0) / SLOT_USEC % slots ==
+	       place->rank % slots;
 }
 
 /* Whether a read that failed may be repeated. */
 static bool may_retry(const struct reader_state *state,
 		      const struct reader_place *place, int64_t now,
-		      bool is_old)
+		      bool is_stale)
 {
-	int64_t least = (int64_t)place->instances * INSTANCE_USEC;
-	int64_t since = now - state->failed;
-	bool once = state->failed < state->fresh + READER_STALENESS_USEC;
+	int64_t min_pause = (int64_t)place->instances * PER_INSTANCE_USEC;
+	int64_t since = now - state->failed_at;
+	bool is_first_retry =
+		state->failed_at < state->synced_at + READER_STALENESS_USEC;
 
 	if (since < state->backoff)
 		return false;
-	if (state->has_copy && !is_old)
-		return since >= pause_spread(state, PROBE_USEC);
-	if (state->has_copy && once)
+	if (state->has_copy && !is_stale)
+		return since >= pause_jittered(state, PROBE_USEC);
+	if (state->has_copy && is_first_retry)
 		return true;
-	if (place->store_unreachable < STORELESS_LEAST)
-		return since >= least;
-	return since >= MAX(TURN_USEC, least) && is_turn(state, place, now);
+	if (place->store_unreachable < UNREACHABLE_MIN)
+		return since >= min_pause;
+	return since >= MAX(SLOT_USEC, min_pause) &&
+	       is_own_slot(state, place, now);
 }
 
 bool reader_is_due(const struct reader_state *state,
 		   const struct reader_place *place, int64_t now)
 {
-	bool is_old =
-		now - state->fresh >= reader_staleness_bound(state, place, now);
+	bool is_stale = now - state->synced_at >=
+			reader_staleness_bound(state, place, now);
 
-	return state->failing ? may_retry(state, place, now, is_old) : is_old;
+	return state->failing ? may_retry(state, place, now, is_stale)
+			      : is_stale;
 }
 
 bool reader_list_is_due(const struct reader_state *state, uint32_t peers,
@@ -158,9 +163,9 @@
 
 	/* Doubles, as the store may be kept busy by others that ask for it. */
 	if (peers > 0)
-		pause = MAX((int64_t)peers * LIST_TURN_USEC,
-			    state->failed - state->fresh);
+		pause = MAX((int64_t)peers * LIST_SLOT_USEC,
+			    state->failed_at - state->synced_at);
 	return state->failing &&
-	       now - state->failed >=
-		       MAX(pause_spread(state, pause), state->backoff);
+	       now - state->failed_at >=
+		       MAX(pause_jittered(state, pause), state->backoff);
 }
--- a/forward/request.c
+++ b/forward/request.c
@@ -227,7 +227,7 @@
 	if (request->call)
 		web_call_cancel(request->call);
 	request->call = NULL;
-	permit_forget(request);
+	permit_cancel(request);
 	request_drop_hold(request);
 	request_drop_result(request);
 	charge_drop(request, &request->prefill);
@@ -242,7 +242,7 @@
 
 	timer_stop(&request->timer);
 	request_unread_drop(request);
-	stream_unwait(request);
+	stream_dequeue(request);
 	request_refund(request);
 	resources_drop(request);
 	answer_clear(&request->answer);
@@ -407,7 +407,7 @@
 	event_cutter_init(&request->cutter);
 	timer_init(&request->timer, forward->parts.clock, on_limit, request);
 	timer_init(&request->permit_timer, forward->parts.clock,
-		   permit_unanswered, request);
+		   permit_timed_out, request);
 	web_request_on_gone(web, on_gone, request);
 	return request;
 }
--- a/forward/request.h
+++ b/forward/request.h
@@ -221,9 +221,9 @@
 enum permit request_permit(struct request *request, struct backend *backend,
 			   enum permit_step step);
 /* Nobody waits for the answer any more. */
-void permit_forget(struct request *request);
+void permit_cancel(struct request *request);
 /* The timer of a request that asks. */
-void permit_unanswered(struct timer *timer, void *ctx);
+void permit_timed_out(struct timer *timer, void *ctx);
 void plain_permitted(struct request *request, struct backend *backend);
 void stream_permitted(struct request *request, struct backend *backend);
 void prefill_permitted(struct request *request, struct backend *backend);
@@ -246,8 +246,8 @@
 struct engine_rates *forward_rates(struct forward *forward, uint64_t service);
 /* Sends waiting streams on as far as there is memory. */
 void stream_pump(struct forward *forward);
-void stream_wait(struct request *request);
-void stream_unwait(struct request *request);
+void stream_enqueue(struct request *request);
+void stream_dequeue(struct request *request);
 /* Decode memory that it is counted with. */
 uint32_t stream_tokens(const struct request *request);
 bool stream_waiting_full(const struct forward *forward);
--- a/forward/roles.c
+++ b/forward/roles.c
@@ -11,44 +11,44 @@
 /* Part of the runners that prefill while no demand is known: prompts of some
  * 3,000 tokens and answers of some 70 take about four times as long to
  * generate as to read. */
-#define PART_UNKNOWN 0.21
+#define PREFILL_PART_DEFAULT 0.21
 /* More prefill runners than for this many times the mean rate stand idle also
  * in bursts of twice that rate; fewer than for the second leave a queue that
  * lasts. Between the two nothing is changed: a runner that changes serves
  * neither role for some ten seconds. */
-#define HEADROOM_MOST 2.4
-#define HEADROOM_LEAST 1.25
+#define HEADROOM_MAX 2.4
+#define HEADROOM_MIN 1.25
 /* With fewer than this many prefill runners a single loss stops the service;
  * where that many in all exist. */
-#define PREFILL_LEAST 2u
-#define TOTAL_FOR_LEAST 5u
+#define PREFILL_MIN 2u
+#define TOTAL_FOR_PREFILL_MIN 5u
 /* A change must be wanted so long once there is traffic: longer than bursts
  * that follow each other. */
-#define ROLES_PATIENCE_USEC (30 * USEC_PER_SEC)
+#define CHANGE_DELAY_USEC (30 * USEC_PER_SEC)
 /* Prefill runners that cannot read even the mean demand leave a queue that only
  * grows: then a change is due after this time, which covers servers that are
  * missing from the list for two seconds after the store was away. */
-#define OVERLOAD_PATIENCE_USEC (3 * USEC_PER_SEC)
+#define OVERLOAD_DELAY_USEC (3 * USEC_PER_SEC)
 /* That is so when the mean is this many times what they read; means of a few
  * seconds with a burst among them are beyond 1.0 on a site that is well served.
  */
-#define OVERLOAD 1.1
+#define OVERLOAD_RATIO 1.1
 /* The mean is taken over this time, and known once it has passed: a burst of
  * twice the demand for five seconds raises it by a sixth. */
 #define MEAN_USEC (30 * USEC_PER_SEC)
 /* The demand of the first seconds is not known yet. */
-#define DEMAND_LEAST 1000.0
+#define DEMAND_MIN 1000.0
 /* After the time that a change takes, its runner may be ordered again; covers
  * orders that are carried out seconds late. */
-#define MOVE_EXTRA_USEC (14 * USEC_PER_SEC)
+#define MOVE_MARGIN_USEC (14 * USEC_PER_SEC)
 /* An order arrives within this time of being sent, or not at all: its call is
  * given up after two seconds. One that is carried out later than that is
  * corrected by what the list then shows. */
-#define ORDER_USEC (2500 * USEC_PER_MSEC)
+#define ORDER_TIMEOUT_USEC (2500 * USEC_PER_MSEC)
 /* A holder that is lost is followed after this time, the margin and that of an
  * order: 7.7 s; with the terms of the library it was 24 s, half a minute with
  * one prefill runner too few. Orders of two holders stay 3 s apart. */
-#define TERM_USEC (3 * USEC_PER_SEC)
+#define ROLES_TERM_USEC (3 * USEC_PER_SEC)
 /* The list may not be whole right after the start. */
 #define SETTLE_USEC (1200 * USEC_PER_MSEC)
 
@@ -78,23 +78,23 @@
 
 static uint32_t runners_for(uint32_t total, double rate, double capacity)
 {
-	uint32_t least = total >= TOTAL_FOR_LEAST ? PREFILL_LEAST : 1;
+	uint32_t least = total >= TOTAL_FOR_PREFILL_MIN ? PREFILL_MIN : 1;
 
 	return (uint32_t)CLAMP(ceil(rate / capacity - 0.25), (double)least,
 			       floor((double)total / 2.0));
 }
 
-int32_t roles_change(uint32_t prefill, uint32_t total, double rate,
-		     double capacity)
+int32_t roles_prefill_surplus(uint32_t prefill, uint32_t total, double rate,
+			      double capacity)
 {
-	uint32_t most = runners_for(total, PART_UNKNOWN * total, 1.0);
+	uint32_t most = runners_for(total, PREFILL_PART_DEFAULT * total, 1.0);
 	uint32_t least = most;
 
 	if (total < 2)
 		return 0;
 	if (rate > 0.0) {
-		most = runners_for(total, rate * HEADROOM_MOST, capacity);
-		least = runners_for(total, rate * HEADROOM_LEAST, capacity);
+		most = runners_for(total, rate * HEADROOM_MAX, capacity);
+		least = runners_for(total, rate * HEADROOM_MIN, capacity);
 	}
 	if (prefill > most)
 		return (int32_t)(prefill - most);
@@ -111,7 +111,7 @@
 	return move ? move->stage : backend->info.stage;
 }
 
-static gboolean move_over(gpointer key, gpointer value, gpointer data)
+static gboolean move_is_over(gpointer key, gpointer value, gpointer data)
 {
 	const struct move *move = value;
 	const struct roles *roles = data;
@@ -167,7 +167,7 @@
 	return best;
 }
 
-static void move_undo(struct roles *roles)
+static void move_cancel(struct roles *roles)
 {
 	struct backend *backend =
 		fleet_find(roles->parts.fleet, roles->ordered);
@@ -189,7 +189,7 @@
 	log_event(LOG_NOTICE, "role_order_answered", LOG_D("result", result));
 	/* Surely not carried out: the runner may be chosen again. */
 	if (result == ORDER_REFUSED)
-		move_undo(roles);
+		move_cancel(roles);
 }
 
 static void order_send(struct roles *roles, struct backend *backend,
@@ -208,7 +208,7 @@
 	move->key = backend->key;
 	move->stage = stage;
 	move->until = clock_now(roles->parts.clock) +
-		      service->engine.switch_usec + MOVE_EXTRA_USEC;
+		      service->engine.switch_usec + MOVE_MARGIN_USEC;
 	g_hash_table_replace(roles->moves, &move->key, move);
 	backend->changing_until = move->until;
 	roles->ordering = true;
@@ -248,7 +248,7 @@
 	double rate = roles->parts.ops.demand(roles->parts.ctx);
 	double kept = 1.0 - (double)TICK_USEC / (double)MEAN_USEC;
 
-	if (rate < DEMAND_LEAST)
+	if (rate < DEMAND_MIN)
 		return;
 	roles->mean_sum = roles->mean_sum * kept + rate;
 	roles->mean_weight = roles->mean_weight * kept + 1.0;
@@ -270,7 +270,7 @@
 static bool is_overloaded(const struct roles *roles, struct stages stages)
 {
 	return roles->mean_ticks >= MEAN_USEC / TICK_USEC &&
-	       stages.prefill * prefill_rate(roles) * OVERLOAD <
+	       stages.prefill * prefill_rate(roles) * OVERLOAD_RATIO <
 		       mean_demand(roles);
 }
 
@@ -279,30 +279,29 @@
 {
 	double rate = roles->parts.ops.demand(roles->parts.ctx);
 
-	if (rate < DEMAND_LEAST)
+	if (rate < DEMAND_MIN)
 		rate = 0.0;
-	return roles_change(stages.prefill, stages.total, rate,
-			    prefill_rate(roles));
+	return roles_prefill_surplus(stages.prefill, stages.total, rate,
+				     prefill_rate(roles));
 }
 
-static bool is_short(struct stages stages)
+static bool lacks_spare(struct stages stages)
 {
-	return stages.total >= TOTAL_FOR_LEAST &&
-	       (stages.prefill < PREFILL_LEAST ||
-		stages.prefill == stages.total);
+	return stages.total >= TOTAL_FOR_PREFILL_MIN &&
+	       (stages.prefill < PREFILL_MIN || stages.prefill == stages.total);
 }
 
 /* How long a change must have been wanted: not at all when a stage has fewer
  * runners than one loss may leave, or while there is no traffic. */
-static int64_t patience(struct roles *roles, struct stages stages,
-			int32_t change)
+static int64_t change_delay(struct roles *roles, struct stages stages,
+			    int32_t change)
 {
-	if (is_short(stages) ||
-	    roles->parts.ops.demand(roles->parts.ctx) < DEMAND_LEAST)
+	if (lacks_spare(stages) ||
+	    roles->parts.ops.demand(roles->parts.ctx) < DEMAND_MIN)
 		return 0;
 	if (change < 0 && is_overloaded(roles, stages))
-		return OVERLOAD_PATIENCE_USEC;
-	return ROLES_PATIENCE_USEC;
+		return OVERLOAD_DELAY_USEC;
+	return CHANGE_DELAY_USEC;
 }
 
 static bool is_due(struct roles *roles, struct stages stages, int32_t change)
@@ -322,7 +321,7 @@
 			  LOG_D("mean_demand", (int64_t)mean_demand(roles)));
 	}
 	return direction != 0 &&
-	       now - roles->wanted_since >= patience(roles, stages, change);
+	       now - roles->wanted_since >= change_delay(roles, stages, change);
 }
 
 static void lease_drop(struct roles *roles)
@@ -335,25 +334,25 @@
 	roles->leasing = false;
 }
 
-static void on_taken(void *ctx, uint64_t task, uint64_t fence)
+static void on_lease_taken(void *ctx, uint64_t task, uint64_t fence)
 {
 	log_event(LOG_NOTICE, "role_lease_taken", LOG_D("fence", fence));
 }
 
-static void on_lost(void *ctx, uint64_t task)
+static void on_lease_lost(void *ctx, uint64_t task)
 {
 	log_event(LOG_NOTICE, "role_lease_lost");
 }
 
-static void lease_begin(struct roles *roles)
+static void lease_request(struct roles *roles)
 {
-	static const struct lease_ops ops = {on_taken, on_lost};
+	static const struct lease_ops ops = {on_lease_taken, on_lease_lost};
 	struct owner self = {id_of(roles->parts.name), roles->parts.boot};
 
 	roles->leases = leases_create(roles->parts.clock, &self,
 				      &roles->parts.log, &ops, roles);
-	leases_set_term(roles->leases, TERM_USEC);
-	lease_want_unfenced(roles->leases, roles->task, ORDER_USEC);
+	leases_set_term(roles->leases, ROLES_TERM_USEC);
+	lease_want_unfenced(roles->leases, roles->task, ORDER_TIMEOUT_USEC);
 	roles->leasing = true;
 }
 
@@ -406,7 +405,7 @@
 	int64_t now = clock_now(roles->parts.clock);
 
 	timer_start(timer, TICK_USEC);
-	g_hash_table_foreach_remove(roles->moves, move_over, roles);
+	g_hash_table_foreach_remove(roles->moves, move_is_over, roles);
 	if (now - roles->started < SETTLE_USEC)
 		return;
 	mean_update(roles);
@@ -418,7 +417,7 @@
 		return;
 	}
 	if (!roles->leasing)
-		lease_begin(roles);
+		lease_request(roles);
 	services_tick(roles);
 }
 
@@ -449,8 +448,8 @@
 		g_free(roles);
 }
 
-uint32_t roles_moving(const struct roles *roles, struct backend_change *moves,
-		      uint32_t most)
+uint32_t roles_pending_changes(const struct roles *roles,
+			       struct backend_change *moves, uint32_t most)
 {
 	int64_t now = clock_now(roles->parts.clock);
 	const struct move *move;
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -98,7 +98,7 @@
 	request_drop_hold(request);
 	answer_clear(&request->answer);
 	if (may && request->rounds < ROUNDS_MAX && request_left(request) > 0) {
-		stream_wait(request);
+		stream_enqueue(request);
 		return;
 	}
 	if (request->replied)
@@ -228,7 +228,7 @@
 		forward_rates(request->forward, request->service->id);
 	double target = (double)request->route->target_usec;
 
-	return (uint32_t)(PREFILL_QUEUE_PART * target * rates->read.value /
+	return (uint32_t)(PREFILL_QUEUE_PART * target * rates->prefill.value /
 			  (double)USEC_PER_SEC);
 }
 
@@ -389,7 +389,7 @@
 			  LOG_S("request", request->caller.id),
 			  LOG_D("after_ms",
 				(now - request->asked_at) / USEC_PER_MSEC));
-		stream_wait(request);
+		stream_enqueue(request);
 		return;
 	}
 	if (result == RESERVE_OK) {
@@ -404,7 +404,7 @@
 		backend_failed(backend, now);
 	if (result == RESERVE_FAILED && backend)
 		stream_full(request, backend);
-	stream_wait(request);
+	stream_enqueue(request);
 }
 
 static void reserve_call(struct request *request, struct backend *backend)
@@ -460,7 +460,7 @@
 			return false;
 		permit = request_permit(request, backend, PERMIT_STEP_RESERVE);
 	}
-	stream_unwait(request);
+	stream_dequeue(request);
 	charge_add(request, &request->decode, backend, &load);
 	placed_log(request, "reserve", backend);
 	request->is_probe = backend_refusing(backend);
@@ -477,7 +477,7 @@
 	if (backend)
 		reserve_call(request, backend);
 	else
-		stream_wait(request);
+		stream_enqueue(request);
 }
 
 /* Its share of the work that requests of the service mostly are. */
@@ -493,9 +493,9 @@
 		output = caller->output_max / 2;
 	work = stream_cost(caller->prompt_tokens,
 			   MIN(output, MAX(caller->output_max, 1u)));
-	if (rates->work.samples == 0)
-		median_init(&rates->work, work);
-	median_add(&rates->work, work);
+	if (rates->cost.samples == 0)
+		median_init(&rates->cost, work);
+	median_add(&rates->cost, work);
 	request->weight = engine_rates_weight(rates, work);
 }
 
@@ -528,5 +528,5 @@
 		return;
 	}
 	if (!stream_reserve(request, 1))
-		stream_wait(request);
+		stream_enqueue(request);
 }
--- a/forward/waiting.c
+++ b/forward/waiting.c
@@ -13,17 +13,17 @@
 /* A caller leaves a stream that shows no event for the longest of this time and
  * these multiples of its targets. What cannot begin by then, less the time that
  * a prefill takes, is told so while it still listens. */
-#define PATIENCE_USEC (2 * USEC_PER_SEC)
-#define PATIENCE_TARGETS 4
-#define PATIENCE_GAPS 8
-#define BEGIN_USEC (400 * USEC_PER_MSEC)
+#define CALLER_TIMEOUT_USEC (2 * USEC_PER_SEC)
+#define CALLER_TIMEOUT_TARGETS 4
+#define CALLER_TIMEOUT_GAPS 8
+#define PREFILL_USEC (400 * USEC_PER_MSEC)
 /* Requests that will be late are only given room that this many more like them
  * would fit into. */
-#define LATE_ROOM 3u
+#define LATE_ROOM_FACTOR 3u
 /* What one is told that waited in vain: memory is freed within this time. */
 #define RETRY_USEC (300 * USEC_PER_MSEC)
 
-void stream_unwait(struct request *request)
+void stream_dequeue(struct request *request)
 {
 	if (!request->waiting)
 		return;
@@ -31,7 +31,7 @@
 	request->waiting = false;
 }
 
-void stream_wait(struct request *request)
+void stream_enqueue(struct request *request)
 {
 	struct forward *forward = request->forward;
 
@@ -58,11 +58,12 @@
 	};
 }
 
-static bool on_time(const struct request *request, int64_t now)
+static bool meets_target(const struct request *request, int64_t now)
 {
 	const struct overload_caller caller = caller_of(request);
 
-	return overload_on_time(&caller, now, request->forward->begin_usec);
+	return overload_meets_target(&caller, now,
+				     request->forward->begin_usec);
 }
 
 static gint order_compare(gconstpointer a, gconstpointer b)
@@ -75,13 +76,13 @@
 	return overload_compare(&one, &other);
 }
 
-static void waiting_pass(struct forward *forward, bool in_time)
+static void waiting_place(struct forward *forward, bool in_time)
 {
 	g_autoptr(GPtrArray) list = g_ptr_array_new();
 	int64_t now = clock_now(forward->parts.clock);
 
 	for (GList *link = forward->waiting.tail; link; link = link->prev)
-		if (on_time(link->data, now) == in_time)
+		if (meets_target(link->data, now) == in_time)
 			g_ptr_array_add(list, link->data);
 	g_ptr_array_sort(list, order_compare);
 	for (guint i = 0; i < list->len; i++) {
@@ -89,7 +90,7 @@
 
 		if (request_quarantine(request))
 			continue;
-		if (!stream_reserve(request, in_time ? 1 : LATE_ROOM))
+		if (!stream_reserve(request, in_time ? 1 : LATE_ROOM_FACTOR))
 			return;
 	}
 }
@@ -112,11 +113,11 @@
 	const struct overload_caller caller = caller_of(request);
 
 	if (request->rounds > 0 || request->judged ||
-	    !overload_is_due(&caller, now))
+	    !overload_check_due(&caller, now))
 		return false;
 	request->judged = true;
-	if (!overload_too_long(&caller, now, request->forward->begin_usec,
-			       queue_sec(request)))
+	if (!overload_misses_target(&caller, now, request->forward->begin_usec,
+				    queue_sec(request)))
 		return false;
 	request_refuse(request, RESULT_QUEUE_FULL,
 		       overload_retry_usec(request->forward->parts.rand));
@@ -124,30 +125,30 @@
 }
 
 /* When it is of no more use to begin. A caller that has seen events counts its
- * patience from the last one. */
-static int64_t wait_end(const struct request *request)
+ * timeout from the last one. */
+static int64_t wait_deadline(const struct request *request)
 {
 	const struct catalog_route *route = request->route;
 	int64_t from = request->last_at ? request->last_at : request->arrived;
-	int64_t patience =
-		MAX(PATIENCE_USEC, MAX(route->target_usec * PATIENCE_TARGETS,
-				       route->gap_usec * PATIENCE_GAPS));
+	int64_t timeout = MAX(CALLER_TIMEOUT_USEC,
+			      MAX(route->target_usec * CALLER_TIMEOUT_TARGETS,
+				  route->gap_usec * CALLER_TIMEOUT_GAPS));
 
-	return MIN(from + patience, request->limit) - BEGIN_USEC;
+	return MIN(from + timeout, request->limit) - PREFILL_USEC;
 }
 
 /* Refuses a request at once that no server can take in time. */
 static bool unavailable_refuse(struct request *request)
 {
-	int64_t opens;
+	int64_t available_at;
 
 	if (request->replied)
 		return false;
-	opens = request_available_at(request, STAGE_DECODE);
-	if (opens <= wait_end(request))
+	available_at = request_available_at(request, STAGE_DECODE);
+	if (available_at <= wait_deadline(request))
 		return false;
-	stream_unwait(request);
-	request_refuse_until(request, opens);
+	stream_dequeue(request);
+	request_refuse_until(request, available_at);
 	return true;
 }
 
@@ -161,9 +162,9 @@
 
 		next = link->next;
 		if (early_refuse(request, now) || unavailable_refuse(request) ||
-		    now < wait_end(request))
+		    now < wait_deadline(request))
 			continue;
-		stream_unwait(request);
+		stream_dequeue(request);
 		if (request->replied)
 			request_break(request, "no memory to go on");
 		else
@@ -174,8 +175,8 @@
 void stream_pump(struct forward *forward)
 {
 	waiting_expire(forward);
-	waiting_pass(forward, true);
-	waiting_pass(forward, false);
+	waiting_place(forward, true);
+	waiting_place(forward, false);
 	if (forward->waiting.length > 0)
 		timer_start(&forward->pump, PUMP_USEC);
 }
--- a/include/forward/feed.h
+++ b/include/forward/feed.h
@@ -59,7 +59,7 @@
 	void (*snapshot_end)(void *ctx);
 	void (*record)(void *ctx, const struct feed_record *record);
 	/* The store answers again after it did not. */
-	void (*regained)(void *ctx);
+	void (*recovered)(void *ctx);
 };
 
 struct feed_settings {
@@ -88,7 +88,7 @@
 /* How long the store took to answer the last read, beyond the time that this
  * one waited; no longer than the age of what was learnt in another way since.
  */
-int64_t feed_lag(const struct feed *feed);
+int64_t feed_latency(const struct feed *feed);
 /* When the last read failed, while feed_failing(). */
 int64_t feed_failed_at(const struct feed *feed);
 /* Whether the store has not answered the last reads. */
@@ -96,12 +96,12 @@
 /* What is known is as of next, and was all there was at the time fresh. An
  * answer that is still due is dropped, as it is older. False, and nothing
  * happens, when the feed is further already. */
-bool feed_advance(struct feed *feed, uint64_t next, int64_t fresh);
+bool feed_advance(struct feed *feed, uint64_t next, int64_t synced_at);
 /* Offset up to which records are known; 0 before the first snapshot. */
 uint64_t feed_position(const struct feed *feed);
 /* When what is known was last sure to be all there is: the sending of the last
  * read that found the end. FEED_NEVER before the first. */
 #define FEED_NEVER INT64_MIN
-int64_t feed_fresh(const struct feed *feed);
+int64_t feed_synced_at(const struct feed *feed);
 
 #endif
--- a/include/forward/mirror.h
+++ b/include/forward/mirror.h
@@ -75,10 +75,10 @@
 void mirror_refresh(struct mirror *mirror);
 /* Whether this instance reads the store and has no answer from it. */
 bool mirror_failing(const struct mirror *mirror);
-void mirror_status(const struct mirror *mirror, struct mirror_status *word);
+void mirror_status(const struct mirror *mirror, struct mirror_status *status);
 /* Takes in what a peer told. True when its copy is to be fetched. */
 bool mirror_merge_status(struct mirror *mirror,
-			 const struct mirror_status *word);
+			 const struct mirror_status *status);
 /* Offset up to which records are known, for mirror_encode() at a peer. */
 uint64_t mirror_position(const struct mirror *mirror);
 /* Appends what has changed since from as MessagePack: [next, changed, age,
--- a/include/forward/overload.h
+++ b/include/forward/overload.h
@@ -30,24 +30,24 @@
 	double weight;	     /* its work, as engine_rates_weight() */
 };
 
-/* Whether it can still meet its target if it is placed now. begin_usec is the
- * mean time from placing to the first event. */
-bool overload_on_time(const struct overload_caller *caller, int64_t now,
-		      double begin_usec);
+/* Whether it can still meet its target if it is placed now. first_event_usec is
+ * the mean time from placing to the first event. */
+bool overload_meets_target(const struct overload_caller *caller, int64_t now,
+			   double first_event_usec);
 /* Below zero when one goes before the other. */
 int overload_compare(const struct overload_caller *one,
 		     const struct overload_caller *other);
 /* Requests that a server runs at a time, with memory for memory_places of them
  * and a limit of requests a second; below 0: no limit. */
-double overload_places(double memory_places, double limit);
+double overload_concurrency(double memory_places, double limit);
 /* How long so many that wait will take to be placed, where so many fit at a
  * time. */
 double overload_queue_sec(uint32_t waiting, double places);
 /* Whether it is time to judge it. */
-bool overload_is_due(const struct overload_caller *caller, int64_t now);
+bool overload_check_due(const struct overload_caller *caller, int64_t now);
 /* Whether it will hardly be placed in time behind a queue of that length. */
-bool overload_too_long(const struct overload_caller *caller, int64_t now,
-		       double begin_usec, double queue_sec);
+bool overload_misses_target(const struct overload_caller *caller, int64_t now,
+			    double first_event_usec, double queue_sec);
 /* When one that is refused then is to come back. */
 int64_t overload_retry_usec(GRand *rand);
 
--- a/include/forward/rates.h
+++ b/include/forward/rates.h
@@ -34,8 +34,8 @@
 
 /* What engines of a service were seen to do. */
 struct engine_rates {
-	struct median read; /* prompt tokens a second of a prefill server */
-	struct median work; /* of a request, see stream_cost() */
+	struct median prefill; /* prompt tokens a second of a prefill server */
+	struct median cost;    /* of a request, see stream_cost() */
 };
 
 /* What a request takes of a decode server: memory held, in tokens, times tokens
@@ -43,7 +43,7 @@
  * callers are served in time if those go first that take little. */
 double stream_cost(uint32_t prompt, uint32_t output);
 /* That, as a multiple of what a request of the service mostly takes. */
-double engine_rates_weight(const struct engine_rates *rates, double work);
+double engine_rates_weight(const struct engine_rates *rates, double cost);
 /* A prompt of so many tokens was read, behind those that were ahead of it. */
 void engine_rates_add_prefill(struct engine_rates *rates, uint32_t tokens,
 			      uint32_t ahead, int64_t usec);
--- a/include/forward/reader.h
+++ b/include/forward/reader.h
@@ -46,14 +46,14 @@
 /* What an instance has of a stream; times in microseconds of its clock. */
 struct reader_state {
 	bool has_copy;
-	int64_t fresh;	 /* its copy was sure; without one, its start */
-	bool listed;	 /* its peers are known */
-	bool waits;	 /* a read waits for a record */
-	int64_t lag;	 /* that the last answer took */
-	bool failing;	 /* the last read failed */
-	int64_t failed;	 /* when it did */
-	int64_t backoff; /* least time until the next one */
-	uint64_t seed;	 /* of the instance */
+	int64_t synced_at; /* its copy was sure; without one, its start */
+	bool peers_listed; /* its peers are known */
+	bool long_poll;	   /* a read waits for a record */
+	int64_t latency;   /* that the last answer took */
+	bool failing;	   /* the last read failed */
+	int64_t failed_at; /* when it did */
+	int64_t backoff;   /* least time until the next one */
+	uint64_t seed;	   /* of the instance */
 };
 
 /* How long the instance leaves reading to others. */
--- a/include/forward/roles.h
+++ b/include/forward/roles.h
@@ -58,12 +58,12 @@
 
 /* The servers that this instance has ordered to change and that the list does
  * not show in their new role yet, at most so many; returns how many. */
-uint32_t roles_moving(const struct roles *roles, struct backend_change *moves,
-		      uint32_t most);
+uint32_t roles_pending_changes(const struct roles *roles,
+			       struct backend_change *moves, uint32_t most);
 /* How many of the prefill runners are to become decode runners, or with a minus
  * the other way. rate is the demand, capacity what one runner reads, both in
  * tokens a second; rate 0: not known yet. */
-int32_t roles_change(uint32_t prefill, uint32_t total, double rate,
-		     double capacity);
+int32_t roles_prefill_surplus(uint32_t prefill, uint32_t total, double rate,
+			      double capacity);
 
 #endif
--- a/tests/forward/copies_world.c
+++ b/tests/forward/copies_world.c
@@ -69,18 +69,18 @@
 	call.fn(call.ctx, RESULT_LOG_DOWN, NULL);
 }
 
-static void call_turn(struct copy_mirror *own)
+static void call_step(struct copy_mirror *own)
 {
 	const struct copies *copies = own->copies;
 	const struct copy_call *call = &own->call;
-	bool news = call->snapshot || call->from < copies->next;
+	bool has_new_records = call->snapshot || call->from < copies->next;
 
 	if (!call->fn)
 		return;
 	if (copies->refused[own->owner])
 		call_refuse(own);
 	else if (now_of(copies) >= call->due ||
-		 (news && copies->answer_usec == 0))
+		 (has_new_records && copies->answer_usec == 0))
 		call_answer(own);
 }
 
@@ -99,8 +99,8 @@
 	return MIRROR_CHANGED;
 }
 
-static void word_add(void *ctx, const struct instance *instance,
-		     struct gossip_summary *summary)
+static void summary_add(void *ctx, const struct instance *instance,
+			struct gossip_summary *summary)
 {
 	struct copies *copies = ctx;
 	uint32_t i = (uint32_t)(instance - copies->site->instances);
@@ -122,8 +122,9 @@
 	g_assert_not_reached();
 }
 
-static void on_heard(void *ctx, const struct instance *instance,
-		     const char *address, const struct gossip_summary *summary)
+static void on_received(void *ctx, const struct instance *instance,
+			const char *address,
+			const struct gossip_summary *summary)
 {
 	struct copies *copies = ctx;
 	uint32_t i = (uint32_t)(instance - copies->site->instances);
@@ -141,14 +142,14 @@
 	}
 }
 
-bool copies_has(const struct copies *copies, uint32_t i)
+bool copies_is_active(const struct copies *copies, uint32_t i)
 {
 	const struct instance *instance = &copies->site->instances[i];
 
 	return instance->gossip && instance->centre < copies->centres;
 }
 
-static void fetch_turn(struct copy_mirror *own)
+static void fetch_step(struct copy_mirror *own)
 {
 	struct copies *copies = own->copies;
 	const struct copy_mirror *from =
@@ -159,14 +160,14 @@
 	if (own->fetch_at == 0 || now_of(copies) < own->fetch_at)
 		return;
 	own->fetch_at = 0;
-	if (!copies_has(copies, own->fetch_from))
+	if (!copies_is_active(copies, own->fetch_from))
 		return;
 	out = g_byte_array_new();
 	mirror_encode(from->mirror, mirror_position(own->mirror), out);
 	g_assert_true(mirror_decode(own->mirror, out->data, out->len, &err));
 }
 
-static void instance_turn(struct copies *copies, uint32_t i)
+static void instance_step(struct copies *copies, uint32_t i)
 {
 	int64_t step = now_of(copies) / (STEP_MSEC * USEC_PER_MSEC);
 	bool ticks = (step + i) % (TICK_MSEC / STEP_MSEC) == 0;
@@ -176,8 +177,8 @@
 	for (int k = 0; k < COPY_STREAMS; k++) {
 		struct copy_mirror *own = &copies->mirrors[i][k];
 
-		call_turn(own);
-		fetch_turn(own);
+		call_step(own);
+		fetch_step(own);
 		if (ticks)
 			mirror_tick(own->mirror, &place);
 	}
@@ -188,40 +189,40 @@
 	for (int64_t at = 0; at < msec; at += STEP_MSEC) {
 		turn(copies->site, STEP_MSEC);
 		for (uint32_t i = 0; i < copies->site->count; i++)
-			if (copies_has(copies, i))
-				instance_turn(copies, i);
+			if (copies_is_active(copies, i))
+				instance_step(copies, i);
 	}
 }
 
 void copies_publish(struct copies *copies)
 {
 	copies->next++;
-	copies->published = now_of(copies);
+	copies->published_at = now_of(copies);
 }
 
-uint32_t copies_late(const struct copies *copies)
+uint32_t copies_outdated(const struct copies *copies)
 {
 	uint32_t late = 0;
 
 	for (uint32_t i = 0; i < copies->site->count; i++)
-		late += copies_has(copies, i) &&
+		late += copies_is_active(copies, i) &&
 			copies->mirrors[i][0].version != copies->next;
 	return late;
 }
 
-int64_t copies_spread(struct copies *copies, int64_t most)
+int64_t copies_propagate(struct copies *copies, int64_t most)
 {
 	int64_t waited = 0;
 
 	copies_publish(copies);
-	while (waited < most && copies_late(copies) > 0) {
+	while (waited < most && copies_outdated(copies) > 0) {
 		copies_run(copies, STEP_MSEC);
 		waited += STEP_MSEC;
 	}
 	return waited;
 }
 
-static void shares_open(struct copies *copies, uint32_t i)
+static void mirrors_open(struct copies *copies, uint32_t i)
 {
 	static const struct mirror_ops ops = {NULL, NULL, on_value, NULL};
 	const struct feed_settings settings[COPY_STREAMS] = {
@@ -250,12 +251,12 @@
 	copies->centres = CENTRES;
 	copies->next = 1;
 	for (uint32_t i = 0; i < count; i++)
-		shares_open(copies, i);
-	copies->site->summary = word_add;
-	copies->site->heard = on_heard;
+		mirrors_open(copies, i);
+	copies->site->summary = summary_add;
+	copies->site->heard = on_received;
 	copies->site->story = copies;
 	copies_run(copies, 6000);
-	g_assert_cmpuint(copies_late(copies), ==, 0);
+	g_assert_cmpuint(copies_outdated(copies), ==, 0);
 	for (uint32_t i = connected; i < CENTRES; i++)
 		copies->site->still[i] = true;
 	copies->centres = connected;
--- a/tests/forward/copies_world.h
+++ b/tests/forward/copies_world.h
@@ -5,8 +5,8 @@
  * DESCRIPTION
  *	Gossip is real, the store is not: it answers or refuses each instance,
  *	after a time. Other data centres of the world stand still, as after a
- *	cut. Versions of a configuration are published, and the time until all
- *	instances have them is measured.
+ *	cut. Versions of a configuration are published_at, and the time until
+ *all instances have them is measured.
  */
 #ifndef TESTS_FORWARD_COPIES_WORLD_H
 #define TESTS_FORWARD_COPIES_WORLD_H
@@ -41,7 +41,7 @@
 	struct site *site;
 	uint32_t centres; /* that are not cut off */
 	uint64_t next;	  /* of both streams; of the first also the version */
-	int64_t published;
+	int64_t published_at;
 	bool refused[MOST];
 	int64_t answer_usec; /* that the store takes */
 	uint32_t calls;
@@ -54,14 +54,14 @@
 struct copies *copies_open(uint32_t count, uint32_t connected);
 void copies_close(struct copies *copies);
 /* Whether the instance takes part, and has not stopped. */
-bool copies_has(const struct copies *copies, uint32_t instance);
+bool copies_is_active(const struct copies *copies, uint32_t instance);
 /* Time goes on, 50 ms a step. */
 void copies_run(struct copies *copies, int64_t msec);
 void copies_publish(struct copies *copies);
 /* How many of them do not have the newest version. */
-uint32_t copies_late(const struct copies *copies);
+uint32_t copies_outdated(const struct copies *copies);
 /* Publishes, waits until all have it, and returns how long that took, in msec;
  * at most so long. */
-int64_t copies_spread(struct copies *copies, int64_t most);
+int64_t copies_propagate(struct copies *copies, int64_t most);
 
 #endif
--- a/tests/forward/test_copies.c
+++ b/tests/forward/test_copies.c
@@ -4,8 +4,8 @@
 #include "copies_world.h"
 
 /* A change is to be followed within two seconds everywhere. */
-#define FOLLOWED_MSEC 2000
-#define MOST_MSEC 20000
+#define PROPAGATION_MSEC 2000
+#define TIMEOUT_MSEC 20000
 #define SEEDS 3
 
 /* The store refuses all but the last so many of the first data centre. */
@@ -15,16 +15,16 @@
 
 	for (uint32_t i = copies->site->count; i-- > 0;) {
 		copies->refused[i] = left == 0;
-		left -= left > 0 && copies_has(copies, i);
+		left -= left > 0 && copies_is_active(copies, i);
 	}
 }
 
-static void spread_check(struct copies *copies)
+static void propagation_check(struct copies *copies)
 {
-	int64_t took = copies_spread(copies, MOST_MSEC);
+	int64_t took = copies_propagate(copies, TIMEOUT_MSEC);
 
 	g_test_message("in force everywhere after %d ms", (int)took);
-	g_assert_cmpint(took, <=, FOLLOWED_MSEC);
+	g_assert_cmpint(took, <=, PROPAGATION_MSEC);
 }
 
 /* The instances that the store answers come last by name. */
@@ -35,7 +35,7 @@
 	refuse_all_but_last(copies, 6);
 	for (int i = 0; i < 8; i++) {
 		copies_run(copies, 1500 + 170 * i);
-		spread_check(copies);
+		propagation_check(copies);
 	}
 	copies_close(copies);
 }
@@ -47,7 +47,8 @@
 
 	for (uint32_t i = 0; i < copies->site->count; i++) {
 		copies->refused[i] = g_rand_double(rand) < 0.8;
-		none = none && (copies->refused[i] || !copies_has(copies, i));
+		none = none &&
+		       (copies->refused[i] || !copies_is_active(copies, i));
 	}
 	if (none)
 		copies->refused[0] = false;
@@ -66,7 +67,7 @@
 			for (int k = g_rand_int_range(rand, 1, 4); k > 0; k--) {
 				copies_run(copies,
 					   g_rand_int_range(rand, 0, 1500));
-				spread_check(copies);
+				propagation_check(copies);
 			}
 		}
 		g_rand_free(rand);
@@ -89,7 +90,7 @@
 		refused_set(copies, true);
 		copies_run(copies, msec);
 		refused_set(copies, false);
-		spread_check(copies);
+		propagation_check(copies);
 		copies_run(copies, 3000);
 	}
 	copies_close(copies);
--- a/tests/forward/test_feed.c
+++ b/tests/forward/test_feed.c
@@ -15,7 +15,7 @@
 	void *abandoned_ctx;
 };
 
-static void call_note(struct world *world, feed_page_fn fn, void *fn_ctx)
+static void call_record(struct world *world, feed_page_fn fn, void *fn_ctx)
 {
 	if (world->fn) {
 		world->abandoned = world->fn;
@@ -31,7 +31,7 @@
 	struct world *world = ctx;
 
 	g_string_append_printf(world->out, "snapshot(%s) ", after ? after : "");
-	call_note(world, fn, fn_ctx);
+	call_record(world, fn, fn_ctx);
 }
 
 static void on_read_call(void *ctx, const char *stream, uint64_t from,
@@ -40,7 +40,7 @@
 	struct world *world = ctx;
 
 	g_string_append_printf(world->out, "read(%d) ", (int)from);
-	call_note(world, fn, fn_ctx);
+	call_record(world, fn, fn_ctx);
 }
 
 static void on_begin(void *ctx)
@@ -59,7 +59,7 @@
 			       record->value ? "" : "-");
 }
 
-static void on_regained(void *ctx)
+static void on_recovered(void *ctx)
 {
 	g_string_append(((struct world *)ctx)->out, "regained ");
 }
@@ -67,7 +67,7 @@
 static void world_open(struct world *world)
 {
 	static const struct feed_ops ops = {on_begin, on_end, on_record,
-					    on_regained};
+					    on_recovered};
 	const struct feed_store store = {on_snapshot_call, on_read_call, world};
 	const struct feed_settings settings = {
 		.stream = "s",
@@ -144,15 +144,15 @@
 	feed_poll(world.feed);
 	wait_msec(&world, 1003);
 	page_answer(&world, "", 5, NULL);
-	g_assert_cmpint(feed_fresh(world.feed), ==, USEC_PER_SEC);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, USEC_PER_SEC);
 	feed_poll(world.feed);
 	wait_msec(&world, 400);
 	page_answer(&world, "", 5, NULL);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 1003 * USEC_PER_MSEC);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 1003 * USEC_PER_MSEC);
 	feed_poll(world.feed);
 	wait_msec(&world, 1200);
 	page_answer(&world, "k", 6, NULL);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 1403 * USEC_PER_MSEC);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 1403 * USEC_PER_MSEC);
 	world_close(&world,
 		    "snapshot() begin k end read(5) read(5) read(5) k ");
 }
@@ -186,9 +186,9 @@
 	wait_msec(&world, 50);
 	feed_poll(world.feed);
 	answer(&world, RESULT_OK, &part);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 0);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 0);
 	page_answer(&world, "b", 9, NULL);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 50 * USEC_PER_MSEC);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 50 * USEC_PER_MSEC);
 	world_close(&world, "snapshot() begin a end read(7) read(8) b ");
 }
 
@@ -232,7 +232,7 @@
 
 /* A waiting read whose answer was lost is not waited for, and its answer does
  * no harm when it comes. */
-static void test_hurry(void)
+static void test_restart(void)
 {
 	struct feed_record record = {.key = "late", .value = "v"};
 	const struct feed_page late = {
@@ -274,7 +274,7 @@
 	g_assert_true(feed_advance(world.feed, 20, 5));
 	answer(&world, RESULT_OK, &old);
 	feed_poll(world.feed);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 5);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 5);
 	world_close(&world, "snapshot() begin a end read(7) read(20) ");
 }
 
@@ -287,6 +287,6 @@
 	g_test_add_func("/forward/feed/advance", test_advance);
 	g_test_add_func("/forward/feed/gap", test_gap);
 	g_test_add_func("/forward/feed/outage", test_outage);
-	g_test_add_func("/forward/feed/hurry", test_hurry);
+	g_test_add_func("/forward/feed/hurry", test_restart);
 	return g_test_run();
 }
--- a/tests/forward/test_list_start.c
+++ b/tests/forward/test_list_start.c
@@ -15,7 +15,7 @@
 #define TICKS 10
 #define STEPS_MAX 12000
 /* Peers are heard of once some have read the list. */
-#define HEARD_USEC (1 * USEC_PER_SEC)
+#define DISCOVERY_USEC (1 * USEC_PER_SEC)
 
 struct site;
 
@@ -70,7 +70,7 @@
 {
 }
 
-static void on_listed(void *ctx)
+static void on_snapshot_end(void *ctx)
 {
 	struct reader *reader = ctx;
 
@@ -94,17 +94,17 @@
 	const struct site *site = reader->site;
 	const struct reader_state state = {
 		.failing = feed_failing(reader->feed),
-		.failed = feed_failed_at(reader->feed),
+		.failed_at = feed_failed_at(reader->feed),
 		.backoff = feed_backoff(reader->feed),
 		.seed = (uint64_t)(reader - site->readers),
 	};
-	uint32_t peers = now >= HEARD_USEC ? site->count - 1 : 0;
+	uint32_t peers = now >= DISCOVERY_USEC ? site->count - 1 : 0;
 
 	if (reader_list_is_due(&state, peers, now))
 		feed_poll(reader->feed);
 }
 
-static void turn(struct site *site, int64_t step)
+static void site_step(struct site *site, int64_t step)
 {
 	clock_advance(site->clock, step * STEP_USEC);
 	for (uint32_t i = 0; i < site->count; i++) {
@@ -126,7 +126,7 @@
 static void site_open(struct site *site, uint32_t count)
 {
 	static const struct feed_ops ops = {.record = on_record,
-					    .snapshot_end = on_listed};
+					    .snapshot_end = on_snapshot_end};
 	static const struct feed_settings settings = {.stream = "instances",
 						      .on_demand = true};
 
@@ -157,7 +157,7 @@
 }
 
 /* The store is not kept busy by those that it could not answer. */
-static void test_ends(gconstpointer data)
+static void test_all_listed(gconstpointer data)
 {
 	uint32_t count = GPOINTER_TO_UINT(data);
 	struct site site;
@@ -165,7 +165,7 @@
 
 	site_open(&site, count);
 	while (listed_count(&site) < count && step < STEPS_MAX)
-		turn(&site, ++step);
+		site_step(&site, ++step);
 	g_test_message("%u instances: all have it after %d ms, %u calls", count,
 		       (int)(step * STEP_USEC / USEC_PER_MSEC), site.calls);
 	g_assert_cmpuint(listed_count(&site), ==, count);
@@ -178,10 +178,10 @@
 	g_test_init(&argc, &argv, NULL);
 	log_setup(NULL, "test", LOG_CRIT);
 	g_test_add_data_func("/forward/list-start/ends-7", GUINT_TO_POINTER(7),
-			     test_ends);
+			     test_all_listed);
 	g_test_add_data_func("/forward/list-start/ends-985",
-			     GUINT_TO_POINTER(985), test_ends);
+			     GUINT_TO_POINTER(985), test_all_listed);
 	g_test_add_data_func("/forward/list-start/ends-1970",
-			     GUINT_TO_POINTER(1970), test_ends);
+			     GUINT_TO_POINTER(1970), test_all_listed);
 	return g_test_run();
 }
--- a/tests/forward/test_mirror.c
+++ b/tests/forward/test_mirror.c
@@ -140,7 +140,7 @@
 	fn(copy->fn_ctx, RESULT_LOG_DOWN, NULL);
 }
 
-static bool hear(struct copy *to, const struct copy *from)
+static bool status_receive(struct copy *to, const struct copy *from)
 {
 	struct mirror_status summary;
 
@@ -175,13 +175,13 @@
 	return clock;
 }
 
-static guint valued; /* values that were handed over */
+static guint value_count; /* values that were handed over */
 
-static enum mirror_effect on_counted(void *ctx, uint64_t offset,
-				     const char *key, const void *data,
-				     size_t size)
+static enum mirror_effect on_value_counted(void *ctx, uint64_t offset,
+					   const char *key, const void *data,
+					   size_t size)
 {
-	valued++;
+	value_count++;
 	return on_value(ctx, offset, key, data, size);
 }
 
@@ -197,7 +197,7 @@
 /* Values that repeat the one before are not handed over, but count as read. */
 static void test_repeats(void)
 {
-	static const struct mirror_ops ops = {on_begin, NULL, on_counted,
+	static const struct mirror_ops ops = {on_begin, NULL, on_value_counted,
 					      on_repeats};
 	struct clock *clock = clock_create(0);
 	struct copy copy;
@@ -207,7 +207,7 @@
 	copy.mirror = mirror_create(
 		clock, &(struct feed_store){on_snapshot, on_read, &copy},
 		&(struct feed_settings){.stream = "s"}, &ops, &copy);
-	valued = 0;
+	value_count = 0;
 	wait_msec(clock, 1500);
 	tick(&copy, 0);
 	store_answer(&copy, "a", "1x", 10);
@@ -216,12 +216,12 @@
 		tick(&copy, 0);
 		store_answer(&copy, "a", i % 2 ? "1x" : "2x", 11 + i);
 	}
-	g_assert_cmpuint(valued, ==, 1);
+	g_assert_cmpuint(value_count, ==, 1);
 	g_assert_cmpuint(mirror_position(copy.mirror), ==, 15);
 	wait_msec(clock, 1000);
 	tick(&copy, 0);
 	store_answer(&copy, "a", "2y", 16);
-	g_assert_cmpuint(valued, ==, 2);
+	g_assert_cmpuint(value_count, ==, 2);
 	copy_close(&copy);
 	clock_destroy(clock);
 }
@@ -289,7 +289,7 @@
 
 /* An instance without a copy does not read the store while peers tell of one,
  * but not for ever. */
-static void test_offered(void)
+static void test_fetch_pending(void)
 {
 	struct clock *clock;
 	struct copy first;
@@ -298,7 +298,7 @@
 
 	clock = pair_read(&first, &second, "1", 10);
 	while (second.calls == 0 && waited < 20000) {
-		if (hear(&second, &first))
+		if (status_receive(&second, &first))
 			mirror_fetch_pending(second.mirror);
 		tick(&second, 1);
 		wait_msec(clock, 100);
@@ -323,7 +323,7 @@
 	tick(&second, 1);
 	g_assert_cmpuint(second.calls, ==, 0);
 	store_answer(&first, "k", "v1", 5);
-	g_assert_true(hear(&second, &first));
+	g_assert_true(status_receive(&second, &first));
 	fetch(&second, &first);
 	g_assert_cmpstr(g_hash_table_lookup(second.values, "k"), ==, "v1");
 	for (int i = 0; i < 50; i++) {
@@ -332,7 +332,7 @@
 		/* The same value again: nothing to be fetched. */
 		if (first.fn)
 			store_answer(&first, "k", "v1", 6 + (uint64_t)i);
-		g_assert_false(hear(&second, &first));
+		g_assert_false(status_receive(&second, &first));
 		tick(&second, 1);
 	}
 	g_assert_cmpuint(second.calls, ==, 0);
@@ -343,7 +343,7 @@
 /* Words that are told back and forth, a msec on the way each, make nothing look
  * younger than it is: the age that two copies tell each other grows as fast as
  * time, and one of them reads the store when it has to. */
-static void test_echo(void)
+static void test_exchanged_ages(void)
 {
 	struct clock *clock = clock_create(0);
 	struct mirror_status summary;
@@ -412,7 +412,7 @@
 /* Fifty instances with copies that are too old, which a store that is busy
  * answers with a failure: they ask in turns, not all together, and once it
  * answers the first of them has it within a turn. */
-static void test_turns(void)
+static void test_slots(void)
 {
 	struct clock *clock = clock_create(0);
 	struct copy copies[50];
@@ -451,7 +451,7 @@
 
 /* One that has nothing yet is not put off by the turns of all: it asks again
  * within two seconds. */
-static void test_turns_without_copy(void)
+static void test_slots_without_copy(void)
 {
 	struct clock *clock = clock_create(0);
 	const struct reader_place place = {.rank = 40, .store_unreachable = 50};
@@ -501,9 +501,9 @@
 	pair_open(&first, &second, clock);
 	mirror_start(first.mirror, 0);
 	store_answer(&first, NULL, NULL, 0);
-	g_assert_true(hear(&second, &first));
+	g_assert_true(status_receive(&second, &first));
 	fetch(&second, &first);
-	g_assert_false(hear(&second, &first));
+	g_assert_false(status_receive(&second, &first));
 	wait_msec(clock, 600);
 	tick(&second, 1);
 	g_assert_cmpuint(second.calls, ==, 0);
@@ -512,7 +512,7 @@
 
 /* After a start of all the first few by name read at once, the others when they
  * have heard of none for a while. */
-static void test_starters(void)
+static void test_startup_readers(void)
 {
 	struct clock *clock = clock_create(0);
 	struct copy first;
@@ -527,7 +527,7 @@
 	store_answer(&first, "k", "v1", 5);
 	mirror_start(first.mirror, 0);
 	g_assert_cmpuint(first.calls, ==, 1);
-	g_assert_true(hear(&late, &first));
+	g_assert_true(status_receive(&late, &first));
 	/* A copy that cannot be fetched is not waited for without end. */
 	wait_msec(clock, 2300);
 	tick(&late, 5);
@@ -621,7 +621,7 @@
 	wait_msec(clock, 200);
 	tick(&first, 0);
 	store_answer(&first, "k", "v1", 5);
-	hear(&second, &first);
+	status_receive(&second, &first);
 	fetch(&second, &first);
 	for (int i = 0; i < 17 && second.calls == 0; i++) {
 		wait_msec(clock, 100);
@@ -630,7 +630,7 @@
 	g_assert_cmpuint(second.calls, ==, 1);
 	store_answer(&second, "k", "v2", 9);
 	/* What the first knows is older now, and is not taken. */
-	g_assert_false(hear(&second, &first));
+	g_assert_false(status_receive(&second, &first));
 	fetch(&second, &first);
 	g_assert_cmpstr(g_hash_table_lookup(second.values, "k"), ==, "v2");
 	pair_close(&first, &second, clock);
@@ -755,20 +755,20 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/forward/share/offered", test_offered);
+	g_test_add_func("/forward/share/offered", test_fetch_pending);
 	g_test_add_func("/forward/share/repeats", test_repeats);
 	g_test_add_func("/forward/share/few-changes", test_few_changes);
 	g_test_add_func("/forward/share/many-changes", test_many_changes);
-	g_test_add_func("/forward/share/echo", test_echo);
-	g_test_add_func("/forward/share/turns", test_turns);
+	g_test_add_func("/forward/share/echo", test_exchanged_ages);
+	g_test_add_func("/forward/share/turns", test_slots);
 	g_test_add_func("/forward/share/turns-without-copy",
-			test_turns_without_copy);
+			test_slots_without_copy);
 	g_test_add_func("/forward/share/unlisted", test_unlisted);
 	g_test_add_func("/forward/share/empty", test_empty);
 	g_test_add_func("/forward/share/refused", test_refused);
 	g_test_add_func("/forward/share/refused-snapshot",
 			test_refused_snapshot);
-	g_test_add_func("/forward/share/starters", test_starters);
+	g_test_add_func("/forward/share/starters", test_startup_readers);
 	g_test_add_func("/forward/share/start-of-all", test_start_of_all);
 	g_test_add_func("/forward/share/pass-on", test_pass_on);
 	g_test_add_func("/forward/share/since", test_since);
--- a/tests/forward/test_parts.c
+++ b/tests/forward/test_parts.c
@@ -419,8 +419,9 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-		g_assert_cmpint(roles_change(rows[i].prefill, rows[i].total,
-					     rows[i].rate, 33000.0),
+		g_assert_cmpint(roles_prefill_surplus(rows[i].prefill,
+						      rows[i].total,
+						      rows[i].rate, 33000.0),
 				==, rows[i].change);
 }
 
--- a/tests/forward/test_rates.c
+++ b/tests/forward/test_rates.c
@@ -27,7 +27,7 @@
 	const struct rate_case *row = data;
 	struct engine_rates rates;
 
-	median_init(&rates.read, PREFILL_RATE_START);
+	median_init(&rates.prefill, PREFILL_RATE_START);
 	for (uint32_t i = 1; i <= 60; i++) {
 		bool other = row->other_in && i % row->other_in == 0;
 		double rate = other ? row->other : row->rate;
@@ -37,9 +37,9 @@
 					 (int64_t)((TOKENS + ahead) / rate *
 						   (double)USEC_PER_SEC));
 	}
-	g_test_message("%s: %.0f", row->name, rates.read.value);
-	g_assert_cmpfloat(rates.read.value, >, row->rate * 0.85);
-	g_assert_cmpfloat(rates.read.value, <, row->rate * 1.15);
+	g_test_message("%s: %.0f", row->name, rates.prefill.value);
+	g_assert_cmpfloat(rates.prefill.value, >, row->rate * 0.85);
+	g_assert_cmpfloat(rates.prefill.value, <, row->rate * 1.15);
 }
 
 /* Short prompts tell little of reading. */
@@ -47,10 +47,10 @@
 {
 	struct engine_rates rates;
 
-	median_init(&rates.read, PREFILL_RATE_START);
+	median_init(&rates.prefill, PREFILL_RATE_START);
 	engine_rates_add_prefill(&rates, 100, 0, USEC_PER_SEC);
 	engine_rates_add_prefill(&rates, TOKENS, 0, 0);
-	g_assert_cmpuint(rates.read.samples, ==, 0);
+	g_assert_cmpuint(rates.prefill.samples, ==, 0);
 }
 
 int main(int argc, char **argv)
--- a/tests/forward/test_reader.c
+++ b/tests/forward/test_reader.c
@@ -14,10 +14,10 @@
 	const char *name;
 	struct reader_place place;
 	int age;
-	int failed; /* NEVER: reads do not fail */
-	int lag;
+	int failed_ago; /* NEVER: reads do not fail */
+	int latency;
 	bool has_copy;
-	bool waits;
+	bool long_poll;
 	bool due;
 };
 
@@ -213,12 +213,12 @@
 	const struct row *row = data;
 	const struct reader_state state = {
 		.has_copy = row->has_copy,
-		.fresh = NOW - MSEC(row->age),
-		.listed = true,
-		.waits = row->waits,
-		.lag = MSEC(row->lag),
-		.failing = row->failed != NEVER,
-		.failed = NOW - MSEC(row->failed),
+		.synced_at = NOW - MSEC(row->age),
+		.peers_listed = true,
+		.long_poll = row->long_poll,
+		.latency = MSEC(row->latency),
+		.failing = row->failed_ago != NEVER,
+		.failed_at = NOW - MSEC(row->failed_ago),
 		.backoff = MSEC(100),
 		.seed = 7,
 	};
@@ -230,13 +230,14 @@
 static void test_unlisted(void)
 {
 	const struct reader_place place = {.peers = 3, .instances = 1000};
-	struct reader_state state = {
-		.has_copy = true, .fresh = NOW - MSEC(1140), .waits = true};
+	struct reader_state state = {.has_copy = true,
+				     .synced_at = NOW - MSEC(1140),
+				     .long_poll = true};
 
 	g_assert_false(reader_is_due(&state, &place, NOW));
-	state.fresh = NOW - MSEC(5190);
+	state.synced_at = NOW - MSEC(5190);
 	g_assert_false(reader_is_due(&state, &place, NOW));
-	state.fresh = NOW - MSEC(7200);
+	state.synced_at = NOW - MSEC(7200);
 	g_assert_true(reader_is_due(&state, &place, NOW));
 }
 
@@ -244,9 +245,9 @@
 static void test_list_fails(void)
 {
 	struct reader_state state = {
-		.fresh = NOW - MSEC(9000),
+		.synced_at = NOW - MSEC(9000),
 		.failing = true,
-		.failed = NOW - MSEC(2900),
+		.failed_at = NOW - MSEC(2900),
 		.backoff = MSEC(800),
 	};
 
--- a/tests/forward/test_reading.c
+++ b/tests/forward/test_reading.c
@@ -4,7 +4,7 @@
  * that are left, and when decode servers read for themselves once these are
  * behind. The servers are those of fleet.h and place.h, with exact views.
  *
- * With all waiting 0.066 of those that came meanwhile were in time, with
+ * With all waiting 0.066 of those that arrived meanwhile were in time, with
  * decode servers reading 1.00; in calm times nobody reads for itself.
  */
 #include <glib.h>
@@ -14,22 +14,22 @@
 
 #define PREFILLS 8u
 #define DECODES 36u
-#define LOST 6u
-#define LOST_FROM 5000
-#define LOST_TO 10000
+#define LOST_SERVERS 6u
+#define OUTAGE_FROM 5000
+#define OUTAGE_TO 10000
 #define END_MSEC 15000
 #define PROMPT 5000u
 #define CALLERS_PER_SEC 60.0
 #define TOKENS_PER_MSEC 55.0
 /* Of the target of 900 ms, less what a run takes to its first event. */
-#define IN_TIME_MSEC 650
+#define PREFILL_TARGET_MSEC 650
 /* What is read in 0.45 of the target. */
-#define MOST_AHEAD 22275u
+#define AHEAD_TOKENS_MAX 22275u
 #define SERVICE 1
 #define SERVERS (PREFILLS + DECODES)
 
 struct job {
-	int came;
+	int arrived;
 	double left; /* tokens to be read */
 };
 
@@ -39,20 +39,21 @@
 	double rate; /* tokens a msec */
 };
 
-struct play {
+struct sim {
 	struct clock *clock;
 	struct fleet *fleet;
 	GRand *rand;
 	int now;
 	struct server servers[SERVERS];
-	bool waits; /* for prefill servers, whatever waits there */
-	uint32_t own_calm;
-	uint32_t asked;	   /* while servers are lost */
-	uint32_t in_time;  /* of these */
-	uint32_t own_read; /* by decode servers */
+	bool always_waits; /* for prefill servers, whatever always_waits there
+			    */
+	uint32_t own_prefills_normal;
+	uint32_t requested;    /* while servers are lost */
+	uint32_t in_time;      /* of these */
+	uint32_t own_prefills; /* by decode servers */
 };
 
-static void server_add(struct play *play, uint32_t i)
+static void server_add(struct sim *sim, uint32_t i)
 {
 	struct backend_info info = {
 		.service = SERVICE,
@@ -64,60 +65,60 @@
 	g_snprintf(info.id, sizeof(info.id), "s%u", i);
 	g_snprintf(info.address, sizeof(info.address), "10.0.0.%u:1", i);
 	g_strlcpy(info.data_centre, "here", sizeof(info.data_centre));
-	play->servers[i] = (struct server){
-		.backend = fleet_put(play->fleet, &info),
+	sim->servers[i] = (struct server){
+		.backend = fleet_put(sim->fleet, &info),
 		.rate = rate,
 	};
-	g_queue_init(&play->servers[i].jobs);
+	g_queue_init(&sim->servers[i].jobs);
 }
 
-static struct server *server_of(struct play *play,
-				const struct backend *backend)
+static struct server *server_of(struct sim *sim, const struct backend *backend)
 {
 	for (uint32_t i = 0; i < SERVERS; i++)
-		if (play->servers[i].backend == backend)
-			return &play->servers[i];
+		if (sim->servers[i].backend == backend)
+			return &sim->servers[i];
 	return NULL;
 }
 
-static bool is_lost(const struct play *play)
+static bool in_outage(const struct sim *sim)
 {
-	return play->now >= LOST_FROM && play->now < LOST_TO;
+	return sim->now >= OUTAGE_FROM && sim->now < OUTAGE_TO;
 }
 
-static void caller_come(struct play *play)
+static void caller_arrive(struct sim *sim)
 {
 	struct place place = {
-		.fleet = play->fleet,
-		.now = clock_now(play->clock),
+		.fleet = sim->fleet,
+		.now = clock_now(sim->clock),
 		.service = SERVICE,
-		.rand = play->rand,
+		.rand = sim->rand,
 	};
-	uint32_t at = PREFILLS + (uint32_t)g_rand_int_range(play->rand, 0,
-							    (gint32)DECODES);
-	struct backend *to = play->servers[at].backend;
-	struct backend *reader = place_prompt(&place, to, PROMPT, MOST_AHEAD);
+	uint32_t at = PREFILLS +
+		      (uint32_t)g_rand_int_range(sim->rand, 0, (gint32)DECODES);
+	struct backend *to = sim->servers[at].backend;
+	struct backend *prefiller =
+		place_prompt(&place, to, PROMPT, AHEAD_TOKENS_MAX);
 	struct job *job = g_new(struct job, 1);
 
-	if (!reader && play->waits)
-		reader = place_prefill(&place, to);
-	play->asked += is_lost(play);
-	play->own_read += !reader && is_lost(play);
-	play->own_calm += !reader && !is_lost(play);
-	if (!reader)
-		reader = to;
-	*job = (struct job){play->now, PROMPT};
-	reader->own.prefill_tokens += PROMPT;
-	g_queue_push_tail(&server_of(play, reader)->jobs, job);
+	if (!prefiller && sim->always_waits)
+		prefiller = place_prefill(&place, to);
+	sim->requested += in_outage(sim);
+	sim->own_prefills += !prefiller && in_outage(sim);
+	sim->own_prefills_normal += !prefiller && !in_outage(sim);
+	if (!prefiller)
+		prefiller = to;
+	*job = (struct job){sim->now, PROMPT};
+	prefiller->own.prefill_tokens += PROMPT;
+	g_queue_push_tail(&server_of(sim, prefiller)->jobs, job);
 }
 
-static void job_end(struct play *play, const struct job *job)
+static void job_end(struct sim *sim, const struct job *job)
 {
-	if (job->came >= LOST_FROM && job->came < LOST_TO)
-		play->in_time += play->now - job->came <= IN_TIME_MSEC;
+	if (job->arrived >= OUTAGE_FROM && job->arrived < OUTAGE_TO)
+		sim->in_time += sim->now - job->arrived <= PREFILL_TARGET_MSEC;
 }
 
-static void server_step(struct play *play, struct server *server)
+static void server_step(struct sim *sim, struct server *server)
 {
 	double tokens = server->rate;
 	struct job *job;
@@ -129,74 +130,76 @@
 		tokens -= read;
 		if (job->left > 0.0)
 			return;
-		job_end(play, job);
+		job_end(sim, job);
 		server->backend->own.prefill_tokens -= PROMPT;
 		g_free(g_queue_pop_head(&server->jobs));
 	}
 }
 
 /* Those lost are known as such; what they had is not counted. */
-static void servers_lose(struct play *play, bool lost)
+static void servers_set_lost(struct sim *sim, bool lost)
 {
-	for (uint32_t i = 0; i < LOST; i++)
-		play->servers[i].backend->info.leaving = lost;
+	for (uint32_t i = 0; i < LOST_SERVERS; i++)
+		sim->servers[i].backend->info.leaving = lost;
 }
 
-static void play_run(struct play *play)
+static void sim_run(struct sim *sim)
 {
-	for (; play->now < END_MSEC; play->now++) {
-		if (play->now == LOST_FROM || play->now == LOST_TO)
-			servers_lose(play, play->now == LOST_FROM);
-		if (g_rand_double(play->rand) < CALLERS_PER_SEC / 1000.0)
-			caller_come(play);
+	for (; sim->now < END_MSEC; sim->now++) {
+		if (sim->now == OUTAGE_FROM || sim->now == OUTAGE_TO)
+			servers_set_lost(sim, sim->now == OUTAGE_FROM);
+		if (g_rand_double(sim->rand) < CALLERS_PER_SEC / 1000.0)
+			caller_arrive(sim);
 		for (uint32_t i = 0; i < SERVERS; i++)
-			server_step(play, &play->servers[i]);
+			server_step(sim, &sim->servers[i]);
 	}
 }
 
-static void play_open(struct play *play, uint32_t seed, bool waits)
+static void sim_open(struct sim *sim, uint32_t seed, bool always_waits)
 {
-	*play = (struct play){
+	*sim = (struct sim){
 		.clock = clock_create(0),
 		.rand = g_rand_new_with_seed(seed),
-		.waits = waits,
+		.always_waits = always_waits,
 	};
-	play->fleet = fleet_create(play->clock, "here");
+	sim->fleet = fleet_create(sim->clock, "here");
 	for (uint32_t i = 0; i < SERVERS; i++)
-		server_add(play, i);
+		server_add(sim, i);
 }
 
-static void play_close(struct play *play)
+static void sim_close(struct sim *sim)
 {
 	for (uint32_t i = 0; i < SERVERS; i++)
-		g_queue_clear_full(&play->servers[i].jobs, g_free);
-	fleet_destroy(play->fleet);
-	clock_destroy(play->clock);
-	g_rand_free(play->rand);
+		g_queue_clear_full(&sim->servers[i].jobs, g_free);
+	fleet_destroy(sim->fleet);
+	clock_destroy(sim->clock);
+	g_rand_free(sim->rand);
 }
 
 static void test_lost(void)
 {
 	double in_time[2] = {0};
-	uint32_t own_calm = 0;
+	uint32_t own_prefills_normal = 0;
 
 	for (uint32_t seed = 1; seed <= 10; seed++)
-		for (int waits = 0; waits < 2; waits++) {
-			struct play play;
-
-			play_open(&play, seed, waits);
-			play_run(&play);
-			in_time[waits] += (double)play.in_time / play.asked;
-			own_calm += waits ? 0 : play.own_calm;
-			play_close(&play);
+		for (int always_waits = 0; always_waits < 2; always_waits++) {
+			struct sim sim;
+
+			sim_open(&sim, seed, always_waits);
+			sim_run(&sim);
+			in_time[always_waits] +=
+				(double)sim.in_time / sim.requested;
+			own_prefills_normal +=
+				always_waits ? 0 : sim.own_prefills_normal;
+			sim_close(&sim);
 		}
 	g_test_message("in time: %.3f waiting for prefill servers, %.3f read "
 		       "by decode servers when behind; %u so in calm times",
-		       in_time[1] / 10, in_time[0] / 10, own_calm);
+		       in_time[1] / 10, in_time[0] / 10, own_prefills_normal);
 	/* Whoever can be served in time is. */
 	g_assert_cmpfloat(in_time[0] / 10, >=, 0.99);
 	g_assert_cmpfloat(in_time[1], <, in_time[0]);
-	g_assert_cmpuint(own_calm, <=, 10);
+	g_assert_cmpuint(own_prefills_normal, <=, 10);
 }
 
 int main(int argc, char **argv)
--- a/tests/forward/test_roles.c
+++ b/tests/forward/test_roles.c
@@ -30,7 +30,7 @@
 	struct decider deciders[DECIDERS];
 	double demand;
 	double prefill_rate;
-	bool slow_list;	 /* does not show changes */
+	bool list_stale; /* does not show changes */
 	GString *orders; /* "0:p1>decode " each */
 	GArray *times;
 };
@@ -68,7 +68,7 @@
 	void *ctx;
 };
 
-static void answer_give(void *data)
+static void answer_send(void *data)
 {
 	struct answer *answer = data;
 
@@ -101,8 +101,8 @@
 		site->orders, "%s:%s>%s ", order->holder, order->to->id,
 		order->stage == STAGE_DECODE ? "decode" : "prefill");
 	g_array_append_val(site->times, now);
-	later_call(site->later, 5000, answer_give, answer, g_free);
-	if (!site->slow_list)
+	later_call(site->later, 5000, answer_send, answer, g_free);
+	if (!site->list_stale)
 		runner_put(site, order->to->id, order->stage);
 }
 
@@ -215,7 +215,7 @@
 }
 
 /* A stage that one loss may leave without runners is helped at once. */
-static void test_short(void)
+static void test_no_spare(void)
 {
 	struct site site;
 
@@ -269,7 +269,7 @@
 }
 
 /* All servers that change are told of until the list shows them changed. */
-static void test_moving(void)
+static void test_pending_changes(void)
 {
 	struct backend_change moves[4];
 	struct site site;
@@ -278,7 +278,7 @@
 	site.demand = 130000;
 	runners_put(&site, "p1 p2 p3 p4 p5 d1 d2 d3 d4 d5 d6 d7 d8 d9");
 	wait_usec(&site, 40 * SECOND);
-	site.slow_list = true;
+	site.list_stale = true;
 	for (int i = 0; i < DECIDERS; i++)
 		for (int k = 0; k < 3; k++) {
 			const char *const lost[] = {"p1", "p2", "p3"};
@@ -286,7 +286,8 @@
 			fleet_remove(site.deciders[i].fleet, lost[k]);
 		}
 	wait_usec(&site, 5 * SECOND);
-	g_assert_cmpuint(roles_moving(site.deciders[0].roles, moves, 4), ==, 2);
+	g_assert_cmpuint(
+		roles_pending_changes(site.deciders[0].roles, moves, 4), ==, 2);
 	for (int k = 0; k < 2; k++) {
 		const struct backend *backend =
 			fleet_find(site.deciders[0].fleet, moves[k].key);
@@ -302,7 +303,8 @@
 	runners_put(&site, "p4 p5");
 	runner_put(&site, "d9", STAGE_PREFILL);
 	runner_put(&site, "d8", STAGE_PREFILL);
-	g_assert_cmpuint(roles_moving(site.deciders[0].roles, moves, 4), ==, 0);
+	g_assert_cmpuint(
+		roles_pending_changes(site.deciders[0].roles, moves, 4), ==, 0);
 	g_assert_true(
 		backend_usable(fleet_find_id(site.deciders[1].fleet, "d9"),
 			       clock_now(site.clock)));
@@ -349,8 +351,8 @@
 	g_test_add_func("/forward/roles/start", test_start);
 	g_test_add_func("/forward/roles/demand", test_demand);
 	g_test_add_func("/forward/roles/fast-engines", test_fast_engines);
-	g_test_add_func("/forward/roles/moving", test_moving);
-	g_test_add_func("/forward/roles/short", test_short);
+	g_test_add_func("/forward/roles/moving", test_pending_changes);
+	g_test_add_func("/forward/roles/short", test_no_spare);
 	g_test_add_func("/forward/roles/overload", test_overload);
 	g_test_add_func("/forward/roles/successor", test_successor);
 	g_test_add_func("/forward/roles/log-down", test_log_down);
