--- a/forward/feed.c
+++ b/forward/feed.c
@@ -4,15 +4,16 @@
 
 #include "common/log.h"
 
-/* First pause after a failure, doubled up to the second: an outage ends for an
- * instance within that time of its end, well inside the two seconds that a
- * change may take to be followed. */
+/* First and longest pause after a failed read; it doubles with each failure. An
+ * instance follows the end of an outage within RETRY_MAX_USEC, well inside the
+ * two seconds within which a change must be in force. */
 #define RETRY_USEC (100 * USEC_PER_MSEC)
 #define RETRY_MAX_USEC (800 * USEC_PER_MSEC)
 
-/* Outlives the feed while an answer is due. */
+/* A call to the store. It outlives a destroyed feed until its answer arrives.
+ */
 struct feed_call {
-	struct feed *feed; /* NULL: the answer is to be dropped */
+	struct feed *feed; /* NULL: the answer is dropped */
 	bool snapshot;
 };
 
@@ -25,15 +26,14 @@
 	struct timer timer;
 	struct feed_call *call;
 	uint64_t next;
-	char *after; /* last key of the snapshot so far */
+	char *after; /* last key read of the snapshot */
 	bool has_snapshot;
 	bool snapshot_started;
 	uint32_t failures;
 	int64_t failed_at; /* when the last read failed */
 	int64_t latency;   /* feed_latency() */
 	int64_t synced_at;
-	int64_t sent_at; /* when the read, or a snapshot's first page, was sent
-			  */
+	int64_t sent_at; /* when the read or the snapshot began */
 };
 
 static void feed_next(struct feed *feed);
@@ -110,8 +110,8 @@
 		feed->ops.record(feed->ctx, &page->records[i]);
 }
 
-/* Pages are not read at one moment, so what changed since the first of them is
- * read again from there. */
+/* The pages of a snapshot are read at different times, so changes since the
+ * first page are read afterwards, from its offset on. */
 static void snapshot_apply(struct feed *feed, const struct feed_page *page)
 {
 	if (!feed->snapshot_started) {
@@ -141,10 +141,11 @@
 	feed->after = NULL;
 }
 
-/* When the store surely saw the end. A read that waited in vain was answered
- * no sooner than its wait after it was sent: taken as of its sending, copies of
- * a waiting read look 0.7 s older than they are, and all who had them read the
- * store as well (6,934 calls on a quiet day of 48 s with 295 instances). */
+/* The time as of which the store reported the end of the stream. A long poll
+ * without records ends no sooner than its wait after it was sent, so it counts
+ * as of then. Counted as of its sending, copies looked 0.7 s older than they
+ * were, and every instance that had them read the store as well (6,934 calls in
+ * 48 s on a quiet site of 295 instances). */
 static int64_t end_seen_at(const struct feed *feed,
 			   const struct feed_page *page)
 {
@@ -184,8 +185,9 @@
 	if (!feed)
 		return;
 	feed->call = NULL;
-	/* A snapshot goes on with the page that failed: what changes meanwhile
-	 * is read again from where it began. */
+	/* A snapshot continues with the page that failed. Changes in the
+	 * meantime are read afterwards, from the offset of the first page on.
+	 */
 	if (code != RESULT_OK) {
 		feed_failed(feed);
 		return;
--- a/forward/mirror.c
+++ b/forward/mirror.c
@@ -6,46 +6,47 @@
 #include "common/pack.h"
 #include "common/unpack.h"
 
-/* A copy that a peer has told of is on its way for so long at the most; and at
- * a start it is waited for no longer than the second. */
+/* An instance without a copy waits this long for one that a peer has announced,
+ * and at most FETCH_WAIT_MAX_USEC after its start, before it reads the store
+ * itself. */
 #define FETCH_WAIT_USEC (3 * USEC_PER_SEC)
-#define FETCH_WAITS_USEC (8 * USEC_PER_SEC)
-/* How much older than it says what a peer tells of its copy is taken to be: the
- * way, and the queue of a busy instance. Words that are told back and forth
- * would stay as young as they are. */
+#define FETCH_WAIT_MAX_USEC (8 * USEC_PER_SEC)
+/* Added to the age that a peer announces, for the network and the queue of a
+ * busy instance. Without it, a status that two peers send back and forth would
+ * never grow older. */
 #define STATUS_DELAY_USEC (20 * USEC_PER_MSEC)
-/* Reads no further apart are those of one reader. */
+/* Reads that follow each other within this time belong to one period of
+ * reading, which is logged once. */
 #define READ_BREAK_USEC (1 * USEC_PER_SEC)
 #define COPY_FIELDS 6
 #define VALUE_FIELDS 3
-/* Changes that are remembered, for peers that are not far behind; to others the
- * whole copy is sent. */
+/* Number of changes kept for peers that are slightly behind. Others receive the
+ * whole copy. */
 #define CHANGES_MAX 4096u
 
 struct mirror {
 	struct clock *clock;
-	int64_t started_at;	  /* or the peers were listed */
-	int64_t fetch_offered_at; /* when a peer told of a copy last */
-	int64_t read_at; /* when this instance read the store last; 0: never */
+	int64_t started_at;	  /* the start, or when the peers were listed */
+	int64_t fetch_offered_at; /* when a peer last announced a newer copy */
+	int64_t read_at;	  /* last read of the store; 0: never */
 	bool peers_listed;
 	struct feed *feed;
 	struct feed_settings settings;
 	struct mirror_ops ops;
 	void *ctx;
-	GHashTable *values; /* key to struct value */
-	GHashTable
-		*previous; /* values before the snapshot being read, or NULL */
-	GArray *changes;   /* struct change, by offset */
-	uint64_t delta_floor; /* changes before it are not told apart */
+	GHashTable *values;   /* key to struct value */
+	GHashTable *previous; /* before a running snapshot, or NULL */
+	GArray *changes;      /* struct change, by offset */
+	uint64_t delta_floor; /* deltas are possible from this offset on */
 	uint64_t changed;
 };
 
 struct value {
 	GBytes *data;
-	uint64_t changed; /* offset of the record that changed it last */
+	uint64_t changed; /* offset of the last record that changed it */
 };
 
-/* A key that has changed; it may have changed again since, or be dropped. */
+/* A changed key. It may have changed again since, or have been dropped. */
 struct change {
 	char *key;
 	uint64_t offset;
@@ -82,7 +83,8 @@
 		g_array_remove_range(mirror->changes, 0, CHANGES_MAX / 2 + 1);
 		at = mirror->changes->len;
 	}
-	/* Those of a copy come in order, but for what was dropped. */
+	/* The changes of a delta arrive in order of offset, except for dropped
+	 * keys. */
 	while (at > 0 && change_at(mirror, at - 1)->offset > offset)
 		at--;
 	g_array_insert_val(mirror->changes, at, change);
@@ -98,7 +100,7 @@
 	g_hash_table_replace(mirror->values, g_strdup(key), value);
 }
 
-/* Keeps what a key had before the snapshot that is being read. */
+/* Restores the value that a key had before the snapshot in progress. */
 static bool value_restore(struct mirror *mirror, const char *key)
 {
 	gpointer name;
@@ -168,7 +170,8 @@
 {
 	struct mirror *mirror = ctx;
 
-	/* One that was broken off has not replaced anything. */
+	/* An interrupted snapshot has replaced nothing: its values are
+	 * discarded. */
 	if (mirror->previous)
 		g_hash_table_destroy(mirror->values);
 	else
@@ -179,7 +182,8 @@
 		mirror->ops.begin(mirror->ctx);
 }
 
-/* What is no longer in a snapshot has changed too, at an offset not known. */
+/* Keys missing from the snapshot have been dropped at unknown offsets, so no
+ * deltas are possible from before its end. */
 static void on_end(void *ctx)
 {
 	struct mirror *mirror = ctx;
@@ -251,14 +255,14 @@
 	mirror->fetch_offered_at = clock_now(mirror->clock);
 }
 
-/* Whether a first copy is about to come from a peer. */
+/* Whether a peer is expected to deliver a first copy soon. */
 static bool is_fetching(const struct mirror *mirror)
 {
 	int64_t now = clock_now(mirror->clock);
 
 	return !has_copy(mirror) && mirror->fetch_offered_at > 0 &&
 	       now - mirror->fetch_offered_at < FETCH_WAIT_USEC &&
-	       now - mirror->started_at < FETCH_WAITS_USEC;
+	       now - mirror->started_at < FETCH_WAIT_MAX_USEC;
 }
 
 static struct reader_state reader_state(const struct mirror *mirror)
@@ -277,7 +281,8 @@
 	};
 }
 
-/* Once, when this instance begins to read for others. */
+/* Logs the start of a period in which this instance reads the store for its
+ * peers. */
 static void read_log(struct mirror *mirror, const struct reader_state *state,
 		     const struct reader_place *place)
 {
@@ -341,13 +346,13 @@
 	return feed_position(mirror->feed);
 }
 
-/* Whether what changed since from can be told. */
+/* Whether the changes since offset from are still known. */
 static bool has_changes_since(const struct mirror *mirror, uint64_t from)
 {
 	return from > 0 && from >= mirror->delta_floor;
 }
 
-/* The first of the changes from base on. */
+/* Index of the first change at or after offset base. */
 static guint changes_from(const struct mirror *mirror, uint64_t base)
 {
 	guint first = mirror->changes->len;
@@ -357,8 +362,8 @@
 	return first;
 }
 
-/* The value of a key that has not changed again since; NULL when there is none.
- */
+/* The value set by the change; NULL when its key has changed again or been
+ * dropped. */
 static const struct value *change_value(const struct mirror *mirror,
 					const struct change *change)
 {
@@ -496,7 +501,7 @@
 	return true;
 }
 
-/* What a peer packed; the lists point into the unpacked bytes. */
+/* A decoded copy. The lists point into the unpacked bytes. */
 struct copy {
 	struct mirror_status status;
 	uint64_t base;
@@ -554,7 +559,7 @@
 	mirror->changed = copy->status.changed;
 }
 
-/* What changed since a base that we have not reached leaves a hole. */
+/* A delta whose base is beyond our position would leave a gap. */
 static bool copy_applies(const struct mirror *mirror, const struct copy *copy)
 {
 	return copy->base == 0 || copy->base <= feed_position(mirror->feed);
@@ -565,19 +570,19 @@
 {
 	struct copy copy = {0};
 	msgpack_unpacked unpacked;
-	bool good;
+	bool ok;
 
 	msgpack_unpacked_init(&unpacked);
-	good = message_unpack(&unpacked, data, size, err);
-	if (good && !copy_decode(&unpacked.data, &copy))
-		good = error_set(err, RESULT_BAD_MESSAGE,
-				 "no copy of the stream %s",
-				 mirror->settings.stream);
-	if (good && copy.values && copy_applies(mirror, &copy) &&
+	ok = message_unpack(&unpacked, data, size, err);
+	if (ok && !copy_decode(&unpacked.data, &copy))
+		ok = error_set(err, RESULT_BAD_MESSAGE,
+			       "malformed copy of stream %s",
+			       mirror->settings.stream);
+	if (ok && copy.values && copy_applies(mirror, &copy) &&
 	    feed_advance(mirror->feed, copy.status.next,
 			 clock_now(mirror->clock) - copy.status.age_usec -
 				 STATUS_DELAY_USEC))
 		copy_apply(mirror, &copy);
 	msgpack_unpacked_destroy(&unpacked);
-	return good;
+	return ok;
 }
--- a/forward/overload.c
+++ b/forward/overload.c
@@ -2,16 +2,17 @@
 
 #include "common/clock.h"
 
-/* The time from placing to the first event varies by about this much more. */
+/* The time from placing to the first event may exceed its mean by this factor.
+ */
 #define FIRST_EVENT_MARGIN 1.3
-/* A request that has waited for this part of its target and will hardly be
- * placed in time is refused then. Its caller loses little by having waited, and
- * the queue of one moment says less. */
+/* A request is checked once it has waited for this part of its target, and
+ * refused if it is unlikely to be placed in time. Its caller loses little time,
+ * and a queue that is long only for a moment counts less. */
 #define CHECK_PART 0.1
-/* How long a request keeps its memory, on average. */
+/* Mean time in seconds for which a request holds its memory. */
 #define MEAN_RUN_SEC 3.5
-/* Bounds of what the caller is told then: told sooner, it comes back into the
- * same burst. */
+/* Shortest retry time sent to a refused caller, and the span of its jitter. A
+ * caller that retries sooner returns in the same burst. */
 #define EARLY_RETRY_USEC (2500 * USEC_PER_MSEC)
 #define EARLY_RETRY_SPAN_USEC (2 * USEC_PER_SEC)
 
@@ -48,8 +49,8 @@
 	double age = (double)(now - caller->arrived);
 	double target = (double)caller->target_usec;
 
-	/* Nor is it early once the target has passed, as after the process
-	 * stood still: servers may be free. */
+	/* After the target an early refusal is pointless, for example when the
+	 * process was suspended: servers may be free. */
 	return age >= CHECK_PART * target && age < target;
 }
 
--- a/forward/permit.c
+++ b/forward/permit.c
@@ -2,22 +2,23 @@
  * permit.c - permission to send a request to a server with a limit
  *
  * DESCRIPTION
- *	A limit holds for all instances together, so one of them, the server's
- *	home, is asked before each run and each prefill. Reservations do not
- *	need a permit of their own, since each is followed by one run at most;
- *	nor do health checks, orders, and calls that give something back.
+ *	A limit holds for all instances together. So one of them, the server's
+ *	home, must grant a permit before each run and each prefill. Reservations
+ *	need no permit, since each is followed by one run at most. Nor do health
+ *	checks, orders, and calls that give something back.
  *
- *	While a request waits for an answer it is neither sent nor queued. After
- *	the answer the step that asked goes on, with the permit or by choosing
- *	another server.
+ *	While a request waits for a permit it is neither sent nor queued. After
+ *	the answer, the step that requested the permit continues: with the
+ *	permit, or by choosing another server.
  */
 #include "request.h"
 
 #include "common/log.h"
 
-/* Timeout for an answer, well above a round trip between data centres. */
+/* Timeout for the answer of a home, well above a round trip between data
+ * centres. */
 #define ANSWER_TIMEOUT_USEC (40 * USEC_PER_MSEC)
-/* How long a server is avoided after its home has not answered. */
+/* How long a server is avoided after its home did not answer. */
 #define AVOID_USEC (200 * USEC_PER_MSEC)
 
 static void limit_log(const struct forward *forward,
@@ -55,7 +56,8 @@
 		LOG_D("ms", (until - clock_now(parts->clock)) / USEC_PER_MSEC));
 }
 
-/* Lives that are not listed are gone, or not known yet. */
+/* An incarnation that is not listed is gone or not yet known, and is ignored.
+ */
 static void changes_apply(const struct forward *forward, uint64_t server,
 			  unsigned int changed, double before, const char *from)
 {
@@ -128,8 +130,8 @@
 	denied_log(request, backend, retry_usec, why);
 }
 
-/* The home may not know yet that the server is cold: it is told with the
- * request for a permit. */
+/* The home may not know yet that the server is cold, so the request for a
+ * permit says so. */
 static bool is_limited(const struct request *request,
 		       const struct backend *backend)
 {
@@ -170,8 +172,8 @@
 	request->permit_step = PERMIT_STEP_NONE;
 }
 
-/* The server that a permit was asked for; NULL when it is not usable any more.
- */
+/* The server for which a permit was requested; NULL when it is no longer
+ * usable. */
 static struct backend *permit_backend(const struct request *request)
 {
 	struct backend *backend =
--- a/forward/rates.c
+++ b/forward/rates.c
@@ -4,9 +4,11 @@
 
 #include "common/clock.h"
 
-/* Shorter prompts tell more of connections and queues than of reading. */
+/* The time of shorter prompts depends more on connections and queues than on
+ * the prefill rate. */
 #define TOKENS_MIN 500u
-/* Bounds of a weight, either way: callers' estimates are often far off. */
+/* Upper bound of a weight, and inverse of the lower bound, because the output
+ * lengths estimated by callers are often far off. */
 #define WEIGHT_MAX 2.0
 
 void median_init(struct median *median, double value)
--- a/forward/reader.c
+++ b/forward/reader.c
@@ -6,32 +6,35 @@
 
 #include "common/id.h"
 
-/* Most ranks that wait the longer while an instance has no copy: copies reach
- * all within some three seconds of a start of all. */
+/* Highest rank that lengthens the wait of an instance without a copy. After a
+ * start of all instances, copies reach every one within about three seconds. */
 #define START_RANK_MAX 10u
-/* How much longer each rank waits then where copies pass between groups. */
+/* Multiplies that wait where copies pass between groups, which takes longer. */
 #define START_GROUPED_FACTOR 4
-/* Peers are heard of within this time of being listed, if there are any. */
+/* Peers, if there are any, announce themselves within this time of being
+ * listed. */
 #define DISCOVERY_USEC (150 * USEC_PER_MSEC)
-/* So long the list of peers, and a word of them, is waited for. */
+/* Longest wait for the list of peers and for their first announcements. */
 #define LIST_WAIT_USEC (1 * USEC_PER_SEC)
-/* Each instance that is known widens the time over which all ask, and that
- * between reads that failed: the store answers thousands a second. */
+/* The range over which reads are spread, and the pause after a failed read, are
+ * at least this long per known instance. The store answers thousands of reads a
+ * second. */
 #define PER_INSTANCE_USEC (2 * USEC_PER_MSEC)
-/* From so many instances near on that the store refuses they take slots, so far
- * apart. */
+/* From this number of unreachable instances in the local data centre on, they
+ * retry one after another, SLOT_USEC apart. */
 #define UNREACHABLE_MIN 2u
 #define SLOT_USEC (300 * USEC_PER_MSEC)
-/* One without a copy cannot serve, and waits for few slots. */
+/* An instance without a copy cannot serve, so it waits for fewer slots. */
 #define SLOTS_WITHOUT_COPY 4u
-/* All instances read the list of instances at a start; those that failed come
- * again so far apart. */
+/* All instances read the list of instances at a start. Failed reads are retried
+ * this far apart. */
 #define LIST_SLOT_USEC (20 * USEC_PER_MSEC)
-/* How often an instance that the store refuses, and that has a copy from a
- * peer, asks whether it still does. */
+/* How often an instance that the store refuses, but that has a current copy
+ * from a peer, probes the store. */
 #define PROBE_USEC (5 * USEC_PER_SEC)
 
-/* No rank is known before peers are heard of, and all may have just started. */
+/* Until peers announce themselves the rank is unknown. All instances may have
+ * started at the same moment, so the highest rank is assumed. */
 static uint32_t start_rank(const struct reader_state *state,
 			   const struct reader_place *place, int64_t now)
 {
@@ -53,8 +56,8 @@
 	return bound * (place->delay_usec > 0 ? START_GROUPED_FACTOR : 1);
 }
 
-/* In [0, 1): which part of a time an instance waits where it does not know who
- * else waits. As many have waited it out as grows exponentially with it. */
+/* Fraction in [0, 1) of the wait of an instance that does not know its rank.
+ * The number of instances whose wait is over grows exponentially with time. */
 static double random_part(const struct reader_state *state,
 			  const struct reader_place *place)
 {
@@ -65,7 +68,7 @@
 	return log1p(uniform * expm1(scale)) / scale;
 }
 
-/* The same by rank, which is known is_first_retry peers are. */
+/* The same fraction by rank, once the peers are known. */
 static double rank_part(const struct reader_place *place)
 {
 	double all = log(MAX(place->peers + 1, 2u));
@@ -73,8 +76,9 @@
 	return MIN(log(place->rank) / all, 1.0);
 }
 
-/* Beyond that of the first. Who could not read the list of instances is not
- * answered by the store, and knows few of those that ask with it. */
+/* Staleness allowed beyond that of rank 0. An instance that failed to read the
+ * list of instances gets no answer from the store, and knows few of the
+ * instances that read it at the same time. */
 static int64_t rank_staleness(const struct reader_state *state,
 			      const struct reader_place *place)
 {
@@ -93,16 +97,17 @@
 {
 	if (!state->has_copy)
 		return start_staleness_bound(state, place, now);
-	/* No rank is sure before peers are known. What a reader holds is up to
-	 * two answers old. */
+	/* The rank is uncertain before the peers are known. A copy from a
+	 * reader is up to two answer times old. */
 	if (place->rank > 0 || (!state->peers_listed && place->instances > 1))
 		return READER_STALENESS_USEC + place->delay_usec +
 		       rank_staleness(state, place) + 2 * state->latency;
-	/* A read that waits is begun at is_first_retry by the first. */
+	/* Rank 0 starts the next long poll at once. */
 	return state->long_poll ? 0 : READER_STALENESS_USEC;
 }
 
-/* Instances that were refused at the same moment do not come again together. */
+/* Jitter, so that instances refused at the same moment do not retry together.
+ */
 static int64_t pause_jittered(const struct reader_state *state, int64_t pause)
 {
 	uint64_t hash = id_mix(state->seed, (uint64_t)state->failed_at);
@@ -110,7 +115,8 @@
 	return pause / 2 + (int64_t)(hash % (uint64_t)(pause + 1));
 }
 
-/* Instances that are refused ask one after the other, in the order of ranks. */
+/* Instances that the store refuses retry one after another, in the order of
+ * their ranks. */
 static bool is_own_slot(const struct reader_state *state,
 			const struct reader_place *place, int64_t now)
 {
@@ -124,7 +130,7 @@
 	       place->rank % slots;
 }
 
-/* Whether a read that failed may be repeated. */
+/* Whether a failed read may be retried now. */
 static bool may_retry(const struct reader_state *state,
 		      const struct reader_place *place, int64_t now,
 		      bool is_stale)
@@ -161,7 +167,8 @@
 {
 	int64_t pause = 0;
 
-	/* Doubles, as the store may be kept busy by others that ask for it. */
+	/* The pause doubles, because reads of other instances may keep the
+	 * store busy. */
 	if (peers > 0)
 		pause = MAX((int64_t)peers * LIST_SLOT_USEC,
 			    state->failed_at - state->synced_at);
--- a/forward/roles.c
+++ b/forward/roles.c
@@ -8,48 +8,50 @@
 #include "coord/lease.h"
 
 #define TICK_USEC (500 * USEC_PER_MSEC)
-/* Part of the runners that prefill while no demand is known: prompts of some
- * 3,000 tokens and answers of some 70 take about four times as long to
- * generate as to read. */
+/* Part of the runners that prefill while no demand is known. With prompts of
+ * some 3,000 tokens and answers of some 70, generating takes about four times
+ * as long as prefilling. */
 #define PREFILL_PART_DEFAULT 0.21
-/* More prefill runners than for this many times the mean rate stand idle also
- * in bursts of twice that rate; fewer than for the second leave a queue that
- * lasts. Between the two nothing is changed: a runner that changes serves
- * neither role for some ten seconds. */
+/* Bounds of the prefill capacity, as multiples of the mean demand. More than
+ * HEADROOM_MAX stands idle even in bursts of twice the mean; less than
+ * HEADROOM_MIN leaves a lasting queue. Between the two nothing changes, because
+ * a runner that changes its role serves neither role for some ten seconds. */
 #define HEADROOM_MAX 2.4
 #define HEADROOM_MIN 1.25
-/* With fewer than this many prefill runners a single loss stops the service;
- * where that many in all exist. */
+/* With fewer prefill runners, losing one stops the service. Applies to services
+ * of at least TOTAL_FOR_PREFILL_MIN runners. */
 #define PREFILL_MIN 2u
 #define TOTAL_FOR_PREFILL_MIN 5u
-/* A change must be wanted so long once there is traffic: longer than bursts
- * that follow each other. */
+/* A change must be wanted for this long once there is traffic. It is longer
+ * than a series of bursts. */
 #define CHANGE_DELAY_USEC (30 * USEC_PER_SEC)
-/* Prefill runners that cannot read even the mean demand leave a queue that only
- * grows: then a change is due after this time, which covers servers that are
- * missing from the list for two seconds after the store was away. */
+/* Replaces CHANGE_DELAY_USEC when the prefill runners cannot keep up with the
+ * mean demand and the queue only grows. It covers servers that are missing from
+ * the list for two seconds after the store was unreachable. */
 #define OVERLOAD_DELAY_USEC (3 * USEC_PER_SEC)
-/* That is so when the mean is this many times what they read; means of a few
- * seconds with a burst among them are beyond 1.0 on a site that is well served.
- */
+/* The service is overloaded when the mean demand exceeds the prefill capacity
+ * by this factor. On a site with enough capacity, the mean of a few seconds
+ * with a burst among them exceeds 1.0. */
 #define OVERLOAD_RATIO 1.1
-/* The mean is taken over this time, and known once it has passed: a burst of
- * twice the demand for five seconds raises it by a sixth. */
+/* Averaging time of the mean demand, which is unknown before. A burst of twice
+ * the demand for five seconds raises the mean by a sixth. */
 #define MEAN_USEC (30 * USEC_PER_SEC)
-/* The demand of the first seconds is not known yet. */
+/* Demand in tokens a second below which there is no traffic: the demand of the
+ * first seconds is not known yet. */
 #define DEMAND_MIN 1000.0
-/* After the time that a change takes, its runner may be ordered again; covers
- * orders that are carried out seconds late. */
+/* Added to the time that a change takes, before its runner may be ordered
+ * again. Covers orders that are carried out seconds late. */
 #define MOVE_MARGIN_USEC (14 * USEC_PER_SEC)
-/* An order arrives within this time of being sent, or not at all: its call is
- * given up after two seconds. One that is carried out later than that is
- * corrected by what the list then shows. */
+/* Time within which an order arrives or fails: its call times out after two
+ * seconds. If an order is carried out later, the next orders follow from
+ * the updated list. */
 #define ORDER_TIMEOUT_USEC (2500 * USEC_PER_MSEC)
-/* A holder that is lost is followed after this time, the margin and that of an
- * order: 7.7 s; with the terms of the library it was 24 s, half a minute with
- * one prefill runner too few. Orders of two holders stay 3 s apart. */
+/* Term of the lease. A failed holder is replaced after the term, the safety
+ * margin and the time of an order, 7.7 s in all. With the library's default
+ * term this took 24 s, half a minute with one prefill runner too few. Orders of
+ * two holders stay at least 3 s apart. */
 #define ROLES_TERM_USEC (3 * USEC_PER_SEC)
-/* The list may not be whole right after the start. */
+/* The list of runners may be incomplete right after the start. */
 #define SETTLE_USEC (1200 * USEC_PER_MSEC)
 
 struct move {
@@ -67,11 +69,11 @@
 	int64_t started;
 	GHashTable *moves; /* key to struct move */
 	int64_t wanted_since;
-	int32_t wanted;	 /* direction at wanted_since */
+	int32_t wanted;	 /* sign of the change wanted */
 	double mean_sum; /* demand of the ticks with traffic, decayed */
 	double mean_weight;
 	uint32_t mean_ticks;
-	bool ordering; /* an order has not been answered */
+	bool ordering; /* an order is waiting for its answer */
 	uint64_t ordered;
 	bool destroyed;
 };
@@ -101,7 +103,7 @@
 	return prefill < least ? -(int32_t)(least - prefill) : 0;
 }
 
-/* What a runner does, or will once its order is carried out. */
+/* The stage of a runner, or the one that it was ordered to change to. */
 static enum backend_stage stage_of(struct roles *roles,
 				   const struct backend *backend)
 {
@@ -119,7 +121,7 @@
 	return clock_now(roles->parts.clock) >= move->until;
 }
 
-/* Runners of the stage by data centre. */
+/* Counts the runners of a stage by data centre. */
 static GHashTable *centres_count(struct roles *roles, const GPtrArray *list,
 				 enum backend_stage stage)
 {
@@ -138,8 +140,9 @@
 	return counts;
 }
 
-/* The runner whose change parts the data centres least: one of the data centre
- * that has most runners of that stage, with the least to finish before. */
+/* The runner whose change keeps the data centres most balanced: one from the
+ * data centre with most runners of that stage and, among those, the one with
+ * the fewest requests. */
 static struct backend *runner_choose(struct roles *roles, const GPtrArray *list,
 				     enum backend_stage from)
 {
@@ -187,7 +190,7 @@
 	}
 	roles->ordering = false;
 	log_event(LOG_NOTICE, "role_order_answered", LOG_D("result", result));
-	/* Surely not carried out: the runner may be chosen again. */
+	/* The order was not carried out, so the runner may be chosen again. */
 	if (result == ORDER_REFUSED)
 		move_cancel(roles);
 }
@@ -233,7 +236,7 @@
 		const struct backend *backend = list->pdata[i];
 		enum backend_stage stage = stage_of(roles, backend);
 
-		/* One that changes counts in its new role. */
+		/* A changing runner counts in its new role. */
 		if (stage == STAGE_NONE || backend_withdrawn(backend) ||
 		    now < backend->avoid_until)
 			continue;
@@ -260,8 +263,9 @@
 	return roles->mean_sum / MAX(roles->mean_weight, 1.0);
 }
 
-/* Taken for 33,000 tokens a second, whatever the engines read, seven of 37
- * servers that read 50,000 were made prefill servers too many in a burst. */
+/* Prompt tokens a second of one prefill runner. A fixed 33,000, with engines
+ * that prefill 50,000, made seven of 37 servers needlessly prefill servers in a
+ * burst. */
 static double prefill_rate(const struct roles *roles)
 {
 	return roles->parts.ops.prefill_rate(roles->parts.ctx);
@@ -274,7 +278,8 @@
 		       mean_demand(roles);
 }
 
-/* Positive: runners that are to become decode runners; negative: prefill. */
+/* Positive: number of runners to become decode runners. Negative: to become
+ * prefill runners. */
 static int32_t change_wanted(struct roles *roles, struct stages stages)
 {
 	double rate = roles->parts.ops.demand(roles->parts.ctx);
@@ -291,8 +296,8 @@
 	       (stages.prefill < PREFILL_MIN || stages.prefill == stages.total);
 }
 
-/* How long a change must have been wanted: not at all when a stage has fewer
- * runners than one loss may leave, or while there is no traffic. */
+/* How long a change must have been wanted: zero without traffic, or when a
+ * stage has so few runners that the loss of one could leave it empty. */
 static int64_t change_delay(struct roles *roles, struct stages stages,
 			    int32_t change)
 {
@@ -379,7 +384,7 @@
 		return;
 	order_send(roles, backend, change > 0 ? STAGE_DECODE : STAGE_PREFILL,
 		   service, fence);
-	/* Those that an overload calls for follow each other. */
+	/* Changes for an overload follow each other without a new delay. */
 	stages.prefill += change < 0;
 	if (change > 0 || !is_overloaded(roles, stages))
 		roles->wanted_since = clock_now(roles->parts.clock);
@@ -409,9 +414,9 @@
 	if (now - roles->started < SETTLE_USEC)
 		return;
 	mean_update(roles);
-	/* Taking the lease waits for what orders of an earlier holder may still
-	 * do, 7.7 s, so it is held before an order is due: one call a second,
-	 * by one instance of the site. */
+	/* A new lease becomes valid only after 7.7 s, because orders of an
+	 * earlier holder may still arrive. So it is held before an order is
+	 * due. This costs one call a second, by one instance of the site. */
 	if (!roles->parts.ops.decides(roles->parts.ctx)) {
 		lease_drop(roles);
 		return;
@@ -443,7 +448,7 @@
 	lease_drop(roles);
 	g_hash_table_destroy(roles->moves);
 	roles->destroyed = true;
-	/* Freed by the answer of the order that is under way. */
+	/* The answer of the pending order frees it. */
 	if (!roles->ordering)
 		g_free(roles);
 }
--- a/forward/waiting.c
+++ b/forward/waiting.c
@@ -1,26 +1,27 @@
 /*
- * waiting.c - streams that wait for decode memory: who is placed, who is
- * refused
+ * waiting.c - queue of the streams that wait for decode memory
  */
 #include "forward/overload.h"
 #include "request.h"
 
-/* How often waiting requests look for memory again; a runner frees some every
- * few tens of milliseconds. */
+/* Interval between attempts to place waiting requests. A runner frees memory
+ * every few tens of milliseconds. */
 #define PUMP_USEC (15 * USEC_PER_MSEC)
-/* Requests waiting at an instance. */
+/* Maximum number of requests that wait at an instance. */
 #define WAITING_MAX 512u
-/* A caller leaves a stream that shows no event for the longest of this time and
- * these multiples of its targets. What cannot begin by then, less the time that
- * a prefill takes, is told so while it still listens. */
+/* A caller gives up a stream without events after the longest of
+ * CALLER_TIMEOUT_USEC and these multiples of its targets. A request that cannot
+ * begin by then, less the time of a prefill, is refused while its caller still
+ * waits for an answer. */
 #define CALLER_TIMEOUT_USEC (2 * USEC_PER_SEC)
 #define CALLER_TIMEOUT_TARGETS 4
 #define CALLER_TIMEOUT_GAPS 8
 #define PREFILL_USEC (400 * USEC_PER_MSEC)
-/* Requests that will be late are only given room that this many more like them
- * would fit into. */
+/* A request that will miss its target is only placed where memory for this many
+ * requests like it is free. */
 #define LATE_ROOM_FACTOR 3u
-/* What one is told that waited in vain: memory is freed within this time. */
+/* Retry time sent to the caller of a request that expired while waiting: memory
+ * is freed within this time. */
 #define RETRY_USEC (300 * USEC_PER_MSEC)
 
 void stream_dequeue(struct request *request)
@@ -95,7 +96,7 @@
 	}
 }
 
-/* How long those that wait at all instances will take to be placed. */
+/* Seconds until the requests that wait at all instances are placed. */
 static double queue_sec(const struct request *request)
 {
 	const struct forward_parts *parts = &request->forward->parts;
@@ -124,8 +125,8 @@
 	return true;
 }
 
-/* When it is of no more use to begin. A caller that has seen events counts its
- * timeout from the last one. */
+/* The time after which placing the request is of no use. The timeout of a
+ * caller that has received events counts from the last event. */
 static int64_t wait_deadline(const struct request *request)
 {
 	const struct catalog_route *route = request->route;
@@ -137,7 +138,8 @@
 	return MIN(from + timeout, request->limit) - PREFILL_USEC;
 }
 
-/* Refuses a request at once that no server can take in time. */
+/* Refuses a request for which no server will be available before its deadline.
+ */
 static bool unavailable_refuse(struct request *request)
 {
 	int64_t available_at;
--- a/include/forward/feed.h
+++ b/include/forward/feed.h
@@ -2,17 +2,16 @@
  * feed.h - follows a keyed stream of the platform's store
  *
  * DESCRIPTION
- *	A keyed stream keeps the newest record of each key for ever and the
- *	others for a while. A feed reads a snapshot of the newest records, then
- *	what was appended since, and goes on so. Where records were dropped
- *	before they were read it takes a snapshot again, so no change is missed
- *	for good. It never takes a failure for an empty stream: while the store
- *	does not answer, what was read last stays in force.
+ *	A keyed stream keeps the newest record of each key forever and older
+ *	records for a limited time. A feed reads a snapshot of the newest
+ *	records, then the records appended since. Where records were dropped
+ *	before they could be read, it reads a snapshot again, so no change is
+ *	lost for good. A failed read is never taken for an empty stream: while
+ *	the store does not answer, the last state read remains in force.
  *
- *	A feed reads when it is told to by feed_poll(); by itself it only
- *	repeats a read that failed and begins again after a gap. What was
- *	learnt in another way (from a peer that read it) is told by
- *	feed_advance().
+ *	A feed reads when feed_poll() is called. On its own it only retries a
+ *	failed read, unless on_demand is set, and starts again after a gap.
+ *	feed_advance() sets a state that was learnt from a peer instead.
  */
 #ifndef FORWARD_FEED_H
 #define FORWARD_FEED_H
@@ -34,17 +33,19 @@
 struct feed_page {
 	const struct feed_record *records;
 	size_t count;
-	uint64_t next;	  /* offset to go on from */
-	uint64_t end;	  /* of the stream when it was read */
-	bool gap;	  /* records before the first kept one are gone */
-	const char *more; /* of a snapshot: its last key, when more follow */
+	uint64_t next;	  /* offset to continue from */
+	uint64_t end;	  /* end offset of the stream at the time of the read */
+	bool gap;	  /* the records asked for are no longer kept */
+	const char *more; /* last key of a snapshot page that is not the last */
 };
 
-/* code is RESULT_OK when page is given, RESULT_LOG_DOWN otherwise. */
+/* code is RESULT_OK when page is given, and the reason of the failure
+ * otherwise. */
 typedef void (*feed_page_fn)(void *ctx, enum result_code code,
 			     const struct feed_page *page);
 
-/* The store, as a feed needs it. Each call answers once, in a later turn. */
+/* The store as a feed uses it. Each call is answered exactly once, in a later
+ * iteration of the event loop. */
 struct feed_store {
 	void (*snapshot)(void *ctx, const char *stream, const char *after,
 			 feed_page_fn fn, void *fn_ctx);
@@ -53,20 +54,20 @@
 	void *ctx;
 };
 
-/* What becomes of the records. Any but record may be NULL. */
+/* Callbacks for the records read. All but record may be NULL. */
 struct feed_ops {
 	void (*snapshot_begin)(void *ctx);
 	void (*snapshot_end)(void *ctx);
 	void (*record)(void *ctx, const struct feed_record *record);
-	/* The store answers again after it did not. */
+	/* The store answers again after an outage. */
 	void (*recovered)(void *ctx);
 };
 
 struct feed_settings {
 	const char *stream; /* must outlive the feed */
-	int64_t wait_usec;  /* that a read may wait for a record */
-	bool on_demand;	    /* a failed read is repeated by feed_poll() only */
-	uint64_t seed;	    /* of the instance, for what is spread by chance */
+	int64_t wait_usec;  /* how long a read may wait for a record */
+	bool on_demand;	    /* only feed_poll() retries a failed read */
+	uint64_t seed;	    /* of the instance, for jitter */
 };
 
 struct feed;
@@ -74,33 +75,34 @@
 struct feed *feed_create(struct clock *clock, const struct feed_store *store,
 			 const struct feed_settings *settings,
 			 const struct feed_ops *ops, void *ctx);
-/* An answer that is still due is dropped when it comes. */
+/* An answer that arrives later is dropped. */
 void feed_destroy(struct feed *feed);
-/* Reads what has come since, unless a read is under way or a failed one is
- * repeated by itself soon; returns whether it does. */
+/* Reads the records since the last read, unless a read is in progress or a
+ * failed one is about to be retried. Returns whether it reads. */
 bool feed_poll(struct feed *feed);
-/* Reads anew at once instead of waiting for an answer that may have been lost.
- */
+/* Reads again at once, instead of waiting for an answer that may have been
+ * lost. */
 void feed_restart(struct feed *feed);
-/* How long a read that failed is not to be repeated; doubles with each failure
- * in a row. */
+/* Minimum pause after a failed read. It doubles with each consecutive failure,
+ * up to 800 ms. */
 int64_t feed_backoff(const struct feed *feed);
-/* How long the store took to answer the last read, beyond the time that this
- * one waited; no longer than the age of what was learnt in another way since.
- */
+/* How long the store took to answer the last read, not counting the wait of a
+ * long poll. At most the age of a newer state set by feed_advance(). */
 int64_t feed_latency(const struct feed *feed);
-/* When the last read failed, while feed_failing(). */
+/* When the last read failed; valid while feed_failing(). */
 int64_t feed_failed_at(const struct feed *feed);
-/* Whether the store has not answered the last reads. */
+/* Whether the last read failed. */
 bool feed_failing(const struct feed *feed);
-/* What is known is as of next, and was all there was at the time fresh. An
- * answer that is still due is dropped, as it is older. False, and nothing
- * happens, when the feed is further already. */
+/* Sets the state that was learnt from a peer: all records before next are
+ * known, and next was the end of the stream at the time synced_at. If that is
+ * beyond the feed's own position, a pending answer is dropped as older. Returns
+ * false and changes nothing when the feed has read beyond next. */
 bool feed_advance(struct feed *feed, uint64_t next, int64_t synced_at);
-/* Offset up to which records are known; 0 before the first snapshot. */
+/* Offset up to which records are known; 0 before the first snapshot is
+ * complete. */
 uint64_t feed_position(const struct feed *feed);
-/* When what is known was last sure to be all there is: the sending of the last
- * read that found the end. FEED_NEVER before the first. */
+/* When the known records were last sure to be all there are: the time of the
+ * last read that reached the end of the stream. FEED_NEVER before the first. */
 #define FEED_NEVER INT64_MIN
 int64_t feed_synced_at(const struct feed *feed);
 
--- a/include/forward/mirror.h
+++ b/include/forward/mirror.h
@@ -1,14 +1,17 @@
 /*
- * mirror.h - what few instances read of the store, passed on to the others
+ * mirror.h - local read-only copies of keyed streams, passed between instances
  *
  * DESCRIPTION
- *	A share keeps a copy of one keyed stream: the newest value of each key
- *	that counts, and how far it has been read. Instances tell in their
- *	gossip how far that is, how long ago it was sure, and the offset of the
- *	last record that changed anything. From that a peer knows that its own
- *	copy is as good, without a call, or fetches the copy from whoever told.
+ *	A mirror holds a copy of one keyed stream of the store: the newest valid
+ *	value of each key, and the offset up to which the stream has been read.
+ *	Only a few instances read the store. Each instance announces in its
+ *	gossip how far its copy reaches, how long ago it was known to be
+ *	complete, and the offset of the last record that changed anything. A
+ *	peer that has this record already knows from the announcement that its
+ *	own copy is current, without a call. Otherwise it fetches the copy, or
+ *	the changes since its own, from the instance that announced it.
  *
- *	Which instance reads the store, and when, is decided by reader.h.
+ *	reader.h decides which instances read the store, and when.
  */
 #ifndef FORWARD_MIRROR_H
 #define FORWARD_MIRROR_H
@@ -22,37 +25,40 @@
 #include "forward/feed.h"
 #include "forward/reader.h"
 
-/* After a start of all instances the first word of a peer comes after 100 ms,
- * and a copy from it later still. So many read the store before that, two calls
- * each: a small site answers its callers 30 ms after such a start, not 210 ms.
- */
+/* Instances that read the store at once after a start. When all instances start
+ * together, the first status of a peer arrives after 100 ms and a copy later
+ * still. Twelve early readers, with two calls each, let a small site answer its
+ * callers 30 ms after such a start instead of 210 ms. */
 #define MIRROR_STARTUP_READERS 12u
 
 struct mirror;
 
-/* What an instance tells of its copy. */
+/* What an instance announces about its copy. */
 struct mirror_status {
-	uint64_t next;	  /* records before it are known */
-	uint64_t changed; /* just after the last one that changed anything */
-	int64_t age_usec; /* since the copy was sure; negative: never */
+	uint64_t next;	  /* offset up to which records are known */
+	uint64_t changed; /* offset just after the last record that changed
+			     anything */
+	int64_t age_usec; /* since the copy was known to be complete; negative:
+			     it never was */
 };
 
-/* What a record does to those who have the copy. */
+/* The effect of a record on the copies of peers. */
 enum mirror_effect {
-	MIRROR_UNCHANGED, /* it says what was known */
-	MIRROR_CHANGED,	  /* it is to be fetched */
-	MIRROR_REJECTED,  /* it is passed over: what was there before stays */
+	MIRROR_UNCHANGED, /* same content as before: peers need not fetch it */
+	MIRROR_CHANGED,	  /* new content: peers must fetch it */
+	MIRROR_REJECTED,  /* ignored: the previous value stays */
 };
 
 struct mirror_ops {
-	/* A whole copy is handed over between begin and end. */
+	/* A whole copy is delivered between begin and end. */
 	void (*begin)(void *ctx);
 	void (*end)(void *ctx);
-	/* A value, or with NULL its end. */
+	/* A new value of the key; data is NULL when the key was dropped. */
 	enum mirror_effect (*value)(void *ctx, uint64_t offset, const char *key,
 				    const void *data, size_t size);
-	/* Whether a value says just what the one before it says, which is then
-	 * kept. NULL where that is not told cheaply. */
+	/* Whether a value has the same content as the previous one, which is
+	 * then kept and not delivered again. NULL where no cheap test exists.
+	 */
 	bool (*repeats)(void *ctx, const void *before, size_t before_size,
 			const void *data, size_t size);
 };
@@ -62,34 +68,38 @@
 			     const struct feed_settings *settings,
 			     const struct mirror_ops *ops, void *ctx);
 void mirror_destroy(struct mirror *mirror);
-/* At a start, once the instances are listed: of those that have nothing yet,
- * the first MIRROR_STARTUP_READERS by name read the store at once. lower is how
- * many listed names come before this instance's. */
+/* To be called once the list of instances has been read. Among the instances
+ * without a copy, the first MIRROR_STARTUP_READERS by name read the store at
+ * once. lower is the number of listed names that sort before this instance's
+ * name. */
 void mirror_start(struct mirror *mirror, uint32_t lower);
-/* To be called about every 100 ms: reads the store when it is time. */
+/* To be called about every 100 ms. Reads the store when reader_is_due() says
+ * so. */
 void mirror_tick(struct mirror *mirror, const struct reader_place *place);
-/* A peer has a copy that is to be fetched: an instance without any does not
- * read the store meanwhile. */
+/* Notes that a newer copy is available at a peer. An instance without a copy
+ * does not read the store in the meantime. */
 void mirror_fetch_pending(struct mirror *mirror);
-/* Reads the store now: what is known may be older than thought. */
+/* Reads the store now, because the copy may be older than assumed. */
 void mirror_refresh(struct mirror *mirror);
-/* Whether this instance reads the store and has no answer from it. */
+/* Whether the last read of the store failed. */
 bool mirror_failing(const struct mirror *mirror);
 void mirror_status(const struct mirror *mirror, struct mirror_status *status);
-/* Takes in what a peer told. True when its copy is to be fetched. */
+/* Merges the status of a peer. Returns true when the copy of the peer must be
+ * fetched. */
 bool mirror_merge_status(struct mirror *mirror,
 			 const struct mirror_status *status);
-/* Offset up to which records are known, for mirror_encode() at a peer. */
+/* Offset up to which records are known, to be passed to mirror_encode() at a
+ * peer. */
 uint64_t mirror_position(const struct mirror *mirror);
-/* Appends what has changed since from as MessagePack: [next, changed, age,
- * base,
- * [[key, value, offset], ...], [dropped key, ...]]. base is from, or 0 when all
- * there is follows. */
+/* Appends the changes since offset from as MessagePack: [next, changed, age,
+ * base, [[key, value, offset], ...], [dropped key, ...]]. base equals from, or
+ * is 0 when the whole copy follows. */
 void mirror_encode(const struct mirror *mirror, uint64_t from, GByteArray *out);
-/* About how many bytes mirror_encode() would append for from. */
+/* Approximate number of bytes that mirror_encode() would append. */
 size_t mirror_encoded_size(const struct mirror *mirror, uint64_t from);
-/* Takes what a peer packed; what is older than ours, or begins after it, is
- * dropped. */
+/* Applies a copy or a delta encoded by a peer. Data that is older than this
+ * copy, or that starts after it, is ignored. Returns false when it is
+ * malformed. */
 bool mirror_decode(struct mirror *mirror, const void *data, size_t size,
 		   struct error *err);
 
--- a/include/forward/overload.h
+++ b/include/forward/overload.h
@@ -1,20 +1,19 @@
 /*
- * overload.h - streams that wait for decode memory: whose turn it is, and who
- * is told early that it will hardly be served in time
+ * overload.h - order and early refusal of streams that wait for decode memory
  *
  * DESCRIPTION
- *	Choices for bursts beyond what the engines' memory holds. Callers that
- *	can still meet their target go first, of them the more urgent, of
- *	equally urgent ones those that are least work: under lasting overload
- *	the first come would all be just too late.
+ *	For bursts that exceed the memory of the engines. Callers that can still
+ *	meet their target go first; among them the more urgent, and among
+ *	equally urgent ones the cheapest. Placing in order of arrival would, in
+ *	a lasting overload, serve every caller slightly too late.
  *
- *	A caller is judged once, when a part of its target has passed. It is
- *	refused when those that wait will take longer to be placed than it has
- *	left, weighed by its work: it has not run, and comes back when the
- *	overload may be over.
+ *	A caller is checked once, when a part of its target has passed. It is
+ *	refused if the waiting requests will take longer to be placed than the
+ *	caller has left, weighted by its cost. As it has not run, it can retry
+ *	when the overload may be over.
  *
- *	Times are microseconds of the embedder's clock, but for lengths of the
- *	queue, which are seconds. Nothing here keeps state or reads a clock.
+ *	Times are microseconds of the embedder's clock, but lengths of the queue
+ *	are seconds. The functions keep no state and read no clock.
  */
 #ifndef FORWARD_OVERLOAD_H
 #define FORWARD_OVERLOAD_H
@@ -25,30 +24,33 @@
 
 struct overload_caller {
 	int64_t arrived;
-	int64_t target_usec; /* from then to the first event */
+	int64_t target_usec; /* from arrival to the first event */
 	uint32_t urgency;    /* 0 is the highest */
-	double weight;	     /* its work, as engine_rates_weight() */
+	double weight;	     /* relative cost, as engine_rates_weight() */
 };
 
-/* Whether it can still meet its target if it is placed now. first_event_usec is
- * the mean time from placing to the first event. */
+/* Whether the caller still meets its target if it is placed now.
+ * first_event_usec is the mean time from placing to the first event. */
 bool overload_meets_target(const struct overload_caller *caller, int64_t now,
 			   double first_event_usec);
-/* Below zero when one goes before the other. */
+/* Orders callers for placing: negative when one goes first, positive when other
+ * does. */
 int overload_compare(const struct overload_caller *one,
 		     const struct overload_caller *other);
-/* Requests that a server runs at a time, with memory for memory_places of them
- * and a limit of requests a second; below 0: no limit. */
+/* Number of requests that a server runs at a time, with memory for
+ * memory_places of them and a limit of requests a second; a negative limit is
+ * none. */
 double overload_concurrency(double memory_places, double limit);
-/* How long so many that wait will take to be placed, where so many fit at a
- * time. */
+/* Seconds until this many waiting requests are placed, when places of them run
+ * at a time. */
 double overload_queue_sec(uint32_t waiting, double places);
-/* Whether it is time to judge it. */
+/* Whether the caller must be checked for an early refusal now. */
 bool overload_check_due(const struct overload_caller *caller, int64_t now);
-/* Whether it will hardly be placed in time behind a queue of that length. */
+/* Whether the caller is unlikely to be placed in time behind a queue of that
+ * length. */
 bool overload_misses_target(const struct overload_caller *caller, int64_t now,
 			    double first_event_usec, double queue_sec);
-/* When one that is refused then is to come back. */
+/* Retry time for a caller that is refused early. */
 int64_t overload_retry_usec(GRand *rand);
 
 #endif
--- a/include/forward/rates.h
+++ b/include/forward/rates.h
@@ -1,13 +1,13 @@
 /*
- * rates.h - how fast a service's engines are, learnt from requests
+ * rates.h - estimates how fast the engines of a service are, from its requests
  *
  * DESCRIPTION
- *	What one engine does differs by several times from the next one's, so
- *	decisions that need a rate take the one that was seen. Each estimate is
- *	a running median: a sample above it moves it up by RATES_STEP, one
- *	below it down by as much, so a slow or failing server moves it no
- *	further than any other. It starts at a given value, and is within a
- *	tenth of a rate twice as high after some twenty samples.
+ *	Engines differ in speed by several times, so decisions that need a
+ *	rate use the measured one. Each estimate is a running median: a sample
+ *	above it raises it by RATES_STEP, a sample below it lowers it by as
+ *	much. So a slow or failing server moves the estimate no more than any
+ *	other. The estimate starts at a given value. It comes within a tenth of
+ *	a rate twice as high after about twenty samples.
  *
  *	Times are in microseconds, rates in tokens a second.
  */
@@ -16,7 +16,7 @@
 
 #include <stdint.h>
 
-/* Part of the estimate that one sample moves it by. */
+/* Relative step by which one sample moves the estimate. */
 #define RATES_STEP 0.04
 
 struct median {
@@ -24,27 +24,29 @@
 	uint32_t samples;
 };
 
-/* Starts at value, not yet seen. */
+/* Sets the initial estimate, before any sample. */
 void median_init(struct median *median, double value);
 void median_add(struct median *median, double sample);
 
-/* Prompt tokens a second of a prefill server that none was seen of yet: of a
- * large model on one host. */
+/* Initial prefill rate of a server, in prompt tokens a second: that of a large
+ * model on one host. */
 #define PREFILL_RATE_START 33000.0
 
-/* What engines of a service were seen to do. */
+/* Estimates for the engines of a service. */
 struct engine_rates {
 	struct median prefill; /* prompt tokens a second of a prefill server */
-	struct median cost;    /* of a request, see stream_cost() */
+	struct median cost;    /* of a request, as stream_cost() */
 };
 
-/* What a request takes of a decode server: memory held, in tokens, times tokens
- * to be generated meanwhile, a measure of time. Where memory is full more
- * callers are served in time if those go first that take little. */
+/* Cost of a request at a decode server: the memory that it holds, in tokens,
+ * times the tokens that it generates, which measure time. Where memory is full,
+ * more callers are served in time if the cheapest requests go first. */
 double stream_cost(uint32_t prompt, uint32_t output);
-/* That, as a multiple of what a request of the service mostly takes. */
+/* The cost as a multiple of the median request of the service, bounded by 1/2
+ * and 2. */
 double engine_rates_weight(const struct engine_rates *rates, double cost);
-/* A prompt of so many tokens was read, behind those that were ahead of it. */
+/* Adds a sample: a prompt of this many tokens was prefilled in usec, behind
+ * ahead tokens that were queued before it. */
 void engine_rates_add_prefill(struct engine_rates *rates, uint32_t tokens,
 			      uint32_t ahead, int64_t usec);
 
--- a/include/forward/reader.h
+++ b/include/forward/reader.h
@@ -1,21 +1,24 @@
 /*
- * reader.h - when an instance reads the store, for itself and its peers
+ * reader.h - decides when an instance reads the store, for itself and its peers
  *
  * DESCRIPTION
- *	An instance reads a stream of the store when its copy has not been sure
- *	for longer than its patience, which grows with the logarithm of its rank
- *	among the live instances of its data centre, those that the store
- *	refuses last: the first reads all the time, the next ones begin when
- *	they do not hear from it. So no reader is elected, and one that stops,
- *	is cut off or is refused by the store is made up for: within
- *	READER_STALENESS_USEC + 2 * READER_RANK_STALENESS_USEC each instance
- *whose copy is still old has asked the store once, also those that it refused
- *earlier. From 225 instances on the second READER_RANK_STALENESS_USEC is 2 ms
- *for each of them. Who is refused then asks again in turn with the others that
- *are, one each 300 ms; and each five seconds while copies come from a peer.
- *Where the store is slow patience grows by twice the time that its answer took.
+ *	An instance reads a stream of the store when its copy is older than its
+ *	staleness bound. The bound grows with the logarithm of the instance's
+ *	rank among the live instances of its data centre; instances that the
+ *	store refuses rank last. The first instance reads all the time, and the
+ *	next ones start when its announcements stop. So no reader is elected,
+ *	and a reader that stops, is partitioned or is refused by the store is
+ *	replaced: within READER_STALENESS_USEC + 2 * READER_RANK_STALENESS_USEC
+ *	every instance whose copy is still stale has read the store once,
+ *	including instances that were refused before. From 225 instances on, the
+ *	second READER_RANK_STALENESS_USEC is replaced by 2 ms per instance.
  *
- *	Nothing here reads or waits: the caller tells the state and the time.
+ *	Refused instances then retry one after another, one every 300 ms, or
+ *	every five seconds while they get current copies from a peer. Where the
+ *	store is slow, the bound grows by twice its answer time.
+ *
+ *	The functions keep no state and do no I/O: the caller passes the state
+ *	and the time.
  */
 #ifndef FORWARD_READER_H
 #define FORWARD_READER_H
@@ -25,47 +28,49 @@
 
 #include "common/clock.h"
 
-/* The first instance of a data centre reads so often. A change is to be
- * followed within two seconds everywhere. */
+/* Read interval of the first instance of a data centre. A change must be in
+ * force everywhere within two seconds. */
 #define READER_STALENESS_USEC (700 * USEC_PER_MSEC)
-/* The second waits so much longer, the last twice that: gossip of the first one
- * comes every 300 ms at least. */
+/* Added for rank 1; the last rank adds it twice. Gossip from the first instance
+ * arrives at least every 300 ms. */
 #define READER_RANK_STALENESS_USEC (450 * USEC_PER_MSEC)
 
-/* Where an instance stands among those that could read for each other. */
+/* The position of an instance among those that can read for each other. */
 struct reader_place {
 	uint32_t rank;		    /* as gossip_rank() */
-	uint32_t peers;		    /* near */
-	uint32_t silent_peers;	    /* those that have told nothing yet */
+	uint32_t peers;		    /* in the local data centre */
+	uint32_t silent_peers;	    /* peers that have sent nothing yet */
 	uint32_t instances;	    /* known in all data centres */
-	uint32_t store_unreachable; /* those near that the store does not
-				     * answer, and whose copies are old */
-	int64_t delay_usec; /* that gossip takes beyond a data centre's pace */
+	uint32_t store_unreachable; /* local peers that the store does not
+				       answer and whose copies are stale */
+	int64_t delay_usec; /* extra delay of gossip compared to a single data
+			       centre */
 };
 
-/* What an instance has of a stream; times in microseconds of its clock. */
+/* The state of a stream at an instance. Times are microseconds of its clock. */
 struct reader_state {
 	bool has_copy;
-	int64_t synced_at; /* its copy was sure; without one, its start */
-	bool peers_listed; /* its peers are known */
-	bool long_poll;	   /* a read waits for a record */
-	int64_t latency;   /* that the last answer took */
+	int64_t synced_at; /* when its copy was last known to be complete;
+			      without a copy, its start */
+	bool peers_listed; /* the list of peers has been read */
+	bool long_poll;	   /* reads wait for a record */
+	int64_t latency;   /* of the last answer */
 	bool failing;	   /* the last read failed */
-	int64_t failed_at; /* when it did */
-	int64_t backoff;   /* least time until the next one */
-	uint64_t seed;	   /* of the instance */
+	int64_t failed_at; /* time of that failure */
+	int64_t backoff;   /* minimum pause before the next read */
+	uint64_t seed;	   /* of the instance, for jitter */
 };
 
-/* How long the instance leaves reading to others. */
+/* Age of the copy up to which the instance leaves reading to its peers. */
 int64_t reader_staleness_bound(const struct reader_state *state,
 			       const struct reader_place *place, int64_t now);
-/* Whether it is to read now. */
+/* Whether the instance must read the store now. */
 bool reader_is_due(const struct reader_state *state,
 		   const struct reader_place *place, int64_t now);
-/* Whether an instance that could not read the list of instances, and knows so
- * many peers, is to try again: all together some 50 times a second at the most.
- * fresh is when it read it first; of the rest only what concerns failed reads
- * counts. */
+/* Whether an instance that failed to read the list of instances, and knows this
+ * many peers, must retry now. All instances together retry at most about 50
+ * times a second. synced_at is the time of the first attempt; otherwise only
+ * failing, failed_at, backoff and seed are used. */
 bool reader_list_is_due(const struct reader_state *state, uint32_t peers,
 			int64_t now);
 
--- a/include/forward/roles.h
+++ b/include/forward/roles.h
@@ -1,19 +1,19 @@
 /*
- * roles.h - how many runners of a service prefill, how many decode
+ * roles.h - decides how many runners of a service prefill and how many decode
  *
  * DESCRIPTION
- *	One instance decides, the one with the lowest name of those live that
- *	reach the store, and it orders only under a lease on the platform's log,
- *	whose offset fences the order (coord/lease.h). It holds the lease as
- *long as it decides, since a new holder waits for what orders of the former may
- *	still do.
+ *	One instance decides: the one with the lowest name among the live
+ *	instances that reach the store. It orders changes only under a lease on
+ *	the platform's log, whose offset fences the order (coord/lease.h). It
+ *	holds the lease for as long as it decides, because a new holder must
+ *	wait for orders of the previous one that may still arrive.
  *
- *	The prefill runners wanted are those that read the prompts asked for at
- *	1.25 to 2.4 times the mean rate; while nothing was asked for yet, a
- *	fixed part of all. A change must be wanted for half a minute once there
- *	is traffic, but for three seconds where runners were lost and those left
- *	cannot read the mean demand. Until the list shows a server in its new
- *	role, instances tell each other to send it nothing more in the old one.
+ *	The prefill runners must process the demanded prompt tokens at 1.25 to
+ *	2.4 times the mean rate. While the demand is unknown, a fixed part of
+ *	all runners prefills. Once there is traffic, a change must be wanted for
+ *	30 s, or for 3 s where runners were lost and the remaining ones cannot
+ *	keep up with the mean demand. Until the list shows a server in its new
+ *	role, instances tell each other not to send it requests for the old one.
  *
  * SEE ALSO
  *	docs/design/roles.md; docs/design/platform.md
@@ -33,11 +33,11 @@
 struct roles;
 
 struct roles_ops {
-	/* Whether this instance is the one that decides. */
+	/* Whether this instance decides the roles for the site. */
 	bool (*decides)(void *ctx);
-	/* Prompt tokens a second asked for at all instances. */
+	/* Demand at all instances, in prompt tokens a second. */
 	double (*demand)(void *ctx);
-	/* Prompt tokens a second that one prefill server reads. */
+	/* Prompt tokens a second that one prefill server processes. */
 	double (*prefill_rate)(void *ctx);
 	const struct catalog *(*catalog)(void *ctx);
 };
@@ -47,7 +47,7 @@
 	struct fleet *fleet;
 	struct log_store log;
 	struct backend_ops backends;
-	const char *name; /* of this instance: the holder of its orders */
+	const char *name; /* of this instance, the holder named in its orders */
 	uint64_t boot;
 	struct roles_ops ops;
 	void *ctx;
@@ -56,13 +56,15 @@
 struct roles *roles_create(const struct roles_parts *parts);
 void roles_destroy(struct roles *roles);
 
-/* The servers that this instance has ordered to change and that the list does
- * not show in their new role yet, at most so many; returns how many. */
+/* Copies the servers that this instance has ordered to change, and that the
+ * list does not show in their new role yet, at most this many. Returns their
+ * number. */
 uint32_t roles_pending_changes(const struct roles *roles,
 			       struct backend_change *moves, uint32_t most);
-/* How many of the prefill runners are to become decode runners, or with a minus
- * the other way. rate is the demand, capacity what one runner reads, both in
- * tokens a second; rate 0: not known yet. */
+/* Number of prefill runners beyond those that are needed; negative when that
+ * many are missing. rate is the demand and capacity what one runner prefills,
+ * both in prompt tokens a second. A rate of 0 means that the demand is not
+ * known yet. */
 int32_t roles_prefill_surplus(uint32_t prefill, uint32_t total, double rate,
 			      double capacity);
 
