--- a/forward/waiting.c
+++ b/forward/waiting.c
@@ -168,7 +168,7 @@
 			continue;
 		stream_dequeue(request);
 		if (request->replied)
-			request_break(request, "no memory to go on");
+			request_break(request, "no decode memory to continue");
 		else
 			request_refuse(request, RESULT_DEADLINE, RETRY_USEC);
 	}
--- a/tests/forward/copies_world.c
+++ b/tests/forward/copies_world.c
@@ -272,7 +272,7 @@
 		for (int k = 0; k < COPY_STREAMS; k++) {
 			struct copy_mirror *own = &copies->mirrors[i][k];
 
-			/* Calls outlive their share. */
+			/* Calls outlive their mirror. */
 			mirror_destroy(own->mirror);
 			if (own->call.fn)
 				call_refuse(own);
--- a/tests/forward/copies_world.h
+++ b/tests/forward/copies_world.h
@@ -1,12 +1,12 @@
 /*
- * copies_world.h - instances of one data centre that share copies of a store's
- * streams, on a paused clock
+ * copies_world.h - instances of one data centre that pass copies of a store's
+ * streams to each other, on a paused clock
  *
  * DESCRIPTION
- *	Gossip is real, the store is not: it answers or refuses each instance,
- *	after a time. Other data centres of the world stand still, as after a
- *	cut. Versions of a configuration are published_at, and the time until
- *all instances have them is measured.
+ *	The gossip is real, the store is a fake: it answers or refuses each
+ *	instance after a configurable time. The other data centres stand still,
+ *	as after a partition. Tests publish versions of a configuration and
+ *	measure the time until all instances have them.
  */
 #ifndef TESTS_FORWARD_COPIES_WORLD_H
 #define TESTS_FORWARD_COPIES_WORLD_H
@@ -17,12 +17,12 @@
 
 struct copies;
 
-/* A call to the store that waits for its answer. */
+/* A pending call to the store. */
 struct copy_call {
 	feed_page_fn fn; /* NULL: none */
 	void *ctx;
 	uint64_t from;
-	int64_t due; /* answered no later */
+	int64_t due; /* latest time of its answer */
 	bool snapshot;
 };
 
@@ -32,36 +32,36 @@
 	uint32_t stream;
 	struct mirror *mirror;
 	struct copy_call call;
-	uint64_t version; /* in force */
-	int64_t fetch_at; /* 0: none */
+	uint64_t version; /* version in force */
+	int64_t fetch_at; /* time of the fetch; 0: none */
 	uint32_t fetch_from;
 };
 
 struct copies {
 	struct site *site;
-	uint32_t centres; /* that are not cut off */
-	uint64_t next;	  /* of both streams; of the first also the version */
+	uint32_t centres; /* data centres that are not cut off */
+	uint64_t next;	  /* offset of both streams, and version of the first */
 	int64_t published_at;
 	bool refused[MOST];
-	int64_t answer_usec; /* that the store takes */
+	int64_t answer_usec; /* time that the store takes to answer */
 	uint32_t calls;
 	uint32_t refusals;
 	struct copy_mirror mirrors[MOST][COPY_STREAMS];
 };
 
-/* count instances in five data centres, of which all but so many are cut off
- * once they know each other. */
+/* Opens count instances in five data centres, and cuts off all but the first
+ * connected ones once all know each other. */
 struct copies *copies_open(uint32_t count, uint32_t connected);
 void copies_close(struct copies *copies);
-/* Whether the instance takes part, and has not stopped. */
+/* Whether the instance runs in a data centre that is not cut off. */
 bool copies_is_active(const struct copies *copies, uint32_t instance);
-/* Time goes on, 50 ms a step. */
+/* Advances the clock, in steps of 50 ms. */
 void copies_run(struct copies *copies, int64_t msec);
 void copies_publish(struct copies *copies);
-/* How many of them do not have the newest version. */
+/* Number of active instances without the newest version. */
 uint32_t copies_outdated(const struct copies *copies);
-/* Publishes, waits until all have it, and returns how long that took, in msec;
- * at most so long. */
+/* Publishes a version and runs until all active instances have it, for at most
+ * most ms. Returns the time taken, in ms. */
 int64_t copies_propagate(struct copies *copies, int64_t most);
 
 #endif
--- a/tests/forward/test_copies.c
+++ b/tests/forward/test_copies.c
@@ -1,14 +1,16 @@
-/* How soon all instances have what the store holds, while it refuses many. */
+/* How soon a change reaches all instances while the store refuses many of them.
+ */
 #include <glib.h>
 
 #include "copies_world.h"
 
-/* A change is to be followed within two seconds everywhere. */
+/* A change must be in force everywhere within two seconds. */
 #define PROPAGATION_MSEC 2000
 #define TIMEOUT_MSEC 20000
 #define SEEDS 3
 
-/* The store refuses all but the last so many of the first data centre. */
+/* Makes the store refuse all but the last instances of the first data centre.
+ */
 static void refuse_all_but_last(struct copies *copies, uint32_t answered)
 {
 	uint32_t left = answered;
@@ -27,8 +29,8 @@
 	g_assert_cmpint(took, <=, PROPAGATION_MSEC);
 }
 
-/* The instances that the store answers come last by name. */
-static void test_answered_wait_for_refused(void)
+/* Only the instances that come last by name are answered. */
+static void test_most_refused(void)
 {
 	struct copies *copies = copies_open(150, 1);
 
@@ -40,8 +42,8 @@
 	copies_close(copies);
 }
 
-/* Others are refused each few seconds, all but one in five. */
-static void refused_draw(struct copies *copies, GRand *rand)
+/* Draws which instances are refused: about four in five, but never all. */
+static void refused_randomise(struct copies *copies, GRand *rand)
 {
 	bool none = true;
 
@@ -54,8 +56,8 @@
 		copies->refused[0] = false;
 }
 
-/* Which instances are refused changes at any moment. */
-static void test_others_are_refused(void)
+/* The refused instances change every few seconds. */
+static void test_refused_change(void)
 {
 	for (guint32 seed = 1; seed <= SEEDS; seed++) {
 		struct copies *copies = copies_open(150, 1);
@@ -63,7 +65,7 @@
 
 		g_test_message("seed %u", seed);
 		for (int i = 0; i < 6; i++) {
-			refused_draw(copies, rand);
+			refused_randomise(copies, rand);
 			for (int k = g_rand_int_range(rand, 1, 4); k > 0; k--) {
 				copies_run(copies,
 					   g_rand_int_range(rand, 0, 1500));
@@ -81,7 +83,7 @@
 		copies->refused[i] = refused;
 }
 
-/* The store answers nobody for a while, and then everybody. */
+/* The store answers no instance for a while, and then all. */
 static void test_after_outage(void)
 {
 	struct copies *copies = copies_open(150, 1);
@@ -96,7 +98,7 @@
 	copies_close(copies);
 }
 
-/* A store that takes long to answer is not read by everybody for that. */
+/* A slow store must not make all instances read it. */
 static void test_slow_store(void)
 {
 	struct copies *copies = copies_open(200, 5);
@@ -113,10 +115,8 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/forward/copies/answered-wait-for-refused",
-			test_answered_wait_for_refused);
-	g_test_add_func("/forward/copies/others-are-refused",
-			test_others_are_refused);
+	g_test_add_func("/forward/copies/most-refused", test_most_refused);
+	g_test_add_func("/forward/copies/refused-change", test_refused_change);
 	g_test_add_func("/forward/copies/after-outage", test_after_outage);
 	g_test_add_func("/forward/copies/slow-store", test_slow_store);
 	return g_test_run();
--- a/tests/forward/test_feed.c
+++ b/tests/forward/test_feed.c
@@ -1,4 +1,4 @@
-/* A feed against a store that answers as the script says. */
+/* A feed against a store with scripted answers. */
 #include <glib.h>
 #include <string.h>
 
@@ -8,7 +8,7 @@
 	struct clock *clock;
 	struct feed *feed;
 	GString *out;
-	/* The call under way; those before it were abandoned. */
+	/* The current call; earlier ones were abandoned. */
 	feed_page_fn fn;
 	void *fn_ctx;
 	feed_page_fn abandoned;
@@ -61,7 +61,7 @@
 
 static void on_recovered(void *ctx)
 {
-	g_string_append(((struct world *)ctx)->out, "regained ");
+	g_string_append(((struct world *)ctx)->out, "recovered ");
 }
 
 static void world_open(struct world *world)
@@ -84,7 +84,7 @@
 {
 	g_assert_cmpstr(world->out->str, ==, expected);
 	feed_destroy(world->feed);
-	/* The store answers also calls whose feed is gone. */
+	/* The store also answers calls of a destroyed feed. */
 	if (world->abandoned)
 		world->abandoned(world->abandoned_ctx, RESULT_LOG_DOWN, NULL);
 	if (world->fn)
@@ -133,9 +133,9 @@
 		      clock_now(world->clock) + msec * USEC_PER_MSEC);
 }
 
-/* What a waiting read shows is as of the end of its wait, not of its begin;
- * a read that was answered sooner, or with a record, is as of its sending. */
-static void test_fresh(void)
+/* A long poll without records is as of the end of its wait. A read that was
+ * answered sooner, or with a record, is as of its sending. */
+static void test_synced_at(void)
 {
 	struct world world;
 
@@ -169,14 +169,15 @@
 	feed_poll(world.feed);
 	page_answer(&world, "d,a-", 9, NULL);
 	feed_poll(world.feed);
-	/* The second page's end is not gone on from: what changed between the
-	 * two would be missed. */
+	/* Reading continues from the end offset of the first page, not of the
+	 * second: changes between the two would be missed. */
 	world_close(&world, "snapshot() begin a b snapshot(b) c end read(7) "
 			    "d a- read(9) ");
 }
 
-/* An answer that does not hold all there is is read on from at once. */
-static void test_more(void)
+/* After an answer that does not reach the end of the stream, the feed reads on
+ * at once. */
+static void test_partial_page(void)
 {
 	const struct feed_page part = {.next = 8, .end = 9};
 	struct world world;
@@ -223,15 +224,16 @@
 	answer(&world, RESULT_LOG_DOWN, NULL);
 	wait_msec(&world, 100);
 	page_answer(&world, "", 7, NULL);
-	/* A snapshot goes on where it was, and is read on from its beginning;
-	 * half a list takes nothing away. */
+	/* After a failure a snapshot continues where it stopped, then the
+	 * stream is read from the offset of the first page. An incomplete
+	 * snapshot removes nothing. */
 	world_close(&world, "snapshot() begin a b snapshot(b) snapshot(b) "
-			    "snapshot(b) regained a end read(7) read(7) "
-			    "regained ");
+			    "snapshot(b) recovered a end read(7) read(7) "
+			    "recovered ");
 }
 
-/* A waiting read whose answer was lost is not waited for, and its answer does
- * no harm when it comes. */
+/* feed_restart() does not wait for the answer of a pending read, and ignores it
+ * when it arrives. */
 static void test_restart(void)
 {
 	struct feed_record record = {.key = "late", .value = "v"};
@@ -255,7 +257,7 @@
 		    "snapshot() begin a end read(7) read(7) b read(8) ");
 }
 
-/* What a peer knows goes before an answer that is on its way. */
+/* A newer state from a peer supersedes a pending answer. */
 static void test_advance(void)
 {
 	struct feed_record record = {.key = "old", .value = "v"};
@@ -281,12 +283,12 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/forward/feed/fresh", test_fresh);
+	g_test_add_func("/forward/feed/synced-at", test_synced_at);
 	g_test_add_func("/forward/feed/pages", test_pages);
-	g_test_add_func("/forward/feed/more", test_more);
+	g_test_add_func("/forward/feed/partial-page", test_partial_page);
 	g_test_add_func("/forward/feed/advance", test_advance);
 	g_test_add_func("/forward/feed/gap", test_gap);
 	g_test_add_func("/forward/feed/outage", test_outage);
-	g_test_add_func("/forward/feed/hurry", test_restart);
+	g_test_add_func("/forward/feed/restart", test_restart);
 	return g_test_run();
 }
--- a/tests/forward/test_list_start.c
+++ b/tests/forward/test_list_start.c
@@ -1,12 +1,13 @@
 /* All instances start at once and read the list of instances from a store whose
- * reads share a rate. */
+ * reads share one bandwidth. Guards against retries that keep the store so busy
+ * that some instances never get the list. */
 #include <glib.h>
 
 #include "common/log.h"
 #include "forward/feed.h"
 #include "forward/reader.h"
 
-#define LISTED_BYTES 110 /* of an instance in a snapshot */
+#define LISTED_BYTES 110 /* one instance in a snapshot */
 #define STORE_BYTES_PER_SEC 80000000
 #define ANSWER_USEC (800 * USEC_PER_MSEC)
 #define QUEUE_USEC (2 * USEC_PER_SEC)
@@ -14,7 +15,7 @@
 #define STEP_USEC (10 * USEC_PER_MSEC)
 #define TICKS 10
 #define STEPS_MAX 12000
-/* Peers are heard of once some have read the list. */
+/* Peers are known once some instances have read the list. */
 #define DISCOVERY_USEC (1 * USEC_PER_SEC)
 
 struct site;
@@ -22,10 +23,10 @@
 struct reader {
 	struct site *site;
 	struct feed *feed;
-	feed_page_fn fn; /* NULL: no call is under way */
+	feed_page_fn fn; /* NULL: no pending call */
 	void *fn_ctx;
 	int64_t answer_at;
-	bool answered; /* with the list */
+	bool answered; /* the pending call succeeds */
 	bool listed;
 };
 
@@ -33,7 +34,7 @@
 	struct clock *clock;
 	struct reader *readers;
 	uint32_t count;
-	int64_t free_at; /* when the store has handed out what was asked */
+	int64_t free_at; /* when the store has sent all answers */
 	uint32_t calls;
 };
 
@@ -52,7 +53,7 @@
 	reader->answer_at = now + REFUSED_USEC;
 	if (site->free_at - now > QUEUE_USEC)
 		return;
-	/* Also what comes too late is handed out. */
+	/* An answer that comes too late uses bandwidth as well. */
 	site->free_at += (int64_t)site->count * LISTED_BYTES * USEC_PER_SEC /
 			 STORE_BYTES_PER_SEC;
 	reader->answered = site->free_at - now <= ANSWER_USEC;
@@ -156,7 +157,7 @@
 	clock_destroy(site->clock);
 }
 
-/* The store is not kept busy by those that it could not answer. */
+/* All instances get the list, with a bounded number of reads. */
 static void test_all_listed(gconstpointer data)
 {
 	uint32_t count = GPOINTER_TO_UINT(data);
@@ -166,8 +167,9 @@
 	site_open(&site, count);
 	while (listed_count(&site) < count && step < STEPS_MAX)
 		site_step(&site, ++step);
-	g_test_message("%u instances: all have it after %d ms, %u calls", count,
-		       (int)(step * STEP_USEC / USEC_PER_MSEC), site.calls);
+	g_test_message("%u instances: all have the list after %d ms, %u calls",
+		       count, (int)(step * STEP_USEC / USEC_PER_MSEC),
+		       site.calls);
 	g_assert_cmpuint(listed_count(&site), ==, count);
 	g_assert_cmpuint(site.calls, <, 4 * count);
 	site_close(&site);
@@ -177,11 +179,11 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	log_setup(NULL, "test", LOG_CRIT);
-	g_test_add_data_func("/forward/list-start/ends-7", GUINT_TO_POINTER(7),
-			     test_all_listed);
-	g_test_add_data_func("/forward/list-start/ends-985",
+	g_test_add_data_func("/forward/list-start/all-listed-7",
+			     GUINT_TO_POINTER(7), test_all_listed);
+	g_test_add_data_func("/forward/list-start/all-listed-985",
 			     GUINT_TO_POINTER(985), test_all_listed);
-	g_test_add_data_func("/forward/list-start/ends-1970",
+	g_test_add_data_func("/forward/list-start/all-listed-1970",
 			     GUINT_TO_POINTER(1970), test_all_listed);
 	return g_test_run();
 }
--- a/tests/forward/test_mirror.c
+++ b/tests/forward/test_mirror.c
@@ -1,4 +1,5 @@
-/* Copies of a stream at several instances, and what they tell each other. */
+/* Copies of a stream at several instances, and the statuses that they exchange.
+ */
 #include <glib.h>
 #include <string.h>
 
@@ -9,7 +10,7 @@
 struct copy {
 	struct clock *clock;
 	struct mirror *mirror;
-	GHashTable *values; /* as its owner sees them */
+	GHashTable *values; /* as delivered to its owner */
 	uint32_t calls;	    /* to the store */
 	feed_page_fn fn;
 	void *fn_ctx;
@@ -36,7 +37,7 @@
 	g_hash_table_remove_all(((struct copy *)ctx)->values);
 }
 
-/* "older" is refused, as a version that was overtaken is. */
+/* Rejects the value "older", as an outdated version. */
 static enum mirror_effect on_value(void *ctx, uint64_t offset, const char *key,
 				   const void *data, size_t size)
 {
@@ -67,7 +68,8 @@
 	copy->mirror = mirror_create(clock, &store, &settings, &ops, copy);
 }
 
-/* One that knows its peers, many of them with lower names. */
+/* Opens a copy of an instance that knows its peers, many of them with lower
+ * names. */
 static void copy_open(struct copy *copy, struct clock *clock)
 {
 	copy_create(copy, clock);
@@ -121,7 +123,7 @@
 	fn(copy->fn_ctx, RESULT_OK, &page);
 }
 
-/* Answers that the records asked for are gone. */
+/* Answers that the requested records are no longer kept. */
 static void store_gap(struct copy *copy)
 {
 	const struct feed_page page = {.gap = true};
@@ -142,10 +144,10 @@
 
 static bool status_receive(struct copy *to, const struct copy *from)
 {
-	struct mirror_status summary;
+	struct mirror_status status;
 
-	mirror_status(from->mirror, &summary);
-	return mirror_merge_status(to->mirror, &summary);
+	mirror_status(from->mirror, &status);
+	return mirror_merge_status(to->mirror, &status);
 }
 
 static void fetch(struct copy *to, const struct copy *from)
@@ -175,7 +177,7 @@
 	return clock;
 }
 
-static guint value_count; /* values that were handed over */
+static guint value_count; /* values delivered */
 
 static enum mirror_effect on_value_counted(void *ctx, uint64_t offset,
 					   const char *key, const void *data,
@@ -185,7 +187,7 @@
 	return on_value(ctx, offset, key, data, size);
 }
 
-/* The rest of a value after its first byte counts. */
+/* Only the bytes after the first one count. */
 static bool on_repeats(void *ctx, const void *before, size_t before_size,
 		       const void *data, size_t size)
 {
@@ -194,7 +196,7 @@
 		      size - 1) == 0;
 }
 
-/* Values that repeat the one before are not handed over, but count as read. */
+/* Values that repeat the previous one are not delivered, but count as read. */
 static void test_repeats(void)
 {
 	static const struct mirror_ops ops = {on_begin, NULL, on_value_counted,
@@ -226,7 +228,8 @@
 	clock_destroy(clock);
 }
 
-/* What a peer fetches grows with what has changed, not with what there is. */
+/* The size of a fetch depends on the number of changes, not on the size of the
+ * copy. */
 static void test_few_changes(void)
 {
 	struct clock *clock;
@@ -262,7 +265,7 @@
 	pair_close(&first, &second, clock);
 }
 
-/* Who is further behind than changes are remembered gets the whole copy. */
+/* A peer further behind than the stored changes receives the whole copy. */
 static void test_many_changes(void)
 {
 	struct clock *clock;
@@ -287,8 +290,8 @@
 	pair_close(&first, &second, clock);
 }
 
-/* An instance without a copy does not read the store while peers tell of one,
- * but not for ever. */
+/* An instance without a copy does not read the store while a peer announces
+ * one, but only for a limited time. */
 static void test_fetch_pending(void)
 {
 	struct clock *clock;
@@ -310,7 +313,8 @@
 	pair_close(&first, &second, clock);
 }
 
-/* One reads; the other has it without a call for as long as it hears. */
+/* One instance reads; the other follows without a call while it receives
+ * statuses. */
 static void test_pass_on(void)
 {
 	struct clock *clock = clock_create(0);
@@ -329,7 +333,7 @@
 	for (int i = 0; i < 50; i++) {
 		wait_msec(clock, 100);
 		tick(&first, 0);
-		/* The same value again: nothing to be fetched. */
+		/* The same value again: nothing to fetch. */
 		if (first.fn)
 			store_answer(&first, "k", "v1", 6 + (uint64_t)i);
 		g_assert_false(status_receive(&second, &first));
@@ -340,13 +344,13 @@
 	pair_close(&first, &second, clock);
 }
 
-/* Words that are told back and forth, a msec on the way each, make nothing look
- * younger than it is: the age that two copies tell each other grows as fast as
- * time, and one of them reads the store when it has to. */
+/* Statuses that two instances exchange, with 1 ms of delay each, must not make
+ * their copies look younger than they are: the announced age grows as fast as
+ * time, and one of the instances reads the store when it is due. */
 static void test_exchanged_ages(void)
 {
 	struct clock *clock = clock_create(0);
-	struct mirror_status summary;
+	struct mirror_status status;
 	struct copy first;
 	struct copy second;
 
@@ -355,25 +359,26 @@
 	store_answer(&first, "k", "v1", 5);
 	fetch(&second, &first);
 	for (int i = 0; i < 500; i++) {
-		mirror_status(first.mirror, &summary);
+		mirror_status(first.mirror, &status);
 		wait_msec(clock, 1);
-		mirror_merge_status(second.mirror, &summary);
-		mirror_status(second.mirror, &summary);
+		mirror_merge_status(second.mirror, &status);
+		mirror_status(second.mirror, &status);
 		wait_msec(clock, 1);
-		mirror_merge_status(first.mirror, &summary);
+		mirror_merge_status(first.mirror, &status);
 	}
-	mirror_status(second.mirror, &summary);
-	g_assert_cmpint(summary.age_usec, >=, USEC_PER_SEC);
-	mirror_status(first.mirror, &summary);
-	g_assert_cmpint(summary.age_usec, >=, USEC_PER_SEC);
+	mirror_status(second.mirror, &status);
+	g_assert_cmpint(status.age_usec, >=, USEC_PER_SEC);
+	mirror_status(first.mirror, &status);
+	g_assert_cmpint(status.age_usec, >=, USEC_PER_SEC);
 	tick(&first, 0);
 	g_assert_cmpuint(first.calls, ==, 2);
 	store_answer(&first, "k", "v1", 6);
 	pair_close(&first, &second, clock);
 }
 
-/* Who comes later gets what is in force, not what was refused since. */
-static void test_refused(void)
+/* A later instance receives the value in force, not one that was rejected
+ * since. */
+static void test_rejected(void)
 {
 	struct clock *clock = clock_create(0);
 	struct copy first;
@@ -390,8 +395,8 @@
 	pair_close(&first, &second, clock);
 }
 
-/* The same where a whole snapshot brings what was overtaken. */
-static void test_refused_snapshot(void)
+/* The same when a snapshot contains an outdated value. */
+static void test_rejected_snapshot(void)
 {
 	struct clock *clock = clock_create(0);
 	struct copy first;
@@ -409,10 +414,9 @@
 	pair_close(&first, &second, clock);
 }
 
-/* Fifty instances with copies that are too old, which a store that is busy
- * answers with a failure: they ask in turns, not all together, and once it
- * answers the first of them has it within a turn. */
-static void test_slots(void)
+/* Fifty instances with stale copies, and a busy store that refuses their reads:
+ * they retry one after another instead of all together, at a bounded rate. */
+static void test_retry_slots(void)
 {
 	struct clock *clock = clock_create(0);
 	struct copy copies[50];
@@ -449,9 +453,9 @@
 	clock_destroy(clock);
 }
 
-/* One that has nothing yet is not put off by the turns of all: it asks again
- * within two seconds. */
-static void test_slots_without_copy(void)
+/* An instance without a copy does not wait for the slots of all others: it
+ * retries within two seconds. */
+static void test_retry_slots_without_copy(void)
 {
 	struct clock *clock = clock_create(0);
 	const struct reader_place place = {.rank = 40, .store_unreachable = 50};
@@ -472,8 +476,8 @@
 	clock_destroy(clock);
 }
 
-/* Before it knows of peers an instance waits for the list of them: it may be
- * one of hundreds that start. But not for long. */
+/* Before it knows its peers, an instance waits for their list, because it may
+ * be one of hundreds that start. The wait is bounded. */
 static void test_unlisted(void)
 {
 	struct clock *clock = clock_create(0);
@@ -491,7 +495,7 @@
 	clock_destroy(clock);
 }
 
-/* That nothing was written yet is passed on too. */
+/* The copy of an empty stream is passed on as well. */
 static void test_empty(void)
 {
 	struct clock *clock = clock_create(0);
@@ -510,8 +514,8 @@
 	pair_close(&first, &second, clock);
 }
 
-/* After a start of all the first few by name read at once, the others when they
- * have heard of none for a while. */
+/* After a start of all instances, the first ones by name read at once, and the
+ * others only when no copy has arrived for a while. */
 static void test_startup_readers(void)
 {
 	struct clock *clock = clock_create(0);
@@ -528,7 +532,7 @@
 	mirror_start(first.mirror, 0);
 	g_assert_cmpuint(first.calls, ==, 1);
 	g_assert_true(status_receive(&late, &first));
-	/* A copy that cannot be fetched is not waited for without end. */
+	/* The wait for a copy that cannot be fetched is bounded. */
 	wait_msec(clock, 2300);
 	tick(&late, 5);
 	g_assert_cmpuint(late.calls, ==, 0);
@@ -544,7 +548,8 @@
 	clock_destroy(clock);
 }
 
-/* One of hundreds that start at once has heard of no peer yet. */
+/* An instance that starts together with hundreds of others has received no
+ * announcement yet. */
 static void test_start_of_all(void)
 {
 	const struct reader_place place = {.peers = 196, .silent_peers = 196};
@@ -566,7 +571,8 @@
 	clock_destroy(clock);
 }
 
-/* Who is not far behind gets only what changed, drops included. */
+/* A peer that is slightly behind receives only the changes, including dropped
+ * keys. */
 static void test_since(void)
 {
 	struct clock *clock = clock_create(0);
@@ -601,7 +607,7 @@
 	g_assert_cmpstr(g_hash_table_lookup(second.values, "c"), ==, "c2");
 	g_assert_cmpuint(mirror_position(second.mirror), ==,
 			 mirror_position(first.mirror));
-	/* One that has nothing cannot go on from there. */
+	/* An instance without a copy cannot apply a delta. */
 	g_assert_true(mirror_decode(third.mirror, part->data, part->len, &err));
 	g_assert_cmpuint(mirror_position(third.mirror), ==, 0);
 	copy_close(&first);
@@ -610,7 +616,7 @@
 	clock_destroy(clock);
 }
 
-/* A reader that is not heard of is made up for in time. */
+/* A reader that no longer announces itself is replaced in time. */
 static void test_reader_gone(void)
 {
 	struct clock *clock = clock_create(0);
@@ -629,14 +635,14 @@
 	}
 	g_assert_cmpuint(second.calls, ==, 1);
 	store_answer(&second, "k", "v2", 9);
-	/* What the first knows is older now, and is not taken. */
+	/* The copy of the first is older now and is ignored. */
 	g_assert_false(status_receive(&second, &first));
 	fetch(&second, &first);
 	g_assert_cmpstr(g_hash_table_lookup(second.values, "k"), ==, "v2");
 	pair_close(&first, &second, clock);
 }
 
-/* Bytes that are no copy change nothing. */
+/* Malformed copies are rejected without a crash. */
 static void test_malformed(void)
 {
 	struct clock *clock = clock_create(0);
@@ -755,25 +761,26 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/forward/share/offered", test_fetch_pending);
-	g_test_add_func("/forward/share/repeats", test_repeats);
-	g_test_add_func("/forward/share/few-changes", test_few_changes);
-	g_test_add_func("/forward/share/many-changes", test_many_changes);
-	g_test_add_func("/forward/share/echo", test_exchanged_ages);
-	g_test_add_func("/forward/share/turns", test_slots);
-	g_test_add_func("/forward/share/turns-without-copy",
-			test_slots_without_copy);
-	g_test_add_func("/forward/share/unlisted", test_unlisted);
-	g_test_add_func("/forward/share/empty", test_empty);
-	g_test_add_func("/forward/share/refused", test_refused);
-	g_test_add_func("/forward/share/refused-snapshot",
-			test_refused_snapshot);
-	g_test_add_func("/forward/share/starters", test_startup_readers);
-	g_test_add_func("/forward/share/start-of-all", test_start_of_all);
-	g_test_add_func("/forward/share/pass-on", test_pass_on);
-	g_test_add_func("/forward/share/since", test_since);
-	g_test_add_func("/forward/share/reader-gone", test_reader_gone);
-	g_test_add_func("/forward/share/malformed", test_malformed);
+	g_test_add_func("/forward/mirror/fetch-pending", test_fetch_pending);
+	g_test_add_func("/forward/mirror/repeats", test_repeats);
+	g_test_add_func("/forward/mirror/few-changes", test_few_changes);
+	g_test_add_func("/forward/mirror/many-changes", test_many_changes);
+	g_test_add_func("/forward/mirror/exchanged-ages", test_exchanged_ages);
+	g_test_add_func("/forward/mirror/retry-slots", test_retry_slots);
+	g_test_add_func("/forward/mirror/retry-slots-without-copy",
+			test_retry_slots_without_copy);
+	g_test_add_func("/forward/mirror/unlisted", test_unlisted);
+	g_test_add_func("/forward/mirror/empty", test_empty);
+	g_test_add_func("/forward/mirror/rejected", test_rejected);
+	g_test_add_func("/forward/mirror/rejected-snapshot",
+			test_rejected_snapshot);
+	g_test_add_func("/forward/mirror/startup-readers",
+			test_startup_readers);
+	g_test_add_func("/forward/mirror/start-of-all", test_start_of_all);
+	g_test_add_func("/forward/mirror/pass-on", test_pass_on);
+	g_test_add_func("/forward/mirror/since", test_since);
+	g_test_add_func("/forward/mirror/reader-gone", test_reader_gone);
+	g_test_add_func("/forward/mirror/malformed", test_malformed);
 	g_test_add_func("/forward/gossip/datagram", test_datagram);
 	g_test_add_func("/forward/gossip/fuzz", test_datagram_fuzz);
 	return g_test_run();
--- a/tests/forward/test_overload.c
+++ b/tests/forward/test_overload.c
@@ -1,12 +1,11 @@
 /*
- * A burst of twice what the servers can hold: how many callers get their first
- * event in time when waiting requests are placed newest first, and when those
- * go first that are least cost. All servers are one pool here, so only the
- * order and the early refusal count.
+ * Simulates a burst of twice the servers' capacity, and counts the callers that
+ * get their first event in time. Compares placing the newest request first with
+ * placing the cheapest first and refusing early by cost. All servers form one
+ * pool here, so only the order and the early refusal matter.
  *
- * Newest first, 0.881 of those that arrived in the burst were in time; with the
- * least cost first, and refused early by it, 0.928. Of the largest 0.839, then
- * 0.699.
+ * Newest first, 0.881 of the callers in the burst were in time; cheapest first,
+ * 0.928. Of the largest requests, 0.839 and 0.699.
  */
 #include <glib.h>
 #include <math.h>
@@ -37,24 +36,24 @@
 };
 
 struct outcome {
-	uint32_t requested;	  /* in the burst */
-	uint32_t served;	  /* of these, in time */
-	uint32_t large_requested; /* the largest tenth */
+	uint32_t requested;	  /* arrived in the burst */
+	uint32_t served;	  /* of these, served in time */
+	uint32_t large_requested; /* the largest tenth of these */
 	uint32_t large_served;
 };
 
 struct sim {
 	GRand *rand;
-	bool least_first;
+	bool cheapest_first;
 	int now;
 	double used;
 	GArray *waiting; /* struct caller */
-	GArray *ends;	 /* struct caller; arrived: when it ends */
+	GArray *ends;	 /* struct caller; arrived is the time of its end */
 	struct engine_rates rates;
 	struct outcome outcome;
 };
 
-/* About log-normal, as the sheets' sizes are. */
+/* Approximately log-normal, as the request sizes of the load profiles are. */
 static double size_draw(GRand *rand, double mean, double spread, double most)
 {
 	double normal = 0.0;
@@ -104,11 +103,11 @@
 	return (struct overload_caller){
 		.arrived = caller->arrived * USEC_PER_MSEC,
 		.target_usec = TARGET_MSEC * USEC_PER_MSEC,
-		.weight = sim->least_first ? caller->weight : 1.0,
+		.weight = sim->cheapest_first ? caller->weight : 1.0,
 	};
 }
 
-static gint least_compare(gconstpointer a, gconstpointer b, gpointer sim)
+static gint cheapest_compare(gconstpointer a, gconstpointer b, gpointer sim)
 {
 	const struct overload_caller one = overload_caller_of(sim, a);
 	const struct overload_caller other = overload_caller_of(sim, b);
@@ -135,7 +134,7 @@
 	g_array_append_val(sim->ends, caller);
 }
 
-static bool is_removed(struct sim *sim, struct caller *caller)
+static bool is_dropped(struct sim *sim, struct caller *caller)
 {
 	const struct overload_caller waits = overload_caller_of(sim, caller);
 	int64_t now = sim->now * USEC_PER_MSEC;
@@ -154,21 +153,21 @@
 static void step(struct sim *sim)
 {
 	for (guint i = sim->ends->len; i-- > 0;) {
-		const struct caller *end =
+		const struct caller *ended =
 			&g_array_index(sim->ends, struct caller, i);
 
-		if (end->arrived > sim->now)
+		if (ended->arrived > sim->now)
 			continue;
-		sim->used -= end->prompt + end->output / 2.0;
+		sim->used -= ended->prompt + ended->output / 2.0;
 		g_array_remove_index_fast(sim->ends, i);
 	}
 	for (guint i = sim->waiting->len; i-- > 0;)
-		if (is_removed(sim,
+		if (is_dropped(sim,
 			       &g_array_index(sim->waiting, struct caller, i)))
 			g_array_remove_index(sim->waiting, i);
 	g_array_sort_with_data(
-		sim->waiting, sim->least_first ? least_compare : newest_compare,
-		sim);
+		sim->waiting,
+		sim->cheapest_first ? cheapest_compare : newest_compare, sim);
 	while (sim->waiting->len > 0) {
 		struct caller first =
 			g_array_index(sim->waiting, struct caller, 0);
@@ -180,11 +179,11 @@
 	}
 }
 
-static struct outcome sim_run(uint32_t seed, bool least_first)
+static struct outcome sim_run(uint32_t seed, bool cheapest_first)
 {
 	struct sim sim = {
 		.rand = g_rand_new_with_seed(seed),
-		.least_first = least_first,
+		.cheapest_first = cheapest_first,
 		.waiting = g_array_new(FALSE, FALSE, sizeof(struct caller)),
 		.ends = g_array_new(FALSE, FALSE, sizeof(struct caller)),
 	};
@@ -214,24 +213,25 @@
 	double large;
 
 	for (uint32_t seed = 1; seed <= 20; seed++)
-		for (int least = 0; least < 2; least++) {
-			struct outcome one = sim_run(seed, least);
+		for (int cheapest = 0; cheapest < 2; cheapest++) {
+			struct outcome one = sim_run(seed, cheapest);
 
-			sums[least].requested += one.requested;
-			sums[least].served += one.served;
-			sums[least].large_requested += one.large_requested;
-			sums[least].large_served += one.large_served;
+			sums[cheapest].requested += one.requested;
+			sums[cheapest].served += one.served;
+			sums[cheapest].large_requested += one.large_requested;
+			sums[cheapest].large_served += one.large_served;
 		}
-	for (int least = 0; least < 2; least++)
+	for (int cheapest = 0; cheapest < 2; cheapest++)
 		g_test_message("%s: %.3f in time, of the largest %.3f",
-			       least ? "least cost first" : "newest first",
-			       (double)sums[least].served /
-				       sums[least].requested,
-			       (double)sums[least].large_served /
-				       sums[least].large_requested);
+			       cheapest ? "cheapest first" : "newest first",
+			       (double)sums[cheapest].served /
+				       sums[cheapest].requested,
+			       (double)sums[cheapest].large_served /
+				       sums[cheapest].large_requested);
 	all = (double)sums[1].served / sums[1].requested;
 	large = (double)sums[1].large_served / sums[1].large_requested;
-	/* More callers in time, and the largest not half as often. */
+	/* More callers are in time, and the largest are at least half as often
+	 * in time as all. */
 	g_assert_cmpuint(sums[1].served, >, sums[0].served);
 	g_assert_cmpfloat(large, >, all / 2.0);
 }
--- a/tests/forward/test_rates.c
+++ b/tests/forward/test_rates.c
@@ -1,5 +1,5 @@
-/* Rates learnt from requests: soon near what was seen, unmoved by a few that
- * differ. */
+/* Rates estimated from requests: close to the actual rate after 60 samples, and
+ * not moved by a few outliers. */
 #include <glib.h>
 
 #include "common/clock.h"
@@ -9,17 +9,17 @@
 
 struct rate_case {
 	const char *name;
-	double rate;	   /* of most servers, tokens a second */
-	double other;	   /* of the others */
-	uint32_t other_in; /* one in so many; 0: none */
+	double rate;	      /* of most servers, in tokens a second */
+	double other;	      /* of the others */
+	uint32_t other_every; /* one sample in this many; 0: none */
 };
 
 static const struct rate_case cases[] = {
-	{"as at first", 33000, 0, 0},
+	{"initial estimate", 33000, 0, 0},
 	{"faster", 66000, 0, 0},
 	{"slower", 16000, 0, 0},
 	{"a third is slower", 55000, 42000, 3},
-	{"one in five stands still", 55000, 500, 5},
+	{"one in five is stalled", 55000, 500, 5},
 };
 
 static void test_case(gconstpointer data)
@@ -29,7 +29,7 @@
 
 	median_init(&rates.prefill, PREFILL_RATE_START);
 	for (uint32_t i = 1; i <= 60; i++) {
-		bool other = row->other_in && i % row->other_in == 0;
+		bool other = row->other_every && i % row->other_every == 0;
 		double rate = other ? row->other : row->rate;
 		uint32_t ahead = i % 2 ? TOKENS : 0;
 
@@ -42,7 +42,7 @@
 	g_assert_cmpfloat(rates.prefill.value, <, row->rate * 1.15);
 }
 
-/* Short prompts tell little of reading. */
+/* Short prompts do not count, nor do samples without a duration. */
 static void test_short(void)
 {
 	struct engine_rates rates;
--- a/tests/forward/test_reader.c
+++ b/tests/forward/test_reader.c
@@ -1,5 +1,4 @@
-/* When an instance reads the store, by what it knows of itself and its peers.
- */
+/* When an instance reads the store, by its own state and its peers. */
 #include <glib.h>
 
 #include "forward/reader.h"
@@ -9,7 +8,8 @@
 #define NOW MSEC(100000)
 #define NEVER -1
 
-/* A copy, or the start, and a failed read so long ago, in msec. */
+/* Ages in ms: of the copy (without one, of the start), and of the last failed
+ * read. */
 struct row {
 	const char *name;
 	struct reader_place place;
@@ -22,7 +22,7 @@
 };
 
 static const struct row rows[] = {
-	{"the first reads all the time",
+	{"rank 0 reads all the time",
 	 {.rank = 0, .peers = 29},
 	 0,
 	 NEVER,
@@ -30,7 +30,7 @@
 	 true,
 	 true,
 	 true},
-	{"the first reads a stream that has no waiting reads each 700 ms",
+	{"rank 0 without long polls reads every 700 ms",
 	 {.rank = 0, .peers = 29},
 	 690,
 	 NEVER,
@@ -38,7 +38,7 @@
 	 true,
 	 false,
 	 false},
-	{"the second hears from the first",
+	{"rank 1 with a copy within its staleness bound",
 	 {.rank = 1, .peers = 29},
 	 1140,
 	 NEVER,
@@ -46,7 +46,7 @@
 	 true,
 	 true,
 	 false},
-	{"the second does not hear from the first",
+	{"rank 1 with a copy beyond its staleness bound",
 	 {.rank = 1, .peers = 29},
 	 1150,
 	 NEVER,
@@ -54,7 +54,7 @@
 	 true,
 	 true,
 	 true},
-	{"the last lets others ask first",
+	{"the last rank leaves the first reads to others",
 	 {.rank = 29, .peers = 29},
 	 1580,
 	 NEVER,
@@ -62,7 +62,7 @@
 	 true,
 	 true,
 	 false},
-	{"the last asks in time",
+	{"the last rank reads in time",
 	 {.rank = 29, .peers = 29},
 	 1600,
 	 NEVER,
@@ -70,7 +70,7 @@
 	 true,
 	 true,
 	 true},
-	{"refused peers are not waited for",
+	{"peers that the store refuses delay no other",
 	 {.rank = 5, .peers = 29, .store_unreachable = 24},
 	 1600,
 	 NEVER,
@@ -78,7 +78,7 @@
 	 true,
 	 true,
 	 true},
-	{"refused before its copy was old, it asks like others",
+	{"refused before its copy was stale: first retry at once",
 	 {.rank = 29, .peers = 29, .store_unreachable = 24},
 	 1600,
 	 1500,
@@ -86,7 +86,7 @@
 	 true,
 	 true,
 	 true},
-	{"refused since, it waits for its turn",
+	{"refused since: not its slot",
 	 {.rank = 24, .peers = 29, .store_unreachable = 24},
 	 4000,
 	 2000,
@@ -94,7 +94,7 @@
 	 true,
 	 true,
 	 false},
-	{"refused since, its turn has come",
+	{"refused since: its slot",
 	 {.rank = 24, .peers = 29, .store_unreachable = 24},
 	 1600 + 24 * 300,
 	 7000,
@@ -102,7 +102,7 @@
 	 true,
 	 true,
 	 true},
-	{"all refused, the first asks again at once",
+	{"all refused: rank 0 retries in its slot",
 	 {.rank = 0, .peers = 29, .store_unreachable = 29},
 	 1700,
 	 310,
@@ -110,7 +110,7 @@
 	 true,
 	 true,
 	 true},
-	{"refused alone, it asks after the backoff",
+	{"alone refused: retries after the backoff",
 	 {.rank = 1, .peers = 1},
 	 4000,
 	 200,
@@ -118,7 +118,7 @@
 	 true,
 	 true,
 	 true},
-	{"refused while others read, it leaves it to them",
+	{"refused with a current copy: leaves reading to others",
 	 {.rank = 29, .peers = 29},
 	 300,
 	 2400,
@@ -126,7 +126,7 @@
 	 true,
 	 true,
 	 false},
-	{"refused while others read, it asks now and then",
+	{"refused with a current copy: probes every five seconds",
 	 {.rank = 29, .peers = 29},
 	 300,
 	 7500,
@@ -134,7 +134,7 @@
 	 true,
 	 true,
 	 true},
-	{"answers that take long are waited for",
+	{"slow answers raise the staleness bound",
 	 {.rank = 29, .peers = 29},
 	 2900,
 	 NEVER,
@@ -142,7 +142,7 @@
 	 true,
 	 true,
 	 false},
-	{"the last of a thousand lets others ask first",
+	{"the last of a thousand leaves the first reads to others",
 	 {.rank = 60, .peers = 60, .instances = 1000},
 	 3140,
 	 NEVER,
@@ -150,7 +150,7 @@
 	 true,
 	 true,
 	 false},
-	{"the last of a thousand asks in time",
+	{"the last of a thousand reads in time",
 	 {.rank = 60, .peers = 60, .instances = 1000},
 	 3150,
 	 NEVER,
@@ -158,7 +158,7 @@
 	 true,
 	 true,
 	 true},
-	{"one of a thousand that was refused since waits",
+	{"one of a thousand, refused since: longer pause",
 	 {.rank = 1, .peers = 60, .instances = 1000},
 	 4000,
 	 900,
@@ -166,7 +166,7 @@
 	 true,
 	 true,
 	 false},
-	{"without a copy, the first asks once peers are listed",
+	{"without a copy: rank 0 reads once peers are listed",
 	 {.rank = 0, .peers = 29},
 	 150,
 	 NEVER,
@@ -174,7 +174,7 @@
 	 false,
 	 true,
 	 true},
-	{"without a copy, no peer heard of yet",
+	{"without a copy: no announcement of a peer yet",
 	 {.rank = 0, .peers = 196, .silent_peers = 196},
 	 990,
 	 NEVER,
@@ -182,7 +182,7 @@
 	 false,
 	 true,
 	 false},
-	{"without a copy, no peer is heard of any more",
+	{"without a copy: the wait for announcements is over",
 	 {.rank = 0, .peers = 196, .silent_peers = 196},
 	 1000,
 	 NEVER,
@@ -190,7 +190,7 @@
 	 false,
 	 true,
 	 true},
-	{"without a copy, refused: few turns",
+	{"without a copy, refused: its slot of few",
 	 {.rank = 29, .peers = 29, .store_unreachable = 24},
 	 9300,
 	 1800,
@@ -198,7 +198,7 @@
 	 false,
 	 true,
 	 true},
-	{"without a copy, refused: not its turn",
+	{"without a copy, refused: not its slot",
 	 {.rank = 29, .peers = 29, .store_unreachable = 24},
 	 9000,
 	 1800,
@@ -226,7 +226,7 @@
 	g_assert_cmpint(reader_is_due(&state, &row->place, NOW), ==, row->due);
 }
 
-/* Before peers are listed a rank of 0 says little. */
+/* Before the peers are listed, rank 0 must not make an instance read. */
 static void test_unlisted(void)
 {
 	const struct reader_place place = {.peers = 3, .instances = 1000};
@@ -241,7 +241,7 @@
 	g_assert_true(reader_is_due(&state, &place, NOW));
 }
 
-/* Each time that the list of instances fails the pause doubles. */
+/* The pause doubles with each failed read of the list of instances. */
 static void test_list_fails(void)
 {
 	struct reader_state state = {
--- a/tests/forward/test_reading.c
+++ b/tests/forward/test_reading.c
@@ -1,11 +1,12 @@
 /*
- * Who reads prompts when most prefill servers are lost for five seconds: how
- * many callers have their prompt read in time when all wait for the servers
- * that are left, and when decode servers read for themselves once these are
- * behind. The servers are those of fleet.h and place.h, with exact views.
+ * Simulates the loss of most prefill servers for five seconds, and counts the
+ * callers whose prompt is prefilled in time. Compares waiting for the remaining
+ * prefill servers with decode servers that prefill by themselves when the
+ * remaining ones are behind. The servers are those of fleet.h and place.h, with
+ * exact views.
  *
- * With all waiting 0.066 of those that arrived meanwhile were in time, with
- * decode servers reading 1.00; in calm times nobody reads for itself.
+ * When all wait, 0.066 of the callers during the loss were in time; when decode
+ * servers prefill, 1.00. Without a loss no decode server prefills.
  */
 #include <glib.h>
 
@@ -21,22 +22,23 @@
 #define PROMPT 5000u
 #define CALLERS_PER_SEC 60.0
 #define TOKENS_PER_MSEC 55.0
-/* Of the target of 900 ms, less what a run takes to its first event. */
+/* Part of the target of 900 ms that is left for prefilling: the rest is the
+ * time from the start of a run to its first event. */
 #define PREFILL_TARGET_MSEC 650
-/* What is read in 0.45 of the target. */
+/* Tokens that a prefill server processes in 0.45 of the target. */
 #define AHEAD_TOKENS_MAX 22275u
 #define SERVICE 1
 #define SERVERS (PREFILLS + DECODES)
 
 struct job {
 	int arrived;
-	double left; /* tokens to be read */
+	double left; /* tokens still to be prefilled */
 };
 
 struct server {
 	struct backend *backend;
-	GQueue jobs; /* struct job, read one after the other */
-	double rate; /* tokens a msec */
+	GQueue jobs; /* struct job, processed in order */
+	double rate; /* tokens a millisecond */
 };
 
 struct sim {
@@ -45,12 +47,13 @@
 	GRand *rand;
 	int now;
 	struct server servers[SERVERS];
-	bool always_waits; /* for prefill servers, whatever always_waits there
-			    */
-	uint32_t own_prefills_normal;
-	uint32_t requested;    /* while servers are lost */
-	uint32_t in_time;      /* of these */
-	uint32_t own_prefills; /* by decode servers */
+	bool always_waits; /* callers wait for a prefill server, however long
+			      its queue is */
+	uint32_t own_prefills_normal; /* such prompts without a loss */
+	uint32_t requested;	      /* callers during the loss */
+	uint32_t in_time;      /* callers during the loss that were in time */
+	uint32_t own_prefills; /* prompts prefilled by decode servers during the
+				  loss */
 };
 
 static void server_add(struct sim *sim, uint32_t i)
@@ -124,10 +127,10 @@
 	struct job *job;
 
 	while (tokens > 0.0 && (job = g_queue_peek_head(&server->jobs))) {
-		double read = MIN(tokens, job->left);
+		double done = MIN(tokens, job->left);
 
-		job->left -= read;
-		tokens -= read;
+		job->left -= done;
+		tokens -= done;
 		if (job->left > 0.0)
 			return;
 		job_end(sim, job);
@@ -136,7 +139,8 @@
 	}
 }
 
-/* Those lost are known as such; what they had is not counted. */
+/* The loss is known at once. Prompts that the lost servers had are not counted.
+ */
 static void servers_set_lost(struct sim *sim, bool lost)
 {
 	for (uint32_t i = 0; i < LOST_SERVERS; i++)
@@ -193,10 +197,10 @@
 				always_waits ? 0 : sim.own_prefills_normal;
 			sim_close(&sim);
 		}
-	g_test_message("in time: %.3f waiting for prefill servers, %.3f read "
-		       "by decode servers when behind; %u so in calm times",
+	g_test_message("in time: %.3f waiting for prefill servers, %.3f with "
+		       "prefill by decode servers; %u of these without a loss",
 		       in_time[1] / 10, in_time[0] / 10, own_prefills_normal);
-	/* Whoever can be served in time is. */
+	/* With decode servers helping, at least 99 % are in time. */
 	g_assert_cmpfloat(in_time[0] / 10, >=, 0.99);
 	g_assert_cmpfloat(in_time[1], <, in_time[0]);
 	g_assert_cmpuint(own_prefills_normal, <=, 10);
--- a/tests/forward/test_roles.c
+++ b/tests/forward/test_roles.c
@@ -1,4 +1,4 @@
-/* Who orders which runner to another role, and when. */
+/* Which runner is ordered to another role, by which instance, and when. */
 #include <glib.h>
 #include <string.h>
 
@@ -30,8 +30,8 @@
 	struct decider deciders[DECIDERS];
 	double demand;
 	double prefill_rate;
-	bool list_stale; /* does not show changes */
-	GString *orders; /* "0:p1>decode " each */
+	bool list_stale; /* the list does not show changes */
+	GString *orders; /* an entry each, as in "a:p1>decode " */
 	GArray *times;
 };
 
@@ -159,7 +159,7 @@
 		roles_destroy(site->deciders[i].roles);
 		fleet_destroy(site->deciders[i].fleet);
 	}
-	/* Answers under way arrive when nobody waits for them any more. */
+	/* Pending answers arrive after their receiver is gone. */
 	clock_advance(site->clock, clock_now(site->clock) + SECOND);
 	later_destroy(site->later);
 	fake_log_destroy(site->log);
@@ -184,7 +184,7 @@
 			   list[i][0] == 'p' ? STAGE_PREFILL : STAGE_DECODE);
 }
 
-/* Before any traffic the split is put right within seconds. */
+/* Before any traffic the split is corrected within seconds. */
 static void test_start(void)
 {
 	struct site site;
@@ -195,7 +195,7 @@
 	site_close(&site, "a:p1>decode a:p2>decode ");
 }
 
-/* A demand that lasts moves a runner, a burst does not. */
+/* A lasting demand changes the role of a runner, a burst does not. */
 static void test_demand(void)
 {
 	struct site site;
@@ -214,7 +214,7 @@
 	site_close(&site, "a:d1>prefill ");
 }
 
-/* A stage that one loss may leave without runners is helped at once. */
+/* A stage that the loss of one runner would empty gets another at once. */
 static void test_no_spare(void)
 {
 	struct site site;
@@ -226,8 +226,8 @@
 	site_close(&site, "a:d1>prefill ");
 }
 
-/* Prefill runners are lost, and those left cannot read the mean demand: others
- * take their place within seconds, one after the other. */
+/* Prefill runners are lost, and the remaining ones cannot process the mean
+ * demand: others replace them within seconds, one after the other. */
 static void test_overload(void)
 {
 	struct site site;
@@ -248,8 +248,8 @@
 	site_close(&site, "a:d9>prefill a:d8>prefill ");
 }
 
-/* The same loss where engines read half as fast again: those left can read the
- * demand, so none of the others is taken from decoding. */
+/* The same loss with engines that prefill 1.6 times as fast: the remaining
+ * runners suffice, so none is taken from decoding. */
 static void test_fast_engines(void)
 {
 	struct site site;
@@ -268,7 +268,8 @@
 	site_close(&site, "");
 }
 
-/* All servers that change are told of until the list shows them changed. */
+/* roles_pending_changes() reports every changing server until the list shows
+ * its new role. */
 static void test_pending_changes(void)
 {
 	struct backend_change moves[4];
@@ -294,7 +295,7 @@
 
 		g_assert_cmpint(moves[k].stage, ==, STAGE_PREFILL);
 		g_assert_cmpint(moves[k].left_usec, >, 10 * SECOND);
-		/* Nothing more goes there, here or at who hears of it. */
+		/* Neither instance sends it requests. */
 		g_assert_false(backend_usable(backend, clock_now(site.clock)));
 		fleet_change(site.deciders[1].fleet, &moves[k]);
 		backend = fleet_find(site.deciders[1].fleet, moves[k].key);
@@ -311,8 +312,8 @@
 	site_close(&site, "a:d9>prefill a:d8>prefill ");
 }
 
-/* The holder is lost: its successor orders, soon, and never within the time in
- * which an order of the former may still arrive. */
+/* When the holder is lost, its successor orders soon, but never within the time
+ * in which an order of the previous holder may still arrive. */
 static void test_successor(void)
 {
 	struct site site;
@@ -333,7 +334,7 @@
 	site_close(&site, "a:d1>prefill b:d7>prefill ");
 }
 
-/* While the log is down nobody orders anything. */
+/* While the log is down no instance orders anything. */
 static void test_log_down(void)
 {
 	struct site site;
@@ -351,8 +352,8 @@
 	g_test_add_func("/forward/roles/start", test_start);
 	g_test_add_func("/forward/roles/demand", test_demand);
 	g_test_add_func("/forward/roles/fast-engines", test_fast_engines);
-	g_test_add_func("/forward/roles/moving", test_pending_changes);
-	g_test_add_func("/forward/roles/short", test_no_spare);
+	g_test_add_func("/forward/roles/pending-changes", test_pending_changes);
+	g_test_add_func("/forward/roles/no-spare", test_no_spare);
 	g_test_add_func("/forward/roles/overload", test_overload);
 	g_test_add_func("/forward/roles/successor", test_successor);
 	g_test_add_func("/forward/roles/log-down", test_log_down);
