--- a/forward/request.h
+++ b/forward/request.h
@@ -227,9 +227,9 @@
 enum permit request_permit(struct request *request, struct backend *backend,
 			   enum permit_step step);
 /* Ignores the answer to a pending permit request. */
-void permit_forget(struct request *request);
+void permit_cancel(struct request *request);
 /* Timeout of a pending permit request. */
-void permit_unanswered(struct timer *timer, void *ctx);
+void permit_timed_out(struct timer *timer, void *ctx);
 void plain_permitted(struct request *request, struct backend *backend);
 void stream_permitted(struct request *request, struct backend *backend);
 void prefill_permitted(struct request *request, struct backend *backend);
@@ -252,8 +252,8 @@
 struct engine_rates *forward_rates(struct forward *forward, uint64_t service);
 /* Expires waiting streams and places those for which memory is free. */
 void stream_pump(struct forward *forward);
-void stream_wait(struct request *request);
-void stream_unwait(struct request *request);
+void stream_enqueue(struct request *request);
+void stream_dequeue(struct request *request);
 /* Decode memory charged for the request, in tokens. */
 uint32_t stream_tokens(const struct request *request);
 bool stream_waiting_full(const struct forward *forward);
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -98,7 +98,7 @@
 	answer_clear(&request->answer);
 	if (may_retry && request->reservations < RESERVATIONS_MAX &&
 	    request_time_left(request) > 0) {
-		stream_wait(request);
+		stream_enqueue(request);
 		return;
 	}
 	if (request->replied)
@@ -228,8 +228,8 @@
 		forward_rates(request->forward, request->service->id);
 	double target = (double)request->route->target_usec;
 
-	return (uint32_t)(PREFILL_QUEUE_FRACTION * target * rates->read.value /
-			  (double)USEC_PER_SEC);
+	return (uint32_t)(PREFILL_QUEUE_FRACTION * target *
+			  rates->prefill.value / (double)USEC_PER_SEC);
 }
 
 /* Timeout for the prompts queued ahead and this one. */
@@ -393,7 +393,7 @@
 			  LOG_S("request", request->caller.id),
 			  LOG_D("after_ms", (now - request->step_started_at) /
 						    USEC_PER_MSEC));
-		stream_wait(request);
+		stream_enqueue(request);
 		return;
 	}
 	if (result == RESERVE_OK) {
@@ -408,7 +408,7 @@
 		backend_failed(backend, now);
 	if (result == RESERVE_FAILED && backend)
 		stream_record_full(request, backend);
-	stream_wait(request);
+	stream_enqueue(request);
 }
 
 static void reserve_call(struct request *request, struct backend *backend)
@@ -464,7 +464,7 @@
 			return false;
 		permit = request_permit(request, backend, PERMIT_STEP_RESERVE);
 	}
-	stream_unwait(request);
+	stream_dequeue(request);
 	charge_add(request, &request->decode, backend, &load);
 	placed_log(request, "reserve", backend);
 	request->is_probe = backend_refusing(backend);
@@ -481,7 +481,7 @@
 	if (backend)
 		reserve_call(request, backend);
 	else
-		stream_wait(request);
+		stream_enqueue(request);
 }
 
 /* Sets the weight: the cost relative to the service's median request. */
@@ -497,9 +497,9 @@
 		output = caller->output_max / 2;
 	cost = stream_cost(caller->prompt_tokens,
 			   MIN(output, MAX(caller->output_max, 1u)));
-	if (rates->work.samples == 0)
-		median_init(&rates->work, cost);
-	median_add(&rates->work, cost);
+	if (rates->cost.samples == 0)
+		median_init(&rates->cost, cost);
+	median_add(&rates->cost, cost);
 	request->weight = engine_rates_weight(rates, cost);
 }
 
@@ -532,5 +532,5 @@
 		return;
 	}
 	if (!stream_reserve(request, 1))
-		stream_wait(request);
+		stream_enqueue(request);
 }
--- a/forward/waiting.c
+++ b/forward/waiting.c
@@ -1,29 +1,30 @@
 /*
- * waiting.c - streams that wait for decode memory: who is placed, who is
- * refused
+ * waiting.c - queue of the streams that wait for decode memory
  */
 #include "forward/overload.h"
 #include "request.h"
 
-/* How often waiting requests look for memory again; a runner frees some every
- * few tens of milliseconds. */
+/* Interval between attempts to place waiting requests. A runner frees memory
+ * every few tens of milliseconds. */
 #define PUMP_USEC (15 * USEC_PER_MSEC)
-/* Requests waiting at an instance. */
+/* Maximum number of requests that wait at an instance. */
 #define WAITING_MAX 512u
-/* A caller leaves a stream that shows no event for the longest of this time and
- * these multiples of its targets. What cannot begin by then, less the time that
- * a prefill takes, is told so while it still listens. */
-#define PATIENCE_USEC (2 * USEC_PER_SEC)
-#define PATIENCE_TARGETS 4
-#define PATIENCE_GAPS 8
-#define BEGIN_USEC (400 * USEC_PER_MSEC)
-/* Requests that will be late are only given room that this many more like them
- * would fit into. */
-#define LATE_ROOM 3u
-/* What one is told that waited in vain: memory is freed within this time. */
+/* A caller gives up a stream without events after the longest of
+ * CALLER_TIMEOUT_USEC and these multiples of its targets. A request that cannot
+ * begin by then, less the time of a prefill, is refused while its caller still
+ * waits for an answer. */
+#define CALLER_TIMEOUT_USEC (2 * USEC_PER_SEC)
+#define CALLER_TIMEOUT_TARGETS 4
+#define CALLER_TIMEOUT_GAPS 8
+#define PREFILL_USEC (400 * USEC_PER_MSEC)
+/* A request that will miss its target is only placed where memory for this many
+ * requests like it is free. */
+#define LATE_ROOM_FACTOR 3u
+/* Retry time sent to the caller of a request that expired while waiting: memory
+ * is freed within this time. */
 #define RETRY_USEC (300 * USEC_PER_MSEC)
 
-void stream_unwait(struct request *request)
+void stream_dequeue(struct request *request)
 {
 	if (!request->waiting)
 		return;
@@ -31,7 +32,7 @@
 	request->waiting = false;
 }
 
-void stream_wait(struct request *request)
+void stream_enqueue(struct request *request)
 {
 	struct forward *forward = request->forward;
 
@@ -58,12 +59,12 @@
 	};
 }
 
-static bool on_time(const struct request *request, int64_t now)
+static bool meets_target(const struct request *request, int64_t now)
 {
 	const struct overload_caller caller = caller_of(request);
 
-	return overload_on_time(&caller, now,
-				request->forward->first_event_usec);
+	return overload_meets_target(&caller, now,
+				     request->forward->first_event_usec);
 }
 
 static gint order_compare(gconstpointer a, gconstpointer b)
@@ -76,13 +77,13 @@
 	return overload_compare(&one, &other);
 }
 
-static void waiting_pass(struct forward *forward, bool in_time)
+static void waiting_place(struct forward *forward, bool in_time)
 {
 	g_autoptr(GPtrArray) list = g_ptr_array_new();
 	int64_t now = clock_now(forward->parts.clock);
 
 	for (GList *link = forward->waiting.tail; link; link = link->prev)
-		if (on_time(link->data, now) == in_time)
+		if (meets_target(link->data, now) == in_time)
 			g_ptr_array_add(list, link->data);
 	g_ptr_array_sort(list, order_compare);
 	for (guint i = 0; i < list->len; i++) {
@@ -90,12 +91,12 @@
 
 		if (request_quarantine(request))
 			continue;
-		if (!stream_reserve(request, in_time ? 1 : LATE_ROOM))
+		if (!stream_reserve(request, in_time ? 1 : LATE_ROOM_FACTOR))
 			return;
 	}
 }
 
-/* How long those that wait at all instances will take to be placed. */
+/* Seconds until the requests that wait at all instances are placed. */
 static double queue_sec(const struct request *request)
 {
 	const struct forward_parts *parts = &request->forward->parts;
@@ -113,42 +114,44 @@
 	const struct overload_caller caller = caller_of(request);
 
 	if (request->reservations > 0 || request->checked_early ||
-	    !overload_is_due(&caller, now))
+	    !overload_check_due(&caller, now))
 		return false;
 	request->checked_early = true;
-	if (!overload_too_long(&caller, now, request->forward->first_event_usec,
-			       queue_sec(request)))
+	if (!overload_misses_target(&caller, now,
+				    request->forward->first_event_usec,
+				    queue_sec(request)))
 		return false;
 	request_refuse(request, RESULT_QUEUE_FULL,
 		       overload_retry_usec(request->forward->parts.rand));
 	return true;
 }
 
-/* When it is of no more use to begin. A caller that has seen events counts its
- * patience from the last one. */
-static int64_t wait_end(const struct request *request)
+/* The time after which placing the request is of no use. The timeout of a
+ * caller that has received events counts from the last event. */
+static int64_t wait_deadline(const struct request *request)
 {
 	const struct catalog_route *route = request->route;
 	int64_t from = request->last_at ? request->last_at : request->arrived;
-	int64_t patience =
-		MAX(PATIENCE_USEC, MAX(route->target_usec * PATIENCE_TARGETS,
-				       route->gap_usec * PATIENCE_GAPS));
+	int64_t timeout = MAX(CALLER_TIMEOUT_USEC,
+			      MAX(route->target_usec * CALLER_TIMEOUT_TARGETS,
+				  route->gap_usec * CALLER_TIMEOUT_GAPS));
 
-	return MIN(from + patience, request->deadline) - BEGIN_USEC;
+	return MIN(from + timeout, request->deadline) - PREFILL_USEC;
 }
 
-/* Refuses a request at once that no server can take in time. */
+/* Refuses a request for which no server will be available before its deadline.
+ */
 static bool unavailable_refuse(struct request *request)
 {
-	int64_t opens;
+	int64_t available_at;
 
 	if (request->replied)
 		return false;
-	opens = request_available_at(request, STAGE_DECODE);
-	if (opens <= wait_end(request))
+	available_at = request_available_at(request, STAGE_DECODE);
+	if (available_at <= wait_deadline(request))
 		return false;
-	stream_unwait(request);
-	request_refuse_until(request, opens);
+	stream_dequeue(request);
+	request_refuse_until(request, available_at);
 	return true;
 }
 
@@ -162,11 +165,11 @@
 
 		next = link->next;
 		if (early_refuse(request, now) || unavailable_refuse(request) ||
-		    now < wait_end(request))
+		    now < wait_deadline(request))
 			continue;
-		stream_unwait(request);
+		stream_dequeue(request);
 		if (request->replied)
-			request_abort(request, "no memory to go on");
+			request_abort(request, "no decode memory to continue");
 		else
 			request_refuse(request, RESULT_DEADLINE, RETRY_USEC);
 	}
@@ -175,8 +178,8 @@
 void stream_pump(struct forward *forward)
 {
 	waiting_expire(forward);
-	waiting_pass(forward, true);
-	waiting_pass(forward, false);
+	waiting_place(forward, true);
+	waiting_place(forward, false);
 	if (forward->waiting.length > 0)
 		timer_start(&forward->pump, PUMP_USEC);
 }
--- a/tests/forward/test_copies.c
+++ b/tests/forward/test_copies.c
@@ -1,60 +1,63 @@
-/* How soon all instances have what the store holds, while it refuses many. */
+/* How soon a change reaches all instances while the store refuses many of them.
+ */
 #include <glib.h>
 
 #include "copies_world.h"
 
-/* A change is to be followed within two seconds everywhere. */
-#define FOLLOWED_MSEC 2000
-#define MOST_MSEC 20000
+/* A change must be in force everywhere within two seconds. */
+#define PROPAGATION_MSEC 2000
+#define TIMEOUT_MSEC 20000
 #define SEEDS 3
 
-/* The store refuses all but the last so many of the first data centre. */
+/* Makes the store refuse all but the last instances of the first data centre.
+ */
 static void refuse_all_but_last(struct copies *copies, uint32_t answered)
 {
 	uint32_t left = answered;
 
 	for (uint32_t i = copies->site->count; i-- > 0;) {
 		copies->refused[i] = left == 0;
-		left -= left > 0 && copies_has(copies, i);
+		left -= left > 0 && copies_is_active(copies, i);
 	}
 }
 
-static void spread_check(struct copies *copies)
+static void propagation_check(struct copies *copies)
 {
-	int64_t took = copies_spread(copies, MOST_MSEC);
+	int64_t took = copies_propagate(copies, TIMEOUT_MSEC);
 
 	g_test_message("in force everywhere after %d ms", (int)took);
-	g_assert_cmpint(took, <=, FOLLOWED_MSEC);
+	g_assert_cmpint(took, <=, PROPAGATION_MSEC);
 }
 
-/* The instances that the store answers come last by name. */
-static void test_answered_wait_for_refused(void)
+/* Only the instances that come last by name are answered. */
+static void test_most_refused(void)
 {
 	struct copies *copies = copies_open(150, 1);
 
 	refuse_all_but_last(copies, 6);
 	for (int i = 0; i < 8; i++) {
 		copies_run(copies, 1500 + 170 * i);
-		spread_check(copies);
+		propagation_check(copies);
 	}
 	copies_close(copies);
 }
 
-/* Others are refused each few seconds, all but one in five. */
-static void refused_draw(struct copies *copies, GRand *rand)
+/* Draws which instances are refused: about four in five, but never all. */
+static void refused_randomise(struct copies *copies, GRand *rand)
 {
 	bool none = true;
 
 	for (uint32_t i = 0; i < copies->site->count; i++) {
 		copies->refused[i] = g_rand_double(rand) < 0.8;
-		none = none && (copies->refused[i] || !copies_has(copies, i));
+		none = none &&
+		       (copies->refused[i] || !copies_is_active(copies, i));
 	}
 	if (none)
 		copies->refused[0] = false;
 }
 
-/* Which instances are refused changes at any moment. */
-static void test_others_are_refused(void)
+/* The refused instances change every few seconds. */
+static void test_refused_change(void)
 {
 	for (guint32 seed = 1; seed <= SEEDS; seed++) {
 		struct copies *copies = copies_open(150, 1);
@@ -62,11 +65,11 @@
 
 		g_test_message("seed %u", seed);
 		for (int i = 0; i < 6; i++) {
-			refused_draw(copies, rand);
+			refused_randomise(copies, rand);
 			for (int k = g_rand_int_range(rand, 1, 4); k > 0; k--) {
 				copies_run(copies,
 					   g_rand_int_range(rand, 0, 1500));
-				spread_check(copies);
+				propagation_check(copies);
 			}
 		}
 		g_rand_free(rand);
@@ -80,7 +83,7 @@
 		copies->refused[i] = refused;
 }
 
-/* The store answers nobody for a while, and then everybody. */
+/* The store answers no instance for a while, and then all. */
 static void test_after_outage(void)
 {
 	struct copies *copies = copies_open(150, 1);
@@ -89,13 +92,13 @@
 		refused_set(copies, true);
 		copies_run(copies, msec);
 		refused_set(copies, false);
-		spread_check(copies);
+		propagation_check(copies);
 		copies_run(copies, 3000);
 	}
 	copies_close(copies);
 }
 
-/* A store that takes long to answer is not read by everybody for that. */
+/* A slow store must not make all instances read it. */
 static void test_slow_store(void)
 {
 	struct copies *copies = copies_open(200, 5);
@@ -112,10 +115,8 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/forward/copies/answered-wait-for-refused",
-			test_answered_wait_for_refused);
-	g_test_add_func("/forward/copies/others-are-refused",
-			test_others_are_refused);
+	g_test_add_func("/forward/copies/most-refused", test_most_refused);
+	g_test_add_func("/forward/copies/refused-change", test_refused_change);
 	g_test_add_func("/forward/copies/after-outage", test_after_outage);
 	g_test_add_func("/forward/copies/slow-store", test_slow_store);
 	return g_test_run();
--- a/tests/forward/test_feed.c
+++ b/tests/forward/test_feed.c
@@ -1,4 +1,4 @@
-/* A feed against a store that answers as the script says. */
+/* A feed against a store with scripted answers. */
 #include <glib.h>
 #include <string.h>
 
@@ -8,14 +8,14 @@
 	struct clock *clock;
 	struct feed *feed;
 	GString *out;
-	/* The call under way; those before it were abandoned. */
+	/* The current call; earlier ones were abandoned. */
 	feed_page_fn fn;
 	void *fn_ctx;
 	feed_page_fn abandoned;
 	void *abandoned_ctx;
 };
 
-static void call_note(struct world *world, feed_page_fn fn, void *fn_ctx)
+static void call_record(struct world *world, feed_page_fn fn, void *fn_ctx)
 {
 	if (world->fn) {
 		world->abandoned = world->fn;
@@ -31,7 +31,7 @@
 	struct world *world = ctx;
 
 	g_string_append_printf(world->out, "snapshot(%s) ", after ? after : "");
-	call_note(world, fn, fn_ctx);
+	call_record(world, fn, fn_ctx);
 }
 
 static void on_read_call(void *ctx, const char *stream, uint64_t from,
@@ -40,7 +40,7 @@
 	struct world *world = ctx;
 
 	g_string_append_printf(world->out, "read(%d) ", (int)from);
-	call_note(world, fn, fn_ctx);
+	call_record(world, fn, fn_ctx);
 }
 
 static void on_begin(void *ctx)
@@ -59,15 +59,15 @@
 			       record->value ? "" : "-");
 }
 
-static void on_regained(void *ctx)
+static void on_recovered(void *ctx)
 {
-	g_string_append(((struct world *)ctx)->out, "regained ");
+	g_string_append(((struct world *)ctx)->out, "recovered ");
 }
 
 static void world_open(struct world *world)
 {
 	static const struct feed_ops ops = {on_begin, on_end, on_record,
-					    on_regained};
+					    on_recovered};
 	const struct feed_store store = {on_snapshot_call, on_read_call, world};
 	const struct feed_settings settings = {
 		.stream = "s",
@@ -84,7 +84,7 @@
 {
 	g_assert_cmpstr(world->out->str, ==, expected);
 	feed_destroy(world->feed);
-	/* The store answers also calls whose feed is gone. */
+	/* The store also answers calls of a destroyed feed. */
 	if (world->abandoned)
 		world->abandoned(world->abandoned_ctx, RESULT_LOG_DOWN, NULL);
 	if (world->fn)
@@ -133,9 +133,9 @@
 		      clock_now(world->clock) + msec * USEC_PER_MSEC);
 }
 
-/* What a waiting read shows is as of the end of its wait, not of its begin;
- * a read that was answered sooner, or with a record, is as of its sending. */
-static void test_fresh(void)
+/* A long poll without records is as of the end of its wait. A read that was
+ * answered sooner, or with a record, is as of its sending. */
+static void test_synced_at(void)
 {
 	struct world world;
 
@@ -144,15 +144,15 @@
 	feed_poll(world.feed);
 	wait_msec(&world, 1003);
 	page_answer(&world, "", 5, NULL);
-	g_assert_cmpint(feed_fresh(world.feed), ==, USEC_PER_SEC);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, USEC_PER_SEC);
 	feed_poll(world.feed);
 	wait_msec(&world, 400);
 	page_answer(&world, "", 5, NULL);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 1003 * USEC_PER_MSEC);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 1003 * USEC_PER_MSEC);
 	feed_poll(world.feed);
 	wait_msec(&world, 1200);
 	page_answer(&world, "k", 6, NULL);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 1403 * USEC_PER_MSEC);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 1403 * USEC_PER_MSEC);
 	world_close(&world,
 		    "snapshot() begin k end read(5) read(5) read(5) k ");
 }
@@ -169,14 +169,15 @@
 	feed_poll(world.feed);
 	page_answer(&world, "d,a-", 9, NULL);
 	feed_poll(world.feed);
-	/* The second page's end is not gone on from: what changed between the
-	 * two would be missed. */
+	/* Reading continues from the end offset of the first page, not of the
+	 * second: changes between the two would be missed. */
 	world_close(&world, "snapshot() begin a b snapshot(b) c end read(7) "
 			    "d a- read(9) ");
 }
 
-/* An answer that does not hold all there is is read on from at once. */
-static void test_more(void)
+/* After an answer that does not reach the end of the stream, the feed reads on
+ * at once. */
+static void test_partial_page(void)
 {
 	const struct feed_page part = {.next = 8, .end = 9};
 	struct world world;
@@ -186,9 +187,9 @@
 	wait_msec(&world, 50);
 	feed_poll(world.feed);
 	answer(&world, RESULT_OK, &part);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 0);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 0);
 	page_answer(&world, "b", 9, NULL);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 50 * USEC_PER_MSEC);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 50 * USEC_PER_MSEC);
 	world_close(&world, "snapshot() begin a end read(7) read(8) b ");
 }
 
@@ -223,16 +224,17 @@
 	answer(&world, RESULT_LOG_DOWN, NULL);
 	wait_msec(&world, 100);
 	page_answer(&world, "", 7, NULL);
-	/* A snapshot goes on where it was, and is read on from its beginning;
-	 * half a list takes nothing away. */
+	/* After a failure a snapshot continues where it stopped, then the
+	 * stream is read from the offset of the first page. An incomplete
+	 * snapshot removes nothing. */
 	world_close(&world, "snapshot() begin a b snapshot(b) snapshot(b) "
-			    "snapshot(b) regained a end read(7) read(7) "
-			    "regained ");
+			    "snapshot(b) recovered a end read(7) read(7) "
+			    "recovered ");
 }
 
-/* A waiting read whose answer was lost is not waited for, and its answer does
- * no harm when it comes. */
-static void test_hurry(void)
+/* feed_restart() does not wait for the answer of a pending read, and ignores it
+ * when it arrives. */
+static void test_restart(void)
 {
 	struct feed_record record = {.key = "late", .value = "v"};
 	const struct feed_page late = {
@@ -255,7 +257,7 @@
 		    "snapshot() begin a end read(7) read(7) b read(8) ");
 }
 
-/* What a peer knows goes before an answer that is on its way. */
+/* A newer state from a peer supersedes a pending answer. */
 static void test_advance(void)
 {
 	struct feed_record record = {.key = "old", .value = "v"};
@@ -274,19 +276,19 @@
 	g_assert_true(feed_advance(world.feed, 20, 5));
 	answer(&world, RESULT_OK, &old);
 	feed_poll(world.feed);
-	g_assert_cmpint(feed_fresh(world.feed), ==, 5);
+	g_assert_cmpint(feed_synced_at(world.feed), ==, 5);
 	world_close(&world, "snapshot() begin a end read(7) read(20) ");
 }
 
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/forward/feed/fresh", test_fresh);
+	g_test_add_func("/forward/feed/synced-at", test_synced_at);
 	g_test_add_func("/forward/feed/pages", test_pages);
-	g_test_add_func("/forward/feed/more", test_more);
+	g_test_add_func("/forward/feed/partial-page", test_partial_page);
 	g_test_add_func("/forward/feed/advance", test_advance);
 	g_test_add_func("/forward/feed/gap", test_gap);
 	g_test_add_func("/forward/feed/outage", test_outage);
-	g_test_add_func("/forward/feed/hurry", test_hurry);
+	g_test_add_func("/forward/feed/restart", test_restart);
 	return g_test_run();
 }
--- a/tests/forward/test_roles.c
+++ b/tests/forward/test_roles.c
@@ -1,4 +1,4 @@
-/* Who orders which runner to another role, and when. */
+/* Which runner is ordered to another role, by which instance, and when. */
 #include <glib.h>
 #include <string.h>
 
@@ -30,8 +30,8 @@
 	struct decider deciders[DECIDERS];
 	double demand;
 	double prefill_rate;
-	bool slow_list;	 /* does not show changes */
-	GString *orders; /* "0:p1>decode " each */
+	bool list_stale; /* the list does not show changes */
+	GString *orders; /* an entry each, as in "a:p1>decode " */
 	GArray *times;
 };
 
@@ -68,7 +68,7 @@
 	void *ctx;
 };
 
-static void answer_give(void *data)
+static void answer_send(void *data)
 {
 	struct answer *answer = data;
 
@@ -101,8 +101,8 @@
 		site->orders, "%s:%s>%s ", order->holder, order->to->id,
 		order->stage == STAGE_DECODE ? "decode" : "prefill");
 	g_array_append_val(site->times, now);
-	later_call(site->later, 5000, answer_give, answer, g_free);
-	if (!site->slow_list)
+	later_call(site->later, 5000, answer_send, answer, g_free);
+	if (!site->list_stale)
 		runner_put(site, order->to->id, order->stage);
 }
 
@@ -159,7 +159,7 @@
 		roles_destroy(site->deciders[i].roles);
 		fleet_destroy(site->deciders[i].fleet);
 	}
-	/* Answers under way arrive when nobody waits for them any more. */
+	/* Pending answers arrive after their receiver is gone. */
 	clock_advance(site->clock, clock_now(site->clock) + SECOND);
 	later_destroy(site->later);
 	fake_log_destroy(site->log);
@@ -184,7 +184,7 @@
 			   list[i][0] == 'p' ? STAGE_PREFILL : STAGE_DECODE);
 }
 
-/* Before any traffic the split is put right within seconds. */
+/* Before any traffic the split is corrected within seconds. */
 static void test_start(void)
 {
 	struct site site;
@@ -195,7 +195,7 @@
 	site_close(&site, "a:p1>decode a:p2>decode ");
 }
 
-/* A demand that lasts moves a runner, a burst does not. */
+/* A lasting demand changes the role of a runner, a burst does not. */
 static void test_demand(void)
 {
 	struct site site;
@@ -214,8 +214,8 @@
 	site_close(&site, "a:d1>prefill ");
 }
 
-/* A stage that one loss may leave without runners is helped at once. */
-static void test_short(void)
+/* A stage that the loss of one runner would empty gets another at once. */
+static void test_no_spare(void)
 {
 	struct site site;
 
@@ -226,8 +226,8 @@
 	site_close(&site, "a:d1>prefill ");
 }
 
-/* Prefill runners are lost, and those left cannot read the mean demand: others
- * take their place within seconds, one after the other. */
+/* Prefill runners are lost, and the remaining ones cannot process the mean
+ * demand: others replace them within seconds, one after the other. */
 static void test_overload(void)
 {
 	struct site site;
@@ -248,8 +248,8 @@
 	site_close(&site, "a:d9>prefill a:d8>prefill ");
 }
 
-/* The same loss where engines read half as fast again: those left can read the
- * demand, so none of the others is taken from decoding. */
+/* The same loss with engines that prefill 1.6 times as fast: the remaining
+ * runners suffice, so none is taken from decoding. */
 static void test_fast_engines(void)
 {
 	struct site site;
@@ -268,8 +268,9 @@
 	site_close(&site, "");
 }
 
-/* All servers that change are told of until the list shows them changed. */
-static void test_moving(void)
+/* roles_pending_changes() reports every changing server until the list shows
+ * its new role. */
+static void test_pending_changes(void)
 {
 	struct backend_change moves[4];
 	struct site site;
@@ -278,7 +279,7 @@
 	site.demand = 130000;
 	runners_put(&site, "p1 p2 p3 p4 p5 d1 d2 d3 d4 d5 d6 d7 d8 d9");
 	wait_usec(&site, 40 * SECOND);
-	site.slow_list = true;
+	site.list_stale = true;
 	for (int i = 0; i < DECIDERS; i++)
 		for (int k = 0; k < 3; k++) {
 			const char *const lost[] = {"p1", "p2", "p3"};
@@ -286,14 +287,15 @@
 			fleet_remove(site.deciders[i].fleet, lost[k]);
 		}
 	wait_usec(&site, 5 * SECOND);
-	g_assert_cmpuint(roles_moving(site.deciders[0].roles, moves, 4), ==, 2);
+	g_assert_cmpuint(
+		roles_pending_changes(site.deciders[0].roles, moves, 4), ==, 2);
 	for (int k = 0; k < 2; k++) {
 		const struct backend *backend =
 			fleet_find(site.deciders[0].fleet, moves[k].key);
 
 		g_assert_cmpint(moves[k].stage, ==, STAGE_PREFILL);
 		g_assert_cmpint(moves[k].left_usec, >, 10 * SECOND);
-		/* Nothing more goes there, here or at who hears of it. */
+		/* Neither instance sends it requests. */
 		g_assert_false(backend_usable(backend, clock_now(site.clock)));
 		fleet_change(site.deciders[1].fleet, &moves[k]);
 		backend = fleet_find(site.deciders[1].fleet, moves[k].key);
@@ -302,15 +304,16 @@
 	runners_put(&site, "p4 p5");
 	runner_put(&site, "d9", STAGE_PREFILL);
 	runner_put(&site, "d8", STAGE_PREFILL);
-	g_assert_cmpuint(roles_moving(site.deciders[0].roles, moves, 4), ==, 0);
+	g_assert_cmpuint(
+		roles_pending_changes(site.deciders[0].roles, moves, 4), ==, 0);
 	g_assert_true(
 		backend_usable(fleet_find_id(site.deciders[1].fleet, "d9"),
 			       clock_now(site.clock)));
 	site_close(&site, "a:d9>prefill a:d8>prefill ");
 }
 
-/* The holder is lost: its successor orders, soon, and never within the time in
- * which an order of the former may still arrive. */
+/* When the holder is lost, its successor orders soon, but never within the time
+ * in which an order of the previous holder may still arrive. */
 static void test_successor(void)
 {
 	struct site site;
@@ -331,7 +334,7 @@
 	site_close(&site, "a:d1>prefill b:d7>prefill ");
 }
 
-/* While the log is down nobody orders anything. */
+/* While the log is down no instance orders anything. */
 static void test_log_down(void)
 {
 	struct site site;
@@ -349,8 +352,8 @@
 	g_test_add_func("/forward/roles/start", test_start);
 	g_test_add_func("/forward/roles/demand", test_demand);
 	g_test_add_func("/forward/roles/fast-engines", test_fast_engines);
-	g_test_add_func("/forward/roles/moving", test_moving);
-	g_test_add_func("/forward/roles/short", test_short);
+	g_test_add_func("/forward/roles/pending-changes", test_pending_changes);
+	g_test_add_func("/forward/roles/no-spare", test_no_spare);
 	g_test_add_func("/forward/roles/overload", test_overload);
 	g_test_add_func("/forward/roles/successor", test_successor);
 	g_test_add_func("/forward/roles/log-down", test_log_down);
