--- a/forward/answer.c
+++ b/forward/answer.c
@@ -50,7 +50,7 @@
 
 bool answer_may_pass(const struct answer *answer)
 {
-	return answer->has_head && answer->head.signed_by &&
+	return answer->has_head && answer->head.is_signed &&
 	       !answer->too_large &&
 	       (answer->head.not_run || !status_promises(answer->head.status));
 }
--- a/forward/budget.c
+++ b/forward/budget.c
@@ -7,7 +7,7 @@
 #define SLICES 10
 /* Part of the allowance that is used: requests are counted where they arrive
  * and sends where they land, up to a transit time apart. */
-#define USED_PART 0.85
+#define USED_FRACTION 0.85
 
 struct slice {
 	uint32_t requests;
@@ -16,7 +16,7 @@
 
 struct budget {
 	uint64_t service;
-	int64_t at; /* number of the newest slice */
+	int64_t newest; /* number of the newest slice */
 	struct slice slices[SLICES + 1];
 };
 
@@ -70,12 +70,12 @@
 			       int64_t now)
 {
 	int64_t at = now / MAX(budgets->settings.window_usec / SLICES, 1);
-	int64_t passed = MIN(at - budget->at, SLICES + 1);
+	int64_t passed = MIN(at - budget->newest, SLICES + 1);
 
 	for (int64_t i = 0; i < passed; i++)
 		budget->slices[(at - i) % (SLICES + 1)] = (struct slice){0};
-	budget->at = MAX(budget->at, at);
-	return &budget->slices[budget->at % (SLICES + 1)];
+	budget->newest = MAX(budget->newest, at);
+	return &budget->slices[budget->newest % (SLICES + 1)];
 }
 
 void budget_request(struct budgets *budgets, uint64_t service, int64_t now)
@@ -84,8 +84,8 @@
 }
 
 /* This instance's part of the slack. */
-static double slack_now(const struct budgets *budgets, int64_t now,
-			uint32_t instances)
+static double slack_share(const struct budgets *budgets, int64_t now,
+			  uint32_t instances)
 {
 	const struct budget_settings *settings = &budgets->settings;
 	double age = (double)(now - budgets->began) /
@@ -108,9 +108,9 @@
 		sends += budget->slices[i].sends;
 		requests += budget->slices[i].requests;
 	}
-	allowed =
-		settings->ratio * requests + slack_now(budgets, now, instances);
-	if (sends > allowed * USED_PART)
+	allowed = settings->ratio * requests +
+		  slack_share(budgets, now, instances);
+	if (sends > allowed * USED_FRACTION)
 		return false;
 	slice->sends++;
 	return true;
--- a/forward/catalog.c
+++ b/forward/catalog.c
@@ -38,7 +38,7 @@
 	catalog->refs = 1;
 	catalog->version = version;
 	catalog->routes = g_ptr_array_new_with_free_func(route_free);
-	catalog->places =
+	catalog->by_prefix =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	catalog->services = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						  NULL, service_free);
@@ -55,7 +55,7 @@
 {
 	if (!catalog || --catalog->refs > 0)
 		return;
-	g_hash_table_destroy(catalog->places);
+	g_hash_table_destroy(catalog->by_prefix);
 	g_hash_table_destroy(catalog->services);
 	g_ptr_array_unref(catalog->routes);
 	organisations_destroy(catalog->organisations);
@@ -82,13 +82,13 @@
 	return service;
 }
 
-void catalog_seal(struct catalog *catalog)
+void catalog_index_routes(struct catalog *catalog)
 {
 	for (guint i = 0; i < catalog->routes->len; i++) {
 		struct catalog_route *route = catalog->routes->pdata[i];
 
 		g_hash_table_replace(
-			catalog->places,
+			catalog->by_prefix,
 			g_strconcat(route->host, route->prefix, NULL), route);
 	}
 }
@@ -125,7 +125,7 @@
 		if (path[end - 1] != '/')
 			continue;
 		key[base + end] = '\0';
-		route = g_hash_table_lookup(catalog->places, key);
+		route = g_hash_table_lookup(catalog->by_prefix, key);
 		if (route)
 			return route;
 	}
@@ -143,15 +143,15 @@
 	const struct route_share *shares =
 		(const struct route_share *)(void *)route->shares->data;
 	uint64_t total = 0;
-	double at;
+	double offset;
 
 	for (guint i = 0; i < route->shares->len; i++)
 		total += shares[i].weight;
-	at = point * (double)total;
+	offset = point * (double)total;
 	for (guint i = 0; i < route->shares->len; i++) {
-		if (at < (double)shares[i].weight)
+		if (offset < (double)shares[i].weight)
 			return shares[i].service;
-		at -= (double)shares[i].weight;
+		offset -= (double)shares[i].weight;
 	}
 	return shares[0].service;
 }
--- a/forward/crash_detector.h
+++ b/forward/crash_detector.h
@@ -24,17 +24,17 @@
  * seconds, after its last one. */
 #define CRASH_WATCH_USEC (6 * USEC_PER_SEC)
 
-struct ended;
+struct crash_detector;
 
 /* A request as it is known to coord/quarantine.h. */
 struct request_identity {
-	struct request_fingerprint work;
-	uint64_t mark;
+	struct request_fingerprint fingerprint;
+	uint64_t keyed_hash;
 };
 
 /* The life of the server ended while it ran the work. */
 typedef void (*crash_fn)(void *ctx, const struct backend_info *server,
-			 const struct request_identity *lost);
+			 const struct request_identity *identity);
 
 struct crash_detector_parts {
 	struct clock *clock;
@@ -44,14 +44,15 @@
 	void *ctx;
 };
 
-struct ended *crash_detector_create(const struct crash_detector_parts *parts);
+struct crash_detector *
+crash_detector_create(const struct crash_detector_parts *parts);
 /* Checks under way are given up. */
-void crash_detector_destroy(struct ended *ended);
+void crash_detector_destroy(struct crash_detector *detector);
 /* A request of that work lost its connection to the server. health_path is the
  * service's. */
-void crash_detector_check(struct ended *ended,
+void crash_detector_check(struct crash_detector *detector,
 			  const struct backend_info *server,
 			  const char *health_path,
-			  const struct request_identity *lost);
+			  const struct request_identity *identity);
 
 #endif
--- a/forward/fleet.c
+++ b/forward/fleet.c
@@ -9,13 +9,13 @@
 
 #define BACKENDS_MAX 65536u
 /* Ids whose latest life is remembered; beyond that, those not listed go. */
-#define LIVES_MAX 16384u
+#define INCARNATIONS_MAX 16384u
 /* Half-life of a failure. A server that is down is asked again after about as
  * long as the platform needs to list it as gone (three heartbeats). */
-#define TROUBLE_HALF_USEC (2 * USEC_PER_SEC)
+#define FAILURE_HALF_LIFE_USEC (2 * USEC_PER_SEC)
 /* What one success takes off: a server that fails half of its requests keeps
  * about one failure on its count, a sound one comes to nothing within few. */
-#define TROUBLE_SUCCESS 0.75
+#define FAILURE_SUCCESS_FACTOR 0.75
 /* First pause after a connection failed, and the longest one: a crashed server
  * costs each instance at most two connections a second. */
 #define AVOID_BASE_USEC (250 * USEC_PER_MSEC)
@@ -23,32 +23,32 @@
 
 /* A trial of a server that could not be reached is over by then: longer than
  * callers of this module wait for a connection. */
-#define TRIAL_USEC (200 * USEC_PER_MSEC)
+#define PROBE_USEC (200 * USEC_PER_MSEC)
 
 /* A server that refused a reservation is asked again after this time, doubled
  * once: it frees memory for a request about every 100 ms, and many
  * instances ask. */
-#define FULL_USEC (40 * USEC_PER_MSEC)
+#define FULL_RETRY_USEC (40 * USEC_PER_MSEC)
 
 /* A server that is changing its role, or whose results lapse at once, still
  * grants reservations and reads prompts; only the run is refused. After this
  * many in a row it rests, then one request tries it. Instances that have just
  * started know of no change that was ordered before. */
 #define REFUSALS_MAX 2u
-#define REFUSED_REST_USEC (1 * USEC_PER_SEC)
+#define REFUSED_PAUSE_USEC (1 * USEC_PER_SEC)
 
 /* What a server says of its being cold comes by several ways, up to so late. */
-#define COLD_NEWS_USEC (300 * USEC_PER_MSEC)
+#define COLD_SKEW_USEC (300 * USEC_PER_MSEC)
 
 struct fleet {
 	struct clock *clock;
 	char *data_centre;
 	const struct backpressure *pressure; /* NULL: answers say nothing */
 	struct table *table;
-	GHashTable *keys;     /* key to struct backend */
-	GHashTable *ids;      /* id to struct backend */
-	GHashTable *lives;    /* id to struct life */
-	GHashTable *services; /* id to struct service */
+	GHashTable *keys;	  /* key to struct backend */
+	GHashTable *ids;	  /* id to struct backend */
+	GHashTable *incarnations; /* id to struct incarnation */
+	GHashTable *services;	  /* id to struct service */
 	GPtrArray *all;
 	GPtrArray *charged;
 	GPtrArray *avoided;    /* and some that were reached since */
@@ -73,7 +73,7 @@
 };
 
 /* The latest one that was listed of an id. */
-struct life {
+struct incarnation {
 	char id[BACKEND_TEXT_MAX];
 	int64_t started_ms;
 };
@@ -105,8 +105,8 @@
 	struct service *service = data;
 
 	for (int i = 0; i < STAGE_COUNT; i++)
-		for (int ours = 0; ours < 2; ours++)
-			g_ptr_array_unref(service->sets[i][ours]);
+		for (int in_group = 0; in_group < 2; in_group++)
+			g_ptr_array_unref(service->sets[i][in_group]);
 	g_ptr_array_unref(service->all);
 	g_free(service);
 }
@@ -121,7 +121,7 @@
 	fleet->table = table_create(sizeof(struct backend), BACKENDS_MAX);
 	fleet->keys = g_hash_table_new(g_int64_hash, g_int64_equal);
 	fleet->ids = g_hash_table_new(g_str_hash, g_str_equal);
-	fleet->lives =
+	fleet->incarnations =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	fleet->services = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						NULL, service_free);
@@ -145,7 +145,7 @@
 	g_hash_table_destroy(fleet->regions);
 	g_hash_table_destroy(fleet->evacuated);
 	g_hash_table_destroy(fleet->services);
-	g_hash_table_destroy(fleet->lives);
+	g_hash_table_destroy(fleet->incarnations);
 	g_hash_table_destroy(fleet->ids);
 	g_hash_table_destroy(fleet->keys);
 	table_destroy(fleet->table);
@@ -163,8 +163,8 @@
 	service->id = id;
 	service->all = g_ptr_array_new();
 	for (int i = 0; i < STAGE_COUNT; i++)
-		for (int ours = 0; ours < 2; ours++)
-			service->sets[i][ours] = g_ptr_array_new();
+		for (int in_group = 0; in_group < 2; in_group++)
+			service->sets[i][in_group] = g_ptr_array_new();
 	g_hash_table_insert(fleet->services, &service->id, service);
 	return service;
 }
@@ -188,13 +188,13 @@
 static void service_sort(struct service *service)
 {
 	for (int i = 0; i < STAGE_COUNT; i++)
-		for (int ours = 0; ours < 2; ours++)
-			g_ptr_array_set_size(service->sets[i][ours], 0);
+		for (int in_group = 0; in_group < 2; in_group++)
+			g_ptr_array_set_size(service->sets[i][in_group], 0);
 	for (guint i = 0; i < service->all->len; i++) {
 		struct backend *backend = service->all->pdata[i];
 
 		g_ptr_array_add(
-			service->sets[backend->info.stage][backend->ours],
+			service->sets[backend->info.stage][backend->in_group],
 			backend);
 	}
 	service->sorted = true;
@@ -212,12 +212,12 @@
 		  LOG_D("leaving", backend->info.leaving));
 }
 
-static void backend_sync_answers(const struct fleet *fleet,
-				 struct backend *backend)
+static void backend_sync_backpressure(const struct fleet *fleet,
+				      struct backend *backend)
 {
 	if (!fleet->pressure)
 		return;
-	backend->leaving_by_answer =
+	backend->leaving_reported =
 		backpressure_leaving(fleet->pressure, backend->key);
 	backend->backoff_until =
 		backpressure_backoff(fleet->pressure, backend->key);
@@ -229,12 +229,12 @@
 	fleet->pressure = table;
 }
 
-void fleet_answers_changed(struct fleet *fleet, uint64_t key)
+void fleet_backpressure_changed(struct fleet *fleet, uint64_t key)
 {
 	struct backend *backend = fleet_find(fleet, key);
 
 	if (backend)
-		backend_sync_answers(fleet, backend);
+		backend_sync_backpressure(fleet, backend);
 }
 
 static void backend_sync_centre(struct fleet *fleet, struct backend *backend)
@@ -246,7 +246,7 @@
 	fleet->local -= backend->local;
 	backend->local = strcmp(centre, fleet->data_centre) == 0;
 	fleet->local += backend->local;
-	backend->ours =
+	backend->in_group =
 		backend->local && backend->key % fleet->groups == fleet->group;
 	backend->evacuated = g_hash_table_contains(fleet->evacuated, centre);
 }
@@ -267,7 +267,7 @@
 	backend->key = backend_key(info);
 	backend->info = *info;
 	backend_sync_centre(fleet, backend);
-	backend_sync_answers(fleet, backend);
+	backend_sync_backpressure(fleet, backend);
 	g_hash_table_insert(fleet->keys, &backend->key, backend);
 	g_hash_table_insert(fleet->ids, backend->info.id, backend);
 	service_add(fleet, backend);
@@ -281,20 +281,21 @@
 {
 	bool changed = backend->info.leaving != info->leaving ||
 		       backend->info.stage != info->stage;
-	bool moves = backend->info.service != info->service;
-	bool sorts = backend->info.stage != info->stage ||
-		     strcmp(backend->info.data_centre, info->data_centre) != 0;
+	bool service_changed = backend->info.service != info->service;
+	bool set_changed =
+		backend->info.stage != info->stage ||
+		strcmp(backend->info.data_centre, info->data_centre) != 0;
 
-	if (moves)
+	if (service_changed)
 		service_remove(fleet, backend);
 	if (backend->info.stage != info->stage) {
 		backend->changing_until = 0;
 		backend->refusals = 0;
 	}
 	backend->info = *info;
-	if (moves)
+	if (service_changed)
 		service_add(fleet, backend);
-	if (sorts) {
+	if (set_changed) {
 		backend_sync_centre(fleet, backend);
 		service_get(fleet, info->service)->sorted = false;
 	}
@@ -317,35 +318,41 @@
 	table_remove(fleet->table, backend->handle);
 }
 
-static gboolean life_unlisted(gpointer key, gpointer value, gpointer data)
+static gboolean incarnation_unlisted(gpointer key, gpointer value,
+				     gpointer data)
 {
 	const struct fleet *fleet = data;
 
 	return !g_hash_table_contains(fleet->ids, key);
 }
 
-static void life_note(struct fleet *fleet, const struct backend_info *info)
+static void incarnation_record(struct fleet *fleet,
+			       const struct backend_info *info)
 {
-	struct life *life = g_hash_table_lookup(fleet->lives, info->id);
+	struct incarnation *incarnation =
+		g_hash_table_lookup(fleet->incarnations, info->id);
 
 	if (info->started_ms == 0)
 		return;
-	if (!life) {
-		if (g_hash_table_size(fleet->lives) >= LIVES_MAX)
-			g_hash_table_foreach_remove(fleet->lives, life_unlisted,
+	if (!incarnation) {
+		if (g_hash_table_size(fleet->incarnations) >= INCARNATIONS_MAX)
+			g_hash_table_foreach_remove(fleet->incarnations,
+						    incarnation_unlisted,
 						    fleet);
-		life = g_new0(struct life, 1);
-		g_strlcpy(life->id, info->id, sizeof(life->id));
-		g_hash_table_insert(fleet->lives, life->id, life);
+		incarnation = g_new0(struct incarnation, 1);
+		g_strlcpy(incarnation->id, info->id, sizeof(incarnation->id));
+		g_hash_table_insert(fleet->incarnations, incarnation->id,
+				    incarnation);
 	}
-	life->started_ms = info->started_ms;
+	incarnation->started_ms = info->started_ms;
 }
 
 int64_t fleet_started_ms(const struct fleet *fleet, const char *id)
 {
-	const struct life *life = g_hash_table_lookup(fleet->lives, id);
+	const struct incarnation *incarnation =
+		g_hash_table_lookup(fleet->incarnations, id);
 
-	return life ? life->started_ms : 0;
+	return incarnation ? incarnation->started_ms : 0;
 }
 
 struct backend *fleet_put(struct fleet *fleet, const struct backend_info *info)
@@ -365,7 +372,7 @@
 		backend_update(fleet, backend, info);
 	else
 		backend = backend_add(fleet, info);
-	life_note(fleet, info);
+	incarnation_record(fleet, info);
 	if (backend)
 		backend->listed = true;
 	return backend;
@@ -508,13 +515,13 @@
 }
 
 const GPtrArray *fleet_stage(struct fleet *fleet, uint64_t service,
-			     enum backend_stage stage, bool ours)
+			     enum backend_stage stage, bool in_group)
 {
 	struct service *found = service_get(fleet, service);
 
 	if (!found->sorted)
 		service_sort(found);
-	return found->sets[stage][ours];
+	return found->sets[stage][in_group];
 }
 
 const GPtrArray *fleet_all(const struct fleet *fleet)
@@ -556,20 +563,22 @@
 	g_ptr_array_add(backend->fleet->charged, backend);
 }
 
-bool fleet_reaches(const struct fleet *fleet, uint64_t service)
+bool fleet_service_reachable(const struct fleet *fleet, uint64_t service)
 {
 	const GPtrArray *list = fleet_service(fleet, service);
 
 	for (guint i = 0; list && i < list->len; i++) {
 		const struct backend *backend = list->pdata[i];
 
-		if (!backend_withdrawn(backend) && backend->avoided == 0)
+		if (!backend_withdrawn(backend) &&
+		    backend->connect_failures == 0)
 			return true;
 	}
 	return !list || list->len == 0;
 }
 
-void fleet_change(struct fleet *fleet, const struct backend_change *change)
+void fleet_set_changing(struct fleet *fleet,
+			const struct backend_change *change)
 {
 	struct backend *backend = fleet_find(fleet, change->key);
 
@@ -579,9 +588,9 @@
 			    clock_now(fleet->clock) + change->left_usec);
 }
 
-static bool is_lost(const struct backend *backend, int64_t now)
+static bool is_unreachable(const struct backend *backend, int64_t now)
 {
-	return backend->avoided > 0 && now < backend->avoid_until &&
+	return backend->connect_failures > 0 && now < backend->avoid_until &&
 	       !backend_leaving(backend);
 }
 
@@ -593,17 +602,17 @@
 	for (guint i = 0; i < fleet->avoided->len; i++) {
 		const struct backend *backend = fleet->avoided->pdata[i];
 
-		unreachable += backend->local && is_lost(backend, now);
+		unreachable += backend->local && is_unreachable(backend, now);
 	}
 	return unreachable * 2 >= MAX(fleet->local, 1u);
 }
 
-static void reached_drop(struct fleet *fleet)
+static void avoided_prune(struct fleet *fleet)
 {
 	for (guint i = fleet->avoided->len; i > 0; i--) {
 		struct backend *backend = fleet->avoided->pdata[i - 1];
 
-		if (backend->avoided > 0)
+		if (backend->connect_failures > 0)
 			continue;
 		backend->avoid_listed = false;
 		g_ptr_array_remove_index_fast(fleet->avoided, i - 1);
@@ -612,16 +621,16 @@
 
 uint32_t fleet_unreachable(struct fleet *fleet,
 			   struct unreachable_backend *unreachable,
-			   uint32_t most)
+			   uint32_t max)
 {
 	int64_t now = clock_now(fleet->clock);
 	uint32_t count = 0;
 
-	reached_drop(fleet);
-	for (guint i = 0; i < fleet->avoided->len && count < most; i++) {
+	avoided_prune(fleet);
+	for (guint i = 0; i < fleet->avoided->len && count < max; i++) {
 		const struct backend *backend = fleet->avoided->pdata[i];
 
-		if (is_lost(backend, now))
+		if (is_unreachable(backend, now))
 			unreachable[count++] = (struct unreachable_backend){
 				backend->key, backend->avoid_until - now};
 	}
@@ -646,7 +655,7 @@
 
 bool backend_leaving(const struct backend *backend)
 {
-	return backend->info.leaving || backend->leaving_by_answer;
+	return backend->info.leaving || backend->leaving_reported;
 }
 
 bool backend_withdrawn(const struct backend *backend)
@@ -675,15 +684,15 @@
 bool backend_set_cold(struct backend *backend, int64_t now, int64_t left_usec)
 {
 	int64_t until = now + MIN(left_usec, BACKPRESSURE_COLD_MAX_USEC);
-	bool news = until > MAX(backend->cold_until, now) + COLD_NEWS_USEC;
+	bool extended = until > MAX(backend->cold_until, now) + COLD_SKEW_USEC;
 
-	if (news)
+	if (extended)
 		log_event(LOG_NOTICE, "backend_cold",
 			  LOG_S("backend", backend->info.id),
 			  LOG_D("born", backend->info.started_ms),
 			  LOG_D("ms", left_usec / USEC_PER_MSEC));
 	backend->cold_until = MAX(backend->cold_until, until);
-	return news;
+	return extended;
 }
 
 bool backend_cold(const struct backend *backend, int64_t now)
@@ -691,41 +700,42 @@
 	return now < backend->cold_until;
 }
 
-static uint32_t part_of(int64_t sum)
+static uint32_t load_clamp(int64_t sum)
 {
 	return (uint32_t)CLAMP(sum, 0, UINT32_MAX / 2);
 }
 
 uint32_t backend_requests(const struct backend *backend)
 {
-	return backend->own.requests + part_of(backend->peers.requests);
+	return backend->own.requests + load_clamp(backend->peers.requests);
 }
 
 uint32_t backend_decode_tokens(const struct backend *backend)
 {
 	return backend->own.decode_tokens +
-	       part_of(backend->peers.decode_tokens);
+	       load_clamp(backend->peers.decode_tokens);
 }
 
 uint32_t backend_prefill_tokens(const struct backend *backend)
 {
 	return backend->own.prefill_tokens +
-	       part_of(backend->peers.prefill_tokens);
+	       load_clamp(backend->peers.prefill_tokens);
 }
 
 double backend_failure_score(const struct backend *backend, int64_t now)
 {
 	double age = (double)(now - backend->failure_score_at);
 
-	return backend->failure_score * exp2(-age / (double)TROUBLE_HALF_USEC);
+	return backend->failure_score *
+	       exp2(-age / (double)FAILURE_HALF_LIFE_USEC);
 }
 
-void backend_try(struct backend *backend, int64_t now)
+void backend_claim_probe(struct backend *backend, int64_t now)
 {
-	if (backend->avoided > 0)
-		backend->avoid_until = now + TRIAL_USEC;
+	if (backend->connect_failures > 0)
+		backend->avoid_until = now + PROBE_USEC;
 	if (backend_refusing(backend))
-		backend->changing_until = now + REFUSED_REST_USEC;
+		backend->changing_until = now + REFUSED_PAUSE_USEC;
 }
 
 bool backend_refusing(const struct backend *backend)
@@ -733,7 +743,7 @@
 	return backend->refusals >= REFUSALS_MAX;
 }
 
-void backend_began(struct backend *backend)
+void backend_run_started(struct backend *backend)
 {
 	if (backend_refusing(backend))
 		backend->changing_until = 0;
@@ -746,33 +756,34 @@
 	if (!backend_refusing(backend))
 		return;
 	backend->changing_until =
-		MAX(backend->changing_until, now + REFUSED_REST_USEC);
+		MAX(backend->changing_until, now + REFUSED_PAUSE_USEC);
 	backend_log("backend_refuses_runs", backend);
 }
 
-void backend_full(struct backend *backend, int64_t now, int64_t stale)
+void backend_reservation_refused(struct backend *backend, int64_t now,
+				 int64_t staleness)
 {
-	int64_t rest = FULL_USEC << MIN(backend->full_count, 1u);
+	int64_t retry = FULL_RETRY_USEC << MIN(backend->full_count, 1u);
 
-	backend->full_until = now + MAX(rest, stale);
+	backend->full_until = now + MAX(retry, staleness);
 	backend->full_count++;
 }
 
-void backend_granted(struct backend *backend)
+void backend_reservation_granted(struct backend *backend)
 {
 	backend->full_count = 0;
 }
 
 void backend_reached(struct backend *backend)
 {
-	backend->avoided = 0;
+	backend->connect_failures = 0;
 	backend->avoid_until = 0;
 }
 
 void backend_succeeded(struct backend *backend, int64_t now)
 {
 	backend->failure_score =
-		backend_failure_score(backend, now) * TROUBLE_SUCCESS;
+		backend_failure_score(backend, now) * FAILURE_SUCCESS_FACTOR;
 	backend->failure_score_at = now;
 	backend_reached(backend);
 }
@@ -785,14 +796,14 @@
 
 void backend_unreachable(struct backend *backend, int64_t now)
 {
-	int64_t pause = AVOID_BASE_USEC << MIN(backend->avoided, 3u);
+	int64_t pause = AVOID_BASE_USEC << MIN(backend->connect_failures, 3u);
 
 	backend_failed(backend, now);
 	/* Of requests that were under way together only the first counts. */
-	if (backend->avoided > 0 && now < backend->avoid_until &&
-	    backend->avoid_until - now > TRIAL_USEC)
+	if (backend->connect_failures > 0 && now < backend->avoid_until &&
+	    backend->avoid_until - now > PROBE_USEC)
 		return;
-	backend->avoided++;
+	backend->connect_failures++;
 	if (!backend->avoid_listed)
 		g_ptr_array_add(backend->fleet->avoided, backend);
 	backend->avoid_listed = true;
--- a/forward/node.c
+++ b/forward/node.c
@@ -113,7 +113,7 @@
 		fleet_merge_unreachable(node->fleet, id_of(address),
 					&summary->unreachable[i]);
 	for (uint32_t i = 0; i < summary->changing_count; i++)
-		fleet_change(node->fleet, &summary->changing[i]);
+		fleet_set_changing(node->fleet, &summary->changing[i]);
 	if (summary->version <= (catalog ? catalog->version : 0) ||
 	    clock_now(node->clock) - node->hurried < HURRY_USEC ||
 	    gossip_rank(node->gossip) > 0)
--- a/forward/node_health.c
+++ b/forward/node_health.c
@@ -22,7 +22,7 @@
 		return true;
 	g_hash_table_iter_init(&iter, catalog->services);
 	while (g_hash_table_iter_next(&iter, (gpointer *)&id, NULL))
-		if (!fleet_reaches(node->fleet, *id))
+		if (!fleet_service_reachable(node->fleet, *id))
 			return true;
 	return false;
 }
--- a/forward/permit.c
+++ b/forward/permit.c
@@ -64,7 +64,7 @@
 
 	if (!backend || !changed)
 		return;
-	fleet_answers_changed(forward->parts.fleet, server);
+	fleet_backpressure_changed(forward->parts.fleet, server);
 	if (changed & BACKPRESSURE_LIMIT)
 		limit_log(forward, backend, before, from);
 	if (changed & BACKPRESSURE_LEAVING)
--- a/forward/place.c
+++ b/forward/place.c
@@ -7,20 +7,20 @@
 
 /* What another data centre costs a plain call, in shares of a server's slots:
  * two crossings (3 ms) against calls of some 15 ms. */
-#define PLAIN_FAR 0.15
+#define PLAIN_REMOTE_COST 0.15
 /* The same for decoding: a stream that crosses is lost when its data centre is
  * cut off. */
-#define DECODE_FAR 0.15
+#define DECODE_REMOTE_COST 0.15
 /* For prefill: the result takes twice as long and costs twice as much between
  * data centres, as much as half a prompt more in the queue. */
-#define PREFILL_FAR_TOKENS 1600.0
+#define PREFILL_REMOTE_TOKENS 1600.0
 /* A server of another group of the data centre: its load is known late. */
-#define GROUP_FAR 0.05
+#define GROUP_COST 0.05
 /* One fresh failure weighs as much as a server half full. */
-#define TROUBLE_WEIGHT 0.5
-#define PREFILL_TROUBLE_TOKENS 4000.0
+#define FAILURE_COST 0.5
+#define PREFILL_FAILURE_TOKENS 4000.0
 /* A view that is not older than this is taken as it is. */
-#define STALE_FREE_USEC (100 * USEC_PER_MSEC)
+#define FRESH_USEC (100 * USEC_PER_MSEC)
 /* Ties among servers in the same state are broken at random by this share, so
  * that instances with the same view do not all choose alike. */
 #define JITTER 0.02
@@ -29,22 +29,22 @@
 #define STALE_JITTER 5.0
 #define PREFILL_JITTER_TOKENS 16000.0
 /* An engine whose view is older must have room for one request more for each
- * such time beyond STALE_FREE_USEC: under load somebody nearer has taken what
+ * such time beyond FRESH_USEC: under load somebody nearer has taken what
  * little room an old view shows. */
 #define STALE_REQUEST_USEC (150 * USEC_PER_MSEC)
 /* A decode server reads a prompt itself at half the speed, between the tokens
  * of those that run there. */
-#define OWN_READ_COST 2.0
+#define OWN_PREFILL_COST 2.0
 /* A server with a limit is overloaded: others are used first until they are
  * about half full. */
-#define LIMITED_PART 0.5
+#define LIMITED_COST 0.5
 #define PREFILL_LIMITED_TOKENS 4000.0
 /* Servers of a service that are all looked at; of more than these, so many. */
-#define SCAN_MOST 512u
-#define SAMPLE_OURS 48u
+#define SCAN_MAX 512u
+#define SAMPLE_GROUP 48u
 #define SAMPLE_OTHERS 16u
 /* The cost of a server that cannot take the request. */
-#define NOT_FIT DBL_MAX
+#define COST_UNUSABLE DBL_MAX
 
 void tried_add(struct tried *tried, uint64_t key)
 {
@@ -76,8 +76,8 @@
 	return limit_of(place, backend) >= 0.0;
 }
 
-static bool backend_fits(const struct place *place,
-			 const struct backend *backend)
+static bool backend_allowed(const struct place *place,
+			    const struct backend *backend)
 {
 	return backend_usable(backend, place->now) &&
 	       regions_allow(&place->regions, backend->region) &&
@@ -86,33 +86,34 @@
 	       !(place->unlimited && is_limited(place, backend));
 }
 
-int64_t place_stale(const struct place *place, const struct backend *backend)
+int64_t place_staleness(const struct place *place,
+			const struct backend *backend)
 {
-	return backend->ours ? place->stale_local : place->stale_remote;
+	return backend->in_group ? place->stale_local : place->stale_remote;
 }
 
 /* Instances with the same view choose alike until they hear of each other, so
  * the older the view, the more is left to chance. */
 static double jitter(const struct place *place, const struct backend *backend)
 {
-	int64_t stale = place_stale(place, backend);
-	double more = (double)MAX(stale - STALE_FREE_USEC, 0) /
-		      (double)STALE_FREE_USEC;
+	int64_t staleness = place_staleness(place, backend);
+	double excess =
+		(double)MAX(staleness - FRESH_USEC, 0) / (double)FRESH_USEC;
 
 	return g_rand_double(place->rand) * JITTER *
-	       (1.0 + more * STALE_JITTER);
+	       (1.0 + excess * STALE_JITTER);
 }
 
 typedef double (*cost_fn)(const struct place *place,
-			  const struct backend *backend, const void *wish);
+			  const struct backend *backend, const void *arg);
 
 /* The best server so far. */
 struct choice {
 	const struct place *place;
 	cost_fn cost_of;
-	const void *wish;
+	const void *arg;
 	struct backend *best;
-	double least;
+	double lowest_cost;
 };
 
 static void choice_offer(struct choice *choice, struct backend *backend)
@@ -122,12 +123,12 @@
 
 	if (place->visits)
 		(*place->visits)++;
-	if (!backend_fits(place, backend))
+	if (!backend_allowed(place, backend))
 		return;
-	cost = choice->cost_of(place, backend, choice->wish);
-	if (cost >= choice->least)
+	cost = choice->cost_of(place, backend, choice->arg);
+	if (cost >= choice->lowest_cost)
 		return;
-	choice->least = cost;
+	choice->lowest_cost = cost;
 	choice->best = backend;
 }
 
@@ -141,19 +142,20 @@
 					     rand, 0, (gint32)list->len)]);
 }
 
-/* The usable server of the stage of least cost; NULL when all cost NOT_FIT. */
-static struct backend *place_least(const struct place *place,
-				   enum backend_stage stage, cost_fn cost_of,
-				   const void *wish)
+/* The usable server of the stage of least cost; NULL when all cost
+ * COST_UNUSABLE. */
+static struct backend *place_cheapest(const struct place *place,
+				      enum backend_stage stage, cost_fn cost_of,
+				      const void *arg)
 {
 	const GPtrArray *list = fleet_service(place->fleet, place->service);
-	struct choice choice = {place, cost_of, wish, NULL, NOT_FIT};
+	struct choice choice = {place, cost_of, arg, NULL, COST_UNUSABLE};
 
-	if (list && list->len > SCAN_MOST) {
+	if (list && list->len > SCAN_MAX) {
 		choice_sample(
 			&choice,
 			fleet_stage(place->fleet, place->service, stage, true),
-			SAMPLE_OURS);
+			SAMPLE_GROUP);
 		choice_sample(
 			&choice,
 			fleet_stage(place->fleet, place->service, stage, false),
@@ -166,22 +168,22 @@
 	return choice.best;
 }
 
-static double distance(const struct backend *backend, double remote)
+static double distance_cost(const struct backend *backend, double remote)
 {
 	if (backend->local)
-		return backend->ours ? 0.0 : GROUP_FAR;
+		return backend->in_group ? 0.0 : GROUP_COST;
 	return remote;
 }
 
 static double plain_cost(const struct place *place,
-			 const struct backend *backend, const void *wish)
+			 const struct backend *backend, const void *arg)
 {
 	double slots = MAX(backend->info.slots, 1u);
 
 	return (double)backend_requests(backend) / slots +
-	       distance(backend, PLAIN_FAR) +
-	       (is_limited(place, backend) ? LIMITED_PART : 0.0) +
-	       TROUBLE_WEIGHT * backend_failure_score(backend, place->now) +
+	       distance_cost(backend, PLAIN_REMOTE_COST) +
+	       (is_limited(place, backend) ? LIMITED_COST : 0.0) +
+	       FAILURE_COST * backend_failure_score(backend, place->now) +
 	       jitter(place, backend);
 }
 
@@ -192,20 +194,21 @@
 
 	for (guint i = 0; list && i < list->len; i++) {
 		const struct backend *backend = list->pdata[i];
-		int64_t opens = backend_available_at(backend, place->now);
+		int64_t available_at =
+			backend_available_at(backend, place->now);
 
-		if (opens < 0 || backend->info.stage != stage ||
+		if (available_at < 0 || backend->info.stage != stage ||
 		    !regions_allow(&place->regions, backend->region))
 			continue;
-		if (opens == place->now)
+		if (available_at == place->now)
 			return 0;
-		if (first == 0 || opens < first)
-			first = opens;
+		if (first == 0 || available_at < first)
+			first = available_at;
 	}
 	return first;
 }
 
-bool place_served(const struct place *place, enum backend_stage stage)
+bool place_has_server(const struct place *place, enum backend_stage stage)
 {
 	const GPtrArray *list = fleet_service(place->fleet, place->service);
 
@@ -222,15 +225,15 @@
 
 struct backend *place_plain(const struct place *place)
 {
-	return place_least(place, STAGE_NONE, plain_cost, NULL);
+	return place_cheapest(place, STAGE_NONE, plain_cost, NULL);
 }
 
-bool place_plain_free(const struct backend *backend)
+bool place_has_free_slot(const struct backend *backend)
 {
 	return backend_requests(backend) < MAX(backend->info.slots, 1u);
 }
 
-struct decode_wish {
+struct decode_request {
 	const struct engine_traits *engine;
 	uint32_t tokens;
 };
@@ -239,19 +242,19 @@
 static double unseen_requests(const struct place *place,
 			      const struct backend *backend)
 {
-	int64_t stale = place_stale(place, backend);
+	int64_t staleness = place_staleness(place, backend);
 
-	return (double)MAX(stale - STALE_FREE_USEC, 0) /
+	return (double)MAX(staleness - FRESH_USEC, 0) /
 	       (double)STALE_REQUEST_USEC;
 }
 
 static bool decode_has_room(const struct place *place,
 			    const struct backend *backend,
-			    const struct decode_wish *wish)
+			    const struct decode_request *request)
 {
-	const struct engine_traits *engine = wish->engine;
+	const struct engine_traits *engine = request->engine;
 	double unseen = unseen_requests(place, backend);
-	uint64_t needed = (uint64_t)(wish->tokens * (1.0 + unseen));
+	uint64_t needed = (uint64_t)(request->tokens * (1.0 + unseen));
 	uint32_t requests = backend_requests(backend);
 
 	if (place->now < backend->full_until)
@@ -260,24 +263,24 @@
 	    requests + unseen >= engine->slots)
 		return false;
 	/* One that looks empty takes any request that fits at all. */
-	needed = MIN(needed, MAX(engine->memory_tokens, wish->tokens));
+	needed = MIN(needed, MAX(engine->memory_tokens, request->tokens));
 	return backend_decode_tokens(backend) + needed <= engine->memory_tokens;
 }
 
 static double decode_cost(const struct place *place,
-			  const struct backend *backend, const void *wish)
+			  const struct backend *backend, const void *arg)
 {
-	const struct decode_wish *decode = wish;
+	const struct decode_request *request = arg;
 
 	if (backend->info.stage != STAGE_DECODE ||
-	    !decode_has_room(place, backend, decode))
-		return NOT_FIT;
+	    !decode_has_room(place, backend, request))
+		return COST_UNUSABLE;
 	return (double)(backend_decode_tokens(backend) +
 			backend_prefill_tokens(backend)) /
-		       (double)MAX(decode->engine->memory_tokens, 1) +
-	       distance(backend, DECODE_FAR) +
-	       (is_limited(place, backend) ? LIMITED_PART : 0.0) +
-	       TROUBLE_WEIGHT * backend_failure_score(backend, place->now) +
+		       (double)MAX(request->engine->memory_tokens, 1) +
+	       distance_cost(backend, DECODE_REMOTE_COST) +
+	       (is_limited(place, backend) ? LIMITED_COST : 0.0) +
+	       FAILURE_COST * backend_failure_score(backend, place->now) +
 	       jitter(place, backend);
 }
 
@@ -285,54 +288,55 @@
 			     const struct engine_traits *engine,
 			     uint32_t tokens)
 {
-	const struct decode_wish wish = {engine, tokens};
+	const struct decode_request request = {engine, tokens};
 
-	return place_least(place, STAGE_DECODE, decode_cost, &wish);
+	return place_cheapest(place, STAGE_DECODE, decode_cost, &request);
 }
 
 static double prefill_cost(const struct place *place,
-			   const struct backend *backend, const void *wish)
+			   const struct backend *backend, const void *arg)
 {
-	const struct backend *to = wish;
-	bool local =
-		strcmp(backend->info.data_centre, to->info.data_centre) == 0;
+	const struct backend *decode = arg;
+	bool local = strcmp(backend->info.data_centre,
+			    decode->info.data_centre) == 0;
 
 	if (backend->info.stage != STAGE_PREFILL)
-		return NOT_FIT;
+		return COST_UNUSABLE;
 	return (double)backend_prefill_tokens(backend) +
-	       (local ? 0.0 : PREFILL_FAR_TOKENS) +
+	       (local ? 0.0 : PREFILL_REMOTE_TOKENS) +
 	       (is_limited(place, backend) ? PREFILL_LIMITED_TOKENS : 0.0) +
-	       PREFILL_TROUBLE_TOKENS *
+	       PREFILL_FAILURE_TOKENS *
 		       backend_failure_score(backend, place->now) +
 	       PREFILL_JITTER_TOKENS * jitter(place, backend);
 }
 
 struct backend *place_prefill(const struct place *place,
-			      const struct backend *to)
+			      const struct backend *decode)
 {
-	return place_least(place, STAGE_PREFILL, prefill_cost, to);
+	return place_cheapest(place, STAGE_PREFILL, prefill_cost, decode);
 }
 
 struct backend *place_prompt(const struct place *place,
-			     const struct backend *to, uint32_t tokens,
-			     uint32_t most_ahead)
+			     const struct backend *decode, uint32_t tokens,
+			     uint32_t max_ahead)
 {
-	struct backend *apart = place_prefill(place, to);
-	uint32_t ahead = apart ? backend_prefill_tokens(apart) : 0;
-	double own = OWN_READ_COST *
-		     ((double)backend_prefill_tokens(to) + (double)tokens);
+	struct backend *prefill = place_prefill(place, decode);
+	uint32_t ahead = prefill ? backend_prefill_tokens(prefill) : 0;
+	double own = OWN_PREFILL_COST *
+		     ((double)backend_prefill_tokens(decode) + (double)tokens);
 
-	if (ahead > most_ahead && own < (double)ahead + (double)tokens)
+	if (ahead > max_ahead && own < (double)ahead + (double)tokens)
 		return NULL;
-	return apart;
+	return prefill;
 }
 
-double place_decode_places(const struct place *place,
-			   const struct engine_traits *engine, uint32_t tokens)
+double place_decode_capacity(const struct place *place,
+			     const struct engine_traits *engine,
+			     uint32_t tokens)
 {
 	const GPtrArray *list = fleet_service(place->fleet, place->service);
 	double each = (double)engine->memory_tokens / (double)MAX(tokens, 1u);
-	double sum = 0.0;
+	double capacity = 0.0;
 
 	for (guint i = 0; list && i < list->len; i++) {
 		const struct backend *backend = list->pdata[i];
@@ -340,7 +344,8 @@
 		if (backend->info.stage == STAGE_DECODE &&
 		    regions_allow(&place->regions, backend->region) &&
 		    backend_usable(backend, place->now))
-			sum += overload_places(each, limit_of(place, backend));
+			capacity +=
+				overload_places(each, limit_of(place, backend));
 	}
-	return sum;
+	return capacity;
 }
--- a/forward/plain.c
+++ b/forward/plain.c
@@ -47,7 +47,8 @@
 static bool worth_again(const struct request *request,
 			const struct backend *backend)
 {
-	return !answer_may_pass(&request->answer) || place_plain_free(backend);
+	return !answer_may_pass(&request->answer) ||
+	       place_has_free_slot(backend);
 }
 
 /* Tries another server, or ends the request as code and why say. */
@@ -55,7 +56,7 @@
 			const char *why)
 {
 	bool may = (request->runs == 0 || request_repeatable(request)) &&
-		   !request_suspected(request);
+		   !request_is_suspect(request);
 
 	if (may && request->runs < request->route->attempts &&
 	    request_left(request) > 0) {
@@ -83,7 +84,7 @@
 	const struct backend_head *head = &request->answer.head;
 	int64_t now = request_now(request);
 
-	request_outlived(request);
+	request_survived(request);
 	if (head->status >= 500 || !answer_may_pass(&request->answer)) {
 		log_event(LOG_INFO, "send_failed",
 			  LOG_S("request", request->caller.id),
@@ -128,9 +129,9 @@
 		  LOG_S("request", request->caller.id),
 		  LOG_S("backend", request->target.id),
 		  LOG_D("status", request->answer.head.status),
-		  LOG_D("other", request->answer.head.other));
+		  LOG_D("other", request->answer.head.other_server));
 	request->runs--;
-	if (backend && request->answer.head.other)
+	if (backend && request->answer.head.other_server)
 		backend_unreachable(backend, request_now(request));
 	else if (backend)
 		backend_failed(backend, request_now(request));
@@ -162,15 +163,15 @@
 		plain_not_run(request, backend);
 		return;
 	}
-	if (end->whole && !answer->head.mismatched && !answer->too_large) {
+	if (end->complete && !answer->head.mismatched && !answer->too_large) {
 		plain_answered(request, backend);
 		return;
 	}
 	spoilt.text = answer->too_large ? "answer too large"
 					: "answer to another request";
-	if (!end->whole)
-		request_lost(request, end);
-	plain_broken(request, backend, end->whole ? &spoilt : end);
+	if (!end->complete)
+		request_connection_lost(request, end);
+	plain_broken(request, backend, end->complete ? &spoilt : end);
 }
 
 static int64_t head_limit(const struct request *request)
@@ -201,7 +202,7 @@
 		.resume_after = request->caller.resume_after,
 	};
 
-	backend_try(backend, request_now(request));
+	backend_claim_probe(backend, request_now(request));
 	placed_log(request, "call", backend);
 	request->target = backend->info;
 	spec.to = &request->target;
--- a/forward/regions.c
+++ b/forward/regions.c
@@ -18,7 +18,7 @@
 		g_array_unref(set);
 }
 
-static bool set_has(const GArray *set, uint64_t region)
+static bool region_set_has(const GArray *set, uint64_t region)
 {
 	for (guint i = 0; i < set->len; i++)
 		if (g_array_index(set, uint64_t, i) == region)
@@ -33,7 +33,8 @@
 
 bool regions_allow(const struct region_limits *limits, uint64_t region)
 {
-	return (!limits->of_route || set_has(limits->of_route, region)) &&
+	return (!limits->of_route ||
+		region_set_has(limits->of_route, region)) &&
 	       (!limits->of_organisation ||
-		set_has(limits->of_organisation, region));
+		region_set_has(limits->of_organisation, region));
 }
--- a/forward/request.c
+++ b/forward/request.c
@@ -241,7 +241,7 @@
 		request->service && request->service->engine.memory_tokens;
 
 	timer_stop(&request->timer);
-	request_unread_drop(request);
+	request_unread_clear(request);
 	stream_unwait(request);
 	request_refund(request);
 	resources_drop(request);
--- a/forward/request.h
+++ b/forward/request.h
@@ -63,8 +63,8 @@
 	struct answer answer;
 	struct tried tried;
 	struct request_identity
-		work; /* once request_identify() was asked for it */
-	bool work_known;
+		identity; /* once request_identify() was asked for it */
+	bool identity_known;
 	bool lost_connection; /* in the middle of a call */
 	uint32_t sends;	 /* that may have reached a server, and count as such */
 	bool paid;	 /* a prefill took from the budget and did not count */
@@ -110,7 +110,7 @@
 	struct table *requests;
 	GQueue waiting; /* streams without decode memory, by arrival */
 	struct timer pump;
-	struct ended *crash_detector;
+	struct crash_detector *crash_detector;
 	double begin_usec; /* mean time from placing to the first event */
 	bool draining;
 	size_t unread;			  /* of all requests */
@@ -147,14 +147,15 @@
  * reached no server. */
 void request_uncount(struct request *request, const struct backend_end *end);
 /* A call that may have begun at the target has failed. */
-void request_lost(struct request *request, const struct backend_end *end);
+void request_connection_lost(struct request *request,
+			     const struct backend_end *end);
 /* Whether it lost a connection and servers are known to have ended under it
  * before: its caller may send it again, this attempt is over. Sent on at once,
  * before the server was asked, a work that is about to be held would end one
  * more server with each attempt. */
-bool request_suspected(const struct request *request);
+bool request_is_suspect(const struct request *request);
 /* The server has answered to the end: it has outlived the request. */
-void request_outlived(struct request *request);
+void request_survived(struct request *request);
 /* Ends it if servers ended under it, now or as it was sent before; true when it
  * is no more. To be asked before each send. */
 bool request_quarantine(struct request *request);
@@ -230,8 +231,8 @@
 
 /* Of unread.c. Notes what its caller has not read yet, which may end it or
  * another request. */
-void request_unread_note(struct request *request);
-void request_unread_drop(struct request *request);
+void request_unread_update(struct request *request);
+void request_unread_clear(struct request *request);
 
 /* Of suspect.c: an crash_fn with the forward as context. */
 void quarantine_server_crashed(void *ctx, const struct backend_info *server,
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -77,7 +77,8 @@
 	struct place place;
 
 	request_place(request, &place);
-	backend_full(backend, place.now, place_stale(&place, backend));
+	backend_reservation_refused(backend, place.now,
+				    place_staleness(&place, backend));
 }
 
 static struct backend *prefill_get(struct request *request)
@@ -90,7 +91,7 @@
 void stream_retry(struct request *request, enum result_code code,
 		  const char *why)
 {
-	bool may = !request_suspected(request) &&
+	bool may = !request_is_suspect(request) &&
 		   (request->runs == 0 ||
 		    (request_repeatable(request) &&
 		     request->runs < request->route->attempts));
@@ -132,7 +133,7 @@
 
 	if (!backend)
 		return;
-	if (!end->connected || (answer->has_head && answer->head.other))
+	if (!end->connected || (answer->has_head && answer->head.other_server))
 		backend_unreachable(backend, now);
 	else if (!answer->has_head || !answer->head.not_run)
 		backend_failed(backend, now);
@@ -182,7 +183,8 @@
 	if (!backend)
 		return;
 	tried_add(&request->tried, backend->key);
-	if (answer->has_head && answer->head.not_run && !answer->head.other)
+	if (answer->has_head && answer->head.not_run &&
+	    !answer->head.other_server)
 		backend_run_refused(backend, request_now(request));
 }
 
@@ -194,7 +196,7 @@
 
 	request->call = NULL;
 	charge_drop(request, &request->prefill);
-	if (end->whole && prefill_result(request)) {
+	if (end->complete && prefill_result(request)) {
 		if (backend)
 			backend_succeeded(backend, now);
 		request->kv_at = request->target;
@@ -211,10 +213,10 @@
 	}
 	prefill_count(request, end);
 	stream_failed_log(request, "prefill", end);
-	request_lost(request, end);
+	request_connection_lost(request, end);
 	prefill_blame(request, backend, end);
 	answer_clear(&request->answer);
-	if (request_suspected(request))
+	if (request_is_suspect(request))
 		stream_retry(request, RESULT_NO_BACKEND, end->text);
 	else
 		prefill_place(request);
@@ -280,7 +282,7 @@
 		return;
 	}
 	spec.head_usec = prefill_limit(request, backend);
-	backend_try(backend, now);
+	backend_claim_probe(backend, now);
 	placed_log(request, "prefill", backend);
 	request->target = backend->info;
 	request->asked_at = now;
@@ -353,7 +355,7 @@
 	struct backend *backend = stream_decode(request);
 
 	if (backend)
-		backend_granted(backend);
+		backend_reservation_granted(backend);
 	g_strlcpy(request->hold, hold, sizeof(request->hold));
 	request->placed_at = request_now(request);
 	histogram_add(request->forward->wait_time,
@@ -412,7 +414,7 @@
 	const struct backend_ops *ops = &request->forward->parts.backends;
 
 	request->asked_at = request_now(request);
-	backend_try(backend, request->asked_at);
+	backend_claim_probe(backend, request->asked_at);
 	request->call = ops->reserve(
 		ops->ctx, &backend->info, reserved_tokens(request),
 		stream_reserve_usec(request), on_reserved, request);
@@ -506,7 +508,7 @@
 
 	request_place(request, &place);
 	return regions_limited(&place.regions) &&
-	       !place_served(&place, STAGE_DECODE);
+	       !place_has_server(&place, STAGE_DECODE);
 }
 
 void stream_start(struct request *request)
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -16,7 +16,7 @@
 	const struct backend_head *head = &request->answer.head;
 
 	return request->answer.has_head && head->status == 200 &&
-	       head->signed_by && !head->mismatched;
+	       head->is_signed && !head->mismatched;
 }
 
 static void run_head(void *ctx, const struct backend_head *head)
@@ -31,8 +31,8 @@
 	request->answer.has_head = true;
 	request->answer.head.status = head->status;
 	request->answer.head.not_run = head->not_run;
-	request->answer.head.other = head->other;
-	request->answer.head.signed_by = head->signed_by;
+	request->answer.head.other_server = head->other_server;
+	request->answer.head.is_signed = head->is_signed;
 	request->answer.head.mismatched = head->mismatched;
 }
 
@@ -76,7 +76,7 @@
 	request->last_at = request_now(request);
 	web_reply_piece(request->web, cutter->rest->data, whole);
 	event_cutter_take(cutter, whole);
-	request_unread_note(request);
+	request_unread_update(request);
 }
 
 /* Who read the prompt for this run; NULL when nobody did or it has left. */
@@ -109,9 +109,9 @@
 
 	charge_drop(request, &request->prefill);
 	if (decode)
-		backend_began(decode);
+		backend_run_started(decode);
 	if (source)
-		backend_began(source);
+		backend_run_started(source);
 	request->hold[0] = '\0';
 	request->kv[0] = '\0';
 }
@@ -153,7 +153,7 @@
 static void run_refused(struct request *request, struct backend *backend)
 {
 	request->runs--;
-	if (!request->answer.head.other) {
+	if (!request->answer.head.other_server) {
 		if (backend)
 			stream_full(request, backend);
 		refusal_blame(request, backend);
@@ -169,7 +169,7 @@
 	    request->cutter.rest->len == 0 && request->replied) {
 		if (backend)
 			backend_succeeded(backend, now);
-		request_outlived(request);
+		request_survived(request);
 		request_finish(request);
 		return;
 	}
@@ -192,12 +192,12 @@
 	const struct answer *answer = &request->answer;
 
 	request->call = NULL;
-	if (end->whole && !answer->head.not_run) {
+	if (end->complete && !answer->head.not_run) {
 		run_whole(request, backend);
 		return;
 	}
 	stream_failed_log(request, "run", end);
-	request_lost(request, end);
+	request_connection_lost(request, end);
 	stream_record_failure(request, backend, end);
 	event_cutter_drop(&request->cutter);
 	if (answer->has_head && answer->head.not_run &&
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -2,64 +2,65 @@
  * suspect.c - requests under which servers end
  *
  * DESCRIPTION
- *	A lost connection is traced to the server's end (crash_detector.h), the
- *end is held against the work (coord/quarantine.h), and before each send it is
- *	asked whether too much is. So repeats of one request, at whichever
+ *	A lost connection is traced to the server's end (crash_detector.h),
+ *the end is held against the work (coord/quarantine.h), and before each send it
+ *is asked whether too much is. So repeats of one request, at whichever
  *	instance, end three servers and not all of them.
  */
 #include "request.h"
 
 #include "common/log.h"
 
-#define PARTS 5
+#define PART_COUNT 5
 
 static void parts_fill(const struct caller_request *caller,
-		       struct fingerprint_part parts[PARTS])
+		       struct fingerprint_part parts[PART_COUNT])
 {
-	const struct web_text texts[PARTS] = {caller->method, caller->host,
-					      caller->target, caller->who,
-					      caller->body};
+	const struct web_text texts[PART_COUNT] = {
+		caller->method, caller->host, caller->target, caller->identity,
+		caller->body};
 
-	for (int i = 0; i < PARTS; i++)
+	for (int i = 0; i < PART_COUNT; i++)
 		parts[i] =
 			(struct fingerprint_part){texts[i].data, texts[i].size};
 }
 
 static uint64_t request_keyed_hash(const struct request *request)
 {
-	struct fingerprint_part parts[PARTS];
+	struct fingerprint_part parts[PART_COUNT];
 
 	parts_fill(&request->caller, parts);
-	return keyed_hash_of(parts, PARTS,
+	return keyed_hash_of(parts, PART_COUNT,
 			     request->forward->parts.keyed_hash_secret);
 }
 
 /* What it is the same work as; worked out when it is first asked for. */
 static const struct request_identity *request_identify(struct request *request)
 {
-	struct fingerprint_part parts[PARTS];
+	struct fingerprint_part parts[PART_COUNT];
 
-	if (request->work_known)
-		return &request->work;
+	if (request->identity_known)
+		return &request->identity;
 	parts_fill(&request->caller, parts);
-	request->work.work = fingerprint_of(parts, PARTS);
-	request->work.mark = request_keyed_hash(request);
-	request->work_known = true;
-	return &request->work;
+	request->identity.fingerprint = fingerprint_of(parts, PART_COUNT);
+	request->identity.keyed_hash = request_keyed_hash(request);
+	request->identity_known = true;
+	return &request->identity;
 }
 
-void request_lost(struct request *request, const struct backend_end *end)
+void request_connection_lost(struct request *request,
+			     const struct backend_end *end)
 {
 	const struct answer *answer = &request->answer;
 
 	/* A time-out is this side's own, and what was refused did not begin. */
-	if (end->whole || end->not_run || end->timed_out ||
+	if (end->complete || end->not_run || end->timed_out ||
 	    (answer->has_head && answer->head.not_run))
 		return;
 	request->lost_connection = true;
 	log_event(LOG_NOTICE, "connection_lost",
 		  LOG_S("request", request->caller.id),
-		  LOG_X("work", request_identify(request)->work.high),
+		  LOG_X("work", request_identify(request)->fingerprint.high),
 		  LOG_S("backend", request->target.id),
 		  LOG_D("born", request->target.started_ms),
 		  LOG_S("why", end->text));
@@ -68,62 +69,63 @@
 			     request_identify(request));
 }
 
-bool request_suspected(const struct request *request)
+bool request_is_suspect(const struct request *request)
 {
 	const struct quarantine_entry *entry;
 
 	if (!request->lost_connection)
 		return false;
 	entry = quarantine_find(request->forward->parts.quarantine,
-				&request->work.work);
+				&request->identity.fingerprint);
 	return entry && entry->count > 0;
 }
 
 void quarantine_server_crashed(void *ctx, const struct backend_info *server,
-			       const struct request_identity *lost)
+			       const struct request_identity *identity)
 {
 	struct forward *forward = ctx;
 	const struct forward_parts *parts = &forward->parts;
-	bool news = quarantine_record_crash(parts->quarantine, &lost->work,
-					    lost->mark, backend_key(server),
-					    clock_now(parts->clock));
+	bool changed = quarantine_record_crash(
+		parts->quarantine, &identity->fingerprint, identity->keyed_hash,
+		backend_key(server), clock_now(parts->clock));
 	const struct quarantine_entry *entry =
-		quarantine_find(parts->quarantine, &lost->work);
+		quarantine_find(parts->quarantine, &identity->fingerprint);
 
 	forward->servers_ended->value++;
 	log_event(LOG_NOTICE, "server_ended", LOG_S("backend", server->id),
 		  LOG_D("born", server->started_ms),
-		  LOG_X("work", lost->work.high),
+		  LOG_X("work", identity->fingerprint.high),
 		  LOG_D("servers", entry ? entry->count : 0),
-		  LOG_D("held",
-			quarantine_holds(parts->quarantine, &lost->work)));
-	if (news)
-		parts->work_changed(parts->instances_ctx, &lost->work);
+		  LOG_D("held", quarantine_holds(parts->quarantine,
+						 &identity->fingerprint)));
+	if (changed)
+		parts->work_changed(parts->instances_ctx,
+				    &identity->fingerprint);
 }
 
-static void work_clear(struct request *request)
+static void quarantine_clear_request(struct request *request)
 {
 	const struct forward_parts *parts = &request->forward->parts;
 
 	if (!quarantine_clear(parts->quarantine,
-			      &request_identify(request)->work))
+			      &request_identify(request)->fingerprint))
 		return;
 	log_event(LOG_NOTICE, "work_cleared",
 		  LOG_S("request", request->caller.id),
-		  LOG_X("work", request_identify(request)->work.high),
+		  LOG_X("work", request_identify(request)->fingerprint.high),
 		  LOG_S("backend", request->target.id));
 	parts->work_changed(parts->instances_ctx,
-			    &request_identify(request)->work);
+			    &request_identify(request)->fingerprint);
 }
 
-void request_outlived(struct request *request)
+void request_survived(struct request *request)
 {
 	struct quarantine *quarantine = request->forward->parts.quarantine;
 
 	quarantine_record_success(quarantine, request_keyed_hash(request),
 				  request_now(request));
 	if (!quarantine_empty(quarantine))
-		work_clear(request);
+		quarantine_clear_request(request);
 }
 
 bool request_quarantine(struct request *request)
@@ -133,19 +135,21 @@
 
 	if (quarantine_empty(parts->quarantine) ||
 	    !quarantine_holds(parts->quarantine,
-			      &request_identify(request)->work))
+			      &request_identify(request)->fingerprint))
 		return false;
 	/* Held by instances that did not see it end well. */
-	if (quarantine_has_succeeded(parts->quarantine, request->work.mark,
+	if (quarantine_has_succeeded(parts->quarantine,
+				     request->identity.keyed_hash,
 				     request_now(request))) {
-		work_clear(request);
+		quarantine_clear_request(request);
 		return false;
 	}
-	entry = quarantine_find(parts->quarantine, &request->work.work);
+	entry = quarantine_find(parts->quarantine,
+				&request->identity.fingerprint);
 	request->forward->quarantined->value++;
 	log_event(LOG_NOTICE, "request_quarantined",
 		  LOG_S("request", request->caller.id),
-		  LOG_X("work", request->work.work.high),
+		  LOG_X("work", request->identity.fingerprint.high),
 		  LOG_D("servers", entry->count), LOG_D("runs", request->runs));
 	/* To come back is of no use, so no time is said. */
 	if (request->replied)
--- a/forward/unread.c
+++ b/forward/unread.c
@@ -4,7 +4,7 @@
  * DESCRIPTION
  *	What callers have not read yet is held in memory. One that has left more
  *	than UNREAD_MAX is cut off; while all together have left more than
- *	UNREAD_ALL_MAX, the one that has left most is. A caller can tell that
+ *	UNREAD_TOTAL_MAX, the one that has left most is. A caller can tell that
  *	its stream is not whole, and a server is never slowed down by one.
  */
 #include "request.h"
@@ -12,7 +12,7 @@
 #include "common/log.h"
 
 #define UNREAD_MAX ((size_t)1 << 20)
-#define UNREAD_ALL_MAX ((size_t)16 << 20)
+#define UNREAD_TOTAL_MAX ((size_t)16 << 20)
 
 static void unread_set(struct request *request, size_t size)
 {
@@ -21,9 +21,9 @@
 }
 
 /* The one that has left most; what is noted of the others may be old. */
-static struct request *slowest_find(struct forward *forward)
+static struct request *unread_find_largest(struct forward *forward)
 {
-	struct request *slowest = NULL;
+	struct request *largest = NULL;
 	struct request *request;
 	uint32_t cursor = 0;
 	uint64_t handle;
@@ -32,13 +32,13 @@
 		if (request->unread == 0)
 			continue;
 		unread_set(request, web_reply_queued(request->web));
-		if (!slowest || request->unread > slowest->unread)
-			slowest = request;
+		if (!largest || request->unread > largest->unread)
+			largest = request;
 	}
-	return slowest;
+	return largest;
 }
 
-static void cut_off(struct request *request)
+static void disconnect_slow(struct request *request)
 {
 	log_event(LOG_NOTICE, "caller_reads_slowly",
 		  LOG_S("request", request->caller.id),
@@ -47,25 +47,25 @@
 	request_break(request, "its caller reads too slowly");
 }
 
-void request_unread_note(struct request *request)
+void request_unread_update(struct request *request)
 {
 	struct forward *forward = request->forward;
-	struct request *slowest;
+	struct request *largest;
 
 	unread_set(request, web_reply_queued(request->web));
 	if (request->unread > UNREAD_MAX) {
-		cut_off(request);
+		disconnect_slow(request);
 		return;
 	}
-	if (forward->unread <= UNREAD_ALL_MAX)
+	if (forward->unread <= UNREAD_TOTAL_MAX)
 		return;
 	/* It also brings up to date what is noted of the others. */
-	slowest = slowest_find(forward);
-	if (slowest && forward->unread > UNREAD_ALL_MAX)
-		cut_off(slowest);
+	largest = unread_find_largest(forward);
+	if (largest && forward->unread > UNREAD_TOTAL_MAX)
+		disconnect_slow(largest);
 }
 
-void request_unread_drop(struct request *request)
+void request_unread_clear(struct request *request)
 {
 	unread_set(request, 0);
 }
--- a/forward/waiting.c
+++ b/forward/waiting.c
@@ -102,8 +102,8 @@
 	double places;
 
 	request_place(request, &place);
-	places = place_decode_places(&place, &request->service->engine,
-				     stream_tokens(request));
+	places = place_decode_capacity(&place, &request->service->engine,
+				       stream_tokens(request));
 	return overload_queue_sec(parts->waiting(parts->instances_ctx), places);
 }
 
--- a/include/forward/backend.h
+++ b/include/forward/backend.h
@@ -54,17 +54,17 @@
 /* The head of an answer. */
 struct backend_head {
 	int status;
-	bool not_run;	 /* the server says that it did not run the request */
-	bool other;	 /* another server has that address now */
-	bool signed_by;	 /* bears the server's own mark of authorship */
-	bool mismatched; /* belongs to another request */
+	bool not_run;	   /* the server says that it did not run the request */
+	bool other_server; /* another server has that address now */
+	bool is_signed;	   /* bears the server's own mark of authorship */
+	bool mismatched;   /* belongs to another request */
 	/* To be passed back to the caller. */
 	const struct web_header *headers;
 	size_t header_count;
 };
 
 struct backend_end {
-	bool whole;	/* head and body arrived, and no more */
+	bool complete;	/* head and body arrived, and no more */
 	bool not_run;	/* no byte can have reached the server */
 	bool connected; /* a connection was made */
 	bool timed_out;
@@ -90,9 +90,9 @@
 
 enum order_result {
 	ORDER_ACCEPTED,
-	ORDER_HOLDS,   /* the server is in that role already */
-	ORDER_REFUSED, /* surely not carried out */
-	ORDER_UNKNOWN, /* it may be carried out, also later */
+	ORDER_ALREADY_SET, /* the server is in that role already */
+	ORDER_REFUSED,	   /* surely not carried out */
+	ORDER_UNKNOWN,	   /* it may be carried out, also later */
 };
 typedef void (*order_fn)(void *ctx, enum order_result result);
 
@@ -105,7 +105,7 @@
 
 enum check_result {
 	CHECK_ALIVE,   /* that life of the server answers */
-	CHECK_ENDED,   /* nothing listens there, or another server */
+	CHECK_CRASHED, /* nothing listens there, or another server */
 	CHECK_UNKNOWN, /* it cannot be reached, or does not answer */
 };
 typedef void (*check_fn)(void *ctx, enum check_result result);
--- a/include/forward/caller.h
+++ b/include/forward/caller.h
@@ -30,7 +30,8 @@
 	struct web_text host;
 	struct web_text target; /* path and query */
 	struct web_text body;
-	struct web_text who; /* names the caller; empty when nothing does */
+	struct web_text
+		identity;    /* names the caller; empty when nothing does */
 	struct web_text key; /* a secret: no log line may hold it */
 	/* Set by the core: whose key it is, for the backend server, or NULL,
 	 * and whether the key is kept from it. */
--- a/include/forward/catalog.h
+++ b/include/forward/catalog.h
@@ -79,9 +79,9 @@
 	uint32_t refs;
 	uint64_t version;
 	struct caller_limits limits;
-	GPtrArray *routes;    /* struct catalog_route */
-	GHashTable *places;   /* host and prefix to struct catalog_route */
-	GHashTable *services; /* id to struct catalog_service */
+	GPtrArray *routes;     /* struct catalog_route */
+	GHashTable *by_prefix; /* host and prefix to struct catalog_route */
+	GHashTable *services;  /* id to struct catalog_service */
 	/* NULL where callers are not told apart. */
 	struct organisations *organisations;
 };
@@ -96,7 +96,7 @@
 struct catalog_service *catalog_add_service(struct catalog *catalog,
 					    const char *name);
 /* Makes the routes findable; to be called once all have been filled. */
-void catalog_seal(struct catalog *catalog);
+void catalog_index_routes(struct catalog *catalog);
 
 /* The route of a host (any case, with or without port) and path (without
  * query); NULL when there is none. */
--- a/include/forward/fleet.h
+++ b/include/forward/fleet.h
@@ -64,9 +64,9 @@
 	struct backend_info info;
 	struct fleet *fleet;
 	uint64_t handle;
-	uint64_t key; /* backend_key(&info) */
-	bool local;   /* in this instance's data centre */
-	bool ours;    /* and of this instance's group */
+	uint64_t key;  /* backend_key(&info) */
+	bool local;    /* in this instance's data centre */
+	bool in_group; /* and of this instance's group */
 	bool evacuated;
 	uint64_t region;	 /* id_of() its name; 0: not known */
 	struct backend_load own; /* changed by backend_charge() */
@@ -76,7 +76,7 @@
 	double failure_score; /* failures, decayed to failure_score_at */
 	int64_t failure_score_at;
 	int64_t avoid_until;	       /* could not be reached */
-	uint32_t avoided;	       /* times in a row */
+	uint32_t connect_failures;     /* times in a row */
 	bool avoid_listed;	       /* among those that were not reached */
 	uint64_t unreachable_reporter; /* the peer that told last that it lost
 					  it */
@@ -86,7 +86,7 @@
 	int64_t changing_until; /* ordered to another role, or seems so */
 	int64_t limited_until;	/* a permit was denied */
 	uint32_t refusals;	/* reserved or prepared runs refused in a row */
-	bool leaving_by_answer; /* said so itself, whatever the list says */
+	bool leaving_reported;	/* said so itself, whatever the list says */
 	int64_t backoff_until;	/* asked for by the server */
 	int64_t cold_until;	/* slow, and crashes under more than a little */
 	bool listed;		/* seen in the snapshot being read */
@@ -121,7 +121,7 @@
 void fleet_set_backpressure(struct fleet *fleet,
 			    const struct backpressure *table);
 /* The table has changed for that server. */
-void fleet_answers_changed(struct fleet *fleet, uint64_t key);
+void fleet_backpressure_changed(struct fleet *fleet, uint64_t key);
 
 /* Adds a server or brings what is known of it up to date. A later life takes
  * the place of an earlier one. NULL when a later life was listed before, which
@@ -161,7 +161,7 @@
 const GPtrArray *fleet_service(const struct fleet *fleet, uint64_t service);
 /* Those of a stage, of this instance's group or all others, in no order. */
 const GPtrArray *fleet_stage(struct fleet *fleet, uint64_t service,
-			     enum backend_stage stage, bool ours);
+			     enum backend_stage stage, bool in_group);
 /* All servers, struct backend. */
 const GPtrArray *fleet_all(const struct fleet *fleet);
 /* Those that this instance has something under way at, struct backend; also
@@ -171,16 +171,17 @@
 /* Whether a listed server of the service answers; also true when none is
  * listed.
  */
-bool fleet_reaches(const struct fleet *fleet, uint64_t service);
+bool fleet_service_reachable(const struct fleet *fleet, uint64_t service);
 /* Nothing more goes to a server that changes until the list shows it in its new
  * role, or the time is over. */
-void fleet_change(struct fleet *fleet, const struct backend_change *change);
+void fleet_set_changing(struct fleet *fleet,
+			const struct backend_change *change);
 /* The servers that this instance itself could not reach and passes over now, at
  * most so many; returns how many. None while half of those of its data centre
  * are among them: then it is more likely cut off itself. */
 uint32_t fleet_unreachable(struct fleet *fleet,
 			   struct unreachable_backend *unreachable,
-			   uint32_t most);
+			   uint32_t max);
 /* Passes over what two peers near could not reach of late; no trial is owed for
  * it. One alone may have lost only its own way there. peer is any number that
  * tells them apart. */
@@ -209,17 +210,18 @@
 		    int times);
 /* A request is about to be sent there. After it could not be reached one
  * request tries; the others pass it over until that one is answered or late. */
-void backend_try(struct backend *backend, int64_t now);
+void backend_claim_probe(struct backend *backend, int64_t now);
 /* It has just refused a reservation. It is asked again once the view of it,
  * which showed room, is newer: after the time stale at least. */
-void backend_full(struct backend *backend, int64_t now, int64_t stale);
+void backend_reservation_refused(struct backend *backend, int64_t now,
+				 int64_t staleness);
 /* It has just granted one. */
-void backend_granted(struct backend *backend);
+void backend_reservation_granted(struct backend *backend);
 /* A run that had a reservation, or a result to fetch, began there or with its
  * result; or it was refused all the same: then the server may be changing its
  * role, or have lost the result. So was a prompt refused. Twice in a row, and
  * it is passed over for a while. */
-void backend_began(struct backend *backend);
+void backend_run_started(struct backend *backend);
 void backend_run_refused(struct backend *backend, int64_t now);
 bool backend_refusing(const struct backend *backend);
 /* It answered, whatever it said. */
--- a/include/forward/place.h
+++ b/include/forward/place.h
@@ -49,10 +49,11 @@
 };
 
 /* How old the view of the server's load may be. */
-int64_t place_stale(const struct place *place, const struct backend *backend);
+int64_t place_staleness(const struct place *place,
+			const struct backend *backend);
 /* Whether a server of the stage is listed that may have the request, if it can
  * be reached and has room. */
-bool place_served(const struct place *place, enum backend_stage stage);
+bool place_has_server(const struct place *place, enum backend_stage stage);
 /* For a plain call. NULL when no server is usable. */
 struct backend *place_plain(const struct place *place);
 /* When the first server of a stage may be sent a request, if those that could
@@ -60,24 +61,25 @@
  * can be reached. */
 int64_t place_available_at(const struct place *place, enum backend_stage stage);
 /* Whether the server has a place free for a plain call. */
-bool place_plain_free(const struct backend *backend);
+bool place_has_free_slot(const struct backend *backend);
 /* A decode server with room for tokens, by what is under way there. */
 struct backend *place_decode(const struct place *place,
 			     const struct engine_traits *engine,
 			     uint32_t tokens);
 /* A prefill server for a result that goes to the decode server to. */
 struct backend *place_prefill(const struct place *place,
-			      const struct backend *to);
+			      const struct backend *decode);
 /* Who reads a prompt of so many tokens for the decode server to: a prefill
  * server, or NULL when the decode server had better read it itself, since more
- * than most_ahead tokens wait at the best prefill server and it is done sooner.
+ * than max_ahead tokens wait at the best prefill server and it is done sooner.
  */
 struct backend *place_prompt(const struct place *place,
-			     const struct backend *to, uint32_t tokens,
-			     uint32_t most_ahead);
+			     const struct backend *decode, uint32_t tokens,
+			     uint32_t max_ahead);
 /* Requests of so many tokens that the usable decode servers can run at a time,
  * given their memory and their limits. */
-double place_decode_places(const struct place *place,
-			   const struct engine_traits *engine, uint32_t tokens);
+double place_decode_capacity(const struct place *place,
+			     const struct engine_traits *engine,
+			     uint32_t tokens);
 
 #endif
--- a/tests/forward/paths_world.c
+++ b/tests/forward/paths_world.c
@@ -387,7 +387,7 @@
 		organisations_add(catalog, organisations);
 	}
 	catalog->limits.body_bytes = 100;
-	catalog_seal(catalog);
+	catalog_index_routes(catalog);
 	forward_set_catalog(world.forward, catalog);
 	catalog_unref(catalog);
 }
@@ -528,8 +528,8 @@
 	struct backend_head head = {
 		.status = atoi(options),
 		.not_run = strstr(options, "not-run"),
-		.other = strstr(options, "other"),
-		.signed_by = strstr(options, "signed"),
+		.other_server = strstr(options, "other"),
+		.is_signed = strstr(options, "signed"),
 		.mismatched = strstr(options, "mismatched"),
 		.headers = headers,
 		.header_count = 1,
@@ -553,7 +553,7 @@
 static void done_step(const char *options)
 {
 	struct backend_end end = {
-		.whole = options[0] == '\0',
+		.complete = options[0] == '\0',
 		.connected = !strstr(options, "unconnected"),
 		.timed_out = strstr(options, "late"),
 		.text = options,
@@ -593,7 +593,7 @@
 	else
 		fn(world.check_ctx, strcmp(options, "alive") == 0 ? CHECK_ALIVE
 				    : strcmp(options, "ended") == 0
-					    ? CHECK_ENDED
+					    ? CHECK_CRASHED
 					    : CHECK_UNKNOWN);
 }
 
--- a/tests/forward/test_evacuation.c
+++ b/tests/forward/test_evacuation.c
@@ -19,7 +19,7 @@
 	g_assert_cmpint(backend_available_at(near, site.place.now), ==, -1);
 	g_assert_true(fleet_evacuate(site.fleet, "there", true));
 	g_assert_null(place_plain(&site.place));
-	g_assert_false(fleet_reaches(site.fleet, SITE_SERVICE));
+	g_assert_false(fleet_service_reachable(site.fleet, SITE_SERVICE));
 	g_assert_true(fleet_evacuate(site.fleet, "here", false));
 	g_assert_false(fleet_evacuate(site.fleet, "here", false));
 	g_assert_true(place_plain(&site.place) == near);
@@ -39,12 +39,12 @@
 	site_add(&site, "p1", STAGE_PREFILL, "here");
 	d2 = site_add(&site, "d2", STAGE_DECODE, "there");
 	p2 = site_add(&site, "p2", STAGE_PREFILL, "there");
-	g_assert_cmpfloat(place_decode_places(&site.place, &engine, 500), ==,
+	g_assert_cmpfloat(place_decode_capacity(&site.place, &engine, 500), ==,
 			  4.0);
 	fleet_evacuate(site.fleet, "here", true);
 	g_assert_true(place_decode(&site.place, &engine, 500) == d2);
 	g_assert_true(place_prefill(&site.place, d2) == p2);
-	g_assert_cmpfloat(place_decode_places(&site.place, &engine, 500), ==,
+	g_assert_cmpfloat(place_decode_capacity(&site.place, &engine, 500), ==,
 			  2.0);
 	site_close(&site);
 }
--- a/tests/forward/test_parts.c
+++ b/tests/forward/test_parts.c
@@ -65,7 +65,7 @@
 	route_add(catalog, "a.example", "/x/");
 	route_add(catalog, "a.example", "/x/y/");
 	route_add(catalog, "b.example", "/");
-	catalog_seal(catalog);
+	catalog_index_routes(catalog);
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
 		g_assert_cmpstr(route_name(catalog, rows[i].host, rows[i].path),
 				==, rows[i].name);
@@ -293,13 +293,13 @@
 	d1 = site_add(&site, "d1", STAGE_DECODE, "here");
 	site_add(&site, "d2", STAGE_DECODE, "here");
 	site_add(&site, "p1", STAGE_PREFILL, "here");
-	g_assert_cmpfloat(place_decode_places(&site.place, &engine, 1000), ==,
+	g_assert_cmpfloat(place_decode_capacity(&site.place, &engine, 1000), ==,
 			  20.0);
 	backpressure_answer(table, 1, d1->key, &limit);
-	g_assert_cmpfloat(place_decode_places(&site.place, &engine, 1000), ==,
+	g_assert_cmpfloat(place_decode_capacity(&site.place, &engine, 1000), ==,
 			  13.5);
 	d1->backoff_until = site.place.now + 1;
-	g_assert_cmpfloat(place_decode_places(&site.place, &engine, 1000), ==,
+	g_assert_cmpfloat(place_decode_capacity(&site.place, &engine, 1000), ==,
 			  10.0);
 	backpressure_destroy(table);
 	site_close(&site);
@@ -451,7 +451,7 @@
 	g_assert_null(place_plain(&site.place));
 	site_wait(&site, SECOND / 2);
 	g_assert_true(place_plain(&site.place) == s1);
-	backend_try(s1, site.place.now);
+	backend_claim_probe(s1, site.place.now);
 	g_assert_null(place_plain(&site.place));
 	backend_reached(s1);
 	g_assert_true(place_plain(&site.place) == s1);
@@ -468,7 +468,7 @@
 	site_open(&site);
 	one = site_add(&site, "one", STAGE_DECODE, "here");
 	backend_run_refused(one, site.place.now);
-	backend_began(one);
+	backend_run_started(one);
 	backend_run_refused(one, site.place.now);
 	g_assert_false(backend_refusing(one));
 	g_assert_true(backend_usable(one, site.place.now));
@@ -479,9 +479,9 @@
 	g_assert_false(backend_usable(one, site.place.now));
 	site_wait(&site, 1 * SECOND);
 	g_assert_true(backend_usable(one, site.place.now));
-	backend_try(one, site.place.now);
+	backend_claim_probe(one, site.place.now);
 	g_assert_false(backend_usable(one, site.place.now));
-	backend_began(one);
+	backend_run_started(one);
 	g_assert_true(backend_usable(one, site.place.now));
 	backend_run_refused(one, site.place.now);
 	backend_run_refused(one, site.place.now);
--- a/tests/forward/test_roles.c
+++ b/tests/forward/test_roles.c
@@ -295,7 +295,7 @@
 		g_assert_cmpint(moves[k].left_usec, >, 10 * SECOND);
 		/* Nothing more goes there, here or at who hears of it. */
 		g_assert_false(backend_usable(backend, clock_now(site.clock)));
-		fleet_change(site.deciders[1].fleet, &moves[k]);
+		fleet_set_changing(site.deciders[1].fleet, &moves[k]);
 		backend = fleet_find(site.deciders[1].fleet, moves[k].key);
 		g_assert_false(backend_usable(backend, clock_now(site.clock)));
 	}
--- a/tests/forward/test_size.c
+++ b/tests/forward/test_size.c
@@ -91,7 +91,7 @@
 	const struct backend_load load = {1, 3000, 0};
 	struct site site;
 	uint32_t most = 0;
-	uint32_t ours = 0;
+	uint32_t in_group = 0;
 
 	site_open(&site, 10000);
 	for (int i = 0; i < 200; i++) {
@@ -100,10 +100,10 @@
 		g_assert_cmpint(to->info.stage, ==, STAGE_DECODE);
 		backend_charge(to, &load, 1);
 		most = MAX(most, backend_requests(to));
-		ours += to->ours;
+		in_group += to->in_group;
 	}
 	g_assert_cmpuint(most, <=, 2);
-	g_assert_cmpuint(ours, ==, 200);
+	g_assert_cmpuint(in_group, ==, 200);
 	site_close(&site);
 }
 
