--- a/forward/fleet.c
+++ b/forward/fleet.c
@@ -8,42 +8,43 @@
 #include "common/table.h"
 
 #define BACKENDS_MAX 65536u
-/* Ids whose latest life is remembered; beyond that, those not listed go. */
+/* Ids whose latest incarnation is kept; beyond that, unlisted ids are evicted.
+ */
 #define INCARNATIONS_MAX 16384u
-/* Half-life of a failure. A server that is down is asked again after about as
- * long as the platform needs to list it as gone (three heartbeats). */
+/* Half-life of a failure. A server that is down is retried after about the time
+ * that the platform takes to remove it from the list (three heartbeats). */
 #define FAILURE_HALF_LIFE_USEC (2 * USEC_PER_SEC)
-/* What one success takes off: a server that fails half of its requests keeps
- * about one failure on its count, a sound one comes to nothing within few. */
+/* A success multiplies the failure score by this: a server that fails half of
+ * its requests keeps a score of about 1, a healthy one decays to 0 within a few
+ * requests. */
 #define FAILURE_SUCCESS_FACTOR 0.75
-/* First pause after a connection failed, and the longest one: a crashed server
- * costs each instance at most two connections a second. */
+/* First and longest backoff after a failed connection: a crashed server costs
+ * each instance at most two connections a second. */
 #define AVOID_BASE_USEC (250 * USEC_PER_MSEC)
 #define AVOID_MAX_USEC (2 * USEC_PER_SEC)
 
-/* A trial of a server that could not be reached is over by then: longer than
- * callers of this module wait for a connection. */
+/* Time-out of a half-open probe, longer than BACKEND_CONNECT_USEC. */
 #define PROBE_USEC (200 * USEC_PER_MSEC)
 
-/* A server that refused a reservation is asked again after this time, doubled
- * once: it frees memory for a request about every 100 ms, and many
- * instances ask. */
+/* Backoff after a refused reservation, doubled once: a server frees memory for
+ * a request about every 100 ms, and many instances compete for it. */
 #define FULL_RETRY_USEC (40 * USEC_PER_MSEC)
 
-/* A server that is changing its role, or whose results lapse at once, still
- * grants reservations and reads prompts; only the run is refused. After this
- * many in a row it rests, then one request tries it. Instances that have just
- * started know of no change that was ordered before. */
+/* A server that is changing its role, or whose results expire at once, still
+ * grants reservations and prefills, and refuses only the run. After this many
+ * refusals in a row it is avoided, then probed by one request. An instance that
+ * has just started does not know of role changes ordered earlier. */
 #define REFUSALS_MAX 2u
 #define REFUSED_PAUSE_USEC (1 * USEC_PER_SEC)
 
-/* What a server says of its being cold comes by several ways, up to so late. */
+/* Reports that a server is cold arrive by several paths; their ends differ by
+ * up to this. */
 #define COLD_SKEW_USEC (300 * USEC_PER_MSEC)
 
 struct fleet {
 	struct clock *clock;
 	char *data_centre;
-	const struct backpressure *pressure; /* NULL: answers say nothing */
+	const struct backpressure *pressure; /* NULL: no backpressure */
 	struct table *table;
 	GHashTable *keys;	  /* key to struct backend */
 	GHashTable *ids;	  /* id to struct backend */
@@ -51,8 +52,8 @@
 	GHashTable *services;	  /* id to struct service */
 	GPtrArray *all;
 	GPtrArray *charged;
-	GPtrArray *avoided;    /* and some that were reached since */
-	uint32_t local;	       /* servers in this data centre */
+	GPtrArray *avoided; /* unreachable, or reached since the last prune */
+	uint32_t local;	    /* servers in this data centre */
 	GHashTable *evacuated; /* data centre to struct evacuation */
 	GHashTable *regions;   /* data centre to the region's name */
 	uint32_t group;
@@ -63,16 +64,16 @@
 struct service {
 	uint64_t id;
 	GPtrArray *all;
-	/* By stage, and whether they are of this instance's group. */
+	/* By stage, and by whether the server is in this instance's group. */
 	GPtrArray *sets[STAGE_COUNT][2];
-	bool sorted; /* into the sets */
+	bool sorted; /* whether sets is up to date */
 };
 
 struct evacuation {
-	bool listed; /* in the list being read */
+	bool listed; /* in the snapshot being read */
 };
 
-/* The latest one that was listed of an id. */
+/* The latest listed incarnation of an id. */
 struct incarnation {
 	char id[BACKEND_TEXT_MAX];
 	int64_t started_ms;
@@ -594,7 +595,7 @@
 	       !backend_leaving(backend);
 }
 
-/* Whether half of the servers near cannot be reached. */
+/* Whether at least half of the local servers are unreachable. */
 static bool is_cut_off(const struct fleet *fleet, int64_t now)
 {
 	uint32_t unreachable = 0;
@@ -799,7 +800,7 @@
 	int64_t pause = AVOID_BASE_USEC << MIN(backend->connect_failures, 3u);
 
 	backend_failed(backend, now);
-	/* Of requests that were under way together only the first counts. */
+	/* Requests that fail together count as one failed connection. */
 	if (backend->connect_failures > 0 && now < backend->avoid_until &&
 	    backend->avoid_until - now > PROBE_USEC)
 		return;
--- a/include/forward/fleet.h
+++ b/include/forward/fleet.h
@@ -2,16 +2,16 @@
  * fleet.h - the backend servers that requests are forwarded to
  *
  * DESCRIPTION
- *	A table of backend servers by life: each start of a server is a new
- *	one, also under the id or at the address of an earlier one. Handles go
- *	stale when a server leaves the list or starts again, pointers with them,
- *	so nothing that was under way at one life counts for the next. What is
- *	said of a life after a later one was listed is passed over.
+ *	A table of backend servers by incarnation: each start of a server is a
+ *	new incarnation, even under the same id or address. Handles and
+ *	pointers become invalid when a server leaves the list or restarts, so
+ *	load at one incarnation does not count for the next. Updates of an
+ *	incarnation are ignored once a later one was listed.
  *
- *	Load is what instances have under way at a server: own, counted here,
- *	and that of the peers, set from what they announce (forward/gossip.h).
- *	A server's trouble is a decaying count of failures; evidence that it
- *	cannot be reached keeps it from use for a while that doubles.
+ *	Load is what instances have in flight at a server: own is counted here,
+ *	peers is set from the summaries of the peers (forward/gossip.h). The
+ *	failure score is a decaying count of failures. A server that cannot be
+ *	reached is avoided with exponential backoff.
  */
 #ifndef FORWARD_FLEET_H
 #define FORWARD_FLEET_H
@@ -26,34 +26,34 @@
 #define BACKEND_TEXT_MAX 64
 
 enum backend_stage {
-	STAGE_NONE,    /* a plain service's */
+	STAGE_NONE,    /* server of a plain service */
 	STAGE_PREFILL, /* computes KV caches */
-	STAGE_DECODE,  /* generates; can read a prompt too, slowly */
+	STAGE_DECODE,  /* generates; can also prefill, slowly */
 	STAGE_COUNT,
 };
 
-/* What the platform's list says of a backend server. */
+/* A backend server as the platform lists it. */
 struct backend_info {
 	char id[BACKEND_TEXT_MAX];
 	char address[BACKEND_TEXT_MAX]; /* "IP:port" */
 	char data_centre[BACKEND_TEXT_MAX];
-	int64_t started_ms; /* start of this life, Unix milliseconds; 0: untold
-			     */
+	int64_t started_ms; /* start of this incarnation, Unix milliseconds; 0:
+			       unknown */
 	uint64_t service;   /* id_of() its name */
 	enum backend_stage stage;
 	uint32_t slots;
 	bool leaving;
-	int64_t cold_usec; /* it stayed cold for, when it said so */
+	int64_t cold_usec; /* remaining cold time when it was reported */
 };
 
-/* What is under way at a server. */
+/* The load in flight at a server. */
 struct backend_load {
 	uint32_t requests;
 	uint32_t decode_tokens;	 /* of KV cache, reserved or in use */
-	uint32_t prefill_tokens; /* of prompts sent and not yet computed */
+	uint32_t prefill_tokens; /* of prompts sent and not yet prefilled */
 };
 
-/* Sums and differences of the above. */
+/* A signed sum or difference of struct backend_load. */
 struct load_sum {
 	int64_t requests;
 	int64_t decode_tokens;
@@ -66,40 +66,42 @@
 	uint64_t handle;
 	uint64_t key;  /* backend_key(&info) */
 	bool local;    /* in this instance's data centre */
-	bool in_group; /* and of this instance's group */
+	bool in_group; /* local, and in this instance's group */
 	bool evacuated;
 	uint64_t region;	 /* id_of() its name; 0: not known */
 	struct backend_load own; /* changed by backend_charge() */
 	bool charged;		 /* in fleet_charged() */
-	/* Below zero while a difference lacks its base. */
+	/* Negative while a delta has arrived before its base. */
 	struct load_sum peers;
 	double failure_score; /* failures, decayed to failure_score_at */
 	int64_t failure_score_at;
-	int64_t avoid_until;	       /* could not be reached */
-	uint32_t connect_failures;     /* times in a row */
-	bool avoid_listed;	       /* among those that were not reached */
-	uint64_t unreachable_reporter; /* the peer that told last that it lost
-					  it */
-	int64_t unreachable_until;     /* when that peer will try again */
-	int64_t full_until;	       /* has just refused a reservation */
-	uint32_t full_count;	       /* refused in a row */
-	int64_t changing_until; /* ordered to another role, or seems so */
-	int64_t limited_until;	/* a permit was denied */
-	uint32_t refusals;	/* reserved or prepared runs refused in a row */
-	bool leaving_reported;	/* said so itself, whatever the list says */
-	int64_t backoff_until;	/* asked for by the server */
-	int64_t cold_until;	/* slow, and crashes under more than a little */
-	bool listed;		/* seen in the snapshot being read */
+	int64_t avoid_until;	   /* end of the backoff while unreachable */
+	uint32_t connect_failures; /* consecutive */
+	bool avoid_listed;	   /* in the fleet's avoided list */
+	uint64_t unreachable_reporter; /* peer that last reported it unreachable
+					*/
+	int64_t unreachable_until;     /* when that peer retries */
+	int64_t full_until;	       /* backoff after a refused reservation */
+	uint32_t full_count;	       /* consecutive refused reservations */
+	int64_t changing_until; /* ordered to another role, or refuses runs */
+	int64_t limited_until;	/* after a denied permit */
+	uint32_t refusals; /* consecutive refused runs that had a reservation or
+			      a result */
+	bool leaving_reported; /* the server itself reported it */
+	int64_t backoff_until; /* requested by the server */
+	int64_t cold_until; /* cold start: slow, and crashes under more than a
+			       light load */
+	bool listed;	    /* in the snapshot being read */
 };
 
 /* A server that was ordered to another role. */
 struct backend_change {
 	uint64_t key;
 	enum backend_stage stage; /* its new role */
-	int64_t left_usec;	  /* until it is taken for changed */
+	int64_t left_usec;	  /* until the change counts as done */
 };
 
-/* A server that could not be reached, and for how long it is passed over. */
+/* An unreachable server, and the time left for which it is avoided. */
 struct unreachable_backend {
 	uint64_t key;
 	int64_t left_usec;
@@ -107,130 +109,132 @@
 
 struct fleet;
 
-/* Whether both say the same, but for how long the server stays cold. */
+/* Compares all fields but cold_usec. */
 bool backend_info_same(const struct backend_info *a,
 		       const struct backend_info *b);
-/* Names one life of a server, alike at all instances. */
+/* Identifies one incarnation of a server; the same at all instances. */
 uint64_t backend_key(const struct backend_info *info);
 
 struct fleet *fleet_create(struct clock *clock, const char *data_centre);
 void fleet_destroy(struct fleet *fleet);
 
 /* Takes leaving and backoff of servers from the table, also when the list drops
- * a life and adds it again. The table must outlive the fleet. */
+ * an incarnation and adds it again. The table must outlive the fleet. */
 void fleet_set_backpressure(struct fleet *fleet,
 			    const struct backpressure *table);
-/* The table has changed for that server. */
+/* To be called when the table has changed for the server. */
 void fleet_backpressure_changed(struct fleet *fleet, uint64_t key);
 
-/* Adds a server or brings what is known of it up to date. A later life takes
- * the place of an earlier one. NULL when a later life was listed before, which
- * stays as it is, or when the table is full. */
+/* Adds or updates a server. A later incarnation replaces an earlier one. NULL
+ * when a later incarnation was listed before, which stays unchanged, or when
+ * the table is full. */
 struct backend *fleet_put(struct fleet *fleet, const struct backend_info *info);
 void fleet_remove(struct fleet *fleet, const char *id);
-/* Around a snapshot of the whole list: servers not put meanwhile are gone. */
+/* Enclose a full snapshot of the list: servers not put in between are removed.
+ */
 void fleet_snapshot_begin(struct fleet *fleet);
 void fleet_snapshot_end(struct fleet *fleet);
 
-/* The instances of the data centre form so many groups, and this one is of that
- * index; servers are parted among the groups by their keys. One at first. */
+/* The instances of the data centre form count groups, and this one is in group
+ * index; servers are assigned to groups by key. By default one group. */
 void fleet_set_group(struct fleet *fleet, uint32_t index, uint32_t count);
 /* The region of a data centre. */
 void fleet_set_region(struct fleet *fleet, const char *data_centre,
 		      const char *region);
 
-/* Nothing new is sent to the servers of an evacuated data centre, also to those
- * that are listed later, until it is taken back. Returns whether that is news.
- */
+/* Starts or ends the evacuation of a data centre. Nothing new is sent to its
+ * servers meanwhile, including those listed later. Returns whether this changed
+ * the state. */
 bool fleet_evacuate(struct fleet *fleet, const char *data_centre,
 		    bool evacuated);
-/* Around the whole list of evacuated data centres: those that fleet_evacuate()
- * does not name meanwhile are taken back. */
+/* Enclose a full list of evacuated data centres: the evacuation of those not
+ * passed to fleet_evacuate() in between ends. */
 void fleet_evacuations_begin(struct fleet *fleet);
 void fleet_evacuations_end(struct fleet *fleet);
 
 struct backend *fleet_get(const struct fleet *fleet, uint64_t handle);
 /* By backend_key(). */
 struct backend *fleet_find(const struct fleet *fleet, uint64_t key);
-/* The listed life of the server with that id. */
+/* The listed incarnation of the server with that id. */
 struct backend *fleet_find_id(const struct fleet *fleet, const char *id);
-/* Start of the latest life that was ever listed of that id, Unix milliseconds;
- * 0 when none was told. */
+/* Start of the latest incarnation ever listed under that id, Unix milliseconds;
+ * 0 when unknown. */
 int64_t fleet_started_ms(const struct fleet *fleet, const char *id);
 /* Servers of a service, in no order; NULL when there is none. */
 const GPtrArray *fleet_service(const struct fleet *fleet, uint64_t service);
-/* Those of a stage, of this instance's group or all others, in no order. */
+/* Servers of a stage, in no order: those of this instance's group or all
+ * others. */
 const GPtrArray *fleet_stage(struct fleet *fleet, uint64_t service,
 			     enum backend_stage stage, bool in_group);
 /* All servers, struct backend. */
 const GPtrArray *fleet_all(const struct fleet *fleet);
-/* Those that this instance has something under way at, struct backend; also
- * some where that has ended. */
+/* Servers at which this instance has load in flight, struct backend. */
 const GPtrArray *fleet_charged(struct fleet *fleet);
 
-/* Whether a listed server of the service answers; also true when none is
- * listed.
- */
+/* Whether a listed server of the service is reachable; also true when none is
+ * listed. */
 bool fleet_service_reachable(const struct fleet *fleet, uint64_t service);
-/* Nothing more goes to a server that changes until the list shows it in its new
- * role, or the time is over. */
+/* Sends nothing more to a server that is changing its role until the list shows
+ * it in the new role, or left_usec has passed. */
 void fleet_set_changing(struct fleet *fleet,
 			const struct backend_change *change);
-/* The servers that this instance itself could not reach and passes over now, at
- * most so many; returns how many. None while half of those of its data centre
- * are among them: then it is more likely cut off itself. */
+/* Lists up to max servers that this instance itself could not reach and avoids
+ * now; returns their count. 0 while at least half of the local servers are
+ * among them: then this instance is more likely partitioned itself. */
 uint32_t fleet_unreachable(struct fleet *fleet,
 			   struct unreachable_backend *unreachable,
 			   uint32_t max);
-/* Passes over what two peers near could not reach of late; no trial is owed for
- * it. One alone may have lost only its own way there. peer is any number that
- * tells them apart. */
+/* Merges a report of an unreachable server from a local peer. The server is
+ * avoided, without a probe afterwards, once two peers report it: one alone may
+ * have lost only its own path. peer is any number that identifies the peer. */
 void fleet_merge_unreachable(struct fleet *fleet, uint64_t peer,
 			     const struct unreachable_backend *unreachable);
-/* According to the list or to its own answers. */
+/* According to the list or to the server's own answers. */
 bool backend_leaving(const struct backend *backend);
-/* It is leaving, or its data centre is evacuated. */
+/* Whether the server is leaving, or its data centre is evacuated. */
 bool backend_withdrawn(const struct backend *backend);
-/* The server has just said that it stays cold for so long. True when that is
- * longer than was known by more than messages differ. */
+/* Records that the server has reported to stay cold for left_usec. True when
+ * this extends the known time by more than the skew between reports. */
 bool backend_set_cold(struct backend *backend, int64_t now, int64_t left_usec);
 bool backend_cold(const struct backend *backend, int64_t now);
-/* May a new request be sent there now? */
+/* Whether a new request may be sent there now. */
 bool backend_usable(const struct backend *backend, int64_t now);
-/* When its backoff and limit let a request be sent: now or later; -1 when it is
- * withdrawn or cannot be reached. */
+/* The time at which its backoff and limit allow a request, now or later; -1
+ * when it is withdrawn, unreachable or changing its role. */
 int64_t backend_available_at(const struct backend *backend, int64_t now);
 uint32_t backend_requests(const struct backend *backend);
 uint32_t backend_decode_tokens(const struct backend *backend);
 uint32_t backend_prefill_tokens(const struct backend *backend);
-/* Failures of late, each losing half of its weight in a few seconds. */
+/* Decaying count of failures, with a half-life of a few seconds. */
 double backend_failure_score(const struct backend *backend, int64_t now);
-/* Adds so many times the load to what this instance has under way there. */
+/* Adds the load, multiplied by times, to this instance's own load there. */
 void backend_charge(struct backend *backend, const struct backend_load *load,
 		    int times);
-/* A request is about to be sent there. After it could not be reached one
- * request tries; the others pass it over until that one is answered or late. */
+/* To be called before each send. When the server was unreachable or refused
+ * runs, this send is the half-open probe: other requests avoid the server until
+ * the probe is answered or times out. */
 void backend_claim_probe(struct backend *backend, int64_t now);
-/* It has just refused a reservation. It is asked again once the view of it,
- * which showed room, is newer: after the time stale at least. */
+/* The server has refused a reservation. The retry waits at least staleness, so
+ * that it uses a newer view of the load than the one that showed room. */
 void backend_reservation_refused(struct backend *backend, int64_t now,
 				 int64_t staleness);
-/* It has just granted one. */
+/* The server has granted a reservation. */
 void backend_reservation_granted(struct backend *backend);
-/* A run that had a reservation, or a result to fetch, began there or with its
- * result; or it was refused all the same: then the server may be changing its
- * role, or have lost the result. So was a prompt refused. Twice in a row, and
- * it is passed over for a while. */
+/* A run with a reservation, or with a prefill result, started at the server or
+ * with the server's result. */
 void backend_run_started(struct backend *backend);
+/* Such a run, or a prefill, was refused: the server may be changing its role or
+ * have lost the result. It is avoided after two refusals in a row. */
 void backend_run_refused(struct backend *backend, int64_t now);
+/* Whether it has refused that many. */
 bool backend_refusing(const struct backend *backend);
-/* It answered, whatever it said. */
+/* The server has answered, with any status. */
 void backend_reached(struct backend *backend);
-/* A request was answered well. */
+/* A request was answered successfully. */
 void backend_succeeded(struct backend *backend, int64_t now);
-/* It failed: broken off, silent, or with an error of the server's own. */
+/* A request failed: broken off, timed out, or answered with a server error. */
 void backend_failed(struct backend *backend, int64_t now);
-/* No connection to it came about. */
+/* A connection to the server could not be made. */
 void backend_unreachable(struct backend *backend, int64_t now);
 
 #endif
