--- a/forward/place.c
+++ b/forward/place.c
@@ -5,41 +5,43 @@
 
 #include "forward/overload.h"
 
-/* What another data centre costs a plain call, in shares of a server's slots:
- * two crossings (3 ms) against calls of some 15 ms. */
+/* Cost of a remote data centre for a plain call, as a fraction of a server's
+ * slots: a round trip of 3 ms against calls of about 15 ms. */
 #define PLAIN_REMOTE_COST 0.15
-/* The same for decoding: a stream that crosses is lost when its data centre is
- * cut off. */
+/* The same for decoding: a stream from a remote data centre is lost when that
+ * data centre is partitioned off. */
 #define DECODE_REMOTE_COST 0.15
-/* For prefill: the result takes twice as long and costs twice as much between
- * data centres, as much as half a prompt more in the queue. */
+/* The same for prefill: between data centres the transfer of the result takes
+ * twice as long and costs twice as much, equal to half a prompt in the queue.
+ */
 #define PREFILL_REMOTE_TOKENS 1600.0
-/* A server of another group of the data centre: its load is known late. */
+/* Cost of a local server of another group, whose load is known with a delay. */
 #define GROUP_COST 0.05
-/* One fresh failure weighs as much as a server half full. */
+/* A failure score of 1 costs as much as half of the capacity in use. */
 #define FAILURE_COST 0.5
 #define PREFILL_FAILURE_TOKENS 4000.0
-/* A view that is not older than this is taken as it is. */
+/* A view of the load up to this age counts as current. */
 #define FRESH_USEC (100 * USEC_PER_MSEC)
-/* Ties among servers in the same state are broken at random by this share, so
- * that instances with the same view do not all choose alike. */
+/* Random part of the cost, so that instances with the same view do not all
+ * choose the same one of several equal servers. */
 #define JITTER 0.02
-/* How much larger that grows for each 100 ms that the view is older: by as much
- * as arrives meanwhile, about half a prompt a prefill server. */
+/* Growth of JITTER for each FRESH_USEC of further age: by the load that arrives
+ * in that time, about half a prompt at each prefill server. */
 #define STALE_JITTER 5.0
 #define PREFILL_JITTER_TOKENS 16000.0
-/* An engine whose view is older must have room for one request more for each
- * such time beyond FRESH_USEC: under load somebody nearer has taken what
- * little room an old view shows. */
+/* An engine must have room for one more request for each such time by which its
+ * view is older than FRESH_USEC: under load, instances with a newer view have
+ * taken the little room that an old view shows. */
 #define STALE_REQUEST_USEC (150 * USEC_PER_MSEC)
-/* A decode server reads a prompt itself at half the speed, between the tokens
- * of those that run there. */
+/* A decode server prefills at half the speed, between the decode steps of its
+ * running requests. */
 #define OWN_PREFILL_COST 2.0
-/* A server with a limit is overloaded: others are used first until they are
+/* A server with a rate limit is overloaded: others are preferred until they are
  * about half full. */
 #define LIMITED_COST 0.5
 #define PREFILL_LIMITED_TOKENS 4000.0
-/* Servers of a service that are all looked at; of more than these, so many. */
+/* A service with more servers than SCAN_MAX is sampled: SAMPLE_GROUP servers of
+ * this instance's group and SAMPLE_OTHERS others. */
 #define SCAN_MAX 512u
 #define SAMPLE_GROUP 48u
 #define SAMPLE_OTHERS 16u
@@ -92,8 +94,8 @@
 	return backend->in_group ? place->stale_local : place->stale_remote;
 }
 
-/* Instances with the same view choose alike until they hear of each other, so
- * the older the view, the more is left to chance. */
+/* Instances with the same view choose alike until they receive each other's
+ * load, so the jitter grows with the age of the view. */
 static double jitter(const struct place *place, const struct backend *backend)
 {
 	int64_t staleness = place_staleness(place, backend);
@@ -107,7 +109,7 @@
 typedef double (*cost_fn)(const struct place *place,
 			  const struct backend *backend, const void *arg);
 
-/* The best server so far. */
+/* The cheapest server so far. */
 struct choice {
 	const struct place *place;
 	cost_fn cost_of;
@@ -142,8 +144,7 @@
 					     rand, 0, (gint32)list->len)]);
 }
 
-/* The usable server of the stage of least cost; NULL when all cost
- * COST_UNUSABLE. */
+/* The allowed server of lowest cost; NULL when all cost COST_UNUSABLE. */
 static struct backend *place_cheapest(const struct place *place,
 				      enum backend_stage stage, cost_fn cost_of,
 				      const void *arg)
@@ -238,7 +239,7 @@
 	uint32_t tokens;
 };
 
-/* Requests like this one that others may have placed since. */
+/* Similar requests that other instances may have placed since the view. */
 static double unseen_requests(const struct place *place,
 			      const struct backend *backend)
 {
@@ -262,7 +263,7 @@
 	if (engine->slots > 0 && requests > 0 &&
 	    requests + unseen >= engine->slots)
 		return false;
-	/* One that looks empty takes any request that fits at all. */
+	/* An apparently empty server may take any request that fits at all. */
 	needed = MIN(needed, MAX(engine->memory_tokens, request->tokens));
 	return backend_decode_tokens(backend) + needed <= engine->memory_tokens;
 }
--- a/include/forward/place.h
+++ b/include/forward/place.h
@@ -2,12 +2,11 @@
  * place.h - which backend server a request goes to
  *
  * DESCRIPTION
- *	Pure choices over the fleet's table: each picks the server of least cost
- *	among those usable. Costs are in shares of a server's capacity; the
- *	constants of place.c say what distance and trouble weigh against that.
- *	Of many servers a sample is looked at, most of it of the instance's own
- *	group, and all of them only when none of the sample will do.
- *	A list of servers to leave out holds keys.
+ *	Each choice picks the usable server of lowest cost and changes nothing
+ *	in the fleet. Costs are in fractions of a server's capacity, for prefill
+ *	in prompt tokens; the constants of place.c weigh distance and failures
+ *	against load. A large service is sampled, mostly from the instance's
+ *	own group, and scanned in full only when no sampled server is usable.
  */
 #ifndef FORWARD_PLACE_H
 #define FORWARD_PLACE_H
@@ -23,7 +22,8 @@
 
 #define PLACE_TRIED_MAX 8
 
-/* Servers that a request has met already. */
+/* Servers that a request was sent to before; it avoids them. Keys as of
+ * backend_key(). */
 struct tried {
 	uint64_t keys[PLACE_TRIED_MAX];
 	uint32_t count;
@@ -37,47 +37,48 @@
 	uint64_t service;
 	const struct tried *tried;
 	const struct backpressure *backpressure; /* NULL: no limits */
-	/* Requests a second that a cold server is sent; 0: any. */
+	/* Requests a second sent to a cold server; 0: no limit. */
 	double cold_limit;
-	bool unlimited; /* only servers without a limit */
+	bool unlimited; /* only servers without a rate limit */
 	struct region_limits regions;
 	GRand *rand;	  /* breaks ties */
-	uint32_t *visits; /* counts the servers that are looked at; or NULL */
-	/* How old what peers told of loads may be, near and elsewhere. */
+	uint32_t *visits; /* counts the servers examined, or NULL */
+	/* Maximum age of the load of servers in this instance's group, and of
+	 * others. */
 	int64_t stale_local;
 	int64_t stale_remote;
 };
 
-/* How old the view of the server's load may be. */
+/* Maximum age of the known load of the server. */
 int64_t place_staleness(const struct place *place,
 			const struct backend *backend);
-/* Whether a server of the stage is listed that may have the request, if it can
- * be reached and has room. */
+/* Whether a server of the stage is listed that the request's regions allow and
+ * that is not withdrawn; it may be unreachable or full. */
 bool place_has_server(const struct place *place, enum backend_stage stage);
-/* For a plain call. NULL when no server is usable. */
+/* A server for a plain call; NULL when none is usable. */
 struct backend *place_plain(const struct place *place);
-/* When the first server of a stage may be sent a request, if those that could
- * take one all asked for less or for nothing; 0 when one may be now, or none
- * can be reached. */
+/* The time at which the first server of a stage may be sent a request, when
+ * backoffs and limits bar all that are up; 0 when one may be sent a request
+ * now, or none is up. */
 int64_t place_available_at(const struct place *place, enum backend_stage stage);
-/* Whether the server has a place free for a plain call. */
+/* Whether the server has a free slot for a plain call. */
 bool place_has_free_slot(const struct backend *backend);
-/* A decode server with room for tokens, by what is under way there. */
+/* A decode server with room for that many tokens, by the known load. */
 struct backend *place_decode(const struct place *place,
 			     const struct engine_traits *engine,
 			     uint32_t tokens);
-/* A prefill server for a result that goes to the decode server to. */
+/* A prefill server whose result goes to the decode server. */
 struct backend *place_prefill(const struct place *place,
 			      const struct backend *decode);
-/* Who reads a prompt of so many tokens for the decode server to: a prefill
- * server, or NULL when the decode server had better read it itself, since more
- * than max_ahead tokens wait at the best prefill server and it is done sooner.
- */
+/* The prefill server for a prompt of that many tokens whose result goes to the
+ * decode server. NULL when no prefill server is usable, or when the decode
+ * server should prefill it itself: more than max_ahead tokens are queued at the
+ * best prefill server, and the decode server would finish sooner. */
 struct backend *place_prompt(const struct place *place,
 			     const struct backend *decode, uint32_t tokens,
 			     uint32_t max_ahead);
-/* Requests of so many tokens that the usable decode servers can run at a time,
- * given their memory and their limits. */
+/* Requests of that many tokens that the usable decode servers can run at a
+ * time, within their memory and rate limits. */
 double place_decode_capacity(const struct place *place,
 			     const struct engine_traits *engine,
 			     uint32_t tokens);
