--- a/forward/budget.c
+++ b/forward/budget.c
@@ -2,11 +2,11 @@
 
 #include <glib.h>
 
-/* The window slides by one slice, so the sum may hold up to one slice more
- * than the window: it errs towards fewer sends. */
+/* The window slides by one slice, so the sum may cover up to one slice more
+ * than the window, which allows fewer sends rather than more. */
 #define SLICES 10
-/* Part of the allowance that is used: requests are counted where they arrive
- * and sends where they land, up to a transit time apart. */
+/* Fraction of the allowance that is used: requests are counted on arrival here
+ * and sends on arrival at a server, up to a transit time apart. */
 #define USED_FRACTION 0.85
 
 struct slice {
@@ -65,7 +65,7 @@
 	return budget;
 }
 
-/* Clears the slices that time has passed since the last call. */
+/* The current slice; clears those that began since the last call. */
 static struct slice *slice_now(struct budgets *budgets, struct budget *budget,
 			       int64_t now)
 {
@@ -83,7 +83,7 @@
 	slice_now(budgets, budget_get(budgets, service), now)->requests++;
 }
 
-/* This instance's part of the slack. */
+/* This instance's share of the slack. */
 static double slack_share(const struct budgets *budgets, int64_t now,
 			  uint32_t instances)
 {
--- a/forward/crash_detector.c
+++ b/forward/crash_detector.c
@@ -2,24 +2,25 @@
 
 #include "common/log.h"
 
-/* A check that could not be made is repeated after this time. */
+/* Retry interval of a check without a result. */
 #define RETRY_USEC (500 * USEC_PER_MSEC)
-/* Lives that are kept in mind at once; a domain of a large site has fewer. */
+/* Concurrent checks; a failure domain of a large site has fewer servers. */
 #define CHECKS_MAX 256u
-/* Works lost at one life: twice what an engine runs at once (64). */
+/* Requests lost at one incarnation: twice what an engine runs at a time (64).
+ */
 #define REQUESTS_MAX 128u
 
-/* One life of a server that broke off requests. */
+/* An incarnation of a server that broke off requests. */
 struct check {
 	struct crash_detector *detector;
 	struct backend_info server;
 	uint64_t key;
 	char *health_path;
-	GArray *requests; /* struct request_identity, not yet judged */
+	GArray *requests; /* struct request_identity, not yet reported */
 	struct web_call *call;
 	struct timer timer;
 	int64_t began;
-	bool crashed; /* it has ended */
+	bool crashed;
 };
 
 struct crash_detector {
@@ -93,8 +94,8 @@
 					    USEC_PER_MSEC));
 }
 
-/* Kept for a while: requests may find out later that their connection is gone.
- */
+/* The check is kept for CRASH_WATCH_USEC: further requests may notice the lost
+ * connection later. */
 static void check_set_crashed(struct check *check)
 {
 	check->crashed = true;
@@ -102,8 +103,8 @@
 	timer_start(&check->timer, CRASH_WATCH_USEC);
 }
 
-/* What the list says goes before an answer under the same id, which may be the
- * next life's; and before none: who has left it and does not answer is gone. */
+/* The list takes precedence: an answer under the same id may come from a later
+ * incarnation, and an unlisted server that does not answer has crashed. */
 static enum check_result check_apply_list(const struct check *check,
 					  enum check_result result)
 {
@@ -134,7 +135,7 @@
 		timer_start(&check->timer, RETRY_USEC);
 }
 
-/* Waits for the end of the server's backoff. */
+/* Sends the check, after the end of the server's backoff. */
 static void check_send(struct check *check)
 {
 	const struct crash_detector_parts *parts = &check->detector->parts;
@@ -183,7 +184,7 @@
 	return check;
 }
 
-/* One that said so ends by itself, whatever runs there. */
+/* A leaving server closes its connections by itself, whatever runs there. */
 static bool is_leaving(const struct crash_detector *detector, uint64_t key)
 {
 	const struct backend *backend = fleet_find(detector->parts.fleet, key);
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -1,11 +1,12 @@
 /*
- * suspect.c - requests under which servers end
+ * suspect.c - quarantine of requests that crash servers
  *
  * DESCRIPTION
- *	A lost connection is traced to the server's end (crash_detector.h),
- *the end is held against the work (coord/quarantine.h), and before each send it
- *is asked whether too much is. So repeats of one request, at whichever
- *	instance, end three servers and not all of them.
+ *	When a request loses its connection, crash_detector.h checks whether the
+ *	server has crashed. Each crash is recorded against the fingerprint of
+ *	the request (coord/quarantine.h), and before each send the quarantine is
+ *	consulted. So repeats of one request, at any instance, crash three
+ *	servers and not all of them.
  */
 #include "request.h"
 
@@ -34,7 +35,7 @@
 			     request->forward->parts.keyed_hash_secret);
 }
 
-/* What it is the same work as; worked out when it is first asked for. */
+/* Computes the identity on first use. */
 static const struct request_identity *request_identify(struct request *request)
 {
 	struct fingerprint_part parts[PART_COUNT];
@@ -53,7 +54,8 @@
 {
 	const struct answer *answer = &request->answer;
 
-	/* A time-out is this side's own, and what was refused did not begin. */
+	/* A time-out is decided by this instance, and a refused request did not
+	 * run. */
 	if (end->complete || end->not_run || end->timed_out ||
 	    (answer->has_head && answer->head.not_run))
 		return;
@@ -137,7 +139,7 @@
 	    !quarantine_holds(parts->quarantine,
 			      &request_identify(request)->fingerprint))
 		return false;
-	/* Held by instances that did not see it end well. */
+	/* Held by instances that did not see it succeed here. */
 	if (quarantine_has_succeeded(parts->quarantine,
 				     request->identity.keyed_hash,
 				     request_now(request))) {
@@ -151,7 +153,7 @@
 		  LOG_S("request", request->caller.id),
 		  LOG_X("work", request->identity.fingerprint.high),
 		  LOG_D("servers", entry->count), LOG_D("runs", request->runs));
-	/* To come back is of no use, so no time is said. */
+	/* A retry would be refused as well, so no retry time is given. */
 	if (request->replied)
 		request_break(request, result_label(RESULT_QUARANTINED));
 	else
--- a/forward/unread.c
+++ b/forward/unread.c
@@ -2,10 +2,10 @@
  * unread.c - streams whose callers read too slowly
  *
  * DESCRIPTION
- *	What callers have not read yet is held in memory. One that has left more
- *	than UNREAD_MAX is cut off; while all together have left more than
- *	UNREAD_TOTAL_MAX, the one that has left most is. A caller can tell that
- *	its stream is not whole, and a server is never slowed down by one.
+ *	Bytes that callers have not read yet are buffered in memory. A caller
+ *	with more than UNREAD_MAX unread bytes is disconnected; above
+ *	UNREAD_TOTAL_MAX of all callers, the one with the most is. A caller can
+ *	tell that its stream is truncated, and no caller slows a server down.
  */
 #include "request.h"
 
@@ -20,7 +20,7 @@
 	request->unread = size;
 }
 
-/* The one that has left most; what is noted of the others may be old. */
+/* The request with the most unread bytes. Refreshes the counts of all. */
 static struct request *unread_find_largest(struct forward *forward)
 {
 	struct request *largest = NULL;
@@ -59,7 +59,7 @@
 	}
 	if (forward->unread <= UNREAD_TOTAL_MAX)
 		return;
-	/* It also brings up to date what is noted of the others. */
+	/* The recorded total may be out of date; the search refreshes it. */
 	largest = unread_find_largest(forward);
 	if (largest && forward->unread > UNREAD_TOTAL_MAX)
 		disconnect_slow(largest);
