--- a/forward/catalog.c
+++ b/forward/catalog.c
@@ -5,9 +5,10 @@
 #include "common/id.h"
 #include "forward/regions.h"
 
-/* Longest host that is looked up; the longest that DNS allows. */
+/* Longest host name; the limit of DNS. */
 #define HOST_MAX 255
-/* Longest prefix that is looked up; a longer path matches by its beginning. */
+/* Longest prefix looked up; of a longer path only this many bytes are matched.
+ */
 #define PREFIX_MAX 1024
 
 static void route_free(gpointer data)
@@ -93,8 +94,8 @@
 	}
 }
 
-/* The port and the case of a host do not matter; returns the size of what is
- * left, 0 when it is no host that a route can have. */
+/* Writes the host in lower case and without its port; returns its size, 0 when
+ * it is too long or empty. */
 static size_t host_normalize(char *out, const char *host, size_t size)
 {
 	const char *colon = memchr(host, ':', size);
--- a/forward/crash_detector.c
+++ b/forward/crash_detector.c
@@ -207,7 +207,7 @@
 	if (!check || check->requests->len >= REQUESTS_MAX) {
 		log_event(LOG_NOTICE, "server_not_checked",
 			  LOG_S("backend", server->id),
-			  LOG_S("reason", "too many at once"));
+			  LOG_S("reason", "too many checks or requests"));
 		return;
 	}
 	g_array_append_val(check->requests, *identity);
--- a/forward/unread.c
+++ b/forward/unread.c
@@ -44,7 +44,7 @@
 		  LOG_S("request", request->caller.id),
 		  LOG_D("unread", request->unread),
 		  LOG_D("unread_all", request->forward->unread));
-	request_break(request, "its caller reads too slowly");
+	request_break(request, "caller reads too slowly");
 }
 
 void request_unread_update(struct request *request)
--- a/include/forward/caller.h
+++ b/include/forward/caller.h
@@ -1,10 +1,10 @@
 /*
- * caller.h - what a caller's request says, decoded once
+ * caller.h - decoded request of a caller
  *
  * DESCRIPTION
- *	The decoder fills it from the request's headers; the request itself (its
- *	method, path, body and other headers) is forwarded as it came. Texts and
- *	headers point into the web request and live as long as it does.
+ *	The codec fills it from the request's headers; the method, path, body
+ *	and other headers are forwarded unchanged. Texts and headers point into
+ *	the web request and are valid as long as it exists.
  */
 #ifndef FORWARD_CALLER_H
 #define FORWARD_CALLER_H
@@ -19,34 +19,33 @@
 struct error;
 
 struct caller_request {
-	char id[CALLER_ID_MAX];	  /* one a caller's attempt */
-	int64_t limit_usec;	  /* how long the caller waits; 0: not said */
-	uint32_t prompt_tokens;	  /* 0: the request describes no prompt */
-	uint32_t output_max;	  /* most tokens to be generated */
+	char id[CALLER_ID_MAX];	  /* unique to an attempt of the caller */
+	int64_t limit_usec;	  /* the caller's time-out; 0: not given */
+	uint32_t prompt_tokens;	  /* 0: no prompt */
+	uint32_t output_max;	  /* maximum of generated tokens */
 	uint32_t output_expected; /* the caller's estimate; 0: none */
-	bool resumes;		  /* a stream is to go on */
-	uint64_t resume_after;	  /* after the event of this id */
+	bool resumes;		  /* resumes a stream */
+	uint64_t resume_after;	  /* id of the last event received */
 	struct web_text method;
 	struct web_text host;
 	struct web_text target; /* path and query */
 	struct web_text body;
-	struct web_text
-		identity;    /* names the caller; empty when nothing does */
-	struct web_text key; /* a secret: no log line may hold it */
-	/* Set by the core: whose key it is, for the backend server, or NULL,
-	 * and whether the key is kept from it. */
+	struct web_text identity; /* identifies the caller; may be empty */
+	struct web_text key;	  /* a secret: must not be logged */
+	/* Set by the core for the backend server: the organisation that the key
+	 * belongs to, or NULL, and whether the key is not forwarded. */
 	const char *organisation;
 	bool hide_key;
-	const struct web_header *headers; /* to be forwarded */
+	const struct web_header *headers; /* forwarded to the backend server */
 	size_t header_count;
 };
 
-/* Decodes requests of one outside interface. */
+/* Decodes the requests of one external interface. */
 struct caller_codec {
-	/* False with RESULT_BAD_REQUEST when it cannot be forwarded. */
+	/* False with RESULT_BAD_REQUEST if it cannot be forwarded. */
 	bool (*decode)(void *ctx, struct web_request *request,
 		       struct caller_request *caller, struct error *err);
-	/* Names the kind of key, for callers without one (RFC 9110, 11.6.1). */
+	/* Challenge for callers without a key (RFC 9110, 11.6.1). */
 	const char *challenge;
 	void *ctx;
 };
--- a/include/forward/catalog.h
+++ b/include/forward/catalog.h
@@ -1,16 +1,16 @@
 /*
- * catalog.h - one version of the routes and services that requests follow
+ * catalog.h - one version of the routes and services
  *
  * DESCRIPTION
- *	A catalog is built once, by whoever decodes the operators'
- *	configuration, and does not change afterwards; requests in flight hold
- *	a reference to the one that they were routed by. Times are in
- *	microseconds, versions are the operators' own and only rise.
+ *	A catalog is built once by the decoder of the operators' configuration
+ *	and is immutable afterwards; a request in flight holds a reference to
+ *	the catalog that routed it. Times are in microseconds. Versions are set
+ *	by the operators and only increase.
  *
- *	Routes are found by host and by the longest prefix of the path. Prefixes
- *	begin and end with a slash, so each slash of a path gives one candidate
- *	and a look-up costs as many hash probes as the path has slashes, however
- *	many routes there are.
+ *	Routes are matched by host and by the longest prefix of the path.
+ *	Prefixes begin and end with a slash, so each slash of a path gives one
+ *	candidate, and a look-up costs at most one hash probe for each slash,
+ *	independent of the number of routes.
  */
 #ifndef FORWARD_CATALOG_H
 #define FORWARD_CATALOG_H
@@ -22,11 +22,11 @@
 
 #include "forward/organisation.h"
 
-/* What may be done with a request of a route when its fate is not known. */
+/* Whether a request may be sent again when it may have run. */
 enum route_kind {
 	ROUTE_IDEMPOTENT, /* may run more than once */
 	ROUTE_ONCE,	  /* runs at most once */
-	ROUTE_STREAM, /* as ROUTE_ONCE unless resumable; a series of events */
+	ROUTE_STREAM, /* a series of events; as ROUTE_ONCE unless resumable */
 };
 
 struct route_share {
@@ -39,35 +39,38 @@
 	char *host; /* lower case, no port */
 	char *prefix;
 	enum route_kind kind;
-	bool resumable;	      /* a stream may go on at another backend server */
+	bool resumable;	      /* another backend server may continue a stream */
 	int64_t timeout_usec; /* from the request's arrival to its end */
-	int64_t target_usec;  /* of the answer, or of a stream's first event */
-	int64_t gap_usec;     /* longest pause between events; 0: no target */
+	int64_t target_usec;  /* latency target of the answer, or of a stream's
+				 first event */
+	int64_t gap_usec;     /* target for the longest pause between events; 0:
+				 none */
 	uint32_t priority;    /* 0 is the highest */
-	uint32_t attempts;    /* most backend servers that may run it */
+	uint32_t attempts;    /* maximum of backend servers that may run it */
 	bool is_public;	      /* callers need no key */
 	GArray *shares;	      /* struct route_share, at least one */
 	GArray *regions;      /* region_set, or NULL */
 };
 
-/* What a service's engines are like; zero tokens: it has no engines. */
+/* Properties of a service's engines; memory_tokens of 0: no engines. */
 struct engine_traits {
 	uint32_t slots;
 	uint64_t memory_tokens; /* KV cache of one runner */
-	int64_t result_usec;	/* how long a prefill's result is kept */
-	int64_t switch_usec;	/* how long a change of role takes */
-	int64_t reserve_usec;	/* longest reservation of decode memory */
+	int64_t result_usec;	/* retention of a prefill result */
+	int64_t switch_usec;	/* duration of a change of role */
+	int64_t reserve_usec; /* maximum time of a reservation of decode memory
+			       */
 };
 
 struct catalog_service {
 	char *name;
 	uint64_t id; /* id_of(name) */
 	char *health_path;
-	double cold_per_sec; /* requests that a cold server bears; 0: any */
+	double cold_per_sec; /* requests to a cold server; 0: no limit */
 	struct engine_traits engine;
 };
 
-/* What callers may send, and how long they may stay idle. */
+/* Limits of callers' requests and connections. */
 struct caller_limits {
 	uint64_t header_bytes;
 	uint64_t body_bytes;
@@ -82,24 +85,24 @@
 	GPtrArray *routes;     /* struct catalog_route */
 	GHashTable *by_prefix; /* host and prefix to struct catalog_route */
 	GHashTable *services;  /* id to struct catalog_service */
-	/* NULL where callers are not told apart. */
+	/* NULL when callers are not identified. */
 	struct organisations *organisations;
 };
 
-/* Starts with one reference, no route and no service. */
+/* Creates an empty catalog with one reference. */
 struct catalog *catalog_create(uint64_t version);
 struct catalog *catalog_ref(struct catalog *catalog);
 /* Accepts NULL. */
 void catalog_unref(struct catalog *catalog);
-/* Adds a zeroed route or service; strings and shares are owned by it. */
+/* Add a zeroed route or service, which owns its strings and shares. */
 struct catalog_route *catalog_add_route(struct catalog *catalog);
 struct catalog_service *catalog_add_service(struct catalog *catalog,
 					    const char *name);
-/* Makes the routes findable; to be called once all have been filled. */
+/* To be called once, after all routes have been filled in. */
 void catalog_index_routes(struct catalog *catalog);
 
-/* The route of a host (any case, with or without port) and path (without
- * query); NULL when there is none. */
+/* The route of a host (any case, with or without port) and a path (without
+ * query); NULL when none matches. */
 const struct catalog_route *catalog_route(const struct catalog *catalog,
 					  const char *host, size_t host_size,
 					  const char *path, size_t path_size);
--- a/include/forward/regions.h
+++ b/include/forward/regions.h
@@ -1,16 +1,16 @@
 /*
- * regions.h - in which regions a request may be served
+ * regions.h - the regions in which a request may be served
  *
  * DESCRIPTION
- *	Data centres lie in regions. A route, and an organisation, may name the
- *	regions in which its requests are served; where both do, both bind. The
- *	body of such a request, and what is computed from it, goes to servers of
- *	these regions only. The instance that its caller connected to may lie
- *	anywhere.
+ *	Each data centre is in a region. A route and an organisation may each
+ *	restrict the regions in which their requests are served; when both do,
+ *	both restrictions apply. The body of such a request, and the data
+ *	computed from it, is sent to servers of these regions only. The instance
+ *	that its caller connected to may be in any region.
  *
- *	A set is shared by the catalog that it was decoded with; NULL stands for
- *	no restriction. Regions are named by id_of() their name; 0 is a region
- *	that is not known, which no set has.
+ *	A set belongs to the catalog that it was decoded with; NULL means no
+ *	restriction. A region is identified by id_of() its name; 0 is an unknown
+ *	region, which no set contains.
  */
 #ifndef FORWARD_REGIONS_H
 #define FORWARD_REGIONS_H
@@ -19,13 +19,13 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What one request has to keep to. */
+/* The restrictions of one request. */
 struct region_limits {
 	const GArray *of_route; /* uint64_t, or NULL */
 	const GArray *of_organisation;
 };
 
-/* Adds a region to the set, which is created when it is NULL. */
+/* Adds a region to the set, which is created if NULL. */
 GArray *region_set_add(GArray *set, const char *name);
 /* Accepts NULL. */
 void region_set_destroy(GArray *set);
