--- a/tests/forward/place_site.h
+++ b/tests/forward/place_site.h
@@ -1,9 +1,9 @@
 /*
- * place_site.h - a few servers of one service, to choose among
+ * place_site.h - a fleet with servers of one service, for placement tests
  *
  * DESCRIPTION
- *	A fleet on a paused clock, as seen from the data centre "here", and a
- *	choice among its servers.
+ *	A fleet on a paused clock, with "here" as the local data centre, and the
+ *	parameters for placing a request on it.
  */
 #ifndef TESTS_FORWARD_PLACE_SITE_H
 #define TESTS_FORWARD_PLACE_SITE_H
@@ -22,7 +22,7 @@
 
 void site_open(struct site *site);
 void site_close(struct site *site);
-/* Time goes on. */
+/* Advances the clock. */
 void site_wait(struct site *site, int64_t usec);
 struct backend *site_add(struct site *site, const char *id,
 			 enum backend_stage stage, const char *centre);
--- a/tests/forward/test_evacuation.c
+++ b/tests/forward/test_evacuation.c
@@ -1,4 +1,4 @@
-/* Nothing new goes to the servers of an evacuated data centre. */
+/* Nothing new is sent to the servers of an evacuated data centre. */
 #include <glib.h>
 
 #include "place_site.h"
@@ -6,23 +6,23 @@
 static void test_plain(void)
 {
 	struct site site;
-	struct backend *near;
-	struct backend *far;
+	struct backend *local;
+	struct backend *remote;
 
 	site_open(&site);
-	near = site_add(&site, "near", STAGE_NONE, "here");
-	far = site_add(&site, "far", STAGE_NONE, "there");
+	local = site_add(&site, "local", STAGE_NONE, "here");
+	remote = site_add(&site, "remote", STAGE_NONE, "there");
 	g_assert_true(fleet_evacuate(site.fleet, "here", true));
 	g_assert_false(fleet_evacuate(site.fleet, "here", true));
-	g_assert_true(place_plain(&site.place) == far);
-	g_assert_false(backend_usable(near, site.place.now));
-	g_assert_cmpint(backend_available_at(near, site.place.now), ==, -1);
+	g_assert_true(place_plain(&site.place) == remote);
+	g_assert_false(backend_usable(local, site.place.now));
+	g_assert_cmpint(backend_available_at(local, site.place.now), ==, -1);
 	g_assert_true(fleet_evacuate(site.fleet, "there", true));
 	g_assert_null(place_plain(&site.place));
 	g_assert_false(fleet_service_reachable(site.fleet, SITE_SERVICE));
 	g_assert_true(fleet_evacuate(site.fleet, "here", false));
 	g_assert_false(fleet_evacuate(site.fleet, "here", false));
-	g_assert_true(place_plain(&site.place) == near);
+	g_assert_true(place_plain(&site.place) == local);
 	site_close(&site);
 }
 
@@ -49,7 +49,7 @@
 	site_close(&site);
 }
 
-/* Servers that are listed later, or move, are withdrawn as well. */
+/* Servers that are listed later, or move there, are withdrawn as well. */
 static void test_listed_later(void)
 {
 	struct site site;
@@ -67,7 +67,8 @@
 	site_close(&site);
 }
 
-/* A whole list says what holds; one that is broken off takes nothing back. */
+/* A full list ends the evacuations that it lacks; an interrupted one ends none.
+ */
 static void test_whole_list(void)
 {
 	struct site site;
--- a/tests/forward/test_parts.c
+++ b/tests/forward/test_parts.c
@@ -1,4 +1,4 @@
-/* The parts of the forwarding core, each by itself. */
+/* Unit tests of the parts of the forwarding core. */
 #include <glib.h>
 #include <string.h>
 
@@ -13,8 +13,6 @@
 #include "forward/roles.h"
 #include "place_site.h"
 
-#define SECOND USEC_PER_SEC
-
 /* ---- catalog ---- */
 
 static struct catalog_route *route_add(struct catalog *catalog,
@@ -60,7 +58,7 @@
 	};
 	struct catalog *catalog = catalog_create(1);
 	g_autofree char *fill = g_strnfill(5000, 'x');
-	g_autofree char *far = g_strconcat("/x/", fill, NULL);
+	g_autofree char *long_text = g_strconcat("/x/", fill, NULL);
 
 	route_add(catalog, "a.example", "/x/");
 	route_add(catalog, "a.example", "/x/y/");
@@ -69,9 +67,9 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
 		g_assert_cmpstr(route_name(catalog, rows[i].host, rows[i].path),
 				==, rows[i].name);
-	g_assert_cmpstr(route_name(catalog, "a.example", far), ==,
+	g_assert_cmpstr(route_name(catalog, "a.example", long_text), ==,
 			"a.example/x/");
-	g_assert_null(route_name(catalog, far, "/x/"));
+	g_assert_null(route_name(catalog, long_text, "/x/"));
 	catalog_unref(catalog);
 }
 
@@ -91,7 +89,7 @@
 
 /* ---- events ---- */
 
-/* Whatever pieces the bytes come in, what comes out ends with whole events. */
+/* However the bytes are split, only complete events are passed on. */
 static void test_events(void)
 {
 	static const char text[] =
@@ -149,42 +147,43 @@
 	return taken;
 }
 
-/* Over any window, all instances together stay within the allowance. */
+/* In any window, the sends of all instances stay within the allowance. */
 static void test_budget(void)
 {
-	const struct budget_settings settings = {0.2, 54, 10 * SECOND};
-	struct budgets *budgets = budgets_create(&settings, -10 * SECOND);
-	uint32_t first = budget_drain(budgets, SECOND, 7);
+	const struct budget_settings settings = {0.2, 54, 10 * USEC_PER_SEC};
+	struct budgets *budgets = budgets_create(&settings, -10 * USEC_PER_SEC);
+	uint32_t first = budget_drain(budgets, USEC_PER_SEC, 7);
 
 	g_assert_cmpuint(first, >=, 5);
 	g_assert_cmpuint(first * 7, <=, 54);
-	g_assert_cmpuint(budget_drain(budgets, 9 * SECOND, 7), ==, 0);
-	g_assert_cmpuint(budget_drain(budgets, 13 * SECOND, 7), ==, first);
+	g_assert_cmpuint(budget_drain(budgets, 9 * USEC_PER_SEC, 7), ==, 0);
+	g_assert_cmpuint(budget_drain(budgets, 13 * USEC_PER_SEC, 7), ==,
+			 first);
 	for (int i = 0; i < 100; i++)
-		budget_request(budgets, 1, 13 * SECOND);
-	g_assert_cmpuint(budget_drain(budgets, 13 * SECOND, 7), <=, 20);
-	/* Other services have budgets of their own. */
-	g_assert_true(budget_take(budgets, 2, 13 * SECOND, 7));
+		budget_request(budgets, 1, 13 * USEC_PER_SEC);
+	g_assert_cmpuint(budget_drain(budgets, 13 * USEC_PER_SEC, 7), <=, 20);
+	/* Each service has a separate budget. */
+	g_assert_true(budget_take(budgets, 2, 13 * USEC_PER_SEC, 7));
 	budgets_destroy(budgets);
 }
 
-/* Instances that were all restarted have sent what they may already. */
+/* After a restart of all instances, the slack may be used up already. */
 static void test_budget_restart(void)
 {
-	const struct budget_settings settings = {0.2, 54, 10 * SECOND};
-	struct budgets *budgets = budgets_create(&settings, 5 * SECOND);
+	const struct budget_settings settings = {0.2, 54, 10 * USEC_PER_SEC};
+	struct budgets *budgets = budgets_create(&settings, 5 * USEC_PER_SEC);
 
-	g_assert_cmpuint(budget_drain(budgets, 5 * SECOND, 1), ==, 0);
-	g_assert_cmpuint(budget_drain(budgets, 6 * SECOND, 1), <=, 5);
-	g_assert_cmpuint(budget_drain(budgets, 10 * SECOND, 7), <=, 4);
+	g_assert_cmpuint(budget_drain(budgets, 5 * USEC_PER_SEC, 1), ==, 0);
+	g_assert_cmpuint(budget_drain(budgets, 6 * USEC_PER_SEC, 1), <=, 5);
+	g_assert_cmpuint(budget_drain(budgets, 10 * USEC_PER_SEC, 7), <=, 4);
 	budgets_destroy(budgets);
 }
 
-/* A seeded schedule against the rule itself, over every window. */
+/* Checks the allowance over every window of a random schedule. */
 static void test_budget_windows(void)
 {
-	const struct budget_settings settings = {0.2, 54, 10 * SECOND};
-	struct budgets *budgets = budgets_create(&settings, -10 * SECOND);
+	const struct budget_settings settings = {0.2, 54, 10 * USEC_PER_SEC};
+	struct budgets *budgets = budgets_create(&settings, -10 * USEC_PER_SEC);
 	g_autoptr(GArray) sends = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	GRand *rand = g_rand_new_with_seed(11);
 	int64_t now = 0;
@@ -199,10 +198,11 @@
 	for (guint from = 0, i = 0; i < sends->len; i++) {
 		int64_t at = g_array_index(sends, int64_t, i);
 
-		while (g_array_index(sends, int64_t, from) <= at - 10 * SECOND)
+		while (g_array_index(sends, int64_t, from) <=
+		       at - 10 * USEC_PER_SEC)
 			from++;
-		/* 50 requests a second by chance: 100 of 500, and a seventh
-		 * of the slack. */
+		/* About 50 requests a second: 100 sends for 500 requests, and a
+		 * seventh of the slack. */
 		g_assert_cmpuint(i - from + 1, <=, 110 + 8);
 	}
 	g_rand_free(rand);
@@ -214,29 +214,29 @@
 static void test_place_plain(void)
 {
 	struct site site;
-	struct backend *near;
-	struct backend *far;
+	struct backend *local;
+	struct backend *remote;
 
 	site_open(&site);
 	g_assert_null(place_plain(&site.place));
-	near = site_add(&site, "near", STAGE_NONE, "here");
-	far = site_add(&site, "far", STAGE_NONE, "there");
-	g_assert_true(place_plain(&site.place) == near);
-	near->own.requests = 2;
-	g_assert_true(place_plain(&site.place) == far);
-	far->peers.requests = 4;
-	g_assert_true(place_plain(&site.place) == near);
-	far->peers.requests = 0;
-	near->own.requests = 0;
-	backend_failed(near, site.place.now);
-	g_assert_true(place_plain(&site.place) == far);
-	site_wait(&site, 20 * SECOND);
-	g_assert_true(place_plain(&site.place) == near);
-	near->info.leaving = true;
-	backend_unreachable(far, site.place.now);
+	local = site_add(&site, "local", STAGE_NONE, "here");
+	remote = site_add(&site, "remote", STAGE_NONE, "there");
+	g_assert_true(place_plain(&site.place) == local);
+	local->own.requests = 2;
+	g_assert_true(place_plain(&site.place) == remote);
+	remote->peers.requests = 4;
+	g_assert_true(place_plain(&site.place) == local);
+	remote->peers.requests = 0;
+	local->own.requests = 0;
+	backend_failed(local, site.place.now);
+	g_assert_true(place_plain(&site.place) == remote);
+	site_wait(&site, 20 * USEC_PER_SEC);
+	g_assert_true(place_plain(&site.place) == local);
+	local->info.leaving = true;
+	backend_unreachable(remote, site.place.now);
 	g_assert_null(place_plain(&site.place));
-	site_wait(&site, 3 * SECOND);
-	g_assert_true(place_plain(&site.place) == far);
+	site_wait(&site, 3 * USEC_PER_SEC);
+	g_assert_true(place_plain(&site.place) == remote);
 	site_close(&site);
 }
 
@@ -263,13 +263,14 @@
 	d1->own.decode_tokens = 0;
 	d1->full_until = site.place.now + 1;
 	g_assert_null(place_decode(&site.place, &engine, 500));
-	/* The result stays within a data centre unless the queue is longer. */
+	/* The result stays within the data centre unless its queue is
+	 * longer. */
 	g_assert_true(place_prefill(&site.place, d1) == p1);
 	g_assert_true(place_prefill(&site.place, d2) == p2);
 	p1->peers.prefill_tokens = 5000;
 	g_assert_true(place_prefill(&site.place, d1) == p2);
-	/* Behind a long queue a decode server reads itself, unless it has as
-	 * much to read already. */
+	/* A decode server prefills the prompt itself when the queue is long,
+	 * unless it has as many tokens to prefill already. */
 	g_assert_true(place_prompt(&site.place, d1, 1000, 4000) == p2);
 	p2->own.prefill_tokens = 4500;
 	g_assert_null(place_prompt(&site.place, d1, 1000, 4000));
@@ -279,7 +280,7 @@
 	site_close(&site);
 }
 
-static void test_limited_engine_holds_less(void)
+static void test_limited_engine_runs_less(void)
 {
 	static const struct engine_traits engine = {.memory_tokens = 10000};
 	const struct backpressure_signals limit = {.limited = true,
@@ -305,7 +306,7 @@
 	site_close(&site);
 }
 
-static void test_fleet(void)
+static void test_fleet_snapshot(void)
 {
 	struct site site;
 	uint64_t handle;
@@ -319,7 +320,7 @@
 	g_assert_null(fleet_get(site.fleet, handle));
 	g_assert_null(fleet_find(site.fleet, id_of("one")));
 	g_assert_cmpuint(fleet_service(site.fleet, 1)->len, ==, 1);
-	/* The same id again is another start of a server. */
+	/* The same id, listed again, is a new server. */
 	g_assert_true(site_add(&site, "one", STAGE_NONE, "here")->handle !=
 		      handle);
 	fleet_remove(site.fleet, "one");
@@ -328,7 +329,7 @@
 	site_close(&site);
 }
 
-static struct backend *life_put(struct site *site, int64_t started_ms)
+static struct backend *incarnation_put(struct site *site, int64_t started_ms)
 {
 	struct backend_info info = {
 		.id = "one",
@@ -342,9 +343,9 @@
 	return fleet_put(site->fleet, &info);
 }
 
-/* A server that starts again under its id holds nothing of its earlier life,
- * and what is said of that one does not bring it back. */
-static void test_fleet_lives(void)
+/* A restarted server inherits no state from its earlier incarnation, and
+ * updates of that incarnation do not restore it. */
+static void test_fleet_incarnations(void)
 {
 	struct site site;
 	struct backend *backend;
@@ -352,14 +353,14 @@
 	uint64_t key;
 
 	site_open(&site);
-	backend = life_put(&site, 5000);
+	backend = incarnation_put(&site, 5000);
 	handle = backend->handle;
 	key = backend->key;
 	backend->own.requests = 3;
 	backend->peers.decode_tokens = 9000;
 	backend_unreachable(backend, site.place.now);
 	backend_run_refused(backend, site.place.now);
-	backend = life_put(&site, 6000);
+	backend = incarnation_put(&site, 6000);
 	g_assert_null(fleet_get(site.fleet, handle));
 	g_assert_null(fleet_find(site.fleet, key));
 	g_assert_cmpuint(backend_requests(backend), ==, 0);
@@ -368,18 +369,18 @@
 	g_assert_true(backend_usable(backend, site.place.now));
 	g_assert_true(backend->key != key);
 	handle = backend->handle;
-	g_assert_null(life_put(&site, 5000));
+	g_assert_null(incarnation_put(&site, 5000));
 	g_assert_true(fleet_find_id(site.fleet, "one")->handle == handle);
-	/* A snapshot with the old entry does not take the server away. */
+	/* A snapshot with the old entry does not remove the server. */
 	fleet_snapshot_begin(site.fleet);
-	g_assert_null(life_put(&site, 5000));
+	g_assert_null(incarnation_put(&site, 5000));
 	fleet_snapshot_end(site.fleet);
 	g_assert_true(fleet_find_id(site.fleet, "one")->handle == handle);
-	/* Nor does the earlier life return once the later one has left. */
+	/* Nor does the earlier incarnation return after the later one left. */
 	fleet_remove(site.fleet, "one");
-	g_assert_null(life_put(&site, 5000));
+	g_assert_null(incarnation_put(&site, 5000));
 	g_assert_cmpuint(fleet_all(site.fleet)->len, ==, 0);
-	g_assert_nonnull(life_put(&site, 6000));
+	g_assert_nonnull(incarnation_put(&site, 6000));
 	g_assert_cmpint(fleet_started_ms(site.fleet, "one"), ==, 6000);
 	site_close(&site);
 }
@@ -394,7 +395,7 @@
 		double rate;
 		int32_t change;
 	} rows[] = {
-		/* Before any demand a fixed part. */
+		/* Without demand, a fixed fraction. */
 		{0, 0, 0, 0},
 		{1, 1, 0, 0},
 		{1, 2, 0, 0},
@@ -408,12 +409,12 @@
 		{3, 9, 33000, 0},
 		{3, 14, 42000, 0},
 		{2, 14, 42000, 0},
-		/* A demand that lasts moves runners, either way. */
+		/* Sustained demand moves runners in either direction. */
 		{5, 14, 42000, 2},
 		{2, 9, 80000, -1},
 		{2, 14, 500000, -5},
 		{10, 48, 60000, 5},
-		/* One of the two stages never goes without. */
+		/* Prefill keeps a minimum, and at most half of the runners. */
 		{2, 5, 500000, 0},
 		{1, 9, 1, -1},
 	};
@@ -424,7 +425,7 @@
 				==, rows[i].change);
 }
 
-/* A server that is ordered away gets nothing more, until it has changed. */
+/* A server ordered to another role gets no requests until it has changed. */
 static void test_changing(void)
 {
 	struct site site;
@@ -432,15 +433,15 @@
 
 	site_open(&site);
 	d1 = site_add(&site, "d1", STAGE_DECODE, "here");
-	d1->changing_until = site.place.now + SECOND;
+	d1->changing_until = site.place.now + USEC_PER_SEC;
 	g_assert_false(backend_usable(d1, site.place.now));
 	site_add(&site, "d1", STAGE_PREFILL, "here");
 	g_assert_true(backend_usable(d1, site.place.now));
 	site_close(&site);
 }
 
-/* One request tries a server that could not be reached. */
-static void test_trial(void)
+/* One request probes a server that could not be reached. */
+static void test_probe(void)
 {
 	struct site site;
 	struct backend *s1;
@@ -449,7 +450,7 @@
 	s1 = site_add(&site, "s1", STAGE_NONE, "here");
 	backend_unreachable(s1, site.place.now);
 	g_assert_null(place_plain(&site.place));
-	site_wait(&site, SECOND / 2);
+	site_wait(&site, USEC_PER_SEC / 2);
 	g_assert_true(place_plain(&site.place) == s1);
 	backend_claim_probe(s1, site.place.now);
 	g_assert_null(place_plain(&site.place));
@@ -458,8 +459,8 @@
 	site_close(&site);
 }
 
-/* A server that grants reservations and then refuses the runs rests; one
- * request tries it, and it is used again once a run has begun. */
+/* A server that grants reservations and then refuses the runs is avoided; one
+ * request probes it, and it is used again once a run has started. */
 static void test_refusals(void)
 {
 	struct site site;
@@ -477,7 +478,7 @@
 	g_assert_false(backend_usable(one, site.place.now));
 	backend_reached(one);
 	g_assert_false(backend_usable(one, site.place.now));
-	site_wait(&site, 1 * SECOND);
+	site_wait(&site, 1 * USEC_PER_SEC);
 	g_assert_true(backend_usable(one, site.place.now));
 	backend_claim_probe(one, site.place.now);
 	g_assert_false(backend_usable(one, site.place.now));
@@ -485,13 +486,13 @@
 	g_assert_true(backend_usable(one, site.place.now));
 	backend_run_refused(one, site.place.now);
 	backend_run_refused(one, site.place.now);
-	/* It is in its new role. */
+	/* A listed change of role ends it. */
 	site_add(&site, "one", STAGE_PREFILL, "here");
 	g_assert_true(backend_usable(one, site.place.now));
 	site_close(&site);
 }
 
-/* Whoever writes broken entries makes no server cold for ever. */
+/* An invalid entry cannot mark a server as cold for ever. */
 static void test_cold(void)
 {
 	struct site site;
@@ -501,10 +502,10 @@
 	one = site_add(&site, "one", STAGE_NONE, "here");
 	g_assert_false(backend_set_cold(one, site.place.now, 0));
 	g_assert_false(backend_cold(one, site.place.now));
-	g_assert_true(backend_set_cold(one, site.place.now, 3 * SECOND));
-	g_assert_false(backend_set_cold(one, site.place.now, 3 * SECOND));
+	g_assert_true(backend_set_cold(one, site.place.now, 3 * USEC_PER_SEC));
+	g_assert_false(backend_set_cold(one, site.place.now, 3 * USEC_PER_SEC));
 	g_assert_true(backend_cold(one, site.place.now));
-	site_wait(&site, 3 * SECOND);
+	site_wait(&site, 3 * USEC_PER_SEC);
 	g_assert_false(backend_cold(one, site.place.now));
 	g_assert_true(backend_set_cold(one, site.place.now, INT64_C(1) << 50));
 	site_wait(&site, BACKPRESSURE_COLD_MAX_USEC);
@@ -523,14 +524,14 @@
 	g_test_add_func("/forward/budget/restart", test_budget_restart);
 	g_test_add_func("/forward/budget/windows", test_budget_windows);
 	g_test_add_func("/forward/place/plain", test_place_plain);
-	g_test_add_func("/forward/parts/limited-engine-holds-less",
-			test_limited_engine_holds_less);
+	g_test_add_func("/forward/place/limited-engine-runs-less",
+			test_limited_engine_runs_less);
 	g_test_add_func("/forward/place/engines", test_place_engines);
-	g_test_add_func("/forward/fleet/snapshot", test_fleet);
+	g_test_add_func("/forward/fleet/snapshot", test_fleet_snapshot);
 	g_test_add_func("/forward/roles/change", test_roles_change);
-	g_test_add_func("/forward/fleet/lives", test_fleet_lives);
+	g_test_add_func("/forward/fleet/incarnations", test_fleet_incarnations);
 	g_test_add_func("/forward/fleet/changing", test_changing);
-	g_test_add_func("/forward/fleet/trial", test_trial);
+	g_test_add_func("/forward/fleet/probe", test_probe);
 	g_test_add_func("/forward/fleet/refusals", test_refusals);
 	g_test_add_func("/forward/fleet/cold", test_cold);
 	return g_test_run();
