--- a/forward/budget.c
+++ b/forward/budget.c
@@ -22,7 +22,7 @@
 
 struct budgets {
 	struct budget_settings settings;
-	int64_t began;
+	int64_t started_at;
 	GHashTable *services; /* id to struct budget */
 };
 
@@ -32,7 +32,7 @@
 	struct budgets *budgets = g_new0(struct budgets, 1);
 
 	budgets->settings = *settings;
-	budgets->began = now;
+	budgets->started_at = now;
 	budgets->services = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						  NULL, g_free);
 	return budgets;
@@ -88,7 +88,7 @@
 			  uint32_t instances)
 {
 	const struct budget_settings *settings = &budgets->settings;
-	double age = (double)(now - budgets->began) /
+	double age = (double)(now - budgets->started_at) /
 		     (double)MAX(settings->window_usec, 1);
 
 	return settings->slack * MIN(age, 1.0) / (double)MAX(instances, 1u);
--- a/forward/crash_detector.c
+++ b/forward/crash_detector.c
@@ -4,7 +4,8 @@
 
 /* Retry interval of a check without a result. */
 #define RETRY_USEC (500 * USEC_PER_MSEC)
-/* Concurrent checks; a failure domain of a large site has fewer servers. */
+/* Incarnations tracked at a time; a failure domain of a large site has fewer
+ * servers. */
 #define CHECKS_MAX 256u
 /* Requests lost at one incarnation: twice what an engine runs at a time (64).
  */
@@ -19,7 +20,7 @@
 	GArray *requests; /* struct request_identity, not yet reported */
 	struct web_call *call;
 	struct timer timer;
-	int64_t began;
+	int64_t started_at;
 	bool crashed;
 };
 
@@ -90,8 +91,9 @@
 		  LOG_D("born", check->server.started_ms),
 		  LOG_S("result", result_names[result]),
 		  LOG_D("requests", check->requests->len),
-		  LOG_D("after_ms", (clock_now(parts->clock) - check->began) /
-					    USEC_PER_MSEC));
+		  LOG_D("after_ms",
+			(clock_now(parts->clock) - check->started_at) /
+				USEC_PER_MSEC));
 }
 
 /* The check is kept for CRASH_WATCH_USEC: further requests may notice the lost
@@ -129,7 +131,8 @@
 	if (result == CHECK_CRASHED)
 		check_set_crashed(check);
 	else if (result == CHECK_ALIVE ||
-		 clock_now(parts->clock) - check->began >= CRASH_WATCH_USEC)
+		 clock_now(parts->clock) - check->started_at >=
+			 CRASH_WATCH_USEC)
 		check_drop(check);
 	else
 		timer_start(&check->timer, RETRY_USEC);
@@ -177,14 +180,14 @@
 	check->health_path = g_strdup(health_path);
 	check->requests =
 		g_array_new(FALSE, FALSE, sizeof(struct request_identity));
-	check->began = clock_now(detector->parts.clock);
+	check->started_at = clock_now(detector->parts.clock);
 	timer_init(&check->timer, detector->parts.clock, on_timer, check);
 	g_hash_table_insert(detector->checks, &check->key, check);
 	check_send(check);
 	return check;
 }
 
-/* A leaving server closes its connections by itself, whatever runs there. */
+/* A leaving server stops by itself, whatever runs there. */
 static bool is_leaving(const struct crash_detector *detector, uint64_t key)
 {
 	const struct backend *backend = fleet_find(detector->parts.fleet, key);
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -105,7 +105,7 @@
 				    &identity->fingerprint);
 }
 
-static void quarantine_clear_request(struct request *request)
+static void request_clear_quarantine(struct request *request)
 {
 	const struct forward_parts *parts = &request->forward->parts;
 
@@ -127,7 +127,7 @@
 	quarantine_record_success(quarantine, request_keyed_hash(request),
 				  request_now(request));
 	if (!quarantine_empty(quarantine))
-		quarantine_clear_request(request);
+		request_clear_quarantine(request);
 }
 
 bool request_quarantine(struct request *request)
@@ -143,7 +143,7 @@
 	if (quarantine_has_succeeded(parts->quarantine,
 				     request->identity.keyed_hash,
 				     request_now(request))) {
-		quarantine_clear_request(request);
+		request_clear_quarantine(request);
 		return false;
 	}
 	entry = quarantine_find(parts->quarantine,
