--- a/include/forward/fleet.h
+++ b/include/forward/fleet.h
@@ -37,8 +37,8 @@
 	char id[BACKEND_TEXT_MAX];
 	char address[BACKEND_TEXT_MAX]; /* "IP:port" */
 	char data_centre[BACKEND_TEXT_MAX];
-	int64_t started_ms; /* start of this incarnation, Unix milliseconds; 0:
-			       unknown */
+	int64_t started_ms; /* start of this incarnation, Unix time; 0: unknown
+			     */
 	uint64_t service;   /* id_of() its name */
 	enum backend_stage stage;
 	uint32_t slots;
@@ -78,19 +78,16 @@
 	int64_t avoid_until;	   /* end of the backoff while unreachable */
 	uint32_t connect_failures; /* consecutive */
 	bool avoid_listed;	   /* in the fleet's avoided list */
-	uint64_t unreachable_reporter; /* peer that last reported it unreachable
-					*/
+	uint64_t unreachable_reporter; /* last peer that reported it */
 	int64_t unreachable_until;     /* when that peer retries */
 	int64_t full_until;	       /* backoff after a refused reservation */
 	uint32_t full_count;	       /* consecutive refused reservations */
 	int64_t changing_until; /* ordered to another role, or refuses runs */
 	int64_t limited_until;	/* after a denied permit */
-	uint32_t refusals; /* consecutive refused runs that had a reservation or
-			      a result */
-	bool leaving_reported; /* the server itself reported it */
-	int64_t backoff_until; /* requested by the server */
-	int64_t cold_until; /* cold start: slow, and crashes under more than a
-			       light load */
+	uint32_t refusals;	/* consecutive, by backend_run_refused() */
+	bool leaving_reported;	/* the server itself reported it */
+	int64_t backoff_until;	/* requested by the server */
+	int64_t cold_until; /* slow, and crashes under more than a light load */
 	bool listed;	    /* in the snapshot being read */
 };
 
