--- a/forward/budget.c
+++ b/forward/budget.c
@@ -2,12 +2,12 @@
 
 #include <glib.h>
 
-/* The window slides by one slice, so the sum may hold up to one slice more
- * than the window: it errs towards fewer sends. */
+/* The window slides by one slice, so the sum may cover up to one slice more
+ * than the window, which allows fewer sends rather than more. */
 #define SLICES 10
-/* Part of the allowance that is used: requests are counted where they arrive
- * and sends where they land, up to a transit time apart. */
-#define USED_PART 0.85
+/* Fraction of the allowance that is used: requests are counted on arrival here
+ * and sends on arrival at a server, up to a transit time apart. */
+#define USED_FRACTION 0.85
 
 struct slice {
 	uint32_t requests;
@@ -16,13 +16,13 @@
 
 struct budget {
 	uint64_t service;
-	int64_t at; /* number of the newest slice */
+	int64_t newest; /* number of the newest slice */
 	struct slice slices[SLICES + 1];
 };
 
 struct budgets {
 	struct budget_settings settings;
-	int64_t began;
+	int64_t started_at;
 	GHashTable *services; /* id to struct budget */
 };
 
@@ -32,7 +32,7 @@
 	struct budgets *budgets = g_new0(struct budgets, 1);
 
 	budgets->settings = *settings;
-	budgets->began = now;
+	budgets->started_at = now;
 	budgets->services = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						  NULL, g_free);
 	return budgets;
@@ -65,17 +65,17 @@
 	return budget;
 }
 
-/* Clears the slices that time has passed since the last call. */
+/* The current slice; clears those that began since the last call. */
 static struct slice *slice_now(struct budgets *budgets, struct budget *budget,
 			       int64_t now)
 {
 	int64_t at = now / MAX(budgets->settings.window_usec / SLICES, 1);
-	int64_t passed = MIN(at - budget->at, SLICES + 1);
+	int64_t passed = MIN(at - budget->newest, SLICES + 1);
 
 	for (int64_t i = 0; i < passed; i++)
 		budget->slices[(at - i) % (SLICES + 1)] = (struct slice){0};
-	budget->at = MAX(budget->at, at);
-	return &budget->slices[budget->at % (SLICES + 1)];
+	budget->newest = MAX(budget->newest, at);
+	return &budget->slices[budget->newest % (SLICES + 1)];
 }
 
 void budget_request(struct budgets *budgets, uint64_t service, int64_t now)
@@ -83,12 +83,12 @@
 	slice_now(budgets, budget_get(budgets, service), now)->requests++;
 }
 
-/* This instance's part of the slack. */
-static double slack_now(const struct budgets *budgets, int64_t now,
-			uint32_t instances)
+/* This instance's share of the slack. */
+static double slack_share(const struct budgets *budgets, int64_t now,
+			  uint32_t instances)
 {
 	const struct budget_settings *settings = &budgets->settings;
-	double age = (double)(now - budgets->began) /
+	double age = (double)(now - budgets->started_at) /
 		     (double)MAX(settings->window_usec, 1);
 
 	return settings->slack * MIN(age, 1.0) / (double)MAX(instances, 1u);
@@ -108,9 +108,9 @@
 		sends += budget->slices[i].sends;
 		requests += budget->slices[i].requests;
 	}
-	allowed =
-		settings->ratio * requests + slack_now(budgets, now, instances);
-	if (sends > allowed * USED_PART)
+	allowed = settings->ratio * requests +
+		  slack_share(budgets, now, instances);
+	if (sends > allowed * USED_FRACTION)
 		return false;
 	slice->sends++;
 	return true;
--- a/forward/catalog.c
+++ b/forward/catalog.c
@@ -5,9 +5,10 @@
 #include "common/id.h"
 #include "forward/regions.h"
 
-/* Longest host that is looked up; the longest that DNS allows. */
+/* Longest host name; the limit of DNS. */
 #define HOST_MAX 255
-/* Longest prefix that is looked up; a longer path matches by its beginning. */
+/* Longest prefix looked up; of a longer path only this many bytes are matched.
+ */
 #define PREFIX_MAX 1024
 
 static void route_free(gpointer data)
@@ -38,7 +39,7 @@
 	catalog->refs = 1;
 	catalog->version = version;
 	catalog->routes = g_ptr_array_new_with_free_func(route_free);
-	catalog->places =
+	catalog->by_prefix =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	catalog->services = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						  NULL, service_free);
@@ -55,7 +56,7 @@
 {
 	if (!catalog || --catalog->refs > 0)
 		return;
-	g_hash_table_destroy(catalog->places);
+	g_hash_table_destroy(catalog->by_prefix);
 	g_hash_table_destroy(catalog->services);
 	g_ptr_array_unref(catalog->routes);
 	organisations_destroy(catalog->organisations);
@@ -82,19 +83,19 @@
 	return service;
 }
 
-void catalog_seal(struct catalog *catalog)
+void catalog_index_routes(struct catalog *catalog)
 {
 	for (guint i = 0; i < catalog->routes->len; i++) {
 		struct catalog_route *route = catalog->routes->pdata[i];
 
 		g_hash_table_replace(
-			catalog->places,
+			catalog->by_prefix,
 			g_strconcat(route->host, route->prefix, NULL), route);
 	}
 }
 
-/* The port and the case of a host do not matter; returns the size of what is
- * left, 0 when it is no host that a route can have. */
+/* Writes the host in lower case and without its port; returns its size, 0 when
+ * it is too long or empty. */
 static size_t host_normalize(char *out, const char *host, size_t size)
 {
 	const char *colon = memchr(host, ':', size);
@@ -125,7 +126,7 @@
 		if (path[end - 1] != '/')
 			continue;
 		key[base + end] = '\0';
-		route = g_hash_table_lookup(catalog->places, key);
+		route = g_hash_table_lookup(catalog->by_prefix, key);
 		if (route)
 			return route;
 	}
@@ -143,15 +144,15 @@
 	const struct route_share *shares =
 		(const struct route_share *)(void *)route->shares->data;
 	uint64_t total = 0;
-	double at;
+	double offset;
 
 	for (guint i = 0; i < route->shares->len; i++)
 		total += shares[i].weight;
-	at = point * (double)total;
+	offset = point * (double)total;
 	for (guint i = 0; i < route->shares->len; i++) {
-		if (at < (double)shares[i].weight)
+		if (offset < (double)shares[i].weight)
 			return shares[i].service;
-		at -= (double)shares[i].weight;
+		offset -= (double)shares[i].weight;
 	}
 	return shares[0].service;
 }
--- a/forward/request.h
+++ b/forward/request.h
@@ -63,8 +63,8 @@
 	uint32_t permit_attempts;
 	struct answer answer;
 	struct tried tried;
-	struct request_identity work; /* set by request_identify() */
-	bool work_known;
+	struct request_identity identity; /* set by request_identify() */
+	bool identity_known;
 	bool lost_connection;  /* during a call */
 	uint32_t sends;	       /* calls counted against the retry budget */
 	bool send_prepaid;     /* a prefill took it from the budget */
@@ -110,7 +110,7 @@
 	struct table *requests;
 	GQueue waiting; /* streams without decode memory, in order of entry */
 	struct timer pump;
-	struct ended *crash_detector;
+	struct crash_detector *crash_detector;
 	double first_event_usec; /* mean time from reservation to first event */
 	bool draining;
 	size_t unread;			     /* sum over all requests */
@@ -236,8 +236,8 @@
 
 /* unread.c: updates the bytes not yet read by the caller. Above a limit this
  * ends the request, or the one with the most unread bytes. */
-void request_unread_note(struct request *request);
-void request_unread_drop(struct request *request);
+void request_unread_update(struct request *request);
+void request_unread_clear(struct request *request);
 
 /* suspect.c: a crash_fn with the forward as context. */
 void quarantine_server_crashed(void *ctx, const struct backend_info *server,
--- a/forward/unread.c
+++ b/forward/unread.c
@@ -2,17 +2,17 @@
  * unread.c - streams whose callers read too slowly
  *
  * DESCRIPTION
- *	What callers have not read yet is held in memory. One that has left more
- *	than UNREAD_MAX is cut off; while all together have left more than
- *	UNREAD_ALL_MAX, the one that has left most is. A caller can tell that
- *	its stream is not whole, and a server is never slowed down by one.
+ *	Bytes that callers have not read yet are buffered in memory. A caller
+ *	with more than UNREAD_MAX unread bytes is disconnected; above
+ *	UNREAD_TOTAL_MAX of all callers, the one with the most is. A caller can
+ *	tell that its stream is truncated, and no caller slows a server down.
  */
 #include "request.h"
 
 #include "common/log.h"
 
 #define UNREAD_MAX ((size_t)1 << 20)
-#define UNREAD_ALL_MAX ((size_t)16 << 20)
+#define UNREAD_TOTAL_MAX ((size_t)16 << 20)
 
 static void unread_set(struct request *request, size_t size)
 {
@@ -20,10 +20,10 @@
 	request->unread = size;
 }
 
-/* The one that has left most; what is noted of the others may be old. */
-static struct request *slowest_find(struct forward *forward)
+/* The request with the most unread bytes. Refreshes the counts of all. */
+static struct request *unread_find_largest(struct forward *forward)
 {
-	struct request *slowest = NULL;
+	struct request *largest = NULL;
 	struct request *request;
 	uint32_t cursor = 0;
 	uint64_t handle;
@@ -32,40 +32,40 @@
 		if (request->unread == 0)
 			continue;
 		unread_set(request, web_reply_queued(request->web));
-		if (!slowest || request->unread > slowest->unread)
-			slowest = request;
+		if (!largest || request->unread > largest->unread)
+			largest = request;
 	}
-	return slowest;
+	return largest;
 }
 
-static void cut_off(struct request *request)
+static void disconnect_slow(struct request *request)
 {
 	log_event(LOG_NOTICE, "caller_reads_slowly",
 		  LOG_S("request", request->caller.id),
 		  LOG_D("unread", request->unread),
 		  LOG_D("unread_all", request->forward->unread));
-	request_abort(request, "its caller reads too slowly");
+	request_abort(request, "caller reads too slowly");
 }
 
-void request_unread_note(struct request *request)
+void request_unread_update(struct request *request)
 {
 	struct forward *forward = request->forward;
-	struct request *slowest;
+	struct request *largest;
 
 	unread_set(request, web_reply_queued(request->web));
 	if (request->unread > UNREAD_MAX) {
-		cut_off(request);
+		disconnect_slow(request);
 		return;
 	}
-	if (forward->unread <= UNREAD_ALL_MAX)
+	if (forward->unread <= UNREAD_TOTAL_MAX)
 		return;
-	/* It also brings up to date what is noted of the others. */
-	slowest = slowest_find(forward);
-	if (slowest && forward->unread > UNREAD_ALL_MAX)
-		cut_off(slowest);
+	/* The recorded total may be out of date; the search refreshes it. */
+	largest = unread_find_largest(forward);
+	if (largest && forward->unread > UNREAD_TOTAL_MAX)
+		disconnect_slow(largest);
 }
 
-void request_unread_drop(struct request *request)
+void request_unread_clear(struct request *request)
 {
 	unread_set(request, 0);
 }
