--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -84,7 +84,7 @@
 	.duplicate = on_duplicate,
 	.revoked = on_revoked,
 	.cancel = on_cancel,
-	.homes = on_homes,
+	.homes_changed = on_homes,
 };
 
 static const struct config_pool pools[] = {
--- a/coord/ledger.c
+++ b/coord/ledger.c
@@ -114,7 +114,7 @@
 }
 
 static const receive_fn receivers[] = {
-	[MESSAGE_ASK] = home_receive_ask,
+	[MESSAGE_ASK] = home_receive_submit,
 	[MESSAGE_GRANT] = holder_receive_grant,
 	[MESSAGE_REFUSE] = holder_receive_refuse,
 	[MESSAGE_DUPLICATE] = holder_receive_duplicate,
@@ -152,9 +152,9 @@
 void ledger_member(struct ledger *ledger, const struct member *member)
 {
 	const struct member *self = membership_self(ledger->membership);
-	bool reborn = self->incarnation != ledger->incarnation;
+	bool has_new_incarnation = self->incarnation != ledger->incarnation;
 
-	if (reborn) {
+	if (has_new_incarnation) {
 		ledger->incarnation = self->incarnation;
 		holder_reset(ledger);
 	}
@@ -163,13 +163,13 @@
 		uint64_t home = cell->home;
 		bool was_home = cell->is_home;
 
-		cell_rehome(cell);
-		if (reborn && cell->home == home && !cell->is_home)
+		cell_update_home(cell);
+		if (has_new_incarnation && cell->home == home && !cell->is_home)
 			announce_start(cell);
 		if (member->state == MEMBER_DEAD && was_home)
 			cell_member_died(cell, member);
 		if (cell->is_home && cell->settled)
-			home_bury(cell);
+			home_drop_dead(cell);
 		cell_settle_check(cell);
 	}
 }
@@ -177,7 +177,7 @@
 void ledger_drain(struct ledger *ledger)
 {
 	for (guint i = 0; i < ledger->cells->len; i++)
-		cell_rehome(g_ptr_array_index(ledger->cells, i));
+		cell_update_home(g_ptr_array_index(ledger->cells, i));
 }
 
 bool runner_lookup(const struct ledger *ledger, uint64_t runner,
@@ -210,7 +210,7 @@
 	if (!runner_lookup(ledger, report->runner, &cell, &index))
 		return;
 	runner_report(cell, index, report);
-	cell_wake(cell);
+	cell_schedule_scan(cell);
 }
 
 void ledger_streams(struct ledger *ledger, uint64_t runner,
@@ -249,7 +249,7 @@
 		else
 			prefix_drop(cell->prefix, index, blocks[i]);
 	}
-	cell->depth_for = NULL;
+	cell->prefix_depths_for = NULL;
 }
 
 void ledger_runners(struct ledger *ledger, const struct ledger_runner *runners,
@@ -262,10 +262,10 @@
 		struct cell *cell = g_ptr_array_index(ledger->cells, i);
 
 		changed |= runners_set(cell, runners, count) && cell->is_home;
-		cell_wake(cell);
+		cell_schedule_scan(cell);
 	}
 	if (changed)
-		ledger->ops.homes(ledger->ctx);
+		ledger->ops.homes_changed(ledger->ctx);
 }
 
 void ledger_stats(const struct ledger *ledger, struct ledger_stats *stats)
@@ -277,7 +277,7 @@
 	for (guint i = 0; i < ledger->cells->len; i++) {
 		const struct cell *cell = g_ptr_array_index(ledger->cells, i);
 
-		stats->waiting += g_hash_table_size(cell->asks);
+		stats->waiting += g_hash_table_size(cell->pending_requests);
 		stats->grants += g_hash_table_size(cell->grants);
 		stats->cells += cell->is_home;
 		stats->handovers += cell->announce.missing > 0;
--- a/coord/ledger_cell.c
+++ b/coord/ledger_cell.c
@@ -87,10 +87,10 @@
 	timer_init(&cell->scan, ledger->clock, scan_timer, cell);
 	cell->announcers = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						 g_free, announcer_destroy);
-	cell->fresh = g_ptr_array_new();
+	cell->unsettled = g_ptr_array_new();
 	for (int class = 0; class < CLASS_COUNT; class ++)
 		cell->lanes[class] = g_sequence_new(NULL);
-	cell->asks = g_hash_table_new(tag_hash, tag_equal);
+	cell->pending_requests = g_hash_table_new(tag_hash, tag_equal);
 	cell->grants = g_hash_table_new(tag_hash, tag_equal);
 	cell->orphans =
 		g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
@@ -98,7 +98,7 @@
 	cell->runners = g_ptr_array_new_with_free_func(runner_destroy);
 	cell->by_id = g_hash_table_new(g_int64_hash, g_int64_equal);
 	cell->prefix = prefix_create();
-	cell->depth = g_array_new(FALSE, TRUE, sizeof(uint32_t));
+	cell->prefix_depths = g_array_new(FALSE, TRUE, sizeof(uint32_t));
 	cell->grant_counts = g_array_new(FALSE, TRUE, sizeof(uint32_t));
 	records_init(cell);
 	replica_init(cell);
@@ -120,17 +120,17 @@
 	g_hash_table_destroy(cell->records);
 	g_array_free(cell->replication.dirty, TRUE);
 	g_hash_table_destroy(cell->announcers);
-	g_ptr_array_free(cell->fresh, TRUE);
+	g_ptr_array_free(cell->unsettled, TRUE);
 	for (int class = 0; class < CLASS_COUNT; class ++)
 		g_sequence_free(cell->lanes[class]);
-	g_hash_table_destroy(cell->asks);
+	g_hash_table_destroy(cell->pending_requests);
 	g_hash_table_destroy(cell->grants);
 	g_ptr_array_free(cell->orphans, TRUE);
 	g_hash_table_destroy(cell->by_id);
 	g_ptr_array_free(cell->runners, TRUE);
 	g_array_free(cell->view, TRUE);
 	prefix_destroy(cell->prefix);
-	g_array_free(cell->depth, TRUE);
+	g_array_free(cell->prefix_depths, TRUE);
 	g_array_free(cell->grant_counts, TRUE);
 	g_free(cell->prefill_pool);
 	g_free(cell->decode_pool);
@@ -142,27 +142,27 @@
 	queue_scan(ctx);
 }
 
-GPtrArray *cell_asks(const struct cell *cell)
+GPtrArray *cell_pending_requests(const struct cell *cell)
 {
 	GPtrArray *list = g_ptr_array_new();
 	GHashTableIter iter;
 	void *value;
 
-	g_hash_table_iter_init(&iter, cell->asks);
+	g_hash_table_iter_init(&iter, cell->pending_requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		g_ptr_array_add(list, value);
 	return list;
 }
 
-void cell_wake(struct cell *cell)
+void cell_schedule_scan(struct cell *cell)
 {
 	if (cell->is_home && cell->settled)
 		timer_start(&cell->scan, 0);
 }
 
 /* The n-th member of this data centre that is not dead, its own included. */
-static const struct member *neighbour(const struct ledger *ledger,
-				      uint32_t *cursor)
+static const struct member *local_member_next(const struct ledger *ledger,
+					      uint32_t *cursor)
 {
 	const struct member *self = membership_self(ledger->membership);
 	const struct member *member;
@@ -175,7 +175,7 @@
 	return NULL;
 }
 
-static bool heard(const struct cell *cell, const struct member *member)
+static bool has_announced(const struct cell *cell, const struct member *member)
 {
 	const struct announcer *announcer =
 		g_hash_table_lookup(cell->announcers, &member->id);
@@ -186,8 +186,8 @@
 
 void cell_member_died(struct cell *cell, const struct member *member)
 {
-	if (cell->is_home && !heard(cell, member))
-		runners_doubt(cell);
+	if (cell->is_home && !has_announced(cell, member))
+		runners_invalidate_reports(cell);
 }
 
 void cell_settle_check(struct cell *cell)
@@ -197,20 +197,20 @@
 
 	if (!cell->is_home || cell->settled)
 		return;
-	while ((member = neighbour(cell->ledger, &cursor)) != NULL) {
-		if (!heard(cell, member))
+	while ((member = local_member_next(cell->ledger, &cursor)) != NULL) {
+		if (!has_announced(cell, member))
 			return;
 	}
 	home_settled(cell);
 }
 
-static void solicit(struct cell *cell)
+static void announcements_request(struct cell *cell)
 {
 	const struct member *member;
 	uint32_t cursor = 0;
 
-	while ((member = neighbour(cell->ledger, &cursor)) != NULL) {
-		if (!heard(cell, member))
+	while ((member = local_member_next(cell->ledger, &cursor)) != NULL) {
+		if (!has_announced(cell, member))
 			announce_unknown_send(cell, member->id,
 					      member->incarnation, 0);
 	}
@@ -218,7 +218,7 @@
 
 static void settle_step(struct cell *cell)
 {
-	solicit(cell);
+	announcements_request(cell);
 	timer_start(&cell->settle,
 		    cell->ledger->settings.settle / SETTLE_STEPS);
 }
@@ -234,15 +234,15 @@
 }
 
 /* When all members are leaving, those that leave serve each other. */
-static uint64_t leaving_home(const struct ledger *ledger, uint64_t key,
-			     uint32_t rank)
+static uint64_t home_among_leaving(const struct ledger *ledger, uint64_t key,
+				   uint32_t rank)
 {
 	uint64_t best[2] = {0, 0};
 	uint64_t weight[2] = {0, 0};
 	const struct member *member;
 	uint32_t cursor = 0;
 
-	while ((member = neighbour(ledger, &cursor)) != NULL) {
+	while ((member = local_member_next(ledger, &cursor)) != NULL) {
 		uint64_t w = id_mix(member->id, key);
 
 		if (best[0] == 0 || w > weight[0]) {
@@ -266,7 +266,7 @@
 		membership_home(ledger->membership, self->data_centre, key, 0);
 
 	if (first == 0)
-		return leaving_home(ledger, key, rank);
+		return home_among_leaving(ledger, key, rank);
 	if (rank == 0)
 		return first;
 	return membership_home(ledger->membership, self->data_centre, key,
@@ -280,7 +280,7 @@
 	return member != NULL ? member->incarnation : 0;
 }
 
-static void mark_moved(struct cell *cell)
+static void mark_home_changed(struct cell *cell)
 {
 	GHashTableIter iter;
 	void *value;
@@ -290,41 +290,41 @@
 		struct item *item = value;
 
 		if (item->cell == cell)
-			item->moved = true;
+			item->home_changed = true;
 	}
 }
 
-void cell_rehome(struct cell *cell)
+void cell_update_home(struct cell *cell)
 {
 	struct ledger *ledger = cell->ledger;
 	uint64_t home = home_of(ledger, cell->id, 0);
 	uint64_t replica = home_of(ledger, cell->id, 1);
 	uint64_t incarnation = incarnation_of(ledger, home);
-	bool moved =
+	bool home_changed =
 		home != cell->home || incarnation != cell->home_incarnation;
 	bool is_home = home == ledger->self;
 	bool was_home = cell->is_home;
 
-	if (!moved && replica == cell->replica)
+	if (!home_changed && replica == cell->replica)
 		return;
 	cell->home = home;
 	cell->home_incarnation = incarnation;
-	if (moved && was_home)
+	if (home_changed && was_home)
 		home_stop(cell);
-	if (moved && is_home) {
+	if (home_changed && is_home) {
 		home_start(cell);
 		cell->settle_by =
 			clock_now(ledger->clock) + ledger->settings.settle;
 		settle_step(cell);
 	}
-	if (replica != cell->replica || moved) {
+	if (replica != cell->replica || home_changed) {
 		cell->replica = replica;
 		replica_restart(cell);
 	}
-	if (moved) {
-		mark_moved(cell);
+	if (home_changed) {
+		mark_home_changed(cell);
 		announce_start(cell);
 	}
 	if (was_home != is_home)
-		ledger->ops.homes(ledger->ctx);
+		ledger->ops.homes_changed(ledger->ctx);
 }
--- a/coord/ledger_codec.c
+++ b/coord/ledger_codec.c
@@ -177,8 +177,8 @@
 
 	flags |= item->idempotent ? ASK_IDEMPOTENT : 0;
 	flags |= item->adopt ? ASK_ADOPT : 0;
-	flags |= item->here ? ASK_HERE : 0;
-	flags |= item->former_free ? ASK_FORMER_FREE : 0;
+	flags |= item->no_redirect ? ASK_HERE : 0;
+	flags |= item->previous_freed ? ASK_FORMER_FREE : 0;
 	flags |= need->class == CLASS_DEFERRABLE ? ASK_DEFERRABLE : 0;
 	pack_u(packer, epoch);
 	pack_u(packer, item->request);
@@ -213,8 +213,8 @@
 	flags = read_u(reader);
 	ask->idempotent = flags & ASK_IDEMPOTENT;
 	ask->adopt = flags & ASK_ADOPT;
-	ask->here = flags & ASK_HERE;
-	ask->former_free = flags & ASK_FORMER_FREE;
+	ask->no_redirect = flags & ASK_HERE;
+	ask->previous_freed = flags & ASK_FORMER_FREE;
 	need->class = flags & ASK_DEFERRABLE ? CLASS_DEFERRABLE : CLASS_URGENT;
 	need->prompt_tokens = (uint32_t)read_u(reader);
 	need->output_tokens_max = (uint32_t)read_u(reader);
--- a/coord/ledger_codec.h
+++ b/coord/ledger_codec.h
@@ -74,8 +74,8 @@
 	uint64_t fingerprint;
 	bool idempotent;
 	bool adopt;
-	bool here;
-	bool former_free;
+	bool no_redirect;
+	bool previous_freed;
 	struct policy_request need;
 };
 
--- a/coord/ledger_config.c
+++ b/coord/ledger_config.c
@@ -3,7 +3,8 @@
 #include <string.h>
 
 /* A decode runner's memory has one ledger, so a decode pool is in one cell. */
-static bool pools_disjoint(const struct config *config, struct error *err)
+static bool decode_pools_unshared(const struct config *config,
+				  struct error *err)
 {
 	for (size_t i = 0; i < config->service_count; i++) {
 		const struct config_service *a = &config->services[i];
@@ -53,8 +54,8 @@
 }
 
 /* A policy of other name or parameters replaces the one in force. */
-static bool policy_swap(struct ledger *ledger, const struct config *config,
-			struct error *err)
+static bool policy_replace(struct ledger *ledger, const struct config *config,
+			   struct error *err)
 {
 	const struct policy_ops *ops;
 	char *key;
@@ -83,25 +84,26 @@
 	return true;
 }
 
-static struct cell *cell_for(struct ledger *ledger, const struct config *config,
-			     const struct config_service *service)
+static struct cell *cell_configure(struct ledger *ledger,
+				   const struct config *config,
+				   const struct config_service *service)
 {
 	bool plain = service->kind == SERVICE_PLAIN;
 	const char *prefill = plain ? service->pool : service->prefill_pool;
 	const char *decode = plain ? service->pool : service->decode_pool;
 	uint64_t id = cell_id_of(ledger, prefill, decode);
 	struct cell *cell = cell_find(ledger, id);
-	bool fresh = false;
+	bool created = false;
 
 	if (cell == NULL) {
 		cell = cell_create(ledger, id, prefill, decode);
 		g_ptr_array_add(ledger->cells, cell);
-		fresh = true;
+		created = true;
 	}
 	cell->prefill = plain ? NULL : config_pool(config, prefill);
 	cell->decode = plain ? NULL : config_pool(config, decode);
 	runners_configure(cell);
-	if (fresh)
+	if (created)
 		runners_set(cell,
 			    (const struct ledger_runner *)(void *)
 				    ledger->list->data,
@@ -117,37 +119,38 @@
 	service->id = (uint32_t)id_of(config_service->name);
 	service->config = config_service;
 	service->plain = config_service->kind == SERVICE_PLAIN;
-	service->cell = cell_for(ledger, config, config_service);
+	service->cell = cell_configure(ledger, config, config_service);
 	g_ptr_array_add(ledger->services, service);
 }
 
 /* Waiting requests keep their place unless their service is gone or has other
  * pools; then their holders ask at the other cell. */
-static void relink_asks(struct cell *cell)
+static void relink_pending(struct cell *cell)
 {
 	struct ledger *ledger = cell->ledger;
-	GPtrArray *asks = cell_asks(cell);
+	GPtrArray *list = cell_pending_requests(cell);
 
-	for (guint i = 0; i < asks->len; i++) {
-		struct waiting *waiting = g_ptr_array_index(asks, i);
+	for (guint i = 0; i < list->len; i++) {
+		struct pending *pending = g_ptr_array_index(list, i);
 
-		waiting->service = service_find(ledger, waiting->service_id);
-		if (waiting->service != NULL && waiting->place != NULL)
-			waiting->service->waiting++;
+		pending->service = service_find(ledger, pending->service_id);
+		if (pending->service != NULL && pending->place != NULL)
+			pending->service->waiting++;
 	}
-	for (guint i = 0; i < asks->len; i++) {
-		struct waiting *waiting = g_ptr_array_index(asks, i);
-
-		if (waiting->service == NULL)
-			ask_refuse(waiting, RESULT_NO_BACKEND, USEC_PER_SEC);
-		else if (waiting->service->cell != cell)
-			ask_remove(waiting);
+	for (guint i = 0; i < list->len; i++) {
+		struct pending *pending = g_ptr_array_index(list, i);
+
+		if (pending->service == NULL)
+			pending_refuse(pending, RESULT_NO_BACKEND,
+				       USEC_PER_SEC);
+		else if (pending->service->cell != cell)
+			pending_remove(pending);
 	}
-	g_ptr_array_free(asks, TRUE);
+	g_ptr_array_free(list, TRUE);
 }
 
 /* The policy in force ranks them anew. */
-static void rerank(struct cell *cell)
+static void cell_rerank(struct cell *cell)
 {
 	struct ledger *ledger = cell->ledger;
 	struct policy_view view;
@@ -158,15 +161,15 @@
 			g_sequence_get_begin_iter(cell->lanes[class]);
 
 		while (!g_sequence_iter_is_end(iter)) {
-			struct waiting *waiting = g_sequence_get(iter);
+			struct pending *pending = g_sequence_get(iter);
 
-			waiting->rank = ledger->policy->rank(
-				ledger->policy_state, &view, &waiting->need);
+			pending->rank = ledger->policy->rank(
+				ledger->policy_state, &view, &pending->need);
 			iter = g_sequence_iter_next(iter);
 		}
 	}
 	lanes_sort(cell);
-	cell_wake(cell);
+	cell_schedule_scan(cell);
 }
 
 static void unlink_services(struct ledger *ledger)
@@ -184,25 +187,25 @@
 {
 	if (config == NULL)
 		return error_set(err, RESULT_NO_CONFIG, "no configuration");
-	return pools_known(config, err) && pools_disjoint(config, err);
+	return pools_known(config, err) && decode_pools_unshared(config, err);
 }
 
 bool ledger_configure(struct ledger *ledger, const struct config *config,
 		      struct error *err)
 {
-	if (!ledger_check(config, err) || !policy_swap(ledger, config, err))
+	if (!ledger_check(config, err) || !policy_replace(ledger, config, err))
 		return false;
 	ledger->config = config;
 	unlink_services(ledger);
 	for (size_t i = 0; i < config->service_count; i++)
 		service_add(ledger, config, &config->services[i]);
 	for (guint i = 0; i < ledger->cells->len; i++)
-		relink_asks(g_ptr_array_index(ledger->cells, i));
+		relink_pending(g_ptr_array_index(ledger->cells, i));
 	for (guint i = 0; i < ledger->cells->len; i++) {
 		struct cell *cell = g_ptr_array_index(ledger->cells, i);
 
-		cell_rehome(cell);
-		rerank(cell);
+		cell_update_home(cell);
+		cell_rerank(cell);
 	}
 	holder_relink(ledger);
 	return true;
--- a/coord/ledger_grant.c
+++ b/coord/ledger_grant.c
@@ -11,9 +11,9 @@
 struct grant *grant_find(const struct cell *cell, const struct owner *owner,
 			 uint64_t request)
 {
-	struct tag name = {.owner = *owner, .request = request};
+	struct tag tag = {.owner = *owner, .request = request};
 
-	return g_hash_table_lookup(cell->grants, &name);
+	return g_hash_table_lookup(cell->grants, &tag);
 }
 
 void grant_hash(struct grant *grant)
@@ -102,7 +102,7 @@
 	struct cell *cell = grant->cell;
 
 	grant_discard(grant);
-	cell_wake(cell);
+	cell_schedule_scan(cell);
 }
 
 uint32_t grant_unknown_state(const struct grant *grant)
@@ -168,7 +168,7 @@
 
 	if (grant->decode == RUNNER_NONE) {
 		grant->record_state = grant_unknown_state(grant);
-		grant_done_seen(grant);
+		grant_confirm_ended(grant);
 		return;
 	}
 	if (grant->key == 0) {
@@ -183,17 +183,17 @@
 {
 	grant->state = GRANT_CLOSING;
 	grant->record_state = record_state;
-	grant->listings = 0;
+	grant->absent_listings = 0;
 	grant->closing_since = clock_now(grant->cell->ledger->clock);
 	if (grant->decode == RUNNER_NONE) {
-		grant_done_seen(grant);
+		grant_confirm_ended(grant);
 		return;
 	}
 	send_cancel(grant);
 }
 
 /* The engine is known to hold nothing for it any more. */
-void grant_done_seen(struct grant *grant)
+void grant_confirm_ended(struct grant *grant)
 {
 	struct record *record = grant->record;
 	uint32_t state = grant->state == GRANT_CLOSING
@@ -201,7 +201,7 @@
 				 : grant_unknown_state(grant);
 
 	grant_free(grant);
-	if (record != NULL && record->waiting == NULL)
+	if (record != NULL && record->pending == NULL)
 		record_end(record, state);
 }
 
@@ -228,7 +228,7 @@
 	grant_close(grant, grant_unknown_state(grant));
 }
 
-void grant_learn_stream(struct grant *grant, const char *stream)
+void grant_set_stream(struct grant *grant, const char *stream)
 {
 	struct record *record = grant->record;
 
@@ -268,9 +268,9 @@
 
 /* Its key's record becomes the grant's, unless another grant has it; an ask of
  * another holder that had it is looked at anew. */
-static void grant_take_record(struct grant *grant)
+static void grant_claim_record(struct grant *grant)
 {
-	struct waiting *other;
+	struct pending *other;
 	struct record *record;
 
 	if (grant->key == 0)
@@ -281,7 +281,7 @@
 	if (record == NULL || record->grant != NULL ||
 	    record->state != RECORD_RUNNING)
 		return;
-	other = record->waiting;
+	other = record->pending;
 	record->grant = grant;
 	record->fingerprint = grant->fingerprint;
 	record->service = grant->service;
@@ -289,11 +289,11 @@
 	grant->record = record;
 	record_owned(record, &grant->holder.owner, grant->holder.request);
 	if (other != NULL)
-		ask_again(other);
+		pending_restart(other);
 }
 
-struct grant *grant_of_tag(const struct cell *cell, uint32_t decode,
-			   const struct tag *tag)
+struct grant *grant_find_by_tag(const struct cell *cell, uint32_t decode,
+				const struct tag *tag)
 {
 	const struct runner *runner = runner_at(cell, decode);
 
@@ -326,7 +326,7 @@
 	if (entry->closing)
 		return grant;
 	grant_hash(grant);
-	grant_take_record(grant);
-	grant_learn_stream(grant, entry->stream);
+	grant_claim_record(grant);
+	grant_set_stream(grant, entry->stream);
 	return grant;
 }
--- a/coord/ledger_handover.c
+++ b/coord/ledger_handover.c
@@ -91,7 +91,7 @@
 	}
 }
 
-static void build(struct cell *cell, GPtrArray *chunks)
+static void chunks_build(struct cell *cell, GPtrArray *chunks)
 {
 	struct builder builder = {.chunks = chunks};
 
@@ -175,7 +175,7 @@
 		return;
 	announce->epoch++;
 	announce->tries = 0;
-	build(cell, announce->chunks);
+	chunks_build(cell, announce->chunks);
 	announce->missing = announce->chunks->len;
 	announce->sent = MIN(announce->missing, CHUNK_WINDOW);
 	announce_send(cell);
@@ -257,7 +257,7 @@
 }
 
 /* A grant that conflicts with a living holder of the same key is ended. */
-static void take_grant(struct cell *cell, const struct grant_entry *entry)
+static void import_grant(struct cell *cell, const struct grant_entry *entry)
 {
 	struct grant *grant = grant_find(cell, &entry->owner, entry->request);
 	struct record *record = record_find(cell, entry->key);
@@ -265,7 +265,7 @@
 	if (grant != NULL && grant->holder.attempt == entry->attempt) {
 		grant->acknowledged = true;
 		timer_stop(&grant->timer);
-		grant_learn_stream(grant, entry->stream);
+		grant_set_stream(grant, entry->stream);
 		return;
 	}
 	if (grant != NULL)
@@ -278,13 +278,13 @@
 	grant_close(grant, RECORD_REMOVED);
 }
 
-static void take_orphan(struct cell *cell, const struct grant_entry *entry)
+static void import_orphan(struct cell *cell, const struct grant_entry *entry)
 {
 	uint32_t decode = runner_index(cell, entry->decode);
 	struct grant *grant;
 
 	if (decode == RUNNER_NONE ||
-	    grant_of_tag(cell, decode, &entry->tag) != NULL)
+	    grant_find_by_tag(cell, decode, &entry->tag) != NULL)
 		return;
 	if (!entry->closing &&
 	    grant_find(cell, &entry->owner, entry->request) != NULL)
@@ -298,7 +298,7 @@
 }
 
 /* What is taken over from the chunks of one announcement. */
-struct taking {
+struct import {
 	struct cell *cell;
 	const struct owner *owner;
 	GHashTable *listed; /* grant_entry by request */
@@ -312,30 +312,30 @@
 	g_hash_table_replace(listed, &copy->request, copy);
 }
 
-static void take_grant_entry(struct taking *taking, uint64_t kind,
-			     struct reader *reader)
+static void import_grant_entry(struct import *import, uint64_t kind,
+			       struct reader *reader)
 {
 	struct grant_entry entry;
 
 	if (!grant_entry_read(reader, &entry))
 		return;
 	if (kind == ENTRY_ORPHAN)
-		take_orphan(taking->cell, &entry);
-	else if (owner_equal(&entry.owner, taking->owner))
-		list_add(taking->listed, &entry);
+		import_orphan(import->cell, &entry);
+	else if (owner_equal(&entry.owner, import->owner))
+		list_add(import->listed, &entry);
 }
 
-static void take_entry(void *ctx, struct reader *reader)
+static void import_entry(void *ctx, struct reader *reader)
 {
-	struct taking *taking = ctx;
-	int64_t now = clock_now(taking->cell->ledger->clock);
+	struct import *import = ctx;
+	int64_t now = clock_now(import->cell->ledger->clock);
 	uint64_t kind = read_u(reader);
 	struct record copy;
 
 	if (kind != ENTRY_RECORD)
-		take_grant_entry(taking, kind, reader);
+		import_grant_entry(import, kind, reader);
 	else if (record_entry_read(reader, &copy, now))
-		record_merge(taking->cell, &copy);
+		record_merge(import->cell, &copy);
 }
 
 /* What the member does not list it does not hold; what it asks for it asks
@@ -343,7 +343,7 @@
 static void drop_unlisted(struct cell *cell, const struct owner *owner,
 			  GHashTable *listed)
 {
-	GArray *names = g_array_new(FALSE, FALSE, sizeof(struct tag));
+	GArray *tags = g_array_new(FALSE, FALSE, sizeof(struct tag));
 	GHashTableIter iter;
 	void *value;
 
@@ -354,12 +354,12 @@
 		if (grant->state == GRANT_HELD &&
 		    owner_equal(&grant->holder.owner, owner) &&
 		    !g_hash_table_contains(listed, &grant->holder.request))
-			g_array_append_val(names, grant->holder);
+			g_array_append_val(tags, grant->holder);
 	}
-	for (guint i = 0; i < names->len; i++) {
-		const struct tag *name = &g_array_index(names, struct tag, i);
+	for (guint i = 0; i < tags->len; i++) {
+		const struct tag *tag = &g_array_index(tags, struct tag, i);
 		struct grant *grant =
-			grant_find(cell, &name->owner, name->request);
+			grant_find(cell, &tag->owner, tag->request);
 		struct record *record = grant->record;
 
 		if (grant->stream[0] != '\0') {
@@ -370,31 +370,31 @@
 		if (record != NULL)
 			record_end(record, RECORD_REMOVED);
 	}
-	g_array_free(names, TRUE);
+	g_array_free(tags, TRUE);
 }
 
-static void drop_asks(struct cell *cell, const struct owner *owner)
+static void drop_pending(struct cell *cell, const struct owner *owner)
 {
-	GArray *names = g_array_new(FALSE, FALSE, sizeof(struct tag));
+	GArray *tags = g_array_new(FALSE, FALSE, sizeof(struct tag));
 	GHashTableIter iter;
 	void *value;
 
-	g_hash_table_iter_init(&iter, cell->asks);
+	g_hash_table_iter_init(&iter, cell->pending_requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct waiting *waiting = value;
+		const struct pending *pending = value;
 
-		if (owner_equal(&waiting->holder.owner, owner))
-			g_array_append_val(names, waiting->holder);
+		if (owner_equal(&pending->holder.owner, owner))
+			g_array_append_val(tags, pending->holder);
 	}
-	for (guint i = 0; i < names->len; i++) {
-		const struct tag *name = &g_array_index(names, struct tag, i);
-		struct waiting *waiting =
-			ask_find(cell, &name->owner, name->request);
+	for (guint i = 0; i < tags->len; i++) {
+		const struct tag *tag = &g_array_index(tags, struct tag, i);
+		struct pending *pending =
+			pending_find(cell, &tag->owner, tag->request);
 
-		if (waiting != NULL)
-			ask_remove(waiting);
+		if (pending != NULL)
+			pending_remove(pending);
 	}
-	g_array_free(names, TRUE);
+	g_array_free(tags, TRUE);
 }
 
 static void announcer_complete(struct cell *cell, struct announcer *announcer,
@@ -402,7 +402,7 @@
 {
 	GHashTable *listed = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						   NULL, g_free);
-	struct taking taking = {.cell = cell, .owner = owner, .listed = listed};
+	struct import import = {.cell = cell, .owner = owner, .listed = listed};
 	GHashTableIter iter;
 	void *value;
 
@@ -411,16 +411,16 @@
 		const void *data =
 			g_bytes_get_data(announcer->chunks[i], &size);
 
-		entries_each(data, size, take_entry, &taking);
+		entries_each(data, size, import_entry, &import);
 		g_bytes_unref(announcer->chunks[i]);
 		announcer->chunks[i] = NULL;
 	}
 	announcer->complete = true;
-	drop_asks(cell, owner);
+	drop_pending(cell, owner);
 	drop_unlisted(cell, owner, listed);
 	g_hash_table_iter_init(&iter, listed);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		take_grant(cell, value);
+		import_grant(cell, value);
 	g_hash_table_destroy(listed);
 	cell_settle_check(cell);
 }
--- a/coord/ledger_holder.c
+++ b/coord/ledger_holder.c
@@ -13,10 +13,10 @@
 		if (item->cell != cell)
 			continue;
 		if (item->state == ITEM_QUEUED)
-			item->state = ITEM_ASKING;
+			item->state = ITEM_SUBMITTED;
 		item->tries = 0;
-		if (item->state == ITEM_ASKING || item->state == ITEM_ENDING ||
-		    item->progress_due)
+		if (item->state == ITEM_SUBMITTED ||
+		    item->state == ITEM_ENDING || item->progress_due)
 			item_send(item);
 	}
 }
@@ -68,7 +68,7 @@
 	grant.decode = read_u(reader);
 	grant.pieces = (uint32_t)read_u(reader);
 	if (reader->bad || cell == NULL || cell->home != from ||
-	    incarnation != ledger->incarnation || !holder_known(cell) ||
+	    incarnation != ledger->incarnation || !announce_is_complete(cell) ||
 	    cell->announce.epoch != epoch)
 		return;
 	item = item_find(ledger, grant.request);
@@ -80,7 +80,8 @@
 	if (item->state == ITEM_GRANTED && item->attempt == grant.attempt)
 		ack_add(ledger, from, incarnation, ACK_GRANTED, grant.request,
 			grant.attempt);
-	else if ((item->state == ITEM_ASKING || item->state == ITEM_QUEUED) &&
+	else if ((item->state == ITEM_SUBMITTED ||
+		  item->state == ITEM_QUEUED) &&
 		 (item->attempt == grant.attempt || item->adopt))
 		item_take(item, &grant);
 }
@@ -94,7 +95,7 @@
 	if (item == NULL || item->cell == NULL || item->cell->home != from ||
 	    item->incarnation != incarnation || item->attempt != attempt)
 		return NULL;
-	if (item->state != ITEM_ASKING && item->state != ITEM_QUEUED)
+	if (item->state != ITEM_SUBMITTED && item->state != ITEM_QUEUED)
 		return NULL;
 	return item;
 }
@@ -208,12 +209,12 @@
 		const struct service *service =
 			service_find(ledger, item->service);
 
-		if ((item->state != ITEM_ASKING &&
+		if ((item->state != ITEM_SUBMITTED &&
 		     item->state != ITEM_QUEUED) ||
 		    service == NULL || service->cell == item->cell)
 			continue;
 		item->cell = service->cell;
-		item->state = ITEM_ASKING;
+		item->state = ITEM_SUBMITTED;
 		item->tries = 0;
 		item_send(item);
 	}
@@ -223,10 +224,10 @@
 static bool item_reborn(struct item *item)
 {
 	switch (item->state) {
-	case ITEM_ASKING:
+	case ITEM_SUBMITTED:
 	case ITEM_QUEUED:
 		item->incarnation = item->ledger->incarnation;
-		item->state = ITEM_ASKING;
+		item->state = ITEM_SUBMITTED;
 		item->tries = 0;
 		return false;
 	case ITEM_GRANTED:
--- a/coord/ledger_home.c
+++ b/coord/ledger_home.c
@@ -15,7 +15,7 @@
 	log_event(LOG_INFO, "ledger_home_started", LOG_X("cell", cell->id));
 }
 
-static GPtrArray *grants_of(const struct cell *cell)
+static GPtrArray *cell_grants(const struct cell *cell)
 {
 	GPtrArray *list = g_ptr_array_new();
 	GHashTableIter iter;
@@ -39,7 +39,7 @@
 }
 
 /* What has no living holder is told to the next home by this instance. */
-static void keep_orphan(struct cell *cell, const struct grant *grant)
+static void orphan_save(struct cell *cell, const struct grant *grant)
 {
 	struct grant_entry entry;
 	struct entries entries;
@@ -56,8 +56,8 @@
 
 void home_stop(struct cell *cell)
 {
-	GPtrArray *grants = grants_of(cell);
-	GPtrArray *asks = cell_asks(cell);
+	GPtrArray *grants = cell_grants(cell);
+	GPtrArray *list = cell_pending_requests(cell);
 
 	cell->is_home = false;
 	cell->was_home = true;
@@ -67,17 +67,17 @@
 	level_stop(cell);
 	remote_reset(cell);
 	g_ptr_array_set_size(cell->orphans, 0);
-	for (guint i = 0; i < asks->len; i++)
-		ask_discard(g_ptr_array_index(asks, i));
+	for (guint i = 0; i < list->len; i++)
+		pending_discard(g_ptr_array_index(list, i));
 	for (guint i = 0; i < grants->len; i++) {
-		keep_orphan(cell, g_ptr_array_index(grants, i));
+		orphan_save(cell, g_ptr_array_index(grants, i));
 		grant_discard(g_ptr_array_index(grants, i));
 	}
 	g_hash_table_remove_all(cell->announcers);
 	runners_reset(cell);
 	replica_clear(cell);
 	g_ptr_array_free(grants, TRUE);
-	g_ptr_array_free(asks, TRUE);
+	g_ptr_array_free(list, TRUE);
 	log_event(LOG_INFO, "ledger_home_stopped", LOG_X("cell", cell->id));
 }
 
@@ -98,7 +98,7 @@
 				    .pieces = record->pieces};
 
 	if (record->state != RECORD_RUNNING || record->grant != NULL ||
-	    record->waiting != NULL || record->stream[0] == '\0' ||
+	    record->pending != NULL || record->stream[0] == '\0' ||
 	    owner_alive(ledger, &record->owner) ||
 	    runner_index(cell, record->decode) == RUNNER_NONE ||
 	    grant_find(cell, &record->owner, record->owner_request) != NULL)
@@ -128,8 +128,8 @@
 
 static int compare_arrived(const void *a, const void *b)
 {
-	const struct waiting *x = *(struct waiting *const *)a;
-	const struct waiting *y = *(struct waiting *const *)b;
+	const struct pending *x = *(struct pending *const *)a;
+	const struct pending *y = *(struct pending *const *)b;
 
 	if (x->need.arrived != y->need.arrived)
 		return x->need.arrived < y->need.arrived ? -1 : 1;
@@ -138,56 +138,56 @@
 
 void home_settled(struct cell *cell)
 {
-	GPtrArray *fresh;
+	GPtrArray *unsettled;
 
 	timer_stop(&cell->settle);
 	cell->settled = true;
-	records_doubt(cell);
+	records_watch_unbacked(cell);
 	level_start(cell);
-	home_bury(cell);
+	home_drop_dead(cell);
 	adopt_records(cell);
-	fresh = cell->fresh;
-	cell->fresh = g_ptr_array_new();
-	g_ptr_array_sort(fresh, compare_arrived);
-	for (guint i = 0; i < fresh->len; i++) {
-		struct waiting *waiting = g_ptr_array_index(fresh, i);
-
-		waiting->fresh = false;
-		ask_resolve(waiting);
+	unsettled = cell->unsettled;
+	cell->unsettled = g_ptr_array_new();
+	g_ptr_array_sort(unsettled, compare_arrived);
+	for (guint i = 0; i < unsettled->len; i++) {
+		struct pending *pending = g_ptr_array_index(unsettled, i);
+
+		pending->unsettled = false;
+		pending_resolve(pending);
 	}
-	g_ptr_array_free(fresh, TRUE);
-	cell_wake(cell);
+	g_ptr_array_free(unsettled, TRUE);
+	cell_schedule_scan(cell);
 }
 
 /* Removing an ask may answer or queue others: so they are found by name. */
-static void bury_asks(struct cell *cell)
+static void drop_dead_pending(struct cell *cell)
 {
-	GPtrArray *asks = cell_asks(cell);
+	GPtrArray *list = cell_pending_requests(cell);
 	GArray *dead = g_array_new(FALSE, FALSE, sizeof(struct tag));
 
-	for (guint i = 0; i < asks->len; i++) {
-		const struct waiting *waiting = g_ptr_array_index(asks, i);
+	for (guint i = 0; i < list->len; i++) {
+		const struct pending *pending = g_ptr_array_index(list, i);
 
-		if (!owner_alive(cell->ledger, &waiting->holder.owner))
-			g_array_append_val(dead, waiting->holder);
+		if (!owner_alive(cell->ledger, &pending->holder.owner))
+			g_array_append_val(dead, pending->holder);
 	}
 	for (guint i = 0; i < dead->len; i++) {
-		const struct tag *name = &g_array_index(dead, struct tag, i);
-		struct waiting *waiting =
-			ask_find(cell, &name->owner, name->request);
+		const struct tag *tag = &g_array_index(dead, struct tag, i);
+		struct pending *pending =
+			pending_find(cell, &tag->owner, tag->request);
 
-		if (waiting != NULL)
-			ask_remove(waiting);
+		if (pending != NULL)
+			pending_remove(pending);
 	}
 	g_array_free(dead, TRUE);
-	g_ptr_array_free(asks, TRUE);
+	g_ptr_array_free(list, TRUE);
 }
 
-void home_bury(struct cell *cell)
+void home_drop_dead(struct cell *cell)
 {
-	GPtrArray *grants = grants_of(cell);
+	GPtrArray *grants = cell_grants(cell);
 
-	bury_asks(cell);
+	drop_dead_pending(cell);
 	for (guint i = 0; i < grants->len; i++) {
 		struct grant *grant = g_ptr_array_index(grants, i);
 
@@ -206,8 +206,8 @@
 
 /* The former attempt has failed: its memory counts until the engine is known
  * to have ended it, while the request is asked for again. */
-static void former_end(struct grant *grant, bool holds_nothing,
-		       uint64_t avoid[2])
+static void previous_grant_end(struct grant *grant, bool previous_freed,
+			       uint64_t avoid[2])
 {
 	struct cell *cell = grant->cell;
 
@@ -221,24 +221,24 @@
 		grant->record = NULL;
 	}
 	grant_unhash(grant);
-	if (holds_nothing)
+	if (previous_freed)
 		grant_free(grant);
 	else
 		grant_close(grant, RECORD_REMOVED);
 }
 
-static void ask_take(struct cell *cell, const struct owner *owner,
-		     const struct ask *ask, struct service *service)
+static void home_accept(struct cell *cell, const struct owner *owner,
+			const struct ask *ask, struct service *service)
 {
 	struct grant *grant = grant_find(cell, owner, ask->request);
-	struct waiting *waiting = ask_find(cell, owner, ask->request);
+	struct pending *pending = pending_find(cell, owner, ask->request);
 	uint64_t avoid[2] = {0, 0};
 
-	if (waiting != NULL) {
-		if (!waiting->fresh)
+	if (pending != NULL) {
+		if (!pending->unsettled)
 			ack_add(cell->ledger, owner->instance,
 				owner->incarnation, ACK_QUEUED, ask->request,
-				waiting->holder.attempt);
+				pending->holder.attempt);
 		return;
 	}
 	if (grant != NULL && grant->state != GRANT_HELD)
@@ -249,21 +249,21 @@
 		return;
 	}
 	if (grant != NULL)
-		former_end(grant, ask->former_free, avoid);
-	waiting = ask_add(cell, owner, ask, service);
+		previous_grant_end(grant, ask->previous_freed, avoid);
+	pending = pending_add(cell, owner, ask, service);
 	if (ask->attempt == 0 && !ask->adopt)
-		arrival_count(cell, &waiting->need);
-	memcpy(waiting->avoid, avoid, sizeof(avoid));
-	waiting->avoid_until = clock_now(cell->ledger->clock) + AVOID_USEC;
+		arrival_count(cell, &pending->need);
+	memcpy(pending->avoid, avoid, sizeof(avoid));
+	pending->avoid_until = clock_now(cell->ledger->clock) + AVOID_USEC;
 	if (cell->settled) {
-		ask_resolve(waiting);
+		pending_resolve(pending);
 		return;
 	}
-	waiting->fresh = true;
-	g_ptr_array_add(cell->fresh, waiting);
+	pending->unsettled = true;
+	g_ptr_array_add(cell->unsettled, pending);
 }
 
-static bool announced(const struct cell *cell, const struct owner *owner)
+static bool has_announced(const struct cell *cell, const struct owner *owner)
 {
 	const struct announcer *announcer =
 		g_hash_table_lookup(cell->announcers, &owner->instance);
@@ -272,8 +272,8 @@
 	       announcer->incarnation == owner->incarnation;
 }
 
-void home_receive_ask(struct ledger *ledger, uint64_t from,
-		      uint64_t incarnation, struct reader *reader)
+void home_receive_submit(struct ledger *ledger, uint64_t from,
+			 uint64_t incarnation, struct reader *reader)
 {
 	struct owner owner = {.instance = from, .incarnation = incarnation};
 	const struct announcer *announcer;
@@ -288,15 +288,15 @@
 		return;
 	cell = service->cell;
 	announcer = g_hash_table_lookup(cell->announcers, &from);
-	if (!cell->is_home || !announced(cell, &owner) ||
+	if (!cell->is_home || !has_announced(cell, &owner) ||
 	    announcer->epoch != ask.epoch) {
 		announce_unknown_send(cell, from, incarnation, ask.epoch);
 		return;
 	}
-	ask_take(cell, &owner, &ask, service);
+	home_accept(cell, &owner, &ask, service);
 }
 
-static void observe_hold(struct cell *cell, const struct grant *grant)
+static void hold_observe(struct cell *cell, const struct grant *grant)
 {
 	double held =
 		(double)(clock_now(cell->ledger->clock) - grant->granted_at);
@@ -307,7 +307,7 @@
 	*mean = *mean <= 0 ? held : *mean + HOLD_WEIGHT * (held - *mean);
 }
 
-static uint32_t released_state(const struct grant *grant, uint32_t reason)
+static uint32_t state_after_release(const struct grant *grant, uint32_t reason)
 {
 	if (reason == RELEASE_DONE)
 		return RECORD_DONE;
@@ -318,7 +318,7 @@
 
 /* Whether the engine may hold a stream for it all the same: an adopted one ran
  * before its new holder knew of it. */
-static bool may_run(const struct grant *grant, uint32_t reason)
+static bool may_hold_stream(const struct grant *grant, uint32_t reason)
 {
 	if (grant->decode == RUNNER_NONE)
 		return false;
@@ -330,13 +330,13 @@
 static void grant_released(struct grant *grant, uint32_t reason)
 {
 	struct record *record = grant->record;
-	uint32_t state = released_state(grant, reason);
+	uint32_t state = state_after_release(grant, reason);
 
-	if (grant->state == GRANT_CLOSING && may_run(grant, reason))
+	if (grant->state == GRANT_CLOSING && may_hold_stream(grant, reason))
 		return;
 	if (reason == RELEASE_DONE)
-		observe_hold(grant->cell, grant);
-	if (may_run(grant, reason)) {
+		hold_observe(grant->cell, grant);
+	if (may_hold_stream(grant, reason)) {
 		grant_end(grant);
 		return;
 	}
@@ -380,7 +380,7 @@
 	for (guint i = 0; i < ledger->cells->len; i++) {
 		struct cell *cell = g_ptr_array_index(ledger->cells, i);
 
-		if (ask_find(cell, owner, request) != NULL)
+		if (pending_find(cell, owner, request) != NULL)
 			return cell;
 	}
 	return NULL;
@@ -398,15 +398,15 @@
 	uint64_t fingerprint = key != 0 ? read_u(reader) : 0;
 	uint32_t service = key != 0 ? (uint32_t)read_u(reader) : 0;
 	struct cell *cell = release_cell(ledger, id, &owner, request);
-	struct waiting *waiting;
+	struct pending *pending;
 	struct grant *grant;
 
 	if (reader->bad || cell == NULL || !cell->is_home)
 		return;
-	waiting = ask_find(cell, &owner, request);
+	pending = pending_find(cell, &owner, request);
 	grant = grant_find(cell, &owner, request);
-	if (waiting != NULL && waiting->holder.attempt <= attempt)
-		ask_remove(waiting);
+	if (pending != NULL && pending->holder.attempt <= attempt)
+		pending_remove(pending);
 	if (grant != NULL && grant->holder.attempt == attempt)
 		grant_released(grant, reason);
 	else if (grant != NULL && grant->holder.attempt < attempt)
@@ -432,13 +432,13 @@
 		return;
 	grant = grant_find(cell, &owner, request);
 	if (grant == NULL || grant->holder.attempt != attempt) {
-		if (announced(cell, &owner))
+		if (has_announced(cell, &owner))
 			home_revoke(ledger, &owner, request, attempt);
 		return;
 	}
 	prefill_ended(grant);
-	cell_wake(cell);
-	grant_learn_stream(grant, stream);
+	cell_schedule_scan(cell);
+	grant_set_stream(grant, stream);
 	ack_add(ledger, from, incarnation, ACK_PROGRESS, request, attempt);
 }
 
--- a/coord/ledger_item.c
+++ b/coord/ledger_item.c
@@ -7,7 +7,7 @@
 #define RESEND_SHIFT_MAX 5u
 /* A queued ask is told again from time to time, should the home have lost it
  * in a way that nobody noticed. */
-#define POLL_USEC (10 * USEC_PER_SEC)
+#define QUEUED_RESEND_USEC (10 * USEC_PER_SEC)
 /* How far past the deadline the home's own refusal is waited for. */
 #define DEADLINE_SLACK_USEC (200 * USEC_PER_MSEC)
 
@@ -25,7 +25,7 @@
 	return g_hash_table_lookup(ledger->items, &request);
 }
 
-bool holder_known(const struct cell *cell)
+bool announce_is_complete(const struct cell *cell)
 {
 	return cell->home != 0 && cell->announce.missing == 0 &&
 	       cell->announce.epoch > 0;
@@ -37,7 +37,7 @@
 		   RESEND_MAX_USEC);
 }
 
-static int64_t until_deadline(const struct item *item)
+static int64_t time_to_deadline(const struct item *item)
 {
 	int64_t now = clock_now(item->ledger->clock);
 
@@ -49,7 +49,7 @@
 void release_send(struct ledger *ledger, uint64_t cell, uint64_t to,
 		  const struct item *item)
 {
-	bool keyed = item->key != 0 && item->moved;
+	bool keyed = item->key != 0 && item->home_changed;
 	msgpack_packer *packer = message_begin(
 		ledger, MESSAGE_RELEASE, item->incarnation, keyed ? 7 : 4);
 
@@ -65,7 +65,7 @@
 	message_send(ledger, to);
 }
 
-static void send_progress(const struct item *item)
+static void progress_send(const struct item *item)
 {
 	struct ledger *ledger = item->ledger;
 	msgpack_packer *packer =
@@ -78,12 +78,12 @@
 	message_send(ledger, item->cell->home);
 }
 
-static void send_now(struct item *item)
+static void item_send_message(struct item *item)
 {
 	struct cell *cell = item->cell;
 
 	switch (item->state) {
-	case ITEM_ASKING:
+	case ITEM_SUBMITTED:
 	case ITEM_QUEUED:
 		ask_send(item->ledger, cell->home, cell->announce.epoch, item);
 		return;
@@ -92,7 +92,7 @@
 		return;
 	case ITEM_GRANTED:
 		if (item->progress_due)
-			send_progress(item);
+			progress_send(item);
 		return;
 	default:
 		return;
@@ -101,15 +101,17 @@
 
 void item_send(struct item *item)
 {
-	bool waits = item->state == ITEM_ASKING || item->state == ITEM_QUEUED;
-	int64_t delay = item->state == ITEM_QUEUED ? POLL_USEC : backoff(item);
+	bool waits =
+		item->state == ITEM_SUBMITTED || item->state == ITEM_QUEUED;
+	int64_t delay =
+		item->state == ITEM_QUEUED ? QUEUED_RESEND_USEC : backoff(item);
 
-	if (holder_known(item->cell)) {
-		send_now(item);
+	if (announce_is_complete(item->cell)) {
+		item_send_message(item);
 		item->tries++;
 	}
 	if (waits)
-		delay = MIN(delay, until_deadline(item));
+		delay = MIN(delay, time_to_deadline(item));
 	if (item->state == ITEM_GRANTED && !item->progress_due)
 		timer_stop(&item->timer);
 	else
@@ -152,7 +154,7 @@
 }
 
 /* No home has answered in time: nothing was granted, so nothing was run. */
-static void item_late(struct item *item)
+static void item_deadline_passed(struct item *item)
 {
 	struct ledger *ledger = item->ledger;
 	struct ledger_refusal refusal = {.request = item->request,
@@ -177,10 +179,10 @@
 	case ITEM_DUPLICATE:
 		item_remove(item);
 		return;
-	case ITEM_ASKING:
+	case ITEM_SUBMITTED:
 	case ITEM_QUEUED:
-		if (until_deadline(item) == 0)
-			item_late(item);
+		if (time_to_deadline(item) == 0)
+			item_deadline_passed(item);
 		else
 			item_send(item);
 		return;
@@ -200,17 +202,17 @@
 	item->key = request->key;
 	item->fingerprint = request->fingerprint;
 	item->idempotent = request->idempotent;
-	item->here = request->here;
+	item->no_redirect = request->no_redirect;
 	item->need = request->need;
 	item->need.block_count = MIN(item->need.block_count, PREFIX_BLOCKS_MAX);
 	item->need.attempt = 0;
-	item->state = ITEM_ASKING;
+	item->state = ITEM_SUBMITTED;
 	timer_init(&item->timer, ledger->clock, item_timer, item);
 	g_hash_table_insert(ledger->items, &item->request, item);
 	return item;
 }
 
-static void item_refuse(struct item *item, enum result_code code)
+static void item_refuse_later(struct item *item, enum result_code code)
 {
 	item->state = ITEM_REFUSED;
 	item->refusal = code;
@@ -229,13 +231,13 @@
 	}
 	item = item_create(ledger, request);
 	if (ledger->config == NULL || request->service == NULL) {
-		item_refuse(item, RESULT_NO_CONFIG);
+		item_refuse_later(item, RESULT_NO_CONFIG);
 		return;
 	}
 	item->service = (uint32_t)id_of(request->service);
 	service = service_find(ledger, item->service);
 	if (service == NULL) {
-		item_refuse(item, RESULT_NOT_FOUND);
+		item_refuse_later(item, RESULT_NOT_FOUND);
 		return;
 	}
 	item->cell = service->cell;
@@ -254,7 +256,7 @@
 	if (item == NULL)
 		return;
 	switch (item->state) {
-	case ITEM_ASKING:
+	case ITEM_SUBMITTED:
 	case ITEM_QUEUED:
 		item_end(item, RELEASE_WITHDRAWN);
 		return;
@@ -300,7 +302,7 @@
 }
 
 /* Whether the failed attempt surely holds no decode memory. */
-static bool holds_nothing(const struct item *item, enum result_code why)
+static bool attempt_holds_nothing(const struct item *item, enum result_code why)
 {
 	if (item->stage < STAGE_TRANSFER && item->stream[0] == '\0')
 		return true;
@@ -311,7 +313,7 @@
 		  uint32_t tokens_so_far)
 {
 	struct item *item = item_find(ledger, request);
-	uint32_t taken;
+	uint32_t generated;
 
 	if (item != NULL && item->state == ITEM_LOCAL) {
 		item->attempt++;
@@ -320,13 +322,13 @@
 	}
 	if (item == NULL || item->state != ITEM_GRANTED)
 		return;
-	taken = MIN(tokens_so_far, item->need.output_tokens_max);
-	item->former_free = holds_nothing(item, why);
-	item->need.prompt_tokens += taken;
-	item->need.output_tokens_max -= taken;
+	generated = MIN(tokens_so_far, item->need.output_tokens_max);
+	item->previous_freed = attempt_holds_nothing(item, why);
+	item->need.prompt_tokens += generated;
+	item->need.output_tokens_max -= generated;
 	item->attempt++;
 	item->need.attempt = item->attempt;
-	item->state = ITEM_ASKING;
+	item->state = ITEM_SUBMITTED;
 	item->adopt = false;
 	item->stage = STAGE_GRANTED;
 	item->stream[0] = '\0';
@@ -341,7 +343,7 @@
 
 	if (item == NULL || item->state != ITEM_DUPLICATE)
 		return;
-	item->state = ITEM_ASKING;
+	item->state = ITEM_SUBMITTED;
 	item->adopt = true;
 	item->tries = 0;
 	item_send(item);
@@ -349,9 +351,10 @@
 
 void item_queued(struct item *item, uint32_t attempt)
 {
-	if (item->state != ITEM_ASKING || (item->attempt & 63u) != attempt)
+	if (item->state != ITEM_SUBMITTED || (item->attempt & 63u) != attempt)
 		return;
 	item->state = ITEM_QUEUED;
 	item->tries = 0;
-	timer_start(&item->timer, MIN(POLL_USEC, until_deadline(item)));
+	timer_start(&item->timer,
+		    MIN(QUEUED_RESEND_USEC, time_to_deadline(item)));
 }
--- a/coord/ledger_level.c
+++ b/coord/ledger_level.c
@@ -11,27 +11,27 @@
 
 #define CHECK_USEC (100 * USEC_PER_MSEC)
 /* A role without a usable runner for so long makes the cell full. */
-#define UNMANNED_USEC (1 * USEC_PER_SEC)
+#define ROLE_MISSING_USEC (1 * USEC_PER_SEC)
 /* Urgent requests that are looked at for the one that has waited longest. */
-#define LOOK_MAX 64u
+#define WAIT_SCAN_MAX 64u
 
 /* A cell is busy until urgent requests have not waited for so long. */
 #define BUSY_USEC (2 * USEC_PER_SEC)
 /* A wait that is over sooner is a burst, of which nothing is told. */
 #define BURST_USEC (500 * USEC_PER_MSEC)
 /* Until a new share shows in the queue, it is not raised again. */
-#define RAISE_USEC (2 * USEC_PER_SEC)
+#define SHARE_RAISE_USEC (2 * USEC_PER_SEC)
 /* The load that is aimed at: less, the more there is to catch up with. */
-#define LOAD_AIM 0.9
-#define LOAD_AIM_MIN 0.75
+#define LOAD_TARGET 0.9
+#define LOAD_TARGET_MIN 0.75
 #define CATCH_UP_USEC (8 * USEC_PER_SEC)
 /* Of what is urgent, some stays: it may be that it is not what makes it wait.
  */
 #define SHARE_MAX (CELL_LOAD_SHARES * 3 / 4)
 
 /* The share falls by one after such a calm. */
-#define CALM_USEC (5 * USEC_PER_SEC)
-#define CALM_PART 4 /* a wait below this part of the bound is calm */
+#define SHARE_LOWER_USEC (5 * USEC_PER_SEC)
+#define LOW_WAIT_DIVISOR 4 /* a wait below this part of the bound is calm */
 
 static bool role_usable(const struct cell *cell, enum pool_role role)
 {
@@ -45,17 +45,17 @@
 }
 
 /* Either way it must have been so for a while. */
-static bool unmanned(struct cell *cell, int64_t now)
+static bool role_missing(struct cell *cell, int64_t now)
 {
 	struct level *level = &cell->level;
 	bool usable = role_usable(cell, POOL_PREFILL) &&
 		      role_usable(cell, POOL_DECODE);
 
-	if (usable != level->unmanned)
-		level->manned_since = now;
-	else if (now - level->manned_since >= UNMANNED_USEC)
-		level->unmanned = !usable;
-	return level->unmanned;
+	if (usable != level->role_missing)
+		level->role_agreed_at = now;
+	else if (now - level->role_agreed_at >= ROLE_MISSING_USEC)
+		level->role_missing = !usable;
+	return level->role_missing;
 }
 
 /* A full queue stays so until a quarter of it is gone. */
@@ -66,13 +66,13 @@
 	for (guint i = 0; i < ledger->services->len; i++) {
 		const struct service *service =
 			g_ptr_array_index(ledger->services, i);
-		uint32_t most = service->config->queue_max;
+		uint32_t limit = service->config->queue_max;
 
-		if (service->cell != cell || most == 0)
+		if (service->cell != cell || limit == 0)
 			continue;
 		if (current == CELL_FULL)
-			most = MAX(most - most / 4, 1);
-		if (service->waiting >= most)
+			limit = MAX(limit - limit / 4, 1);
+		if (service->waiting >= limit)
 			return true;
 	}
 	return false;
@@ -84,27 +84,28 @@
 		g_sequence_get_begin_iter(cell->lanes[CLASS_URGENT]);
 	int64_t longest = 0;
 
-	for (guint i = 0; i < LOOK_MAX && !g_sequence_iter_is_end(iter); i++) {
-		const struct waiting *waiting = g_sequence_get(iter);
+	for (guint i = 0; i < WAIT_SCAN_MAX && !g_sequence_iter_is_end(iter);
+	     i++) {
+		const struct pending *pending = g_sequence_get(iter);
 
-		longest = MAX(longest, now - waiting->need.arrived);
+		longest = MAX(longest, now - pending->need.arrived);
 		iter = g_sequence_iter_next(iter);
 	}
 	return longest;
 }
 
 /* Keeps the waits of the last second, one a check. */
-static int64_t wait_note(struct level *level, int64_t wait)
+static int64_t wait_record(struct level *level, int64_t wait)
 {
-	int64_t before = level->history[level->at];
+	int64_t before = level->history[level->history_next];
 
-	level->history[level->at] = wait;
-	level->at = (level->at + 1) % LEVEL_WAITS;
+	level->history[level->history_next] = wait;
+	level->history_next = (level->history_next + 1) % LEVEL_HISTORY;
 	return before;
 }
 
 /* Of the data centres that requests leave for, the part that takes them now. */
-static double open_part(const struct cell *cell)
+static double free_fraction(const struct cell *cell)
 {
 	const struct ledger *ledger = cell->ledger;
 	const struct config *config = ledger->config;
@@ -113,11 +114,11 @@
 
 	for (size_t i = 0; i < config->data_centre_count; i++) {
 		const char *name = config->data_centres[i].name;
-		uint64_t there = cell_id_of_pools(cell->prefill_pool,
-						  cell->decode_pool, name);
+		uint64_t cell_there = cell_id_of_pools(cell->prefill_pool,
+						       cell->decode_pool, name);
 
 		if (strcmp(name, here) != 0 &&
-		    cell_load_get(ledger->membership, there) == CELL_FREE)
+		    cell_load_get(ledger->membership, cell_there) == CELL_FREE)
 			open++;
 	}
 	return config->data_centre_count > 1
@@ -132,14 +133,16 @@
 static uint32_t share_for(const struct cell *cell, uint32_t share, int64_t wait,
 			  int64_t before)
 {
-	double seconds = (double)LEVEL_WAITS * CHECK_USEC;
+	double seconds = (double)LEVEL_HISTORY * CHECK_USEC;
 	double load = 1 + MAX((double)(wait - before) / seconds, 0);
-	double aim = MAX(LOAD_AIM - (double)wait / CATCH_UP_USEC, LOAD_AIM_MIN);
-	double left = (double)share / CELL_LOAD_SHARES * open_part(cell);
-	double all = load / (1 - left);
-	double leaves = (1 - aim / all) * CELL_LOAD_SHARES + 0.5;
-
-	return CLAMP((uint32_t)leaves, share, SHARE_MAX);
+	double target = MAX(LOAD_TARGET - (double)wait / CATCH_UP_USEC,
+			    LOAD_TARGET_MIN);
+	double leaving = (double)share / CELL_LOAD_SHARES * free_fraction(cell);
+	double total_load = load / (1 - leaving);
+	double share_needed =
+		(1 - target / total_load) * CELL_LOAD_SHARES + 0.5;
+
+	return CLAMP((uint32_t)share_needed, share, SHARE_MAX);
 }
 
 static uint32_t share_raise(struct cell *cell, uint32_t share, int64_t wait,
@@ -147,9 +150,9 @@
 {
 	struct level *level = &cell->level;
 
-	if (now - level->raised < RAISE_USEC || wait < before)
+	if (now - level->raised_at < SHARE_RAISE_USEC || wait < before)
 		return share;
-	level->raised = now;
+	level->raised_at = now;
 	return share_for(cell, share, wait, before);
 }
 
@@ -157,9 +160,9 @@
 {
 	struct level *level = &cell->level;
 
-	if (share == 0 || now - level->calm_since < CALM_USEC)
+	if (share == 0 || now - level->low_wait_since < SHARE_LOWER_USEC)
 		return share;
-	level->calm_since = now;
+	level->low_wait_since = now;
 	return share - 1;
 }
 
@@ -168,44 +171,44 @@
 {
 	struct level *level = &cell->level;
 	int64_t wait = urgent_wait(cell, now);
-	int64_t before = wait_note(level, wait);
-	bool waits = wait >= CELL_LOAD_WAIT_USEC / CALM_PART;
+	int64_t before = wait_record(level, wait);
+	bool is_waiting = wait >= CELL_LOAD_WAIT_USEC / LOW_WAIT_DIVISOR;
 
-	if (waits != level->waits) {
-		level->waits = waits;
-		level->waits_since = now;
-		level->calm_since = now;
+	if (is_waiting != level->is_waiting) {
+		level->is_waiting = is_waiting;
+		level->waiting_changed_at = now;
+		level->low_wait_since = now;
 	}
-	if (!waits)
+	if (!is_waiting)
 		return share_lower(cell, share, now);
 	if (wait <= CELL_LOAD_WAIT_USEC ||
-	    now - level->waits_since < BURST_USEC)
+	    now - level->waiting_changed_at < BURST_USEC)
 		return share;
 	level->busy = true;
 	return share_raise(cell, share, wait, before, now);
 }
 
-static bool busy(struct level *level, int64_t now)
+static bool level_is_busy(struct level *level, int64_t now)
 {
-	if (!level->waits && now - level->waits_since >= BUSY_USEC)
+	if (!level->is_waiting && now - level->waiting_changed_at >= BUSY_USEC)
 		level->busy = false;
 	return level->busy;
 }
 
-static uint32_t share_said(const struct level *level)
+static uint32_t share_to_announce(const struct level *level)
 {
-	return level->unmanned ? CELL_LOAD_SHARES : level->share;
+	return level->role_missing ? CELL_LOAD_SHARES : level->share;
 }
 
-static void level_say(struct cell *cell, enum cell_level level, uint32_t share,
-		      int64_t now)
+static void level_announce(struct cell *cell, enum cell_level level,
+			   uint32_t share, int64_t now)
 {
 	static const char *const names[] = {[CELL_FREE] = "free",
 					    [CELL_BUSY] = "busy",
 					    [CELL_FULL] = "full"};
 	struct ledger *ledger = cell->ledger;
 
-	cell->level.said = now;
+	cell->level.announced_at = now;
 	cell_load_set(ledger->membership, cell->id, level, share,
 		      (uint64_t)clock_unix(ledger->clock));
 	log_event(LOG_INFO, "cell_level", LOG_X("cell", cell->id),
@@ -224,15 +227,15 @@
 	enum cell_level next;
 
 	level->share = share_next(cell, level->share, now);
-	next = busy(level, now) ? CELL_BUSY : CELL_FREE;
+	next = level_is_busy(level, now) ? CELL_BUSY : CELL_FREE;
 	if (queue_full(cell, current))
 		next = CELL_FULL;
-	if (unmanned(cell, now))
+	if (role_missing(cell, now))
 		next = CELL_FULL;
-	if (level->said + CELL_LOAD_HOLD_USEC > now)
+	if (level->announced_at + CELL_LOAD_HOLD_USEC > now)
 		return;
-	if (next != current || share != share_said(level))
-		level_say(cell, next, share_said(level), now);
+	if (next != current || share != share_to_announce(level))
+		level_announce(cell, next, share_to_announce(level), now);
 }
 
 static void level_timer(struct timer *timer, void *ctx)
@@ -257,15 +260,15 @@
 	int64_t now = clock_now(cell->ledger->clock);
 	uint32_t share = cell_load_share(membership, cell->id);
 
-	level->unmanned = false;
+	level->role_missing = false;
 	level->share = share < CELL_LOAD_SHARES ? share : 0;
-	level->said = now;
-	level->manned_since = now;
-	level->waits = false;
+	level->announced_at = now;
+	level->role_agreed_at = now;
+	level->is_waiting = false;
 	level->busy = false;
-	level->waits_since = now;
-	level->calm_since = now;
-	level->raised = now;
+	level->waiting_changed_at = now;
+	level->low_wait_since = now;
+	level->raised_at = now;
 	memset(level->history, 0, sizeof(level->history));
 	timer_start(&level->timer, CHECK_USEC);
 }
@@ -280,7 +283,7 @@
 	for (guint i = 0; i < cell->view->len; i++) {
 		const struct runner *runner = runner_at(cell, i);
 
-		if (runner->known && !runner->list_leaving &&
+		if (runner->in_list && !runner->list_leaving &&
 		    runner_view(cell, i)->role == role)
 			return true;
 	}
--- a/coord/ledger_orphan.c
+++ b/coord/ledger_orphan.c
@@ -20,7 +20,7 @@
 			  .request = stream->request,
 			  .attempt = stream->attempt};
 
-	return grant_of_tag(cell, index, &tag);
+	return grant_find_by_tag(cell, index, &tag);
 }
 
 /* A copied record may know the request of a dead owner's stream though no grant
@@ -47,7 +47,7 @@
 		const struct record *record = value;
 
 		if (record->state != RECORD_RUNNING || record->grant != NULL ||
-		    record->waiting != NULL ||
+		    record->pending != NULL ||
 		    record->owner_request != stream->request ||
 		    !owner_equal(&record->owner, &stream->owner))
 			continue;
@@ -61,7 +61,7 @@
 	    grant_find(cell, &stream->owner, stream->request) != NULL)
 		return NULL;
 	grant = grant_from_entry(cell, &entry);
-	grant_learn_stream(grant, stream->stream);
+	grant_set_stream(grant, stream->stream);
 	grant_orphan(grant);
 	return grant;
 }
@@ -128,7 +128,7 @@
 	runner->stray_pieces = pieces;
 	runner_refresh(cell, index);
 	if (pieces < before)
-		cell_wake(cell);
+		cell_schedule_scan(cell);
 }
 
 static bool listed_among(const struct grant *grant,
@@ -158,13 +158,13 @@
 		if (grant->state != GRANT_CLOSING)
 			continue;
 		if (listed_among(grant, streams, count)) {
-			grant->listings = 0;
+			grant->absent_listings = 0;
 			continue;
 		}
-		if (++grant->listings < LISTINGS_MIN ||
+		if (++grant->absent_listings < LISTINGS_MIN ||
 		    now - grant->closing_since < grace)
 			continue;
-		grant_done_seen(grant);
+		grant_confirm_ended(grant);
 	}
 }
 
@@ -183,12 +183,12 @@
 		if (grant == NULL && cell->settled)
 			grant = grant_of_record(cell, index, &streams[i]);
 		if (grant != NULL)
-			grant_learn_stream(grant, streams[i].stream);
+			grant_set_stream(grant, streams[i].stream);
 		else
 			stray_seen(cell, index, &streams[i]);
 	}
 	if (!runner->listed)
-		cell_wake(cell);
+		cell_schedule_scan(cell);
 	runner->listed = true;
 	close_unlisted(cell, index, streams, count);
 	strays_sum(cell, index);
@@ -203,7 +203,7 @@
 		runner->stray_pieces -= stray->stream.pieces;
 		g_hash_table_remove(runner->strays, stream);
 		runner_refresh(cell, index);
-		cell_wake(cell);
+		cell_schedule_scan(cell);
 	}
 	for (guint i = 0; i < runner->grants->len; i++) {
 		struct grant *grant = g_ptr_array_index(runner->grants, i);
@@ -211,7 +211,7 @@
 		if (grant->state != GRANT_CLOSING ||
 		    strcmp(grant->stream, stream) != 0)
 			continue;
-		grant_done_seen(grant);
+		grant_confirm_ended(grant);
 		return;
 	}
 }
--- a/coord/ledger_parts.h
+++ b/coord/ledger_parts.h
@@ -25,15 +25,15 @@
 uint64_t cell_id_of(struct ledger *ledger, const char *prefill_pool,
 		    const char *decode_pool);
 /* The cell's asks, struct waiting, in a list of the caller's own. */
-GPtrArray *cell_asks(const struct cell *cell);
+GPtrArray *cell_pending_requests(const struct cell *cell);
 /* Takes up or lays down the roles that membership now gives. */
-void cell_rehome(struct cell *cell);
+void cell_update_home(struct cell *cell);
 /* Ends the settling when all live members were heard. */
 void cell_settle_check(struct cell *cell);
 /* A member died. What it held is unknown if it never announced it here. */
 void cell_member_died(struct cell *cell, const struct member *member);
 /* Lets the queue be looked at in the next turn. */
-void cell_wake(struct cell *cell);
+void cell_schedule_scan(struct cell *cell);
 struct service *service_find(const struct ledger *ledger, uint32_t id);
 bool owner_alive(const struct ledger *ledger, const struct owner *owner);
 bool owner_equal(const struct owner *a, const struct owner *b);
@@ -56,7 +56,7 @@
 void runner_report(struct cell *cell, uint32_t index,
 		   const struct ledger_report *report);
 /* Reports from before now prove nothing any more. */
-void runners_doubt(struct cell *cell);
+void runners_invalidate_reports(struct cell *cell);
 /* Forgets what only the home knows. */
 void runners_reset(struct cell *cell);
 void runner_destroy(void *runner);
@@ -85,16 +85,16 @@
 void grant_end(struct grant *grant);
 /* What its record becomes when nobody knows how it ended. */
 uint32_t grant_unknown_state(const struct grant *grant);
-void grant_learn_stream(struct grant *grant, const char *stream);
-void grant_done_seen(struct grant *grant);
+void grant_set_stream(struct grant *grant, const char *stream);
+void grant_confirm_ended(struct grant *grant);
 void grant_rekey(struct grant *grant, const struct owner *owner,
 		 uint64_t request);
 void grant_unhash(struct grant *grant);
 void grant_to_entry(const struct grant *grant, struct grant_entry *entry);
 struct grant *grant_from_entry(struct cell *cell,
 			       const struct grant_entry *entry);
-struct grant *grant_of_tag(const struct cell *cell, uint32_t decode,
-			   const struct tag *tag);
+struct grant *grant_find_by_tag(const struct cell *cell, uint32_t decode,
+				const struct tag *tag);
 
 /* ledger.c: finds a runner that this is home to. */
 bool runner_lookup(const struct ledger *ledger, uint64_t runner,
@@ -118,28 +118,28 @@
 /* Looks again at the asks that waited for the record. */
 void record_unpark(struct record *record);
 /* Running records may have nobody behind them: looks for those for a while. */
-void records_doubt(struct cell *cell);
+void records_watch_unbacked(struct cell *cell);
 void record_merge(struct cell *cell, const struct record *copy);
 void records_clear(struct cell *cell);
 void records_init(struct cell *cell);
 
 /* ledger_queue.c: asks that wait at the home. */
-struct waiting *ask_find(const struct cell *cell, const struct owner *owner,
-			 uint64_t request);
-struct waiting *ask_add(struct cell *cell, const struct owner *owner,
-			const struct ask *ask, struct service *service);
+struct pending *pending_find(const struct cell *cell, const struct owner *owner,
+			     uint64_t request);
+struct pending *pending_add(struct cell *cell, const struct owner *owner,
+			    const struct ask *ask, struct service *service);
 /* Finds out what is known of its key, then queues or answers it. */
-void ask_resolve(struct waiting *waiting);
-void ask_refuse(struct waiting *waiting, enum result_code code,
-		int64_t retry_after);
+void pending_resolve(struct pending *pending);
+void pending_refuse(struct pending *pending, enum result_code code,
+		    int64_t retry_after);
 /* Loses its key's record to another and is resolved anew. */
-void ask_again(struct waiting *waiting);
+void pending_restart(struct pending *pending);
 /* Leaves queue, record and table. */
-void ask_remove(struct waiting *waiting);
+void pending_remove(struct pending *pending);
 /* As the last, but the record stays. */
-void ask_discard(struct waiting *waiting);
-void ask_grant(struct waiting *waiting, uint32_t prefill, uint32_t decode);
-void lane_rank(struct cell *cell, struct waiting *waiting, int64_t rank);
+void pending_discard(struct pending *pending);
+void pending_grant(struct pending *pending, uint32_t prefill, uint32_t decode);
+void lane_rank(struct cell *cell, struct pending *pending, int64_t rank);
 /* After ranks were set anew. */
 void lanes_sort(struct cell *cell);
 int64_t queue_time(const struct cell *cell, const struct policy_request *need);
@@ -160,9 +160,9 @@
 void home_stop(struct cell *cell);
 void home_settled(struct cell *cell);
 /* Drops what belongs to owners that are dead now. */
-void home_bury(struct cell *cell);
-void home_receive_ask(struct ledger *ledger, uint64_t from,
-		      uint64_t incarnation, struct reader *reader);
+void home_drop_dead(struct cell *cell);
+void home_receive_submit(struct ledger *ledger, uint64_t from,
+			 uint64_t incarnation, struct reader *reader);
 void home_receive_release(struct ledger *ledger, uint64_t from,
 			  uint64_t incarnation, struct reader *reader);
 void home_receive_progress(struct ledger *ledger, uint64_t from,
@@ -214,9 +214,9 @@
 void remote_reset(struct cell *cell);
 void remote_clear(struct cell *cell);
 /* The cell has a new record: the other data centres will be told. */
-void remote_tell(struct cell *cell, uint64_t key);
+void remote_announce(struct cell *cell, uint64_t key);
 /* Answers the ask when another data centre has its key; false when not. */
-bool remote_answer(struct waiting *waiting);
+bool remote_answer(struct pending *pending);
 void remote_receive(struct ledger *ledger, uint64_t from, uint64_t incarnation,
 		    struct reader *reader);
 
@@ -230,7 +230,7 @@
 /* The home has it in its queue. */
 void item_queued(struct item *item, uint32_t attempt);
 /* Whether the home knows all that this instance holds in the cell. */
-bool holder_known(const struct cell *cell);
+bool announce_is_complete(const struct cell *cell);
 void release_send(struct ledger *ledger, uint64_t cell, uint64_t to,
 		  const struct item *item);
 
--- a/coord/ledger_queue.c
+++ b/coord/ledger_queue.c
@@ -5,79 +5,79 @@
 #define RETRY_AFTER_MIN (1 * USEC_PER_SEC)
 #define RETRY_AFTER_MAX (600 * USEC_PER_SEC)
 
-struct waiting *ask_find(const struct cell *cell, const struct owner *owner,
-			 uint64_t request)
+struct pending *pending_find(const struct cell *cell, const struct owner *owner,
+			     uint64_t request)
 {
-	struct tag name = {.owner = *owner, .request = request};
+	struct tag tag = {.owner = *owner, .request = request};
 
-	return g_hash_table_lookup(cell->asks, &name);
+	return g_hash_table_lookup(cell->pending_requests, &tag);
 }
 
-struct waiting *ask_add(struct cell *cell, const struct owner *owner,
-			const struct ask *ask, struct service *service)
+struct pending *pending_add(struct cell *cell, const struct owner *owner,
+			    const struct ask *ask, struct service *service)
 {
-	struct waiting *waiting = g_new0(struct waiting, 1);
-
-	waiting->cell = cell;
-	waiting->service = service;
-	waiting->service_id = service->id;
-	waiting->holder.owner = *owner;
-	waiting->holder.request = ask->request;
-	waiting->holder.attempt = ask->attempt;
-	waiting->key = ask->key;
-	waiting->fingerprint = ask->fingerprint;
-	waiting->idempotent = ask->idempotent;
-	waiting->adopt = ask->adopt;
-	waiting->here = ask->here;
-	waiting->need = ask->need;
-	waiting->need.id = id_mix(owner->instance, ask->request);
-	g_hash_table_insert(cell->asks, &waiting->holder, waiting);
-	return waiting;
+	struct pending *pending = g_new0(struct pending, 1);
+
+	pending->cell = cell;
+	pending->service = service;
+	pending->service_id = service->id;
+	pending->holder.owner = *owner;
+	pending->holder.request = ask->request;
+	pending->holder.attempt = ask->attempt;
+	pending->key = ask->key;
+	pending->fingerprint = ask->fingerprint;
+	pending->idempotent = ask->idempotent;
+	pending->adopt = ask->adopt;
+	pending->no_redirect = ask->no_redirect;
+	pending->need = ask->need;
+	pending->need.id = id_mix(owner->instance, ask->request);
+	g_hash_table_insert(cell->pending_requests, &pending->holder, pending);
+	return pending;
 }
 
-static void lane_remove(struct waiting *waiting)
+static void lane_remove(struct pending *pending)
 {
-	struct cell *cell = waiting->cell;
+	struct cell *cell = pending->cell;
 
-	if (waiting->place == NULL)
+	if (pending->place == NULL)
 		return;
-	g_sequence_remove(waiting->place);
-	waiting->place = NULL;
-	if (waiting->service != NULL)
-		waiting->service->waiting--;
-	cell->waiting_pieces[waiting->need.class] -= waiting->need.pieces;
+	g_sequence_remove(pending->place);
+	pending->place = NULL;
+	if (pending->service != NULL)
+		pending->service->waiting--;
+	cell->waiting_pieces[pending->need.class] -= pending->need.pieces;
 }
 
-void ask_discard(struct waiting *waiting)
+void pending_discard(struct pending *pending)
 {
-	struct cell *cell = waiting->cell;
-
-	lane_remove(waiting);
-	if (waiting->fresh)
-		g_ptr_array_remove(cell->fresh, waiting);
-	if (waiting->parked != NULL)
-		g_queue_remove(&waiting->parked->parked, waiting);
-	if (waiting->record != NULL)
-		waiting->record->waiting = NULL;
-	g_hash_table_remove(cell->asks, &waiting->holder);
-	g_free(waiting);
+	struct cell *cell = pending->cell;
+
+	lane_remove(pending);
+	if (pending->unsettled)
+		g_ptr_array_remove(cell->unsettled, pending);
+	if (pending->parked != NULL)
+		g_queue_remove(&pending->parked->parked, pending);
+	if (pending->record != NULL)
+		pending->record->pending = NULL;
+	g_hash_table_remove(cell->pending_requests, &pending->holder);
+	g_free(pending);
 }
 
-void ask_remove(struct waiting *waiting)
+void pending_remove(struct pending *pending)
 {
-	struct record *record = waiting->record;
-	bool spent = waiting->holder.attempt > 0 && !waiting->idempotent;
+	struct record *record = pending->record;
+	bool spent = pending->holder.attempt > 0 && !pending->idempotent;
 
-	ask_discard(waiting);
+	pending_discard(pending);
 	if (record != NULL && record->grant == NULL)
 		record_end(record, spent ? RECORD_FAILED : RECORD_REMOVED);
 }
 
-void ask_refuse(struct waiting *waiting, enum result_code code,
-		int64_t retry_after)
+void pending_refuse(struct pending *pending, enum result_code code,
+		    int64_t retry_after)
 {
-	struct ledger *ledger = waiting->cell->ledger;
-	const struct tag *holder = &waiting->holder;
+	struct ledger *ledger = pending->cell->ledger;
+	const struct tag *holder = &pending->holder;
 	msgpack_packer *packer = message_begin(ledger, MESSAGE_REFUSE,
 					       holder->owner.incarnation, 4);
 
@@ -86,14 +86,14 @@
 	pack_u(packer, code);
 	pack_u(packer, (uint64_t)MAX(retry_after, 0) / USEC_PER_MSEC);
 	message_send(ledger, holder->owner.instance);
-	ask_remove(waiting);
+	pending_remove(pending);
 }
 
-static void ask_duplicate(struct waiting *waiting, const struct record *record,
-			  bool alive)
+static void pending_answer_duplicate(struct pending *pending,
+				     const struct record *record, bool alive)
 {
-	struct ledger *ledger = waiting->cell->ledger;
-	const struct tag *holder = &waiting->holder;
+	struct ledger *ledger = pending->cell->ledger;
+	const struct tag *holder = &pending->holder;
 	msgpack_packer *packer = message_begin(ledger, MESSAGE_DUPLICATE,
 					       holder->owner.incarnation, 12);
 
@@ -108,13 +108,13 @@
 	pack_owner(packer, &record->tag.owner);
 	pack_u(packer, record->tag.request);
 	message_send(ledger, holder->owner.instance);
-	ask_remove(waiting);
+	pending_remove(pending);
 }
 
 static int compare_rank(const void *a, const void *b, void *ctx)
 {
-	const struct waiting *x = a;
-	const struct waiting *y = b;
+	const struct pending *x = a;
+	const struct pending *y = b;
 
 	if (x->rank != y->rank)
 		return x->rank < y->rank ? -1 : 1;
@@ -129,15 +129,15 @@
 		g_sequence_sort(cell->lanes[class], compare_rank, NULL);
 }
 
-void lane_rank(struct cell *cell, struct waiting *waiting, int64_t rank)
+void lane_rank(struct cell *cell, struct pending *pending, int64_t rank)
 {
-	GSequence *lane = cell->lanes[waiting->need.class];
+	GSequence *lane = cell->lanes[pending->need.class];
 
-	waiting->rank = rank;
-	if (waiting->place != NULL)
-		g_sequence_sort_changed(waiting->place, compare_rank, NULL);
+	pending->rank = rank;
+	if (pending->place != NULL)
+		g_sequence_sort_changed(pending->place, compare_rank, NULL);
 	else
-		waiting->place = g_sequence_insert_sorted(lane, waiting,
+		pending->place = g_sequence_insert_sorted(lane, pending,
 							  compare_rank, NULL);
 }
 
@@ -182,67 +182,68 @@
 	return (uint32_t)MAX((tokens + piece - 1) / piece, 1);
 }
 
-static void ask_enqueue(struct waiting *waiting)
+static void pending_enqueue(struct pending *pending)
 {
-	struct cell *cell = waiting->cell;
+	struct cell *cell = pending->cell;
 	struct ledger *ledger = cell->ledger;
-	struct service *service = waiting->service;
-	struct policy_request *need = &waiting->need;
+	struct service *service = pending->service;
+	struct policy_request *need = &pending->need;
 	struct policy_view view;
 
 	if (service->plain) {
-		ask_grant(waiting, RUNNER_NONE, RUNNER_NONE);
+		pending_grant(pending, RUNNER_NONE, RUNNER_NONE);
 		return;
 	}
 	need->pieces = pieces_of(cell, need);
 	if (need->pieces > cell->decode->pieces) {
-		ask_refuse(waiting, RESULT_TOO_LARGE, 0);
+		pending_refuse(pending, RESULT_TOO_LARGE, 0);
 		return;
 	}
 	if (need->attempt == 0 && service->config->queue_max > 0 &&
 	    service->waiting >= service->config->queue_max) {
-		ask_refuse(waiting, RESULT_QUEUE_FULL, queue_time(cell, need));
+		pending_refuse(pending, RESULT_QUEUE_FULL,
+			       queue_time(cell, need));
 		return;
 	}
 	view_fill(cell, &view);
-	lane_rank(cell, waiting,
+	lane_rank(cell, pending,
 		  ledger->policy->rank(ledger->policy_state, &view, need));
 	service->waiting++;
 	cell->waiting_pieces[need->class] += need->pieces;
-	ack_add(ledger, waiting->holder.owner.instance,
-		waiting->holder.owner.incarnation, ACK_QUEUED,
-		waiting->holder.request, waiting->holder.attempt);
-	cell_wake(cell);
+	ack_add(ledger, pending->holder.owner.instance,
+		pending->holder.owner.incarnation, ACK_QUEUED,
+		pending->holder.request, pending->holder.attempt);
+	cell_schedule_scan(cell);
 }
 
-static void ask_own(struct waiting *waiting, struct record *record)
+static void pending_claim_record(struct pending *pending, struct record *record)
 {
-	waiting->record = record;
-	record->waiting = waiting;
-	record->fingerprint = waiting->fingerprint;
-	record->service = waiting->service->id;
-	record->idempotent = waiting->idempotent;
-	record_owned(record, &waiting->holder.owner, waiting->holder.request);
-	ask_enqueue(waiting);
+	pending->record = record;
+	record->pending = pending;
+	record->fingerprint = pending->fingerprint;
+	record->service = pending->service->id;
+	record->idempotent = pending->idempotent;
+	record_owned(record, &pending->holder.owner, pending->holder.request);
+	pending_enqueue(pending);
 }
 
-static void ask_park(struct waiting *waiting, struct record *record)
+static void pending_park(struct pending *pending, struct record *record)
 {
-	waiting->parked = record;
-	records_doubt(waiting->cell);
-	g_queue_push_tail(&record->parked, waiting);
-	ack_add(waiting->cell->ledger, waiting->holder.owner.instance,
-		waiting->holder.owner.incarnation, ACK_QUEUED,
-		waiting->holder.request, waiting->holder.attempt);
+	pending->parked = record;
+	records_watch_unbacked(pending->cell);
+	g_queue_push_tail(&record->parked, pending);
+	ack_add(pending->cell->ledger, pending->holder.owner.instance,
+		pending->holder.owner.incarnation, ACK_QUEUED,
+		pending->holder.request, pending->holder.attempt);
 }
 
 /* The new holder takes over the stream of the dead one. */
-static void ask_adopt(struct waiting *waiting, struct record *record)
+static void pending_adopt(struct pending *pending, struct record *record)
 {
 	struct grant *grant = record->grant;
-	struct tag holder = waiting->holder;
+	struct tag holder = pending->holder;
 
-	ask_discard(waiting);
+	pending_discard(pending);
 	grant_rekey(grant, &holder.owner, holder.request);
 	grant->state = GRANT_HELD;
 	grant->adopted = true;
@@ -255,100 +256,102 @@
 
 /* The owner is dead: its stream may be taken over once it is known; until its
  * work is known to have ended the ask waits. */
-static void ask_after_death(struct waiting *waiting, struct record *record)
+static void pending_resolve_orphan(struct pending *pending,
+				   struct record *record)
 {
 	const struct grant *grant = record->grant;
 
 	if (grant == NULL || grant->state != GRANT_ORPHAN ||
 	    grant->stream[0] == '\0')
-		ask_park(waiting, record);
-	else if (waiting->adopt)
-		ask_adopt(waiting, record);
+		pending_park(pending, record);
+	else if (pending->adopt)
+		pending_adopt(pending, record);
 	else
-		ask_duplicate(waiting, record, false);
+		pending_answer_duplicate(pending, record, false);
 }
 
-static void ask_new_key(struct waiting *waiting)
+static void pending_resolve_new_key(struct pending *pending)
 {
-	struct cell *cell = waiting->cell;
+	struct cell *cell = pending->cell;
 	struct record *record;
 
-	if (remote_answer(waiting))
+	if (remote_answer(pending))
 		return;
-	record = record_add(cell, waiting->key);
+	record = record_add(cell, pending->key);
 	if (record == NULL) {
-		ask_refuse(waiting, RESULT_QUEUE_FULL,
-			   queue_time(cell, &waiting->need));
+		pending_refuse(pending, RESULT_QUEUE_FULL,
+			       queue_time(cell, &pending->need));
 		return;
 	}
-	remote_tell(cell, waiting->key);
-	ask_own(waiting, record);
+	remote_announce(cell, pending->key);
+	pending_claim_record(pending, record);
 }
 
-void ask_resolve(struct waiting *waiting)
+void pending_resolve(struct pending *pending)
 {
-	struct cell *cell = waiting->cell;
+	struct cell *cell = pending->cell;
 	struct record *record;
 
-	if (waiting->key == 0) {
-		ask_enqueue(waiting);
+	if (pending->key == 0) {
+		pending_enqueue(pending);
 		return;
 	}
-	record = record_find(cell, waiting->key);
+	record = record_find(cell, pending->key);
 	if (record == NULL) {
-		ask_new_key(waiting);
+		pending_resolve_new_key(pending);
 		return;
 	}
-	if (record->fingerprint != waiting->fingerprint) {
-		ask_refuse(waiting, RESULT_KEY_REUSED, 0);
+	if (record->fingerprint != pending->fingerprint) {
+		pending_refuse(pending, RESULT_KEY_REUSED, 0);
 		return;
 	}
 	if (record->state != RECORD_RUNNING) {
-		ask_duplicate(waiting, record,
-			      owner_alive(cell->ledger, &record->owner));
+		pending_answer_duplicate(
+			pending, record,
+			owner_alive(cell->ledger, &record->owner));
 		return;
 	}
-	if (owner_equal(&record->owner, &waiting->holder.owner) &&
-	    record->owner_request == waiting->holder.request &&
+	if (owner_equal(&record->owner, &pending->holder.owner) &&
+	    record->owner_request == pending->holder.request &&
 	    record->grant == NULL) {
-		ask_own(waiting, record);
+		pending_claim_record(pending, record);
 		return;
 	}
 	if (record->grant != NULL && record->grant->state == GRANT_CLOSING)
-		ask_park(waiting, record);
+		pending_park(pending, record);
 	else if (owner_alive(cell->ledger, &record->owner))
-		ask_duplicate(waiting, record, true);
+		pending_answer_duplicate(pending, record, true);
 	else
-		ask_after_death(waiting, record);
+		pending_resolve_orphan(pending, record);
 }
 
-void ask_again(struct waiting *waiting)
+void pending_restart(struct pending *pending)
 {
-	lane_remove(waiting);
-	if (waiting->record != NULL)
-		waiting->record->waiting = NULL;
-	waiting->record = NULL;
-	if (!waiting->fresh)
-		ask_resolve(waiting);
+	lane_remove(pending);
+	if (pending->record != NULL)
+		pending->record->pending = NULL;
+	pending->record = NULL;
+	if (!pending->unsettled)
+		pending_resolve(pending);
 }
 
-void ask_grant(struct waiting *waiting, uint32_t prefill, uint32_t decode)
+void pending_grant(struct pending *pending, uint32_t prefill, uint32_t decode)
 {
-	struct cell *cell = waiting->cell;
-	struct record *record = waiting->record;
+	struct cell *cell = pending->cell;
+	struct record *record = pending->record;
 	struct grant *grant =
-		grant_create(cell, &waiting->holder.owner,
-			     waiting->holder.request, waiting->holder.attempt);
+		grant_create(cell, &pending->holder.owner,
+			     pending->holder.request, pending->holder.attempt);
 
 	grant_hash(grant);
-	grant->key = waiting->key;
-	grant->fingerprint = waiting->fingerprint;
-	grant->service = waiting->service->id;
-	grant->idempotent = waiting->idempotent;
-	grant->class = waiting->need.class;
-	grant_place(grant, prefill, decode, waiting->need.pieces);
+	grant->key = pending->key;
+	grant->fingerprint = pending->fingerprint;
+	grant->service = pending->service->id;
+	grant->idempotent = pending->idempotent;
+	grant->class = pending->need.class;
+	grant_place(grant, prefill, decode, pending->need.pieces);
 	grant->record = record;
-	ask_discard(waiting);
+	pending_discard(pending);
 	if (record != NULL) {
 		record->grant = grant;
 		record->attempt = grant->holder.attempt;
--- a/coord/ledger_record.c
+++ b/coord/ledger_record.c
@@ -92,12 +92,12 @@
 void record_unpark(struct record *record)
 {
 	GQueue parked = record->parked;
-	struct waiting *waiting;
+	struct pending *pending;
 
 	g_queue_init(&record->parked);
-	while ((waiting = g_queue_pop_head(&parked)) != NULL) {
-		waiting->parked = NULL;
-		ask_resolve(waiting);
+	while ((pending = g_queue_pop_head(&parked)) != NULL) {
+		pending->parked = NULL;
+		pending_resolve(pending);
 	}
 }
 
@@ -106,18 +106,18 @@
 	struct cell *cell = record->cell;
 	uint64_t key = record->key;
 	GQueue parked = record->parked;
-	struct waiting *waiting;
+	struct pending *pending;
 
 	g_queue_init(&record->parked);
 	if (record->grant != NULL)
 		record->grant->record = NULL;
-	if (record->waiting != NULL)
-		record->waiting->record = NULL;
+	if (record->pending != NULL)
+		record->pending->record = NULL;
 	record_touch(record);
 	g_hash_table_remove(cell->records, &key);
-	while ((waiting = g_queue_pop_head(&parked)) != NULL) {
-		waiting->parked = NULL;
-		ask_resolve(waiting);
+	while ((pending = g_queue_pop_head(&parked)) != NULL) {
+		pending->parked = NULL;
+		pending_resolve(pending);
 	}
 }
 
@@ -158,17 +158,17 @@
 static bool unbacked(const struct record *record, int64_t now)
 {
 	return record->state == RECORD_RUNNING && record->grant == NULL &&
-	       record->waiting == NULL && record->cell->is_home &&
+	       record->pending == NULL && record->cell->is_home &&
 	       record->cell->settled && now >= record->confirm_by;
 }
 
-void records_doubt(struct cell *cell)
+void records_watch_unbacked(struct cell *cell)
 {
 	const struct ledger *ledger = cell->ledger;
 
-	cell->doubt_until = clock_now(ledger->clock) + DOUBT_USEC +
-			    ledger->settings.settle +
-			    ledger->settings.orphan_grace;
+	cell->watch_unbacked_until = clock_now(ledger->clock) + DOUBT_USEC +
+				     ledger->settings.settle +
+				     ledger->settings.orphan_grace;
 	if (!timer_running(&cell->expiry))
 		timer_start(&cell->expiry, EXPIRY_USEC);
 }
@@ -206,7 +206,7 @@
 	while ((record = g_queue_peek_head(&cell->ended)) != NULL &&
 	       record->expires <= now)
 		record_remove(record);
-	if (now < cell->doubt_until)
+	if (now < cell->watch_unbacked_until)
 		give_up_unbacked(cell, now);
 	if (g_hash_table_size(cell->records) > 0)
 		timer_start(timer, EXPIRY_USEC);
@@ -238,7 +238,7 @@
 	}
 	if (cell->is_home && record != NULL &&
 	    (record->state != RECORD_RUNNING || record->grant != NULL ||
-	     record->waiting != NULL))
+	     record->pending != NULL))
 		return;
 	if (record == NULL)
 		record = record_add(cell, copy->key);
@@ -247,7 +247,7 @@
 	copy_fields(record, copy);
 	record_touch(record);
 	if (record->state == RECORD_RUNNING) {
-		records_doubt(cell);
+		records_watch_unbacked(cell);
 		return;
 	}
 	record->expires = copy->expires;
--- a/coord/ledger_remote.c
+++ b/coord/ledger_remote.c
@@ -30,9 +30,9 @@
 {
 	struct remote *remote = &cell->remote;
 
-	remote->due = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	remote->young = g_hash_table_new(NULL, NULL);
-	remote->old = g_hash_table_new(NULL, NULL);
+	remote->unannounced = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	remote->recent = g_hash_table_new(NULL, NULL);
+	remote->previous = g_hash_table_new(NULL, NULL);
 	timer_init(&remote->timer, cell->ledger->clock, batch_timer, cell);
 }
 
@@ -41,10 +41,10 @@
 	struct remote *remote = &cell->remote;
 
 	timer_stop(&remote->timer);
-	g_array_set_size(remote->due, 0);
-	g_hash_table_remove_all(remote->young);
-	g_hash_table_remove_all(remote->old);
-	remote->turned = clock_now(cell->ledger->clock);
+	g_array_set_size(remote->unannounced, 0);
+	g_hash_table_remove_all(remote->recent);
+	g_hash_table_remove_all(remote->previous);
+	remote->rotated_at = clock_now(cell->ledger->clock);
 }
 
 void remote_clear(struct cell *cell)
@@ -52,18 +52,18 @@
 	struct remote *remote = &cell->remote;
 
 	timer_stop(&remote->timer);
-	g_array_free(remote->due, TRUE);
-	g_hash_table_destroy(remote->young);
-	g_hash_table_destroy(remote->old);
+	g_array_free(remote->unannounced, TRUE);
+	g_hash_table_destroy(remote->recent);
+	g_hash_table_destroy(remote->previous);
 }
 
-void remote_tell(struct cell *cell, uint64_t key)
+void remote_announce(struct cell *cell, uint64_t key)
 {
 	struct remote *remote = &cell->remote;
 
 	if (cell->ledger->config->data_centre_count < 2)
 		return;
-	g_array_append_val(remote->due, key);
+	g_array_append_val(remote->unannounced, key);
 	if (!timer_running(&remote->timer))
 		timer_start(&remote->timer, BATCH_USEC);
 }
@@ -72,18 +72,18 @@
 static GByteArray *batch_take(struct cell *cell)
 {
 	struct remote *remote = &cell->remote;
-	guint count = MIN(remote->due->len, BATCH_MAX);
+	guint count = MIN(remote->unannounced->len, BATCH_MAX);
 	GByteArray *batch = g_byte_array_new();
 
 	for (guint i = 0; i < count; i++) {
-		uint64_t key = g_array_index(remote->due, uint64_t, i);
+		uint64_t key = g_array_index(remote->unannounced, uint64_t, i);
 		uint32_t part = GUINT32_TO_BE((uint32_t)(key >> 32));
 
 		if (record_find(cell, key) != NULL)
 			g_byte_array_append(batch, (const guint8 *)&part,
 					    SHORT_SIZE);
 	}
-	g_array_remove_range(remote->due, 0, count);
+	g_array_remove_range(remote->unannounced, 0, count);
 	return batch;
 }
 
@@ -121,7 +121,7 @@
 			batch_send(cell, name, batch);
 	}
 	g_byte_array_free(batch, TRUE);
-	if (cell->remote.due->len > 0)
+	if (cell->remote.unannounced->len > 0)
 		timer_start(timer, BATCH_USEC);
 }
 
@@ -129,18 +129,18 @@
 {
 	struct remote *remote = &cell->remote;
 	int64_t now = clock_now(cell->ledger->clock);
-	int64_t age = now - remote->turned;
-	GHashTable *young = remote->old;
+	int64_t age = now - remote->rotated_at;
+	GHashTable *recent = remote->previous;
 
 	if (age < GENERATION_USEC &&
-	    g_hash_table_size(remote->young) < GENERATION_MAX)
+	    g_hash_table_size(remote->recent) < GENERATION_MAX)
 		return;
 	if (age >= 2 * GENERATION_USEC)
-		g_hash_table_remove_all(remote->young);
-	g_hash_table_remove_all(young);
-	remote->old = remote->young;
-	remote->young = young;
-	remote->turned = now;
+		g_hash_table_remove_all(remote->recent);
+	g_hash_table_remove_all(recent);
+	remote->previous = remote->recent;
+	remote->recent = recent;
+	remote->rotated_at = now;
 }
 
 void remote_receive(struct ledger *ledger, uint64_t from, uint64_t incarnation,
@@ -161,7 +161,7 @@
 		memcpy(&part, data + at, SHORT_SIZE);
 		part = GUINT32_FROM_BE(part);
 		generation_turn(cell);
-		g_hash_table_insert(cell->remote.young, GUINT_TO_POINTER(part),
+		g_hash_table_insert(cell->remote.recent, GUINT_TO_POINTER(part),
 				    GSIZE_TO_POINTER(data_centre));
 	}
 }
@@ -172,9 +172,9 @@
 	void *found;
 
 	generation_turn(cell);
-	found = g_hash_table_lookup(remote->young, short_of(key));
+	found = g_hash_table_lookup(remote->recent, short_of(key));
 	if (found == NULL)
-		found = g_hash_table_lookup(remote->old, short_of(key));
+		found = g_hash_table_lookup(remote->previous, short_of(key));
 	return GPOINTER_TO_SIZE(found);
 }
 
@@ -196,17 +196,17 @@
 	return NULL;
 }
 
-bool remote_answer(struct waiting *waiting)
+bool remote_answer(struct pending *pending)
 {
-	struct ledger *ledger = waiting->cell->ledger;
-	const struct tag *holder = &waiting->holder;
+	struct ledger *ledger = pending->cell->ledger;
+	const struct tag *holder = &pending->holder;
 	msgpack_packer *packer;
 	const char *name;
 	uint64_t id;
 
-	if (waiting->here || waiting->adopt || holder->attempt > 0)
+	if (pending->no_redirect || pending->adopt || holder->attempt > 0)
 		return false;
-	id = remote_find(waiting->cell, waiting->key);
+	id = remote_find(pending->cell, pending->key);
 	name = id != 0 ? reachable_name(ledger, id) : NULL;
 	if (name == NULL)
 		return false;
@@ -216,6 +216,6 @@
 	pack_u(packer, holder->attempt);
 	pack_text(packer, name);
 	message_send(ledger, holder->owner.instance);
-	ask_remove(waiting);
+	pending_remove(pending);
 	return true;
 }
--- a/coord/ledger_roles.c
+++ b/coord/ledger_roles.c
@@ -26,7 +26,7 @@
 	return ceil(tokens / cell->decode->piece_tokens);
 }
 
-static void work_add(struct ledger_work *work, const struct cell *cell,
+static void work_add(struct ledger_demand *work, const struct cell *cell,
 		     const struct policy_request *need)
 {
 	work->requests++;
@@ -115,12 +115,12 @@
 		.arrived = cell->arrived,
 		.cached_tokens = cell->cached_tokens,
 	};
-	g_hash_table_iter_init(&iter, cell->asks);
+	g_hash_table_iter_init(&iter, cell->pending_requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct waiting *waiting = value;
+		const struct pending *pending = value;
 
-		if (waiting->place != NULL)
-			work_add(&out->waiting, cell, &waiting->need);
+		if (pending->place != NULL)
+			work_add(&out->waiting, cell, &pending->need);
 	}
 }
 
@@ -150,5 +150,5 @@
 	runner_at(cell, index)->withheld = withheld;
 	runner_refresh(cell, index);
 	if (!withheld)
-		cell_wake(cell);
+		cell_schedule_scan(cell);
 }
--- a/coord/ledger_runner.c
+++ b/coord/ledger_runner.c
@@ -28,7 +28,7 @@
 	struct runner *runner = data;
 
 	g_ptr_array_free(runner->grants, TRUE);
-	g_array_free(runner->given, TRUE);
+	g_array_free(runner->booked, TRUE);
 	g_hash_table_destroy(runner->strays);
 	g_free(runner->pool);
 	g_free(runner);
@@ -39,7 +39,7 @@
 	struct policy_runner *view = runner_view(cell, index);
 	const struct runner *runner = runner_at(cell, index);
 
-	view->usable = runner->known && runner->reachable &&
+	view->usable = runner->in_list && runner->reachable &&
 		       !runner->list_leaving && !runner->report_leaving &&
 		       !runner->withheld && view->reported_at > 0 &&
 		       (runner->listed || view->role != POOL_DECODE);
@@ -88,7 +88,7 @@
 
 	for (guint i = 0; i < cell->runners->len; i++) {
 		runner = runner_at(cell, i);
-		if (runner->known || runner->grants->len > 0)
+		if (runner->in_list || runner->grants->len > 0)
 			continue;
 		g_hash_table_remove(cell->by_id, &runner->id);
 		g_hash_table_remove_all(runner->strays);
@@ -101,12 +101,12 @@
 	}
 	runner = g_new0(struct runner, 1);
 	runner->grants = g_ptr_array_new();
-	runner->given = g_array_new(FALSE, FALSE, sizeof(struct given));
+	runner->booked = g_array_new(FALSE, FALSE, sizeof(struct booked));
 	runner->strays = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       stray_destroy);
 	g_ptr_array_add(cell->runners, runner);
 	g_array_append_val(cell->view, view);
-	g_array_set_size(cell->depth, cell->runners->len);
+	g_array_set_size(cell->prefix_depths, cell->runners->len);
 	return cell->runners->len - 1;
 }
 
@@ -117,7 +117,7 @@
 
 	runner->id = entry->id;
 	runner->pool = g_strdup(entry->pool);
-	runner->known = true;
+	runner->in_list = true;
 	runner->list_leaving = entry->leaving;
 	runner->report_leaving = false;
 	runner->withheld = false;
@@ -157,12 +157,12 @@
 		return true;
 	}
 	runner = runner_at(cell, index);
-	changed = !runner->known || runner->list_leaving != entry->leaving;
+	changed = !runner->in_list || runner->list_leaving != entry->leaving;
 	if (strcmp(runner->pool, entry->pool) != 0) {
 		runner_repool(cell, index, entry->pool);
 		changed = true;
 	}
-	runner->known = true;
+	runner->in_list = true;
 	runner->list_leaving = entry->leaving;
 	runner_refresh(cell, index);
 	return changed;
@@ -173,7 +173,7 @@
 {
 	struct runner *runner = runner_at(cell, index);
 
-	runner->known = false;
+	runner->in_list = false;
 	runner->reachable = false;
 	g_hash_table_remove_all(runner->strays);
 	runner->stray_pieces = 0;
@@ -182,7 +182,7 @@
 		struct grant *grant = g_ptr_array_index(runner->grants, i - 1);
 
 		if (grant->state != GRANT_HELD)
-			grant_done_seen(grant);
+			grant_confirm_ended(grant);
 	}
 }
 
@@ -199,7 +199,8 @@
 	for (guint i = 0; i < cell->runners->len; i++) {
 		struct runner *runner = runner_at(cell, i);
 
-		if (!runner->known || g_hash_table_contains(seen, &runner->id))
+		if (!runner->in_list ||
+		    g_hash_table_contains(seen, &runner->id))
 			continue;
 		runner_lost(cell, i);
 		changed = true;
@@ -283,7 +284,7 @@
 	runner_refresh(cell, index);
 }
 
-void runners_doubt(struct cell *cell)
+void runners_invalidate_reports(struct cell *cell)
 {
 	for (guint i = 0; i < cell->runners->len; i++) {
 		struct runner *runner = runner_at(cell, i);
--- a/coord/ledger_types.h
+++ b/coord/ledger_types.h
@@ -36,7 +36,7 @@
 };
 
 enum item_state {
-	ITEM_ASKING, /* not yet acknowledged */
+	ITEM_SUBMITTED, /* not yet acknowledged */
 	ITEM_QUEUED,
 	ITEM_GRANTED,
 	ITEM_ENDING, /* until the home has acknowledged */
@@ -59,10 +59,10 @@
 	uint32_t service;
 	bool idempotent;
 	bool adopt;
-	bool here;	   /* as in struct ledger_request */
-	bool moved;	   /* the home has changed since the ask */
-	bool former_free;  /* the former attempt holds no memory */
-	bool progress_due; /* the stream is not yet acknowledged */
+	bool no_redirect;    /* as in struct ledger_request */
+	bool home_changed;   /* the home has changed since the ask */
+	bool previous_freed; /* the former attempt holds no memory */
+	bool progress_due;   /* the stream is not yet acknowledged */
 	uint32_t attempt;
 	uint32_t tries;
 	uint32_t reason;
@@ -75,7 +75,7 @@
 	struct timer timer;
 };
 
-struct waiting {
+struct pending {
 	struct cell *cell;
 	uint32_t service_id;
 	struct service *service; /* NULL when the config has it no more */
@@ -84,10 +84,10 @@
 	uint64_t fingerprint;
 	bool idempotent;
 	bool adopt;
-	bool here;
+	bool no_redirect;
 	uint64_t avoid[2]; /* runners of the failed attempt, for a while */
 	int64_t avoid_until;
-	bool fresh; /* taken while the home was not settled */
+	bool unsettled; /* taken while the home was not settled */
 	struct record *parked;
 	struct record *record;
 	int64_t rank;
@@ -119,7 +119,7 @@
 	uint32_t decode;
 	uint32_t pieces;
 	uint32_t tries;
-	uint32_t listings; /* seen without it since it is closing */
+	uint32_t absent_listings; /* seen without it since it is closing */
 	int64_t granted_at;
 	int64_t expected_end;
 	uint64_t prefilling;  /* runner that computes its prompt, or 0 */
@@ -152,7 +152,7 @@
 	int64_t confirm_by;
 	GList *ended;
 	struct grant *grant;
-	struct waiting *waiting;
+	struct pending *pending;
 	GQueue parked; /* asks that wait for what becomes of the owner's work */
 };
 
@@ -167,7 +167,7 @@
 };
 
 /* A prompt that a prefill runner was given. */
-struct given {
+struct booked {
 	int64_t at;
 	int64_t time; /* that it should take */
 };
@@ -176,7 +176,7 @@
 struct runner {
 	uint64_t id;
 	char *pool;
-	bool known; /* in the platform's list */
+	bool in_list; /* in the platform's list */
 	bool list_leaving;
 	bool report_leaving;
 	bool withheld; /* gets no new work, by ledger_withhold() */
@@ -190,7 +190,7 @@
 	uint32_t stray_pieces;
 	uint32_t prefilling;  /* prompts granted and not known as computed */
 	int64_t prefill_time; /* that these are expected to take */
-	GArray *given;	      /* struct given of late, oldest first */
+	GArray *booked;	      /* struct given of late, oldest first */
 	GPtrArray *grants;    /* of decode runners */
 	bool sorted;	      /* by when they are expected to end */
 	GHashTable *strays;   /* by stream */
@@ -227,32 +227,32 @@
 	uint32_t received;
 };
 
-#define LEVEL_WAITS 10u
+#define LEVEL_HISTORY 10u
 
 /* How busy the cell is, as its home measures it. */
 struct level {
 	struct timer timer;
-	uint32_t share;		      /* of urgent requests that should leave */
-	int64_t said;		      /* when the fact was set */
-	int64_t raised;		      /* when the share was */
-	bool waits;		      /* urgent requests do */
-	bool busy;		      /* they did until shortly before */
-	int64_t waits_since;	      /* that was so, or was otherwise */
-	int64_t calm_since;	      /* or since the share was lowered */
-	int64_t history[LEVEL_WAITS]; /* longest, at each check of a second */
-	uint32_t at;
-	bool unmanned;	      /* a role has no usable runner */
-	int64_t manned_since; /* that was so, or was otherwise */
+	uint32_t share;		    /* of urgent requests that should leave */
+	int64_t announced_at;	    /* when the fact was set */
+	int64_t raised_at;	    /* when the share was */
+	bool is_waiting;	    /* urgent requests do */
+	bool busy;		    /* they did until shortly before */
+	int64_t waiting_changed_at; /* that was so, or was otherwise */
+	int64_t low_wait_since;	    /* or since the share was lowered */
+	int64_t history[LEVEL_HISTORY]; /* longest, at each check of a second */
+	uint32_t history_next;
+	bool role_missing;	/* a role has no usable runner */
+	int64_t role_agreed_at; /* that was so, or was otherwise */
 };
 
 /* Keys told to and by the homes of the same pools in other data centres. */
 struct remote {
-	GArray *due; /* keys of new records that are yet to be told */
+	GArray *unannounced; /* keys of new records that are yet to be told */
 	struct timer timer;
 	/* Short key to id_of() of the data centre, in two generations. */
-	GHashTable *young;
-	GHashTable *old;
-	int64_t turned;
+	GHashTable *recent;
+	GHashTable *previous;
+	int64_t rotated_at;
 };
 
 struct cell {
@@ -274,14 +274,14 @@
 	struct timer settle;
 	int64_t settle_by;
 	GHashTable *announcers; /* by member */
-	GPtrArray *fresh;	/* asks taken while not settled */
+	GPtrArray *unsettled;	/* asks taken while not settled */
 	GSequence *lanes[CLASS_COUNT];
-	GHashTable *asks;   /* by tag: owner and request */
-	GHashTable *grants; /* by tag: owner and request */
+	GHashTable *pending_requests; /* by tag: owner and request */
+	GHashTable *grants;	      /* by tag: owner and request */
 	GPtrArray *orphans; /* GBytes to announce after this was the home */
 	uint64_t waiting_pieces[CLASS_COUNT];
 	double hold_usec[CLASS_COUNT]; /* mean of late; 0 unknown */
-	struct ledger_work arrived;    /* since this is the home */
+	struct ledger_demand arrived;  /* since this is the home */
 	GArray *grant_counts;	       /* by runner, as last counted */
 	double cached_tokens;	       /* of granted prompts, likewise */
 
@@ -289,12 +289,13 @@
 	GPtrArray *runners; /* struct runner */
 	GHashTable *by_id;  /* runner id to index plus one */
 	struct prefix *prefix;
-	GArray *depth;
-	const struct policy_request *depth_for;
+	GArray *prefix_depths;
+	const struct policy_request *prefix_depths_for;
 	struct timer scan;
 
 	GHashTable *records;
-	int64_t doubt_until; /* copied records may have nobody behind them */
+	int64_t watch_unbacked_until; /* copied records may have nobody behind
+					 them */
 	GQueue ended;
 	struct timer expiry;
 	struct replication replication;
--- a/coord/ledger_view.c
+++ b/coord/ledger_view.c
@@ -3,25 +3,25 @@
 /* How many requests a pass looks at, and how many of a class may wait before
  * the rest of the class is left for later. */
 #define SCAN_MAX 64u
-#define SCAN_WAITS 4u
+#define SCAN_WAITS_MAX 4u
 /* A pass that ended early goes on in the next turn. */
-#define SCAN_AGAIN_USEC 0
+#define SCAN_CONTINUE_USEC 0
 
 static uint32_t cached_blocks(void *ctx, uint32_t runner,
 			      const struct policy_request *request)
 {
 	struct cell *cell = ctx;
 
-	if (runner >= cell->depth->len)
+	if (runner >= cell->prefix_depths->len)
 		return 0;
-	if (cell->depth_for != request) {
+	if (cell->prefix_depths_for != request) {
 		prefix_match(cell->prefix, request->blocks,
 			     request->block_count,
-			     (uint32_t *)(void *)cell->depth->data,
-			     cell->depth->len);
-		cell->depth_for = request;
+			     (uint32_t *)(void *)cell->prefix_depths->data,
+			     cell->prefix_depths->len);
+		cell->prefix_depths_for = request;
 	}
-	return g_array_index(cell->depth, uint32_t, runner);
+	return g_array_index(cell->prefix_depths, uint32_t, runner);
 }
 
 static double output_tokens(void *ctx, enum request_class class)
@@ -32,7 +32,7 @@
 	       cell->decode->decode_tokens_per_s;
 }
 
-static int compare_end(const void *a, const void *b)
+static int compare_expected_end(const void *a, const void *b)
 {
 	const struct grant *x = *(struct grant *const *)a;
 	const struct grant *y = *(struct grant *const *)b;
@@ -52,7 +52,7 @@
 	if (used + pieces <= view->pieces)
 		return now;
 	if (!runner->sorted)
-		g_ptr_array_sort(runner->grants, compare_end);
+		g_ptr_array_sort(runner->grants, compare_expected_end);
 	runner->sorted = true;
 	for (guint i = 0; i < runner->grants->len; i++) {
 		const struct grant *grant =
@@ -99,8 +99,10 @@
 
 /* Books the work on prefill runner and links; returns when decode starts, and
  * how long the prefill takes. */
-static int64_t book_work(struct cell *cell, const struct policy_request *need,
-			 const struct placement *placement, int64_t *takes)
+static int64_t placement_book(struct cell *cell,
+			      const struct policy_request *need,
+			      const struct placement *placement,
+			      int64_t *prefill_time)
 {
 	struct policy_runner *p = runner_view(cell, placement->prefill);
 	struct policy_runner *d = runner_view(cell, placement->decode);
@@ -114,8 +116,8 @@
 	int64_t at;
 
 	cell->cached_tokens += need->prompt_tokens - tokens;
-	*takes = seconds(tokens / rate);
-	p->busy_until = MAX(p->busy_until, now) + *takes;
+	*prefill_time = seconds(tokens / rate);
+	p->busy_until = MAX(p->busy_until, now) + *prefill_time;
 	at = MAX(p->busy_until, MAX(p->link_until, d->link_until)) + transfer;
 	p->link_until = at;
 	d->link_until = at;
@@ -123,7 +125,7 @@
 	d->link_free = MAX(d->link_free, now) + transfer;
 	for (uint32_t i = 0; i < need->block_count; i++)
 		prefix_store(cell->prefix, placement->prefill, need->blocks[i]);
-	cell->depth_for = NULL;
+	cell->prefix_depths_for = NULL;
 	return at;
 }
 
@@ -156,20 +158,20 @@
 	       decode->granted_pieces + need->pieces <= decode->pieces;
 }
 
-static void start(struct cell *cell, struct waiting *waiting,
-		  const struct placement *placement)
+static void request_start(struct cell *cell, struct pending *pending,
+			  const struct placement *placement)
 {
-	const struct policy_request *need = &waiting->need;
-	struct tag holder = waiting->holder;
-	int64_t takes;
-	int64_t end = book_work(cell, need, placement, &takes) +
+	const struct policy_request *need = &pending->need;
+	struct tag holder = pending->holder;
+	int64_t prefill_time;
+	int64_t end = placement_book(cell, need, placement, &prefill_time) +
 		      decode_time(cell, need, placement->decode);
 	struct grant *grant;
 
-	ask_grant(waiting, placement->prefill, placement->decode);
+	pending_grant(pending, placement->prefill, placement->decode);
 	grant = grant_find(cell, &holder.owner, holder.request);
 	grant->expected_end = end;
-	prefill_book(grant, takes);
+	prefill_book(grant, prefill_time);
 	runner_at(cell, grant->decode)->sorted = false;
 }
 
@@ -189,7 +191,7 @@
 
 /* Runners that failed the former attempt are shown as not usable. */
 static enum verdict place_avoiding(struct cell *cell, struct policy_view *view,
-				   struct waiting *waiting,
+				   struct pending *pending,
 				   struct placement *placement)
 {
 	struct ledger *ledger = cell->ledger;
@@ -197,23 +199,23 @@
 	enum verdict verdict;
 
 	for (int i = 0; i < 2; i++) {
-		uint32_t index = runner_index(cell, waiting->avoid[i]);
+		uint32_t index = runner_index(cell, pending->avoid[i]);
 
 		if (index == RUNNER_NONE || !runner_view(cell, index)->usable ||
-		    view->now >= waiting->avoid_until ||
+		    view->now >= pending->avoid_until ||
 		    !other_usable(cell, index))
 			continue;
 		runner_view(cell, index)->usable = false;
 		hidden[i] = index;
 	}
 	verdict = ledger->policy->place(ledger->policy_state, view,
-					&waiting->need, placement);
+					&pending->need, placement);
 	for (int i = 0; i < 2; i++) {
 		if (hidden[i] == RUNNER_NONE)
 			continue;
 		runner_refresh(cell, hidden[i]);
 		placement->again_at =
-			MIN(placement->again_at, waiting->avoid_until);
+			MIN(placement->again_at, pending->avoid_until);
 	}
 	return verdict;
 }
@@ -222,31 +224,31 @@
 	struct cell *cell;
 	struct policy_view view;
 	GSequenceIter *at[CLASS_COUNT];
-	uint32_t waits[CLASS_COUNT];
+	uint32_t wait_counts[CLASS_COUNT];
 	int64_t again_at;
 };
 
-static struct waiting *lane_head(const struct pass *pass, int class)
+static struct pending *lane_head(const struct pass *pass, int class)
 {
 	if (g_sequence_iter_is_end(pass->at[class]) ||
-	    pass->waits[class] >= SCAN_WAITS)
+	    pass->wait_counts[class] >= SCAN_WAITS_MAX)
 		return NULL;
 	return g_sequence_get(pass->at[class]);
 }
 
 static int64_t rank_of(GSequenceIter *iter)
 {
-	const struct waiting *waiting = g_sequence_get(iter);
+	const struct pending *pending = g_sequence_get(iter);
 
-	return waiting->rank;
+	return pending->rank;
 }
 
 /* Ranks may rise while requests wait: a head whose rank has risen goes back to
  * its place, and the next one is looked at. */
-static struct waiting *fresh_head(struct pass *pass, int class)
+static struct pending *lane_head_reranked(struct pass *pass, int class)
 {
 	struct ledger *ledger = pass->cell->ledger;
-	struct waiting *head;
+	struct pending *head;
 
 	for (uint32_t i = 0; i < SCAN_MAX; i++) {
 		GSequenceIter *next;
@@ -272,12 +274,12 @@
 	return lane_head(pass, class);
 }
 
-static struct waiting *pass_next(struct pass *pass)
+static struct pending *pass_next(struct pass *pass)
 {
-	struct waiting *best = NULL;
+	struct pending *best = NULL;
 
 	for (int class = 0; class < CLASS_COUNT; class ++) {
-		struct waiting *head = fresh_head(pass, class);
+		struct pending *head = lane_head_reranked(pass, class);
 
 		if (head != NULL && (best == NULL || head->rank < best->rank))
 			best = head;
@@ -285,21 +287,21 @@
 	return best;
 }
 
-static void pass_wait(struct pass *pass, int class,
-		      const struct placement *placement)
+static void pass_count_wait(struct pass *pass, int class,
+			    const struct placement *placement)
 {
 	struct cell *cell = pass->cell;
 
-	pass->waits[class]++;
+	pass->wait_counts[class]++;
 	pass->again_at = MIN(pass->again_at, placement->again_at);
 	if (placement->hold < cell->view->len)
 		runner_view(cell, placement->hold)->held = true;
 }
 
-static void pass_one(struct pass *pass, struct waiting *waiting)
+static void pass_place(struct pass *pass, struct pending *pending)
 {
 	struct cell *cell = pass->cell;
-	int class = waiting->need.class;
+	int class = pending->need.class;
 	struct placement placement = {.prefill = RUNNER_NONE,
 				      .decode = RUNNER_NONE,
 				      .again_at = CLOCK_NEVER,
@@ -307,17 +309,17 @@
 				      .code = RESULT_QUEUE_FULL};
 	enum verdict verdict;
 
-	pass->at[class] = g_sequence_iter_next(waiting->place);
-	verdict = place_avoiding(cell, &pass->view, waiting, &placement);
+	pass->at[class] = g_sequence_iter_next(pending->place);
+	verdict = place_avoiding(cell, &pass->view, pending, &placement);
 	if (verdict == VERDICT_START &&
-	    placement_valid(cell, &waiting->need, &placement))
-		start(cell, waiting, &placement);
+	    placement_valid(cell, &pending->need, &placement))
+		request_start(cell, pending, &placement);
 	else if (verdict == VERDICT_REFUSE)
-		ask_refuse(waiting, placement.code,
-			   MAX(placement.retry_after,
-			       queue_time(cell, &waiting->need)));
+		pending_refuse(pending, placement.code,
+			       MAX(placement.retry_after,
+				   queue_time(cell, &pending->need)));
 	else
-		pass_wait(pass, class, &placement);
+		pass_count_wait(pass, class, &placement);
 }
 
 static void pass_end(struct pass *pass)
@@ -334,19 +336,19 @@
 void queue_scan(struct cell *cell)
 {
 	struct pass pass = {.cell = cell, .again_at = CLOCK_NEVER};
-	struct waiting *waiting;
+	struct pending *pending;
 	uint32_t seen = 0;
 
 	if (!cell->is_home || !cell->settled || cell->decode == NULL)
 		return;
 	timer_stop(&cell->scan);
-	cell->depth_for = NULL;
+	cell->prefix_depths_for = NULL;
 	view_fill(cell, &pass.view);
 	for (int class = 0; class < CLASS_COUNT; class ++)
 		pass.at[class] = g_sequence_get_begin_iter(cell->lanes[class]);
-	while (seen++ < SCAN_MAX && (waiting = pass_next(&pass)) != NULL)
-		pass_one(&pass, waiting);
+	while (seen++ < SCAN_MAX && (pending = pass_next(&pass)) != NULL)
+		pass_place(&pass, pending);
 	if (seen > SCAN_MAX)
-		pass.again_at = pass.view.now + SCAN_AGAIN_USEC;
+		pass.again_at = pass.view.now + SCAN_CONTINUE_USEC;
 	pass_end(&pass);
 }
--- a/entry/component_ledger.c
+++ b/entry/component_ledger.c
@@ -165,7 +165,7 @@
 		.duplicate = on_duplicate,
 		.revoked = on_revoked,
 		.cancel = on_cancel,
-		.homes = on_homes,
+		.homes_changed = on_homes,
 	};
 	struct entry *entry = ctx;
 	struct ledger_settings settings = {
--- a/entry/orders.c
+++ b/entry/orders.c
@@ -19,11 +19,11 @@
 
 /* What a cell's arrivals were at the last tick. */
 struct arrivals {
-	struct ledger_work total;
+	struct ledger_demand total;
 	double cached_tokens;
 	int64_t at;
-	struct ledger_work mean; /* a second */
-	double uncached;	 /* prompt tokens a second */
+	struct ledger_demand mean; /* a second */
+	double uncached;	   /* prompt tokens a second */
 };
 
 /* A call to a runner on behalf of coord/order.h. */
@@ -90,10 +90,10 @@
 			  const struct ledger_cell *cell, int64_t now,
 			  struct role_load *load)
 {
-	const struct ledger_work *total = &cell->arrived;
+	const struct ledger_demand *total = &cell->arrived;
 	double seconds = (double)(now - arrivals->at) / (double)USEC_PER_SEC;
 	bool first = arrivals->at == 0;
-	struct ledger_work last = arrivals->total;
+	struct ledger_demand last = arrivals->total;
 	double prompts, cached;
 
 	if (now == arrivals->at)
--- a/entry/request_start.c
+++ b/entry/request_start.c
@@ -29,7 +29,7 @@
 		.key = request->key,
 		.fingerprint = request->fingerprint,
 		.idempotent = request->idempotent,
-		.here = request->forwarded,
+		.no_redirect = request->forwarded,
 		.need =
 			{
 				.id = request->id,
--- a/include/coord/ledger.h
+++ b/include/coord/ledger.h
@@ -48,7 +48,7 @@
 	bool idempotent;
 	/* Came from another data centre, or could not be sent there: is not
 	 * answered by RECORD_ELSEWHERE. */
-	bool here;
+	bool no_redirect;
 	struct policy_request need; /* for models; pieces is filled in */
 };
 
@@ -138,7 +138,7 @@
 };
 
 /* Requests of a cell and what they ask for, answers by their mean length. */
-struct ledger_work {
+struct ledger_demand {
 	double requests;
 	double prompt_tokens;
 	double output_tokens;
@@ -155,9 +155,9 @@
 	const struct policy_runner *runners;
 	const uint32_t *grants; /* that name each runner, for either role */
 	uint32_t runner_count;
-	struct ledger_work waiting;
-	struct ledger_work arrived; /* since this is the home */
-	double cached_tokens;	    /* of granted prompts, not computed again */
+	struct ledger_demand waiting;
+	struct ledger_demand arrived; /* since this is the home */
+	double cached_tokens; /* of granted prompts, not computed again */
 };
 
 struct ledger_ops {
@@ -170,7 +170,7 @@
 	/* Home's side: end a stream on a runner, then ledger_cancelled(). */
 	void (*cancel)(void *ctx, uint64_t runner, const char *stream);
 	/* The runners that this instance is home to changed: which to poll. */
-	void (*homes)(void *ctx);
+	void (*homes_changed)(void *ctx);
 };
 
 struct ledger_settings {
--- a/tests/data_centres/calls.c
+++ b/tests/data_centres/calls.c
@@ -57,9 +57,9 @@
 	int number = g_rand_int_range(site->rand, 0, site->settings.each);
 
 	if (site->cut[from] || site->cut[centre] ||
-	    !site->instances[centre][number].up || job->here)
+	    !site->instances[centre][number].up || job->no_redirect)
 		return false;
-	job->here = true;
+	job->no_redirect = true;
 	job->centre = centre;
 	job->instance = number;
 	site_arrives(site, job, site_delay(site, from, centre));
@@ -77,7 +77,7 @@
 	uint32_t share;
 
 	ledger_level(at->ledger, site_service()->name, &share);
-	if (site->settings.stay || job->here ||
+	if (site->settings.stay || job->no_redirect ||
 	    (!refused && !cell_load_leaves(share, job->class, key)))
 		return false;
 	if (refused || share >= CELL_LOAD_SHARES)
@@ -112,7 +112,7 @@
 		job_finish(job, JOB_KNOWN);
 		return;
 	}
-	g_assert_false(job->here);
+	g_assert_false(job->no_redirect);
 	job->elsewhere = centre_of(duplicate->data_centre);
 	g_assert_cmpint(job->elsewhere, >=, 0);
 	g_assert_cmpint(job->elsewhere, !=, job->centre);
@@ -120,7 +120,7 @@
 		job->answers++;
 		job_finish(job, JOB_KNOWN);
 	} else if (!job_forward(job, job->elsewhere)) {
-		job->here = true;
+		job->no_redirect = true;
 		calls_ask(job);
 	}
 }
@@ -149,7 +149,7 @@
 	.duplicate = on_duplicate,
 	.revoked = on_revoked,
 	.cancel = on_cancel,
-	.homes = on_homes,
+	.homes_changed = on_homes,
 };
 
 void calls_ask(struct job *job)
@@ -161,7 +161,7 @@
 		.key = job->key,
 		.fingerprint = 1,
 		.idempotent = true,
-		.here = job->here,
+		.no_redirect = job->no_redirect,
 		.need = {.class = job->class,
 			 .arrived = job->asked_at,
 			 .deadline = CLOCK_NEVER,
--- a/tests/data_centres/site.h
+++ b/tests/data_centres/site.h
@@ -44,7 +44,7 @@
 	int first; /* data centre and instance that its caller reached */
 	int centre;
 	int instance;
-	bool here;
+	bool no_redirect;
 	bool follow;   /* goes where the answer says that the key is */
 	int elsewhere; /* the data centre named by the answer, or -1 */
 	uint32_t answers;
--- a/tests/data_centres/test_keys.c
+++ b/tests/data_centres/test_keys.c
@@ -32,7 +32,7 @@
 	const char *name;
 	int64_t after; /* when the retry comes */
 	enum between between;
-	bool here;
+	bool no_redirect;
 	bool elsewhere; /* what the retry is told; else it is granted */
 };
 
@@ -131,7 +131,7 @@
 	first = site_ask(site, 0, &spec);
 	between_do(row, first);
 	site_run(site, start + row->after - clock_now(site->clock));
-	spec.here = row->here;
+	spec.no_redirect = row->no_redirect;
 	retry = site_ask(site, 1, &spec);
 	site_run(site, 100 * MSEC);
 	g_assert_cmpuint(retry->answers, ==, 1);
--- a/tests/data_centres/test_level.c
+++ b/tests/data_centres/test_level.c
@@ -269,7 +269,7 @@
 		const struct job *job = g_ptr_array_index(site->jobs, i);
 
 		g_assert_cmpuint(job->answers, ==, 1);
-		moved += job->here;
+		moved += job->no_redirect;
 		if (job->class != CLASS_URGENT)
 			continue;
 		urgent[job->first]++;
--- a/tests/ledger/app.c
+++ b/tests/ledger/app.c
@@ -157,7 +157,7 @@
 	.duplicate = app_duplicate,
 	.revoked = app_revoked,
 	.cancel = app_cancels,
-	.homes = app_homes,
+	.homes_changed = app_homes,
 };
 
 static void ask_again(struct job *job, enum result_code why)
--- a/tests/requests/fakes.c
+++ b/tests/requests/fakes.c
@@ -298,7 +298,7 @@
 /* Ledger and claims. */
 void ledger_submit(struct ledger *ledger, const struct ledger_request *request)
 {
-	fakes_note(request->here ? "ask-here" : "ask");
+	fakes_note(request->no_redirect ? "ask-here" : "ask");
 	fakes.asked = request->request;
 	fakes.attempt = 0;
 }
