--- a/coord/ledger_cell.c
+++ b/coord/ledger_cell.c
@@ -4,7 +4,7 @@
 
 #include "coord/cell_load.h"
 
-/* A settling home asks those it has not heard of so many times. */
+/* Number of announcement requests to silent members in the settling time. */
 #define SETTLE_STEPS 8
 
 static void settle_timer(struct timer *timer, void *ctx);
@@ -160,7 +160,7 @@
 		timer_start(&cell->scan, 0);
 }
 
-/* The n-th member of this data centre that is not dead, its own included. */
+/* The next live member of this data centre, this instance included. */
 static const struct member *local_member_next(const struct ledger *ledger,
 					      uint32_t *cursor)
 {
@@ -187,7 +187,7 @@
 void cell_member_died(struct cell *cell, const struct member *member)
 {
 	if (cell->is_home && !has_announced(cell, member))
-		runners_invalidate_reports(cell);
+		runners_invalidate(cell);
 }
 
 void cell_settle_check(struct cell *cell)
@@ -233,7 +233,8 @@
 		settle_step(cell);
 }
 
-/* When all members are leaving, those that leave serve each other. */
+/* Home (rank 0) or replica (rank 1) when all members are leaving: then leaving
+ * members serve as well. */
 static uint64_t home_among_leaving(const struct ledger *ledger, uint64_t key,
 				   uint32_t rank)
 {
--- a/coord/ledger_config.c
+++ b/coord/ledger_config.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* A decode runner's memory has one ledger, so a decode pool is in one cell. */
+/* A decode runner's memory is accounted in one cell, so services that share a
+ * decode pool must share the prefill pool. */
 static bool decode_pools_unshared(const struct config *config,
 				  struct error *err)
 {
@@ -53,7 +54,7 @@
 	return g_string_free(key, FALSE);
 }
 
-/* A policy of other name or parameters replaces the one in force. */
+/* Replaces the policy in force if its name or parameters have changed. */
 static bool policy_replace(struct ledger *ledger, const struct config *config,
 			   struct error *err)
 {
@@ -123,8 +124,8 @@
 	g_ptr_array_add(ledger->services, service);
 }
 
-/* Waiting requests keep their place unless their service is gone or has other
- * pools; then their holders ask at the other cell. */
+/* Pending requests keep their place unless their service was removed or has
+ * other pools. In the latter case the holders resubmit to the other cell. */
 static void relink_pending(struct cell *cell)
 {
 	struct ledger *ledger = cell->ledger;
@@ -149,7 +150,7 @@
 	g_ptr_array_free(list, TRUE);
 }
 
-/* The policy in force ranks them anew. */
+/* Ranks all pending requests with the policy in force. */
 static void cell_rerank(struct cell *cell)
 {
 	struct ledger *ledger = cell->ledger;
--- a/coord/ledger_grant.c
+++ b/coord/ledger_grant.c
@@ -192,7 +192,7 @@
 	send_cancel(grant);
 }
 
-/* The engine is known to hold nothing for it any more. */
+/* The engine no longer holds memory for the grant. */
 void grant_confirm_ended(struct grant *grant)
 {
 	struct record *record = grant->record;
@@ -266,8 +266,8 @@
 	g_strlcpy(entry->stream, grant->stream, sizeof(entry->stream));
 }
 
-/* Its key's record becomes the grant's, unless another grant has it; an ask of
- * another holder that had it is looked at anew. */
+/* Links the key's record to the grant unless another grant has it. A pending
+ * request of another holder loses it and is resolved again. */
 static void grant_claim_record(struct grant *grant)
 {
 	struct pending *other;
@@ -307,7 +307,7 @@
 	return NULL;
 }
 
-/* A closing one is not found by its holder and leaves the record alone. */
+/* A closing grant is not hashed and does not claim the key's record. */
 struct grant *grant_from_entry(struct cell *cell,
 			       const struct grant_entry *entry)
 {
--- a/coord/ledger_handover.c
+++ b/coord/ledger_handover.c
@@ -5,7 +5,7 @@
 #define RESEND_USEC (60 * USEC_PER_MSEC)
 #define RESEND_MAX_USEC (1 * USEC_PER_SEC)
 #define RESEND_SHIFT_MAX 4u
-/* Chunks on their way at once. */
+/* Maximum number of unacknowledged chunks. */
 #define CHUNK_WINDOW 8u
 
 /* Builds the chunks of an announcement. */
@@ -123,7 +123,7 @@
 	message_send(ledger, cell->home);
 }
 
-/* Sends what was not acknowledged, so many chunks at a time. */
+/* Resends the unacknowledged chunks of the window. */
 static void announce_send(struct cell *cell)
 {
 	struct announce *announce = &cell->announce;
@@ -217,7 +217,8 @@
 			  epoch);
 }
 
-/* Epoch 0 asks whoever holds this instance for its home. */
+/* Epoch 0 requests an announcement from an instance that takes the sender for
+ * its home. */
 void announce_receive_unknown(struct ledger *ledger, uint64_t from,
 			      struct reader *reader)
 {
@@ -256,7 +257,7 @@
 	return announcer;
 }
 
-/* A grant that conflicts with a living holder of the same key is ended. */
+/* Ends the announced grant if another request has the record of its key. */
 static void import_grant(struct cell *cell, const struct grant_entry *entry)
 {
 	struct grant *grant = grant_find(cell, &entry->owner, entry->request);
@@ -297,7 +298,7 @@
 		grant_orphan(grant);
 }
 
-/* What is taken over from the chunks of one announcement. */
+/* State while the entries of one announcement are imported. */
 struct import {
 	struct cell *cell;
 	const struct owner *owner;
@@ -338,8 +339,8 @@
 		record_merge(import->cell, &copy);
 }
 
-/* What the member does not list it does not hold; what it asks for it asks
- * again. */
+/* The member does not hold grants that it did not list; it resubmits its
+ * pending requests. */
 static void drop_unlisted(struct cell *cell, const struct owner *owner,
 			  GHashTable *listed)
 {
@@ -425,7 +426,7 @@
 	cell_settle_check(cell);
 }
 
-/* NULL when the chunk is of an announcement that is past. */
+/* NULL if the chunk belongs to an outdated announcement. */
 static struct announcer *announcer_get(struct cell *cell,
 				       const struct owner *owner,
 				       uint32_t epoch, uint32_t total)
--- a/coord/ledger_home.c
+++ b/coord/ledger_home.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #define HOLD_WEIGHT 0.1
-/* How long the runners of a failed attempt are not tried again. */
+/* The next attempt avoids the runners of a failed one for this time. */
 #define AVOID_USEC (1 * USEC_PER_SEC)
 
 void home_start(struct cell *cell)
@@ -38,7 +38,7 @@
 	return list;
 }
 
-/* What has no living holder is told to the next home by this instance. */
+/* Saves orphaned and closing grants for the announcement to the next home. */
 static void orphan_save(struct cell *cell, const struct grant *grant)
 {
 	struct grant_entry entry;
@@ -81,8 +81,8 @@
 	log_event(LOG_INFO, "ledger_home_stopped", LOG_X("cell", cell->id));
 }
 
-/* A copied record of a dead owner whose stream is known stands for memory that
- * is still held. */
+/* A replicated record with a dead owner and a known stream stands for memory
+ * that is still reserved on the runner. */
 static void adopt_record(struct cell *cell, struct record *record)
 {
 	struct ledger *ledger = cell->ledger;
@@ -142,7 +142,7 @@
 
 	timer_stop(&cell->settle);
 	cell->settled = true;
-	records_watch_unbacked(cell);
+	records_check_abandoned(cell);
 	level_start(cell);
 	home_drop_dead(cell);
 	adopt_records(cell);
@@ -159,7 +159,7 @@
 	cell_schedule_scan(cell);
 }
 
-/* Removing an ask may answer or queue others: so they are found by name. */
+/* Removing a request may answer or queue others, so each is looked up again. */
 static void drop_dead_pending(struct cell *cell)
 {
 	GPtrArray *list = cell_pending_requests(cell);
@@ -204,8 +204,8 @@
 	message_send_pair(ledger, owner, MESSAGE_REVOKE, request, attempt);
 }
 
-/* The former attempt has failed: its memory counts until the engine is known
- * to have ended it, while the request is asked for again. */
+/* The previous attempt has failed. Its memory stays reserved until the engine
+ * confirms its end; the request continues with a new attempt. */
 static void previous_grant_end(struct grant *grant, bool previous_freed,
 			       uint64_t avoid[2])
 {
@@ -316,8 +316,8 @@
 	return RECORD_REMOVED;
 }
 
-/* Whether the engine may hold a stream for it all the same: an adopted one ran
- * before its new holder knew of it. */
+/* Whether the engine may still hold a stream after the release: an adopted
+ * stream ran before its new holder had the grant. */
 static bool may_hold_stream(const struct grant *grant, uint32_t reason)
 {
 	if (grant->decode == RUNNER_NONE)
@@ -345,8 +345,8 @@
 		record_end(record, state);
 }
 
-/* A release of a grant that this home never knew still tells how the key's
- * request ended. */
+/* A release of a grant unknown to this home still gives the outcome for the
+ * key's record. */
 static void record_released(struct cell *cell, const struct owner *owner,
 			    uint64_t request, uint32_t reason, uint64_t key,
 			    uint64_t fingerprint, uint32_t service)
@@ -371,7 +371,7 @@
 		   reason == RELEASE_DONE ? RECORD_DONE : RECORD_FAILED);
 }
 
-/* The cell named, or for 0 that which knows the request. */
+/* The cell with this id, or for 0 the cell where the request is pending. */
 static struct cell *release_cell(struct ledger *ledger, uint64_t id,
 				 const struct owner *owner, uint64_t request)
 {
@@ -410,7 +410,7 @@
 	if (grant != NULL && grant->holder.attempt == attempt)
 		grant_released(grant, reason);
 	else if (grant != NULL && grant->holder.attempt < attempt)
-		grant_end(grant); /* the ask for the next never came */
+		grant_end(grant); /* the next attempt was never received */
 	else if (grant == NULL && key != 0)
 		record_released(cell, &owner, request, reason, key, fingerprint,
 				service);
--- a/coord/ledger_item.c
+++ b/coord/ledger_item.c
@@ -5,10 +5,10 @@
 #define RESEND_USEC (100 * USEC_PER_MSEC)
 #define RESEND_MAX_USEC (2 * USEC_PER_SEC)
 #define RESEND_SHIFT_MAX 5u
-/* A queued ask is told again from time to time, should the home have lost it
- * in a way that nobody noticed. */
+/* Queued requests are resent at this interval in case the home has lost them
+ * undetected. */
 #define QUEUED_RESEND_USEC (10 * USEC_PER_SEC)
-/* How far past the deadline the home's own refusal is waited for. */
+/* Time past the deadline for the home's refusal to arrive. */
 #define DEADLINE_SLACK_USEC (200 * USEC_PER_MSEC)
 
 static void item_timer(struct timer *timer, void *ctx);
@@ -153,7 +153,7 @@
 	item_send(item);
 }
 
-/* No home has answered in time: nothing was granted, so nothing was run. */
+/* No grant arrived before the deadline, so the request was not run. */
 static void item_deadline_passed(struct item *item)
 {
 	struct ledger *ledger = item->ledger;
@@ -301,7 +301,7 @@
 		ledger_withdraw(ledger, request);
 }
 
-/* Whether the failed attempt surely holds no decode memory. */
+/* Whether the failed attempt certainly holds no decode memory. */
 static bool attempt_holds_nothing(const struct item *item, enum result_code why)
 {
 	if (item->stage < STAGE_TRANSFER && item->stream[0] == '\0')
--- a/coord/ledger_level.c
+++ b/coord/ledger_level.c
@@ -1,7 +1,7 @@
 /*
- * How busy a cell is. The home measures it and spreads it as a fact when it
- * changes. What it controls is the share of urgent requests that leave: as many
- * as bring the wait down, not all, or the free cells would be next to be busy.
+ * Load level of a cell. The home measures it and announces changes as a fact.
+ * It controls the share of urgent requests sent to other data centres: enough
+ * to bring the wait down, but not all, which would overload the free cells.
  */
 #include "ledger_parts.h"
 
@@ -10,28 +10,28 @@
 #include "coord/ledger_level.h"
 
 #define CHECK_USEC (100 * USEC_PER_MSEC)
-/* A role without a usable runner for so long makes the cell full. */
+/* A cell is full after this time without a usable runner of a role. */
 #define ROLE_MISSING_USEC (1 * USEC_PER_SEC)
-/* Urgent requests that are looked at for the one that has waited longest. */
+/* Number of urgent requests examined for the longest wait. */
 #define WAIT_SCAN_MAX 64u
 
-/* A cell is busy until urgent requests have not waited for so long. */
+/* A cell stays busy until no urgent request has waited for this time. */
 #define BUSY_USEC (2 * USEC_PER_SEC)
-/* A wait that is over sooner is a burst, of which nothing is told. */
+/* Shorter periods of waiting are bursts and are not announced. */
 #define BURST_USEC (500 * USEC_PER_MSEC)
-/* Until a new share shows in the queue, it is not raised again. */
+/* Minimum time between raises, so that the last one takes effect first. */
 #define SHARE_RAISE_USEC (2 * USEC_PER_SEC)
-/* The load that is aimed at: less, the more there is to catch up with. */
+/* Target load; it falls with the wait, down to the minimum, so that a backlog
+ * is worked off. */
 #define LOAD_TARGET 0.9
 #define LOAD_TARGET_MIN 0.75
 #define CATCH_UP_USEC (8 * USEC_PER_SEC)
-/* Of what is urgent, some stays: it may be that it is not what makes it wait.
- */
+/* Some urgent requests always stay: they may not be the cause of the wait. */
 #define SHARE_MAX (CELL_LOAD_SHARES * 3 / 4)
 
-/* The share falls by one after such a calm. */
+/* The share is lowered by one after this time of low waits. */
 #define SHARE_LOWER_USEC (5 * USEC_PER_SEC)
-#define LOW_WAIT_DIVISOR 4 /* a wait below this part of the bound is calm */
+#define LOW_WAIT_DIVISOR 4 /* a wait below 1/4 of the bound is low */
 
 static bool role_usable(const struct cell *cell, enum pool_role role)
 {
@@ -44,7 +44,7 @@
 	return false;
 }
 
-/* Either way it must have been so for a while. */
+/* Changes only after ROLE_MISSING_USEC of contrary checks. */
 static bool role_missing(struct cell *cell, int64_t now)
 {
 	struct level *level = &cell->level;
@@ -58,7 +58,7 @@
 	return level->role_missing;
 }
 
-/* A full queue stays so until a quarter of it is gone. */
+/* Hysteresis: a full queue counts as full until a quarter of it is free. */
 static bool queue_full(const struct cell *cell, enum cell_level current)
 {
 	const struct ledger *ledger = cell->ledger;
@@ -94,7 +94,7 @@
 	return longest;
 }
 
-/* Keeps the waits of the last second, one a check. */
+/* Stores the wait and returns the one measured a second before. */
 static int64_t wait_record(struct level *level, int64_t wait)
 {
 	int64_t before = level->history[level->history_next];
@@ -104,7 +104,7 @@
 	return before;
 }
 
-/* Of the data centres that requests leave for, the part that takes them now. */
+/* Fraction of the other data centres that accept requests now. */
 static double free_fraction(const struct cell *cell)
 {
 	const struct ledger *ledger = cell->ledger;
@@ -126,10 +126,10 @@
 		       : 0;
 }
 
-/* In a queue that is served in order, the wait of the oldest grows a second by
- * load - 1 seconds. From that follows the load if all stayed, and the share
- * that would bring it to the aim if the others took theirs: while they do not,
- * a larger one would only overrun them later. */
+/* In a FIFO queue the longest wait grows by (load - 1) seconds per second. This
+ * gives the load if all requests stayed, and the share that reaches the target
+ * if all other data centres accept their part. While some do not, a larger
+ * share would overload them later. */
 static uint32_t share_for(const struct cell *cell, uint32_t share, int64_t wait,
 			  int64_t before)
 {
@@ -166,7 +166,7 @@
 	return share - 1;
 }
 
-/* What the share should be by what urgent requests wait. */
+/* The new share, from the current waits of urgent requests. */
 static uint32_t share_next(struct cell *cell, uint32_t share, int64_t now)
 {
 	struct level *level = &cell->level;
@@ -215,8 +215,8 @@
 		  LOG_S("level", names[level]), LOG_D("share", share));
 }
 
-/* The fact itself says what was said last: another home may have set it, or it
- * was dropped for its age. */
+/* Compares with the fact itself, not with the last announcement: another home
+ * may have set it, or it may have expired. */
 static void level_check(struct cell *cell)
 {
 	struct level *level = &cell->level;
@@ -252,7 +252,7 @@
 	timer_init(&cell->level.timer, cell->ledger->clock, level_timer, cell);
 }
 
-/* A new home goes on from what the former one said. */
+/* A new home continues from the share that the previous one announced. */
 void level_start(struct cell *cell)
 {
 	const struct membership *membership = cell->ledger->membership;
--- a/coord/ledger_parts.h
+++ b/coord/ledger_parts.h
@@ -1,5 +1,5 @@
 /*
- * ledger_parts.h - what the ledger's files call of each other
+ * ledger_parts.h - functions shared by the ledger's files
  */
 #ifndef COORD_LEDGER_PARTS_H
 #define COORD_LEDGER_PARTS_H
@@ -9,7 +9,7 @@
 #include "ledger_prefix.h"
 #include "ledger_types.h"
 
-/* ledger_peer.c: acknowledgements, gathered for each peer for a short time. */
+/* ledger_peer.c: acknowledgements, batched per peer. */
 void ack_add(struct ledger *ledger, uint64_t peer, uint64_t incarnation,
 	     enum ack_kind kind, uint64_t request, uint32_t attempt);
 void acks_receive(struct ledger *ledger, uint64_t from, uint64_t incarnation,
@@ -17,22 +17,22 @@
 void peers_init(struct ledger *ledger);
 void peers_clear(struct ledger *ledger);
 
-/* ledger_cell.c: cells and who is home to them. */
+/* ledger_cell.c: cells, their homes and replicas. */
 struct cell *cell_create(struct ledger *ledger, uint64_t id,
 			 const char *prefill_pool, const char *decode_pool);
 void cell_destroy(struct cell *cell);
 struct cell *cell_find(const struct ledger *ledger, uint64_t id);
 uint64_t cell_id_of(struct ledger *ledger, const char *prefill_pool,
 		    const char *decode_pool);
-/* The cell's asks, struct waiting, in a list of the caller's own. */
+/* A new list of the cell's struct pending; the caller frees it. */
 GPtrArray *cell_pending_requests(const struct cell *cell);
-/* Takes up or lays down the roles that membership now gives. */
+/* Starts or stops being home or replica by the current membership. */
 void cell_update_home(struct cell *cell);
-/* Ends the settling when all live members were heard. */
+/* Ends the settling time once all live members have announced. */
 void cell_settle_check(struct cell *cell);
-/* A member died. What it held is unknown if it never announced it here. */
+/* A member died; its grants are unknown if it never announced them here. */
 void cell_member_died(struct cell *cell, const struct member *member);
-/* Lets the queue be looked at in the next turn. */
+/* Scans the queue in the next iteration of the event loop. */
 void cell_schedule_scan(struct cell *cell);
 struct service *service_find(const struct ledger *ledger, uint32_t id);
 bool owner_alive(const struct ledger *ledger, const struct owner *owner);
@@ -44,7 +44,7 @@
 struct policy_runner *runner_view(const struct cell *cell, uint32_t index);
 struct runner *runner_at(const struct cell *cell, uint32_t index);
 uint32_t runner_index(const struct cell *cell, uint64_t id);
-/* True when a runner came, went or changed. */
+/* True if a runner was added, removed or changed. */
 bool runners_set(struct cell *cell, const struct ledger_runner *list,
 		 size_t count);
 void runners_configure(struct cell *cell);
@@ -55,35 +55,34 @@
 void runner_refresh(struct cell *cell, uint32_t index);
 void runner_report(struct cell *cell, uint32_t index,
 		   const struct ledger_report *report);
-/* Reports from before now prove nothing any more. */
-void runners_invalidate_reports(struct cell *cell);
-/* Forgets what only the home knows. */
+/* Runners are usable again only after a new report and listing. */
+void runners_invalidate(struct cell *cell);
+/* Clears the state that only the home keeps. */
 void runners_reset(struct cell *cell);
 void runner_destroy(void *runner);
 
 /* ledger_grant.c */
-/* Adds one that grant_find() does not find. */
+/* Not found by grant_find() before grant_hash(). */
 struct grant *grant_create(struct cell *cell, const struct owner *owner,
 			   uint64_t request, uint32_t attempt);
-/* Lets grant_find() find it. */
 void grant_hash(struct grant *grant);
 struct grant *grant_find(const struct cell *cell, const struct owner *owner,
 			 uint64_t request);
-/* Counts the pieces on the decode runner. */
+/* Reserves the pieces on the decode runner. */
 void grant_place(struct grant *grant, uint32_t prefill, uint32_t decode,
 		 uint32_t pieces);
 void grant_free(struct grant *grant);
-/* Frees without a look at record or queue. */
+/* As grant_free(), but without a scan of the queue. */
 void grant_discard(struct grant *grant);
 void grant_send(struct grant *grant);
 /* The holder is dead: a retry may adopt the stream for a while. */
 void grant_orphan(struct grant *grant);
-/* Ends it on the engine; its memory counts as held until that is known.
- * record_state is what the key's record becomes then. */
+/* Cancels the stream on the engine. The memory stays reserved until the engine
+ * confirms the end; the key's record then gets record_state. */
 void grant_close(struct grant *grant, uint32_t record_state);
-/* Its holder is done with it, and the engine may not be. */
+/* Its holder has finished, but the engine may still run it. */
 void grant_end(struct grant *grant);
-/* What its record becomes when nobody knows how it ended. */
+/* State of the record when the outcome is unknown. */
 uint32_t grant_unknown_state(const struct grant *grant);
 void grant_set_stream(struct grant *grant, const char *stream);
 void grant_confirm_ended(struct grant *grant);
@@ -96,62 +95,63 @@
 struct grant *grant_find_by_tag(const struct cell *cell, uint32_t decode,
 				const struct tag *tag);
 
-/* ledger.c: finds a runner that this is home to. */
+/* ledger.c: finds a runner that this instance is home to. */
 bool runner_lookup(const struct ledger *ledger, uint64_t runner,
 		   struct cell **cell, uint32_t *index);
 
 /* ledger_roles.c */
 void arrival_count(struct cell *cell, const struct policy_request *need);
-/* The runner is in the cell's other pool now: what was learnt of it in the
- * former role holds no more. */
+/* The runner has moved to the cell's other pool: discards its measurements in
+ * the previous role. */
 void runner_repool(struct cell *cell, uint32_t index, const char *pool);
 
 /* ledger_record.c */
 struct record *record_find(const struct cell *cell, uint64_t key);
-/* NULL when the table is full of running ones. */
+/* NULL if the table is full and all records are of running requests. */
 struct record *record_add(struct cell *cell, uint64_t key);
 void record_end(struct record *record, uint32_t state);
 void record_remove(struct record *record);
 void record_touch(struct record *record);
 void record_owned(struct record *record, const struct owner *owner,
 		  uint64_t request);
-/* Looks again at the asks that waited for the record. */
+/* Resolves the pending requests that waited for the record. */
 void record_unpark(struct record *record);
-/* Running records may have nobody behind them: looks for those for a while. */
-void records_watch_unbacked(struct cell *cell);
+/* For a limited time, ends running records that have neither a grant nor a
+ * pending request. */
+void records_check_abandoned(struct cell *cell);
 void record_merge(struct cell *cell, const struct record *copy);
 void records_clear(struct cell *cell);
 void records_init(struct cell *cell);
 
-/* ledger_queue.c: asks that wait at the home. */
+/* ledger_queue.c: requests that wait at the home. */
 struct pending *pending_find(const struct cell *cell, const struct owner *owner,
 			     uint64_t request);
 struct pending *pending_add(struct cell *cell, const struct owner *owner,
 			    const struct ask *ask, struct service *service);
-/* Finds out what is known of its key, then queues or answers it. */
+/* Looks its key up, then queues or answers it. */
 void pending_resolve(struct pending *pending);
 void pending_refuse(struct pending *pending, enum result_code code,
 		    int64_t retry_after);
-/* Loses its key's record to another and is resolved anew. */
+/* Resolves it again after another request took its key's record. */
 void pending_restart(struct pending *pending);
-/* Leaves queue, record and table. */
+/* Removes it from queue and table, and ends its record. */
 void pending_remove(struct pending *pending);
-/* As the last, but the record stays. */
+/* As pending_remove(), but keeps the record. */
 void pending_discard(struct pending *pending);
 void pending_grant(struct pending *pending, uint32_t prefill, uint32_t decode);
 void lane_rank(struct cell *cell, struct pending *pending, int64_t rank);
-/* After ranks were set anew. */
+/* Restores the order after ranks have changed. */
 void lanes_sort(struct cell *cell);
 int64_t queue_time(const struct cell *cell, const struct policy_request *need);
 
 /* ledger_prefill.c: when a prefill runner is expected to be free. */
 void prefill_book(struct grant *grant, int64_t time);
-/* The prompt of a grant is known to be computed, or given up. */
+/* The grant's prompt has been computed or abandoned. */
 void prefill_ended(struct grant *grant);
 void prefill_forget(struct cell *cell, uint32_t index);
 void prefill_observe(struct cell *cell, uint32_t index, int64_t taken);
 
-/* ledger_view.c: the policy's view, and a pass over the queue. */
+/* ledger_view.c: the policy's view, and scans of the queue. */
 void queue_scan(struct cell *cell);
 void view_fill(struct cell *cell, struct policy_view *view);
 
@@ -159,7 +159,7 @@
 void home_start(struct cell *cell);
 void home_stop(struct cell *cell);
 void home_settled(struct cell *cell);
-/* Drops what belongs to owners that are dead now. */
+/* Drops pending requests of dead owners and orphans their grants. */
 void home_drop_dead(struct cell *cell);
 void home_receive_submit(struct ledger *ledger, uint64_t from,
 			 uint64_t incarnation, struct reader *reader);
@@ -192,30 +192,30 @@
 			   uint32_t epoch);
 void announcer_destroy(void *announcer);
 
-/* ledger_replica.c: copies of the records. */
+/* ledger_replica.c: replication of the records. */
 void replica_init(struct cell *cell);
 void replica_clear(struct cell *cell);
 void replica_touch(struct cell *cell, uint64_t key);
-/* The replica is another: it is sent all. */
+/* Sends all records, after a change of replica. */
 void replica_restart(struct cell *cell);
 void replica_receive(struct ledger *ledger, uint64_t from, uint64_t incarnation,
 		     struct reader *reader);
 void replica_receive_ack(struct ledger *ledger, uint64_t from,
 			 struct reader *reader);
 
-/* ledger_level.c: how busy the cell is, for other data centres. */
+/* ledger_level.c: the cell's load level, for other data centres. */
 void level_init(struct cell *cell);
 void level_start(struct cell *cell);
 void level_stop(struct cell *cell);
 
 /* ledger_remote.c: keys that other data centres know. */
 void remote_init(struct cell *cell);
-/* Forgets what was heard and what was yet to be told. */
+/* Clears received keys and keys not yet announced. */
 void remote_reset(struct cell *cell);
 void remote_clear(struct cell *cell);
-/* The cell has a new record: the other data centres will be told. */
+/* Announces a new record's key to the other data centres. */
 void remote_announce(struct cell *cell, uint64_t key);
-/* Answers the ask when another data centre has its key; false when not. */
+/* Answers the request and returns true if another data centre has its key. */
 bool remote_answer(struct pending *pending);
 void remote_receive(struct ledger *ledger, uint64_t from, uint64_t incarnation,
 		    struct reader *reader);
@@ -227,15 +227,15 @@
 void item_refused(struct item *item, enum result_code code,
 		  int64_t retry_after);
 void item_granted(struct item *item);
-/* The home has it in its queue. */
+/* The home has queued it. */
 void item_queued(struct item *item, uint32_t attempt);
-/* Whether the home knows all that this instance holds in the cell. */
+/* Whether the home has acknowledged this instance's announcement. */
 bool announce_is_complete(const struct cell *cell);
 void release_send(struct ledger *ledger, uint64_t cell, uint64_t to,
 		  const struct item *item);
 
-/* ledger_holder.c: what the homes answer. */
-/* The home knows this instance: sends what waited for that. */
+/* ledger_holder.c: answers of the homes. */
+/* The announcement is acknowledged: sends the messages that waited for it. */
 void holder_announced(struct cell *cell);
 void holder_receive_grant(struct ledger *ledger, uint64_t from,
 			  uint64_t incarnation, struct reader *reader);
@@ -249,9 +249,9 @@
 			   uint64_t incarnation, struct reader *reader);
 void holder_ack(struct ledger *ledger, uint64_t from, uint64_t incarnation,
 		enum ack_kind kind, uint64_t request, uint32_t attempt);
-/* A service may have other pools now: asks go to its cell. */
+/* Resubmits requests whose service has moved to another cell. */
 void holder_relink(struct ledger *ledger);
-/* The own incarnation was raised: what was granted before is lost. */
+/* This instance has a new incarnation: its earlier grants are lost. */
 void holder_reset(struct ledger *ledger);
 
 #endif
--- a/coord/ledger_prefill.c
+++ b/coord/ledger_prefill.c
@@ -6,16 +6,17 @@
 #define GIVEN_USEC (10 * USEC_PER_SEC)
 #define GIVEN_SLACK_USEC (5 * USEC_PER_MSEC)
 
-static void given_add(GArray *booked, int64_t now, int64_t time)
+static void given_add(GArray *assigned, int64_t now, int64_t time)
 {
-	struct booked entry = {.at = now, .time = time};
+	struct assigned entry = {.at = now, .time = time};
 	guint old = 0;
 
-	while (old < booked->len &&
-	       g_array_index(booked, struct booked, old).at < now - GIVEN_USEC)
+	while (old < assigned->len &&
+	       g_array_index(assigned, struct assigned, old).at <
+		       now - GIVEN_USEC)
 		old++;
-	g_array_remove_range(booked, 0, old);
-	g_array_append_val(booked, entry);
+	g_array_remove_range(assigned, 0, old);
+	g_array_append_val(assigned, entry);
 }
 
 void prefill_book(struct grant *grant, int64_t time)
@@ -26,7 +27,8 @@
 	grant->prefill_time = time;
 	runner->prefilling++;
 	runner->prefill_time += time;
-	given_add(runner->booked, clock_now(grant->cell->ledger->clock), time);
+	given_add(runner->assigned, clock_now(grant->cell->ledger->clock),
+		  time);
 }
 
 /* What is left cannot take longer than it would from now on: the prompt may
@@ -63,7 +65,7 @@
 	view->link_free = 0;
 	runner->prefilling = 0;
 	runner->prefill_time = 0;
-	g_array_set_size(runner->booked, 0);
+	g_array_set_size(runner->assigned, 0);
 }
 
 /* What was queued when the report was taken, and what was given since; that
@@ -81,12 +83,12 @@
 		 (int64_t)((double)view->reported_queue_tokens /
 			   view->prefill_tokens_per_s * (double)USEC_PER_SEC);
 	until = queued;
-	for (guint i = 0; i < runner->booked->len; i++) {
-		const struct booked *booked =
-			&g_array_index(runner->booked, struct booked, i);
+	for (guint i = 0; i < runner->assigned->len; i++) {
+		const struct assigned *assigned =
+			&g_array_index(runner->assigned, struct assigned, i);
 
-		if (booked->at > taken - GIVEN_SLACK_USEC)
-			until = MAX(until, booked->at) + booked->time;
+		if (assigned->at > taken - GIVEN_SLACK_USEC)
+			until = MAX(until, assigned->at) + assigned->time;
 	}
 	until = MIN(until, now + MAX(runner->prefill_time, 0));
 	view->busy_until = MAX(until, queued);
--- a/coord/ledger_queue.c
+++ b/coord/ledger_queue.c
@@ -141,7 +141,7 @@
 							  compare_rank, NULL);
 }
 
-/* Pieces that come free a second at the observed mean holding time. */
+/* Pieces freed per second at the mean observed hold time. */
 static double drain_rate(const struct cell *cell, enum request_class class)
 {
 	double pieces = 0;
@@ -230,14 +230,14 @@
 static void pending_park(struct pending *pending, struct record *record)
 {
 	pending->parked = record;
-	records_watch_unbacked(pending->cell);
+	records_check_abandoned(pending->cell);
 	g_queue_push_tail(&record->parked, pending);
 	ack_add(pending->cell->ledger, pending->holder.owner.instance,
 		pending->holder.owner.incarnation, ACK_QUEUED,
 		pending->holder.request, pending->holder.attempt);
 }
 
-/* The new holder takes over the stream of the dead one. */
+/* Transfers the dead holder's stream to the new holder. */
 static void pending_adopt(struct pending *pending, struct record *record)
 {
 	struct grant *grant = record->grant;
@@ -254,8 +254,8 @@
 	record_unpark(record);
 }
 
-/* The owner is dead: its stream may be taken over once it is known; until its
- * work is known to have ended the ask waits. */
+/* The owner is dead. Its stream can be adopted once it is known; until then,
+ * or until its end is confirmed, the request waits. */
 static void pending_resolve_orphan(struct pending *pending,
 				   struct record *record)
 {
--- a/coord/ledger_types.h
+++ b/coord/ledger_types.h
@@ -2,10 +2,10 @@
  * ledger_types.h - the tables of the ledger, shared by its files
  *
  * DESCRIPTION
- *	struct item is a request at its holder, struct waiting the same request
- *	in the queue of the home, struct grant what the home gave for it, struct
- *	record what is known of its key. A struct cell holds the home's tables
- *	and the holder's view of where the home is.
+ *	A request is a struct item at its holder and a struct pending at the
+ *	home while it waits. struct grant is its reservation, struct record the
+ *	state of its idempotency key. A struct cell has the home's tables, and
+ *	the identity of the home for the holder.
  */
 #ifndef COORD_LEDGER_TYPES_H
 #define COORD_LEDGER_TYPES_H
@@ -20,7 +20,7 @@
 #define LEDGER_CHUNK_MAX (16u << 10)
 #define LEDGER_CHUNKS_MAX 4096u
 
-/* Named by the tag that its runner lists: owner, request, attempt. */
+/* Identifies a stream in a runner's listing. */
 struct tag {
 	struct owner owner;
 	uint64_t request;
@@ -28,10 +28,10 @@
 };
 
 struct service {
-	uint32_t id; /* hash of the name, as sent */
+	uint32_t id; /* hash of the name, in messages */
 	const struct config_service *config;
 	struct cell *cell;
-	uint32_t waiting; /* in the queue of this home */
+	uint32_t waiting; /* queued at this home */
 	bool plain;
 };
 
@@ -39,10 +39,10 @@
 	ITEM_SUBMITTED, /* not yet acknowledged */
 	ITEM_QUEUED,
 	ITEM_GRANTED,
-	ITEM_ENDING, /* until the home has acknowledged */
+	ITEM_ENDING, /* until the home acknowledges the release */
 	ITEM_DUPLICATE,
-	ITEM_REFUSED, /* by the own instance, told in a later turn */
-	ITEM_LOCAL,   /* plain and without a key: needs no home */
+	ITEM_REFUSED, /* locally; the callback runs in a later iteration */
+	ITEM_LOCAL,   /* plain service without a key: needs no home */
 };
 
 /* Further reasons beside enum release_reason. */
@@ -53,15 +53,15 @@
 	struct cell *cell;
 	enum item_state state;
 	uint64_t request;
-	uint64_t incarnation; /* the own one when it was asked for */
+	uint64_t incarnation; /* of this instance at submission */
 	uint64_t key;
 	uint64_t fingerprint;
 	uint32_t service;
 	bool idempotent;
 	bool adopt;
 	bool no_redirect;    /* as in struct ledger_request */
-	bool home_changed;   /* the home has changed since the ask */
-	bool previous_freed; /* the former attempt holds no memory */
+	bool home_changed;   /* since submission */
+	bool previous_freed; /* the previous attempt holds no memory */
 	bool progress_due;   /* the stream is not yet acknowledged */
 	uint32_t attempt;
 	uint32_t tries;
@@ -75,23 +75,24 @@
 	struct timer timer;
 };
 
+/* A request that waits at the home. */
 struct pending {
 	struct cell *cell;
 	uint32_t service_id;
-	struct service *service; /* NULL when the config has it no more */
-	struct tag holder;	 /* who asks, its handle and attempt */
+	struct service *service; /* NULL if no longer in the config */
+	struct tag holder;	 /* owner, its identifier and attempt */
 	uint64_t key;
 	uint64_t fingerprint;
 	bool idempotent;
 	bool adopt;
 	bool no_redirect;
-	uint64_t avoid[2]; /* runners of the failed attempt, for a while */
+	uint64_t avoid[2]; /* runners of the failed attempt */
 	int64_t avoid_until;
-	bool unsettled; /* taken while the home was not settled */
-	struct record *parked;
-	struct record *record;
+	bool unsettled;	       /* received before the home settled */
+	struct record *parked; /* record whose outcome it waits for */
+	struct record *record; /* its own */
 	int64_t rank;
-	GSequenceIter *place; /* in its lane; NULL while fresh or parked */
+	GSequenceIter *place; /* in its lane; NULL if unsettled or parked */
 	struct policy_request need;
 };
 
@@ -110,22 +111,22 @@
 	uint64_t fingerprint;
 	uint32_t service;
 	bool idempotent;
-	bool hashed; /* found by owner and request */
+	bool hashed; /* in the cell's table */
 	bool acknowledged;
 	bool adopted;
-	bool revoked; /* its holder is told so until it has ended */
+	bool revoked; /* the holder is sent a revoke until it has ended */
 	enum request_class class;
 	uint32_t prefill; /* indexes into the cell's runners */
 	uint32_t decode;
 	uint32_t pieces;
 	uint32_t tries;
-	uint32_t absent_listings; /* seen without it since it is closing */
+	uint32_t absent_listings; /* while closing, without the stream */
 	int64_t granted_at;
 	int64_t expected_end;
 	uint64_t prefilling;  /* runner that computes its prompt, or 0 */
-	int64_t prefill_time; /* that this is expected to take */
+	int64_t prefill_time; /* expected */
 	int64_t closing_since;
-	uint32_t record_state; /* of the key when the grant is gone */
+	uint32_t record_state; /* set once the grant has ended */
 	char stream[LEDGER_STREAM_MAX];
 	struct record *record;
 	struct timer timer;
@@ -146,17 +147,17 @@
 	uint32_t pieces;
 	uint32_t service;
 	bool idempotent;
-	bool dirty; /* the replica has not been sent it */
+	bool dirty; /* not yet sent to the replica */
 	char stream[LEDGER_STREAM_MAX];
-	int64_t expires; /* of ended ones */
-	int64_t confirm_by;
-	GList *ended;
+	int64_t expires;    /* if ended */
+	int64_t confirm_by; /* a grant or pending request must exist by then */
+	GList *ended;	    /* link in the cell's list */
 	struct grant *grant;
 	struct pending *pending;
-	GQueue parked; /* asks that wait for what becomes of the owner's work */
+	GQueue parked; /* struct pending that wait for its outcome */
 };
 
-/* A stream that a runner lists and no grant is known for. */
+/* A stream in a runner's listing that belongs to no known grant. */
 struct stray {
 	struct cell *cell;
 	uint32_t runner;
@@ -166,37 +167,37 @@
 	struct timer timer;
 };
 
-/* A prompt that a prefill runner was given. */
-struct booked {
+/* A prompt granted to a prefill runner. */
+struct assigned {
 	int64_t at;
-	int64_t time; /* that it should take */
+	int64_t time; /* expected duration */
 };
 
-/* Beside the policy_runner of the same index. */
+/* Has the same index as its policy_runner. */
 struct runner {
 	uint64_t id;
 	char *pool;
-	bool in_list; /* in the platform's list */
+	bool in_list; /* of the platform */
 	bool list_leaving;
 	bool report_leaving;
-	bool withheld; /* gets no new work, by ledger_withhold() */
+	bool withheld; /* by ledger_withhold(): no new work */
 	bool reachable;
-	bool listed; /* its streams were listed since this is the home */
-	/* The next report and listing may be answers to a poll from before this
-	 * was the home anew. */
+	bool listed; /* since this instance became home */
+	/* Ignore the next one: it may answer a poll from before this instance
+	 * became home. */
 	bool skip_report;
 	bool skip_listing;
 	uint32_t granted;
 	uint32_t stray_pieces;
-	uint32_t prefilling;  /* prompts granted and not known as computed */
-	int64_t prefill_time; /* that these are expected to take */
-	GArray *booked;	      /* struct given of late, oldest first */
+	uint32_t prefilling;  /* granted prompts not known to be computed */
+	int64_t prefill_time; /* expected, of these prompts */
+	GArray *assigned;     /* recent struct booked, oldest first */
 	GPtrArray *grants;    /* of decode runners */
-	bool sorted;	      /* by when they are expected to end */
+	bool sorted;	      /* grants, by expected end */
 	GHashTable *strays;   /* by stream */
 };
 
-/* What a member has announced to this home. */
+/* A member's announcement at the home. */
 struct announcer {
 	uint64_t incarnation;
 	uint32_t epoch;
@@ -206,12 +207,12 @@
 	bool complete;
 };
 
-/* An announcement on its way to the home. */
+/* This instance's announcement to the home. */
 struct announce {
 	uint32_t epoch;
 	GPtrArray *chunks; /* GBytes; NULL when acknowledged */
 	uint32_t missing;
-	uint32_t sent; /* so many chunks were sent, from the first on */
+	uint32_t sent; /* number of chunks sent, in order */
 	uint32_t tries;
 	struct timer timer;
 };
@@ -219,7 +220,7 @@
 struct replication {
 	uint32_t sequence;
 	GBytes *sent;  /* until acknowledged */
-	GArray *dirty; /* keys */
+	GArray *dirty; /* keys of records to send */
 	uint32_t tries;
 	struct timer timer;
 	/* The receiving side. */
@@ -229,27 +230,28 @@
 
 #define LEVEL_HISTORY 10u
 
-/* How busy the cell is, as its home measures it. */
+/* Load level of the cell, measured by its home. */
 struct level {
 	struct timer timer;
-	uint32_t share;		    /* of urgent requests that should leave */
-	int64_t announced_at;	    /* when the fact was set */
-	int64_t raised_at;	    /* when the share was */
-	bool is_waiting;	    /* urgent requests do */
-	bool busy;		    /* they did until shortly before */
-	int64_t waiting_changed_at; /* that was so, or was otherwise */
-	int64_t low_wait_since;	    /* or since the share was lowered */
-	int64_t history[LEVEL_HISTORY]; /* longest, at each check of a second */
+	uint32_t share; /* of urgent requests that should leave */
+	int64_t announced_at;
+	int64_t raised_at;
+	bool is_waiting;		/* urgent requests wait */
+	bool busy;			/* they do, or did recently */
+	int64_t waiting_changed_at;	/* last change of is_waiting */
+	int64_t low_wait_since;		/* or the last decrease of share */
+	int64_t history[LEVEL_HISTORY]; /* longest waits, last second */
 	uint32_t history_next;
 	bool role_missing;	/* a role has no usable runner */
-	int64_t role_agreed_at; /* that was so, or was otherwise */
+	int64_t role_agreed_at; /* last check that agreed with it */
 };
 
-/* Keys told to and by the homes of the same pools in other data centres. */
+/* Keys exchanged with the homes of the same pools in other data centres. */
 struct remote {
-	GArray *unannounced; /* keys of new records that are yet to be told */
+	GArray *unannounced; /* keys of new records */
 	struct timer timer;
-	/* Short key to id_of() of the data centre, in two generations. */
+	/* Maps a key's upper half to id_of() of the data centre, in two
+	 * generations. */
 	GHashTable *recent;
 	GHashTable *previous;
 	int64_t rotated_at;
@@ -269,41 +271,41 @@
 	struct announce announce;
 
 	bool is_home;
-	bool was_home; /* at any time before */
+	bool was_home; /* at any earlier time */
 	bool settled;
 	struct timer settle;
 	int64_t settle_by;
 	GHashTable *announcers; /* by member */
-	GPtrArray *unsettled;	/* asks taken while not settled */
+	GPtrArray *unsettled;	/* struct pending received before settling */
 	GSequence *lanes[CLASS_COUNT];
 	GHashTable *pending_requests; /* by tag: owner and request */
 	GHashTable *grants;	      /* by tag: owner and request */
-	GPtrArray *orphans; /* GBytes to announce after this was the home */
+	/* GBytes: entries of orphaned and closing grants for the next home. */
+	GPtrArray *orphans;
 	uint64_t waiting_pieces[CLASS_COUNT];
-	double hold_usec[CLASS_COUNT]; /* mean of late; 0 unknown */
-	struct ledger_demand arrived;  /* since this is the home */
-	GArray *grant_counts;	       /* by runner, as last counted */
-	double cached_tokens;	       /* of granted prompts, likewise */
+	double hold_usec[CLASS_COUNT]; /* moving average; 0 unknown */
+	struct ledger_demand arrived;  /* while this instance was home */
+	GArray *grant_counts;	       /* per runner; see ledger_cell_next() */
+	double cached_tokens;	       /* of granted prompts */
 
 	GArray *view;	    /* struct policy_runner */
 	GPtrArray *runners; /* struct runner */
 	GHashTable *by_id;  /* runner id to index plus one */
 	struct prefix *prefix;
-	GArray *prefix_depths;
+	GArray *prefix_depths; /* cached blocks per runner, of one request */
 	const struct policy_request *prefix_depths_for;
 	struct timer scan;
 
 	GHashTable *records;
-	int64_t watch_unbacked_until; /* copied records may have nobody behind
-					 them */
-	GQueue ended;
+	int64_t abandoned_check_until; /* see records_check_abandoned() */
+	GQueue ended;		       /* records, by time of their end */
 	struct timer expiry;
 	struct replication replication;
 	struct level level;
 	struct remote remote;
 };
 
-/* Acknowledgements gathered for one peer. */
+/* A batch of acknowledgements to a peer. */
 struct peer {
 	uint64_t id;
 	uint64_t incarnation;
@@ -329,13 +331,13 @@
 	uint64_t self;
 	uint64_t incarnation;
 	uint32_t record_count;
-	GArray *list; /* struct ledger_runner with own strings */
+	GArray *list; /* struct ledger_runner, strings owned */
 	uint64_t cancels;
 	uint64_t sent_bytes;
 	uint64_t sent_messages;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
-	msgpack_zone zone; /* of the message being read */
+	msgpack_zone zone; /* of the received message */
 };
 
 #endif
--- a/coord/ledger_view.c
+++ b/coord/ledger_view.c
@@ -1,10 +1,10 @@
 #include "ledger_parts.h"
 
-/* How many requests a pass looks at, and how many of a class may wait before
- * the rest of the class is left for later. */
+/* Limits of a pass: requests examined, and requests of a class that can't start
+ * before the rest of the class is skipped. */
 #define SCAN_MAX 64u
 #define SCAN_WAITS_MAX 4u
-/* A pass that ended early goes on in the next turn. */
+/* A pass that hit SCAN_MAX continues in the next iteration of the loop. */
 #define SCAN_CONTINUE_USEC 0
 
 static uint32_t cached_blocks(void *ctx, uint32_t runner,
@@ -97,8 +97,8 @@
 	return rate != 0 ? seconds(bytes / (double)rate) : 0;
 }
 
-/* Books the work on prefill runner and links; returns when decode starts, and
- * how long the prefill takes. */
+/* Accounts for the request on prefill runner and links. Returns the expected
+ * start of decode and sets the expected prefill time. */
 static int64_t placement_book(struct cell *cell,
 			      const struct policy_request *need,
 			      const struct placement *placement,
@@ -140,7 +140,7 @@
 	return MIN(most, (int64_t)cell->hold_usec[need->class]);
 }
 
-/* Whatever a policy answers, what it reserves is never given twice. */
+/* No policy can reserve memory that is already granted. */
 static bool placement_valid(const struct cell *cell,
 			    const struct policy_request *need,
 			    const struct placement *placement)
@@ -175,7 +175,7 @@
 	runner_at(cell, grant->decode)->sorted = false;
 }
 
-/* Whether another usable runner of the role is there. */
+/* Whether the role has another usable runner. */
 static bool other_usable(const struct cell *cell, uint32_t index)
 {
 	enum pool_role role = runner_view(cell, index)->role;
@@ -189,7 +189,7 @@
 	return false;
 }
 
-/* Runners that failed the former attempt are shown as not usable. */
+/* Shows the policy the runners of the failed attempt as not usable. */
 static enum verdict place_avoiding(struct cell *cell, struct policy_view *view,
 				   struct pending *pending,
 				   struct placement *placement)
@@ -243,8 +243,8 @@
 	return pending->rank;
 }
 
-/* Ranks may rise while requests wait: a head whose rank has risen goes back to
- * its place, and the next one is looked at. */
+/* Ranks may rise while requests wait: a head whose rank has risen is sorted
+ * back into the lane and the next one is examined. */
 static struct pending *lane_head_reranked(struct pass *pass, int class)
 {
 	struct ledger *ledger = pass->cell->ledger;
--- a/include/coord/ledger_level.h
+++ b/include/coord/ledger_level.h
@@ -1,11 +1,12 @@
 /*
- * ledger_level.h - how busy the own cells are
+ * ledger_level.h - load levels of the local cells
  *
  * DESCRIPTION
- *	The level and the share of the service's cell in this data centre: as
- *	its home has last told, but full, with the whole share, whenever the
- *	list has no runner of a role; then it does not matter whether there is a
- *	home. A service that is plain or unknown is free.
+ *	ledger_level() returns the load level of the service's cell in this data
+ *	centre and sets the share of urgent requests that should leave, as last
+ *	announced by the cell's home. The level is CELL_FULL with the whole
+ *share if the platform's list has no runner of a role, whether or not there is
+ *a home. Plain and unknown services are CELL_FREE.
  */
 #ifndef COORD_LEDGER_LEVEL_H
 #define COORD_LEDGER_LEVEL_H
