--- a/tests/ledger/test_faults.c
+++ b/tests/ledger/test_faults.c
@@ -1,34 +1,34 @@
-/* The contract under failure: a row a fault, a column a point in the life of a
- * request. Each cell gives how the request ends, and what a retry of the same
- * key at another instance then meets. */
+/* Faults at each stage of a request. A row is a fault, a column a stage: the
+ * expected result of the request, and that of a later retry with the same key
+ * at another instance. */
 #include "common/log.h"
 #include "rows.h"
 #include "world.h"
 
 enum stage {
-	AT_ASK,	    /* the ask is on its way */
-	AT_QUEUE,   /* it waits for memory */
-	AT_GRANT,   /* the grant is on its way */
-	AT_PREFILL, /* reserved, nothing on the decode runner */
-	AT_DECODE,  /* the stream runs and the home knows it */
-	AT_RELEASE, /* done, the release is on its way */
+	AT_SUBMIT,  /* the submission is in flight */
+	AT_QUEUE,   /* queued for memory */
+	AT_GRANT,   /* the grant is in flight */
+	AT_PREFILL, /* granted, no stream on the decode runner */
+	AT_DECODE,  /* the stream runs and is known to the home */
+	AT_RELEASE, /* done, the release is in flight */
 	STAGES,
 };
 
 /* Ends: D done, L lost with its instance, W withdrawn, R revoked (a paused
- * holder meets its grant before it hears that it was held dead).
- * Retries: d replays the answer, f runs afresh, a adopts the stream. A record
- * of the end that died with holder and home at once is lost: the retry then
- * runs afresh (claims on the log guard what is not idempotent). */
+ * holder receives its grant before the news that it was declared dead).
+ * Retries: d replays the answer, f runs again, a adopts the stream. If holder
+ * and home die at once, the record of the end is lost and the retry runs again
+ * (claims on the log protect requests that are not idempotent). */
 struct row {
 	const char *fault;
 	void (*inject)(void);
-	void (*mend)(void); /* after MEND_USEC */
+	void (*repair)(void); /* after REPAIR_USEC */
 	const char *ends;
 	const char *retries;
 };
 
-#define MEND_USEC (4 * USEC_PER_SEC)
+#define REPAIR_USEC (4 * USEC_PER_SEC)
 #define RETRY_SOON_USEC (1 * USEC_PER_SEC)
 #define RETRY_LATE_USEC (15 * USEC_PER_SEC)
 #define KEY 77
@@ -37,46 +37,46 @@
 static struct job *job;
 static int home;
 static int holder;
-static int third;
+static int replica;
 
-static void cut_both(void)
+static void block_both(void)
 {
 	world_cut(world, home, holder, true);
 	world_cut(world, holder, home, true);
 }
 
-static void cut_to_home(void)
+static void block_to_home(void)
 {
 	world_cut(world, holder, home, true);
 }
 
-static void cut_to_holder(void)
+static void block_to_holder(void)
 {
 	world_cut(world, home, holder, true);
 }
 
-static void join(void)
+static void unblock(void)
 {
 	world_cut(world, home, holder, false);
 	world_cut(world, holder, home, false);
 }
 
-static void lossy(void)
+static void lose_messages(void)
 {
 	world->lose = 0.4;
 }
 
-static void double_all(void)
+static void duplicate_messages(void)
 {
 	world->twice = 1;
 }
 
-static void reorder(void)
+static void reorder_messages(void)
 {
 	world->delay_max = 300 * USEC_PER_MSEC;
 }
 
-static void calm(void)
+static void restore_network(void)
 {
 	world->lose = 0;
 	world->twice = 0;
@@ -98,7 +98,7 @@
 	world_pause(world, holder);
 }
 
-static void wake_holder(void)
+static void resume_holder(void)
 {
 	world_wake(world, holder);
 }
@@ -118,7 +118,7 @@
 	world_pause(world, home);
 }
 
-static void wake_home(void)
+static void resume_home(void)
 {
 	world_wake(world, home);
 }
@@ -129,14 +129,14 @@
 	world_kill(world, holder);
 }
 
-static void kill_third(void)
+static void kill_replica(void)
 {
-	world_kill(world, third);
+	world_kill(world, replica);
 }
 
-static void restart_third(void)
+static void restart_replica(void)
 {
-	world_restart(world, third);
+	world_restart(world, replica);
 }
 
 static void leave_home(void)
@@ -154,27 +154,27 @@
 	app_cancel(job);
 }
 
-static void set_deaf(bool deaf)
+static void set_ignores_cancel(bool ignores)
 {
 	for (int i = 0; i < world->engine_count; i++)
-		world->engines[i].deaf = deaf;
+		world->engines[i].deaf = ignores;
 }
 
-static void caller_gone_deaf(void)
+static void caller_gone_cancel_lost(void)
 {
-	set_deaf(true);
+	set_ignores_cancel(true);
 	app_cancel(job);
 }
 
-static void kill_holder_deaf(void)
+static void kill_holder_cancel_lost(void)
 {
-	set_deaf(true);
+	set_ignores_cancel(true);
 	world_kill(world, holder);
 }
 
-static void hear(void)
+static void accept_cancels(void)
 {
-	set_deaf(false);
+	set_ignores_cancel(false);
 }
 
 static void runner_leaves(void)
@@ -202,49 +202,52 @@
 
 static const struct row rows[] = {
 	{"none", nothing, nothing, "DDDDDD", "dddddd"},
-	{"cut both ways", cut_both, join, "DDDDDD", "dddddd"},
-	{"cut to the home", cut_to_home, join, "DDDDDD", "dddddd"},
-	{"cut to the holder", cut_to_holder, join, "DDDDDD", "dddddd"},
-	{"messages lost", lossy, calm, "DDDDDD", "dddddd"},
-	{"messages doubled", double_all, calm, "DDDDDD", "dddddd"},
-	{"messages reordered", reorder, calm, "DDDDDD", "dddddd"},
+	{"blocked both ways", block_both, unblock, "DDDDDD", "dddddd"},
+	{"blocked to the home", block_to_home, unblock, "DDDDDD", "dddddd"},
+	{"blocked to the holder", block_to_holder, unblock, "DDDDDD", "dddddd"},
+	{"messages lost", lose_messages, restore_network, "DDDDDD", "dddddd"},
+	{"messages duplicated", duplicate_messages, restore_network, "DDDDDD",
+	 "dddddd"},
+	{"messages reordered", reorder_messages, restore_network, "DDDDDD",
+	 "dddddd"},
 	{"holder killed", kill_holder, restart_holder, "LLLLLD", "ffffad"},
-	{"holder paused", pause_holder, wake_holder, "RDRRDD", "fdffdd"},
+	{"holder paused", pause_holder, resume_holder, "RDRRDD", "fdffdd"},
 	{"home killed", kill_home, restart_home, "DDDDDD", "dddddd"},
-	{"home paused", pause_home, wake_home, "DDDDDD", "dddddd"},
+	{"home paused", pause_home, resume_home, "DDDDDD", "dddddd"},
 	{"both killed", kill_home_and_holder, restart_home, "LLLLLD", "ffffaf"},
-	{"replica killed", kill_third, restart_third, "DDDDDD", "dddddd"},
+	{"replica killed", kill_replica, restart_replica, "DDDDDD", "dddddd"},
 	{"home leaves", leave_home, nothing, "DDDDDD", "dddddd"},
 	{"holder leaves", leave_holder, nothing, "DDDDDD", "dddddd"},
 	{"caller gone", caller_gone, nothing, "WWWWWD", "fffffd"},
-	{"caller gone, cancel lost", caller_gone_deaf, hear, "WWWWWD",
-	 "fffffd"},
-	{"holder killed, cancel lost", kill_holder_deaf, hear, "LLLLLD",
-	 "ffffad"},
+	{"caller gone, cancel lost", caller_gone_cancel_lost, accept_cancels,
+	 "WWWWWD", "fffffd"},
+	{"holder killed, cancel lost", kill_holder_cancel_lost, accept_cancels,
+	 "LLLLLD", "ffffad"},
 	{"runner leaves", runner_leaves, nothing, "DDDDDD", "dddddd"},
 	{"stream lost twice", stream_lost, nothing, "DDDDDD", "dddddd"},
 	{"policy swapped", swap_policy, nothing, "DDDDDD", "dddddd"},
 };
 
-static int index_of_home(uint64_t cell_rank)
+static int instance_index(uint64_t id)
 {
 	for (int i = 0; i < world->count; i++) {
-		if (world->instances[i].id == cell_rank)
+		if (world->instances[i].id == id)
 			return i;
 	}
 	return -1;
 }
 
-/* The third is the home's replica, so that it is not killed with both. */
-static void choose(void)
+/* The holder is neither home nor replica, so the replica survives when home and
+ * holder are killed. */
+static void choose_instances(void)
 {
 	const struct membership *view = world->instances[0].membership;
 	uint64_t pools = id_mix(id_of("prefill"), id_of("decode"));
 	uint64_t cell = id_mix(pools, id_of("hall-a"));
 
-	home = index_of_home(membership_home(view, "hall-a", cell, 0));
-	third = index_of_home(membership_home(view, "hall-a", cell, 1));
-	holder = 3 - home - third;
+	home = instance_index(membership_home(view, "hall-a", cell, 0));
+	replica = instance_index(membership_home(view, "hall-a", cell, 1));
+	holder = 3 - home - replica;
 	g_assert_true(world_home(world) == &world->instances[home]);
 }
 
@@ -256,29 +259,29 @@
 	return stats.grants;
 }
 
-static void step_until(bool (*reached)(void))
+static void run_until(bool (*reached)(void))
 {
 	for (int i = 0; i < 20000 && !reached(); i++)
 		world_run(world, 50);
 	g_assert_true(reached());
 }
 
-static bool granted(void)
+static bool is_granted(void)
 {
 	return grants_given() > 0;
 }
 
-static bool in_prefill(void)
+static bool is_in_prefill(void)
 {
 	return job->state == JOB_PREFILL;
 }
 
-static bool in_decode(void)
+static bool is_in_decode(void)
 {
 	return job->state == JOB_DECODE;
 }
 
-static bool over(void)
+static bool is_over(void)
 {
 	return job_over(job);
 }
@@ -287,12 +290,12 @@
 {
 	struct spec spec = {.tokens = 16000, .work = 600 * USEC_PER_MSEC};
 
-	app_ask(world, third, &spec);
-	app_ask(world, third, &spec);
+	app_ask(world, replica, &spec);
+	app_ask(world, replica, &spec);
 	world_run(world, 100 * USEC_PER_MSEC);
 }
 
-static void reach(enum stage stage)
+static void reach_stage(enum stage stage)
 {
 	struct spec spec = {.key = KEY, .work = 400 * USEC_PER_MSEC};
 
@@ -302,18 +305,18 @@
 	if (stage == AT_QUEUE)
 		world_run(world, 50 * USEC_PER_MSEC);
 	else if (stage == AT_GRANT)
-		step_until(granted);
+		run_until(is_granted);
 	else if (stage == AT_PREFILL)
-		step_until(in_prefill);
+		run_until(is_in_prefill);
 	else if (stage >= AT_DECODE)
-		step_until(in_decode);
+		run_until(is_in_decode);
 	if (stage == AT_DECODE)
 		world_run(world, 100 * USEC_PER_MSEC);
 	if (stage == AT_RELEASE)
-		step_until(over);
+		run_until(is_over);
 }
 
-static int end_of(const struct job *which)
+static int job_result(const struct job *which)
 {
 	switch (which->state) {
 	case JOB_DONE:
@@ -329,7 +332,7 @@
 	}
 }
 
-static int met_by(const struct job *retry)
+static int retry_result(const struct job *retry)
 {
 	if (retry->state == JOB_DUPLICATE &&
 	    retry->duplicate.state == RECORD_DONE)
@@ -339,7 +342,7 @@
 	return retry->adopted ? 'a' : 'f';
 }
 
-static void run_cell(const struct row *row, enum stage stage)
+static void run_case(const struct row *row, enum stage stage)
 {
 	struct spec spec = {.key = KEY};
 	int expected = (unsigned char)row->ends[stage];
@@ -348,35 +351,37 @@
 
 	world = world_create((uint32_t)stage + 1, 3, "reserve", 100);
 	world_run(world, 500 * USEC_PER_MSEC);
-	choose();
-	reach(stage);
+	choose_instances();
+	reach_stage(stage);
 	row->inject();
 	world_run(world, RETRY_SOON_USEC);
 	if (!soon)
-		world_run(world, MEND_USEC - RETRY_SOON_USEC);
+		world_run(world, REPAIR_USEC - RETRY_SOON_USEC);
 	if (!soon)
-		row->mend();
+		row->repair();
 	if (!soon)
 		world_run(world, RETRY_LATE_USEC);
-	retry = app_ask(world, third, &spec);
+	retry = app_ask(world, replica, &spec);
 	retry->adopt = true;
-	world_run(world, MEND_USEC - RETRY_SOON_USEC);
+	world_run(world, REPAIR_USEC - RETRY_SOON_USEC);
 	if (soon)
-		row->mend();
+		row->repair();
 	world_run(world, RETRY_LATE_USEC);
 	invariants_end(world);
 	g_test_message("%s at stage %d: ends %c, retry %c %s", row->fault,
-		       stage, end_of(job), met_by(retry), world->broken->str);
+		       stage, job_result(job), retry_result(retry),
+		       world->broken->str);
 	g_assert_cmpstr(world->broken->str, ==, "");
-	g_assert_cmpint(end_of(job), ==, expected);
-	g_assert_cmpint(met_by(retry), ==, (unsigned char)row->retries[stage]);
+	g_assert_cmpint(job_result(job), ==, expected);
+	g_assert_cmpint(retry_result(retry), ==,
+			(unsigned char)row->retries[stage]);
 	world_destroy(world);
 }
 
 static void test_row(const void *data)
 {
 	for (int stage = 0; stage < STAGES; stage++)
-		run_cell(data, (enum stage)stage);
+		run_case(data, (enum stage)stage);
 }
 
 int main(int argc, char **argv)
--- a/tests/ledger/test_path.c
+++ b/tests/ledger/test_path.c
@@ -1,5 +1,5 @@
-/* What the ledger answers while nothing fails: grants, refusals, duplicates,
- * order and cost. */
+/* The ledger without faults: grants, refusals, duplicates, queue order and
+ * message cost. */
 #include <msgpack.h>
 
 #include "common/log.h"
@@ -7,18 +7,18 @@
 #include "world.h"
 
 #define MSEC USEC_PER_MSEC
-#define CYCLE_BYTES_MAX 200 /* ask, grant, release and acknowledgements */
+#define CYCLE_BYTES_MAX 200 /* submission, grant, release, acknowledgements */
 
 static struct world *world;
 
-static void begin(const char *policy, uint32_t queue_max)
+static void world_start(const char *policy, uint32_t queue_max)
 {
 	world = world_create(1, 3, policy, queue_max);
 	world_run(world, 500 * MSEC);
 }
 
-/* Fills all decode memory for a while. */
-static void fill(int64_t work)
+/* Reserves all decode memory for the given decode time. */
+static void fill_decode_memory(int64_t work)
 {
 	struct spec spec = {.tokens = 16000, .work = work};
 
@@ -33,7 +33,7 @@
 {
 	struct job *job;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	job = app_ask(world, 0, &(struct spec){.key = 0});
 	world_run(world, 50 * MSEC);
 	g_assert_cmpint(job->state, ==, JOB_DECODE);
@@ -48,10 +48,10 @@
 struct refusal_row {
 	const char *name;
 	struct spec spec;
-	bool full; /* memory and queue are full */
-	bool cut;  /* no message reaches the home */
+	bool queue_full;   /* in addition to decode memory */
+	bool home_blocked; /* no message reaches the home */
 	enum result_code code;
-	int64_t within;
+	int64_t time_limit;
 };
 
 static const struct refusal_row refusals[] = {
@@ -89,7 +89,7 @@
 };
 
 /* An instance that is not the home. */
-static int cut_one(void)
+static int non_home_index(void)
 {
 	return (world_home(world)->index + 1) % world->count;
 }
@@ -99,23 +99,23 @@
 	const struct refusal_row *row = data;
 	struct job *job;
 
-	begin("reserve", 2);
-	fill(2 * USEC_PER_SEC);
-	for (int i = 0; row->full && i < 2; i++)
+	world_start("reserve", 2);
+	fill_decode_memory(2 * USEC_PER_SEC);
+	for (int i = 0; row->queue_full && i < 2; i++)
 		app_ask(world, i, &(struct spec){.key = 0});
 	world_run(world, 20 * MSEC);
 	for (int i = 0; i < world->count; i++)
-		world_cut(world, cut_one(), i, row->cut);
-	job = app_ask(world, cut_one(), &row->spec);
+		world_cut(world, non_home_index(), i, row->home_blocked);
+	job = app_ask(world, non_home_index(), &row->spec);
 	g_assert_cmpint(job->state, ==, JOB_ASKED);
-	world_run(world, row->within);
+	world_run(world, row->time_limit);
 	g_assert_cmpint(job->state, ==, JOB_REFUSED);
 	g_assert_cmpint(job->refusal.code, ==, row->code);
 	g_assert_cmpint(result_outcome(job->refusal.code), ==, OUTCOME_NOT_RUN);
 	if (row->code == RESULT_QUEUE_FULL)
 		g_assert_cmpint(job->refusal.retry_after, >=, USEC_PER_SEC);
 	for (int i = 0; i < world->count; i++)
-		world_cut(world, cut_one(), i, false);
+		world_cut(world, non_home_index(), i, false);
 	world_end(world);
 }
 
@@ -126,8 +126,8 @@
 	return id_mix(pools, id_of("hall-a"));
 }
 
-/* Arrays of every type and length whose fields are integers or texts. */
-static void receive_nonsense(struct instance *instance)
+/* Arrays of each message type and length, with integer and string fields. */
+static void receive_invalid(struct instance *instance)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
@@ -157,13 +157,13 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-static void test_no_config(void)
+static void test_bad_calls(void)
 {
 	struct instance *instance;
 	struct ledger_request ask = {.request = 9, .service = "model"};
 	struct job *job;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	instance = &world->instances[0];
 	job = app_ask(world, 0, &(struct spec){.service = "nothing"});
 	ledger_submit(instance->ledger, &ask);
@@ -176,7 +176,7 @@
 	ledger_streams(instance->ledger, 1, NULL, 0);
 	ledger_withdraw(instance->ledger, 9);
 	g_assert_false(ledger_configure(instance->ledger, NULL, NULL));
-	receive_nonsense(world_home(world));
+	receive_invalid(world_home(world));
 	world_run(world, 10 * MSEC);
 	g_assert_cmpint(job->state, ==, JOB_REFUSED);
 	world_end(world);
@@ -186,8 +186,8 @@
 	const char *name;
 	struct spec first;
 	struct spec second;
-	int64_t later;
-	enum job_state meets;
+	int64_t delay;
+	enum job_state second_state;
 	enum record_state state; /* of a duplicate */
 	enum result_code code;	 /* of a refusal */
 };
@@ -258,14 +258,14 @@
 	const struct key_row *row = data;
 	struct job *first, *second;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	first = app_ask(world, 0, &row->first);
-	world_run(world, row->later);
+	world_run(world, row->delay);
 	second = app_ask(world, 1, &row->second);
 	world_run(world, 300 * MSEC);
 	g_assert_cmpint(first->state, ==, JOB_DONE);
-	g_assert_cmpint(second->state, ==, row->meets);
-	if (row->meets == JOB_DUPLICATE) {
+	g_assert_cmpint(second->state, ==, row->second_state);
+	if (row->second_state == JOB_DUPLICATE) {
 		g_assert_cmpint(second->duplicate.state, ==, row->state);
 		g_assert_true(second->duplicate.owner_alive);
 		g_assert_cmpuint(second->duplicate.owner_request, ==,
@@ -273,24 +273,25 @@
 		g_assert_cmpuint(second->duplicate.owner.instance, ==,
 				 first->instance->id);
 	}
-	if (row->meets == JOB_REFUSED)
+	if (row->second_state == JOB_REFUSED)
 		g_assert_cmpint(second->refusal.code, ==, row->code);
 	world_end(world);
 }
 
-/* Copies of the asks arrive after the requests were withdrawn, while memory is
- * full: none may stay in the queue. */
+/* Duplicated submissions arrive after the requests were withdrawn, while memory
+ * is full: none may stay in the queue. */
 static void test_withdrawn(void)
 {
 	struct ledger_stats stats;
 	struct job *jobs[10];
 
-	begin("reserve", 100);
-	fill(5 * USEC_PER_SEC);
+	world_start("reserve", 100);
+	fill_decode_memory(5 * USEC_PER_SEC);
 	world->twice = 1;
 	world->delay_max = 300 * MSEC;
 	for (int i = 0; i < 10; i++)
-		jobs[i] = app_ask(world, cut_one(), &(struct spec){.key = 0});
+		jobs[i] = app_ask(world, non_home_index(),
+				  &(struct spec){.key = 0});
 	world_run(world, 100 * MSEC);
 	for (int i = 0; i < 10; i++)
 		app_withdraw(jobs[i]);
@@ -303,23 +304,23 @@
 	world_end(world);
 }
 
-/* The other runner is the fuller one, and is taken all the same. */
-static void test_again(void)
+/* A retry avoids the runner that failed, even if the other one is fuller. */
+static void test_retry_avoids_runner(void)
 {
-	uint64_t former;
+	uint64_t failed;
 	struct job *job;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	app_ask(world, 0,
 		&(struct spec){.tokens = 12000, .work = 2 * USEC_PER_SEC});
 	world_run(world, 50 * MSEC);
 	job = app_ask(world, 0, &(struct spec){.key = 4});
 	job->fail_times = 1;
 	world_run(world, 100 * MSEC);
-	former = job->grant.decode;
+	failed = job->grant.decode;
 	world_run(world, 150 * MSEC);
 	g_assert_cmpuint(job->attempt, ==, 1);
-	g_assert_cmpuint(job->grant.decode, !=, former);
+	g_assert_cmpuint(job->grant.decode, !=, failed);
 	world_run(world, 300 * MSEC);
 	g_assert_cmpint(job->state, ==, JOB_DONE);
 	world_end(world);
@@ -329,8 +330,8 @@
 {
 	struct job *deferrable, *urgent;
 
-	begin("reserve", 100);
-	fill(500 * MSEC);
+	world_start("reserve", 100);
+	fill_decode_memory(500 * MSEC);
 	deferrable = app_ask(
 		world, 0,
 		&(struct spec){.class = CLASS_DEFERRABLE, .tokens = 16000});
@@ -342,15 +343,15 @@
 	world_end(world);
 }
 
-/* Urgent work beyond what the runners can do must not starve a large request
- * that can wait: it is owed a share after the ageing time of 5 s. */
+/* Urgent load above capacity must not starve a large deferrable request: after
+ * the ageing time of 5 s it is granted a share. */
 static void test_no_starvation(void)
 {
 	struct spec spec = {.tokens = 6000, .work = 200 * MSEC};
 	struct job *large = NULL;
 	int64_t waited;
 
-	begin("reserve", 1000);
+	world_start("reserve", 1000);
 	for (int i = 0; i < 400; i++) {
 		app_ask(world, i % 3, &spec);
 		world_run(world, 50 * MSEC);
@@ -372,7 +373,7 @@
 {
 	struct job *jobs[6];
 
-	begin(policy, 100);
+	world_start(policy, 100);
 	for (int i = 0; i < 6; i++)
 		jobs[i] = app_ask(world, i % 3, &(struct spec){.tokens = 100});
 	world_run(world, 30 * MSEC);
@@ -383,11 +384,11 @@
 
 struct queue_row {
 	const char *name;
-	uint64_t tokens; /* 200,000 a second */
+	uint64_t tokens; /* queued; the rate is 200,000 per second */
 	int64_t age;
-	int64_t wait; /* expected, less the 20 ms that a prefill starts ahead */
-	uint32_t given; /* tokens granted after the figures were taken */
-	double rate;	/* as reported 40 times before; 0: not */
+	int64_t expected_wait; /* less the 20 ms that a prefill starts early */
+	uint32_t granted_tokens; /* after the report was measured */
+	double rate;		 /* reported 40 times before; 0: none */
 };
 
 static const struct queue_row queues[] = {
@@ -396,7 +397,7 @@
 	{"aged", 100000, 400 * MSEC, 100 * MSEC, 0, 0},
 	{"past", 100000, 800 * MSEC, 0, 0, 0},
 	{"slower", 10000, 0, 200 * MSEC, 0, 50000},
-	{"given-since", 0, 800 * MSEC, 100 * MSEC, 6000, 50000},
+	{"granted-since", 0, 800 * MSEC, 100 * MSEC, 6000, 50000},
 };
 
 static void report_prefill(const struct ledger_report *figures, int times)
@@ -409,22 +410,22 @@
 	}
 }
 
-/* Reports of the prefill queue are corrected by their age, and by what was
- * granted since; the rate follows what is reported while there is work. */
+/* Prefill queue reports are corrected by their age and by grants made since.
+ * The rate follows the reports made while the runner works. */
 static void test_prefill_queue(const void *data)
 {
 	const struct queue_row *row = data;
-	struct spec spec = {.tokens = 2 * row->given};
+	struct spec spec = {.tokens = 2 * row->granted_tokens};
 	struct ledger_report report = {
 		.reachable = true, .running = 1, .tokens_per_s = row->rate};
 	struct job *job;
 	int64_t waited;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	world->poll = 30 * USEC_PER_SEC;
 	world_run(world, 200 * MSEC);
 	report_prefill(&report, 40);
-	for (int i = 0; row->given > 0 && i < 2; i++)
+	for (int i = 0; row->granted_tokens > 0 && i < 2; i++)
 		app_ask(world, i, &spec);
 	world_run(world, 10 * MSEC);
 	report.queue_tokens = row->tokens;
@@ -434,21 +435,21 @@
 	world_run(world, USEC_PER_SEC);
 	waited = job->answered_at - job->asked_at;
 	g_test_message("waited %ld ms", (long)(waited / MSEC));
-	g_assert_cmpint(waited, >=, MAX(row->wait - 35 * MSEC, 0));
-	g_assert_cmpint(waited, <=, row->wait + 15 * MSEC);
+	g_assert_cmpint(waited, >=, MAX(row->expected_wait - 35 * MSEC, 0));
+	g_assert_cmpint(waited, <=, row->expected_wait + 15 * MSEC);
 	world->poll = 100 * MSEC;
 	world_run(world, 30 * USEC_PER_SEC);
 	world_end(world);
 }
 
-/* A stream that no grant is known for is cancelled after the grace time. */
+/* A stream without a known grant is cancelled after the grace time. */
 static void test_stray(void)
 {
 	struct engine *engine;
 	struct job unknown = {.request = 999, .attempt = 0};
 	char stream[LEDGER_STREAM_MAX];
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	engine = &world->engines[2];
 	unknown.instance = &world->instances[0];
 	unknown.incarnation = 1;
@@ -463,15 +464,15 @@
 	world_end(world);
 }
 
-/* A caller that hangs up while its request takes over a stream: the stream has
- * to be ended on the runner before its memory is given away. */
+/* The caller disconnects while its request adopts a stream: the stream must end
+ * on the runner before its memory is granted again. */
 static void test_adopt_withdrawn(void)
 {
 	struct job *first, *retry;
 	struct engine *engine;
 	int home;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	home = world_home(world)->index;
 	first = app_ask(world, (home + 1) % 3,
 			&(struct spec){.key = 3,
@@ -494,7 +495,7 @@
 
 static void test_leaving_runner(void)
 {
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	world->engines[2].leaving = true;
 	world_run(world, 200 * MSEC);
 	for (int i = 0; i < 6; i++) {
@@ -513,7 +514,7 @@
 	struct ledger_stats stats;
 	struct job *last;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	world_settings(world, &settings);
 	for (uint64_t key = 1; key <= 100; key++) {
 		last = app_ask(world, 0,
@@ -530,14 +531,14 @@
 	world_end(world);
 }
 
-/* More records than go into the chunks that are on their way at once. */
+/* Handover of more records than fit into the window of chunks. */
 static void test_drain_many(void)
 {
 	struct ledger_stats stats;
 	struct instance *home;
 	struct job *retry;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	home = world_home(world);
 	for (uint64_t key = 1; key <= 2500; key++) {
 		app_ask(world, home->index,
@@ -570,7 +571,7 @@
 	struct instance *home;
 	struct job *job, *retry;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	home = world_home(world);
 	job = app_ask(world, (home->index + 1) % 3, &(struct spec){.key = 6});
 	world_run(world, 300 * MSEC);
@@ -589,12 +590,12 @@
 	world_end(world);
 }
 
-/* Messages that make no sense are dropped, and do no lasting harm. */
-static void test_garbled(void)
+/* Corrupted messages are dropped without lasting effects. */
+static void test_corrupted(void)
 {
 	struct job *job;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	world->garble = 0.3;
 	for (int i = 0; i < 300; i++) {
 		app_ask(world, i % 3, &(struct spec){.key = (uint64_t)i % 20});
@@ -612,7 +613,7 @@
 {
 	uint64_t bytes, messages;
 
-	begin("reserve", 100);
+	world_start("reserve", 100);
 	bytes = world->bytes;
 	messages = world->messages;
 	for (int i = 0; i < 100; i++) {
@@ -650,9 +651,10 @@
 	log_setup(NULL, "test", LOG_CRIT);
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/ledger/path/grant", test_grant);
-	g_test_add_func("/ledger/path/bad-calls", test_no_config);
+	g_test_add_func("/ledger/path/bad-calls", test_bad_calls);
 	g_test_add_func("/ledger/path/withdrawn", test_withdrawn);
-	g_test_add_func("/ledger/path/again", test_again);
+	g_test_add_func("/ledger/path/retry-avoids-runner",
+			test_retry_avoids_runner);
 	g_test_add_func("/ledger/path/urgent-first", test_urgent_first);
 	g_test_add_func("/ledger/path/no-starvation", test_no_starvation);
 	g_test_add_func("/ledger/path/stray", test_stray);
@@ -661,7 +663,7 @@
 	g_test_add_func("/ledger/path/records-bounded", test_records_bounded);
 	g_test_add_func("/ledger/path/drain", test_drain);
 	g_test_add_func("/ledger/path/drain-many", test_drain_many);
-	g_test_add_func("/ledger/path/garbled", test_garbled);
+	g_test_add_func("/ledger/path/corrupted", test_corrupted);
 	g_test_add_func("/ledger/path/bytes", test_bytes);
 	add_rows();
 	return g_test_run();
--- a/tests/ledger/test_rehome.c
+++ b/tests/ledger/test_rehome.c
@@ -1,4 +1,5 @@
-/* What a new home must not believe before it has been told or shown. */
+/* A new home must not grant memory before announcements, reports and listings
+ * show that it is free. */
 #include "common/log.h"
 #include "world.h"
 
@@ -6,10 +7,10 @@
 
 static struct world *world;
 static int home;
-static int next; /* the home after it */
+static int next_home; /* becomes home after it */
 static int other;
 
-static int index_at(uint32_t rank)
+static int instance_of_rank(uint32_t rank)
 {
 	const struct membership *view = world->instances[0].membership;
 	uint64_t pools = id_mix(id_of("prefill"), id_of("decode"));
@@ -23,23 +24,23 @@
 	return -1;
 }
 
-static void begin(void)
+static void world_start(void)
 {
 	world = world_create(1, 3, "reserve", 100);
 	world_run(world, 550 * MSEC); /* no poll is under way */
-	home = index_at(0);
-	next = index_at(1);
-	other = index_at(2);
+	home = instance_of_rank(0);
+	next_home = instance_of_rank(1);
+	other = instance_of_rank(2);
 }
 
-static void cut_pair(bool cut)
+static void block_pair(bool blocked)
 {
-	world_cut(world, next, other, cut);
-	world_cut(world, other, next, cut);
+	world_cut(world, next_home, other, blocked);
+	world_cut(world, other, next_home, blocked);
 }
 
-/* Two requests that fill both decode runners. */
-static void ask_both(int index, int64_t prefill, struct job *jobs[2])
+/* Submits two requests that fill both decode runners. */
+static void submit_both(int index, int64_t prefill, struct job *jobs[2])
 {
 	struct spec spec = {
 		.tokens = 16000, .prefill = prefill, .work = 500 * MSEC};
@@ -50,85 +51,88 @@
 				   jobs[1]->state == JOB_PREFILL);
 }
 
-static void wait_open(struct job *jobs[2])
+static void wait_for_decode(struct job *jobs[2])
 {
 	world_until(world, jobs[0]->state == JOB_DECODE &&
 				   jobs[1]->state == JOB_DECODE);
 }
 
-/* Memory reserved by a living holder that has not announced it yet, and that no
- * report can show, is not given away before the settling time is over. */
+/* Memory reserved by a live holder that has not announced yet, and that no
+ * report shows, is not granted before the end of the settling time. */
 static void test_waits_for_announcements(void)
 {
-	struct job *held[2], *asked[2];
+	struct job *holding[2], *submitted[2];
 
-	begin();
-	cut_pair(true);
-	ask_both(other, 1500 * MSEC, held);
+	world_start();
+	block_pair(true);
+	submit_both(other, 1500 * MSEC, holding);
 	world_kill(world, home);
-	asked[0] = app_ask(world, next, &(struct spec){.tokens = 16000});
-	asked[1] = app_ask(world, next, &(struct spec){.tokens = 16000});
+	submitted[0] =
+		app_ask(world, next_home, &(struct spec){.tokens = 16000});
+	submitted[1] =
+		app_ask(world, next_home, &(struct spec){.tokens = 16000});
 	world_run(world, 1300 * MSEC);
-	g_assert_cmpuint(asked[0]->answers + asked[1]->answers, ==, 0);
-	cut_pair(false);
+	g_assert_cmpuint(submitted[0]->answers + submitted[1]->answers, ==, 0);
+	block_pair(false);
 	world_end(world);
 }
 
-/* A poll that was answered before the home's rebirth shows nothing of what it
- * had granted until then. */
-static void test_report_before_rebirth(void)
+/* A poll answered before the home's new incarnation does not show all of its
+ * earlier grants, so it must not be used. */
+static void test_report_before_incarnation(void)
 {
-	struct job *held[2];
+	struct job *holding[2];
 
-	begin();
-	ask_both(home, 20 * MSEC, held);
+	world_start();
+	submit_both(home, 20 * MSEC, holding);
 	engine_poll(&world->instances[home]);
-	wait_open(held);
+	wait_for_decode(holding);
 	members_raise(world, home);
 	members_notify(&world->instances[home]);
 	members_tell(world, home, MEMBER_ALIVE, 1);
-	app_ask(world, next, &(struct spec){.tokens = 16000});
+	app_ask(world, next_home, &(struct spec){.tokens = 16000});
 	world_end(world);
 }
 
-/* Nor does one from before the death of a member that was not heard. */
+/* The same for a poll answered before the death of a member that had not
+ * announced. */
 static void test_report_before_death(void)
 {
-	struct job *held[2];
+	struct job *holding[2];
 
-	begin();
-	cut_pair(true);
-	ask_both(other, 600 * MSEC, held);
+	world_start();
+	block_pair(true);
+	submit_both(other, 600 * MSEC, holding);
 	world_kill(world, home);
-	app_ask(world, next, &(struct spec){.tokens = 16000});
+	app_ask(world, next_home, &(struct spec){.tokens = 16000});
 	world_run(world, 590 * MSEC);
-	engine_poll(&world->instances[next]);
-	wait_open(held);
+	engine_poll(&world->instances[next_home]);
+	wait_for_decode(holding);
 	world_kill(world, other);
 	members_tell(world, other, MEMBER_DEAD, 1);
 	world_end(world);
 }
 
-/* Reports lag: memory is proved free by a listing of the streams only. */
+/* Reports lag: only a listing of the streams shows that memory is free. */
 static void test_needs_listing(void)
 {
 	struct ledger_report report = {.reachable = true};
 	struct job *job;
 
-	begin();
+	world_start();
 	world->poll = 30 * USEC_PER_SEC;
 	world_run(world, 200 * MSEC);
 	world_kill(world, home);
 	world_run(world, USEC_PER_SEC);
 	for (int i = 0; i < world->engine_count; i++) {
 		report.runner = world->engines[i].id;
-		ledger_report(world->instances[next].ledger, &report);
+		ledger_report(world->instances[next_home].ledger, &report);
 	}
 	job = app_ask(world, other, &(struct spec){.tokens = 16000});
 	world_run(world, 300 * MSEC);
 	g_assert_cmpuint(job->answers, ==, 0);
 	world->poll = 100 * MSEC;
-	engine_poll(&world->instances[next]);
+	engine_poll(&world->instances[next_home]);
 	world_run(world, 100 * MSEC);
 	g_assert_cmpuint(job->answers, ==, 1);
 	world_end(world);
@@ -142,12 +146,13 @@
 	return stats.grants;
 }
 
-/* A grant of the home's former life arrives when the memory is another's. */
+/* A grant of the home's earlier incarnation arrives after its memory was
+ * granted to another request. */
 static void test_late_grant(void)
 {
 	struct spec spec = {.tokens = 16000, .class = CLASS_DEFERRABLE};
 
-	begin();
+	world_start();
 	world->slow[home][other] = 600 * MSEC;
 	app_ask(world, other, &spec);
 	app_ask(world, other, &spec);
@@ -157,8 +162,8 @@
 	members_tell(world, home, MEMBER_ALIVE, 1);
 	spec.class = CLASS_URGENT;
 	spec.work = 800 * MSEC;
-	app_ask(world, next, &spec);
-	app_ask(world, next, &spec);
+	app_ask(world, next_home, &spec);
+	app_ask(world, next_home, &spec);
 	world_run(world, 500 * MSEC);
 	g_assert_cmpuint(world->engines[2].used, ==, 8);
 	world_run(world, 300 * MSEC);
@@ -166,25 +171,25 @@
 	world_end(world);
 }
 
-/* A holder that was cut off for so long that its key was given to another has
- * to stop. */
+/* A holder must stop if another request was granted its key while it was
+ * partitioned. */
 static void test_conflict(void)
 {
 	struct spec spec = {.key = 9, .work = 30 * USEC_PER_SEC};
 	struct job *first, *second;
 
-	begin();
+	world_start();
 	first = app_ask(world, other, &spec);
 	world_run(world, 300 * MSEC);
-	world->split_until = CLOCK_NEVER; /* two do hold it for a while */
-	cut_pair(true);
+	world->split_until = CLOCK_NEVER; /* both may hold the key */
+	block_pair(true);
 	world_kill(world, home);
 	world_run(world, 6 * USEC_PER_SEC);
 	spec.work = 10 * USEC_PER_SEC;
-	second = app_ask(world, next, &spec);
+	second = app_ask(world, next_home, &spec);
 	world_run(world, 500 * MSEC);
 	g_assert_cmpint(second->state, ==, JOB_DECODE);
-	cut_pair(false);
+	block_pair(false);
 	world_run(world, 2 * USEC_PER_SEC);
 	g_assert_cmpint(first->state, ==, JOB_REVOKED);
 	world_run(world, 10 * USEC_PER_SEC);
@@ -192,13 +197,13 @@
 	world_end(world);
 }
 
-/* The home knows a stream before any listing shows it. */
+/* Progress messages make a stream known before any listing shows it. */
 static void test_progress(void)
 {
 	struct spec spec = {.key = 9, .work = 3 * USEC_PER_SEC};
 	struct job *first, *retry;
 
-	begin();
+	world_start();
 	world->poll = 30 * USEC_PER_SEC;
 	world_run(world, 200 * MSEC);
 	first = app_ask(world, other, &spec);
@@ -206,7 +211,7 @@
 	world_run(world, 20 * MSEC);
 	world_kill(world, other);
 	world_run(world, 400 * MSEC);
-	retry = app_ask(world, next, &spec);
+	retry = app_ask(world, next_home, &spec);
 	retry->adopt = true;
 	world_run(world, 100 * MSEC);
 	g_assert_true(retry->adopted);
@@ -221,8 +226,8 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/ledger/rehome/waits-for-announcements",
 			test_waits_for_announcements);
-	g_test_add_func("/ledger/rehome/report-before-rebirth",
-			test_report_before_rebirth);
+	g_test_add_func("/ledger/rehome/report-before-incarnation",
+			test_report_before_incarnation);
 	g_test_add_func("/ledger/rehome/report-before-death",
 			test_report_before_death);
 	g_test_add_func("/ledger/rehome/needs-listing", test_needs_listing);
