--- a/coord/ledger.c
+++ b/coord/ledger.c
@@ -47,7 +47,8 @@
 	ledger->incarnation = self->incarnation;
 	ledger->cells = g_ptr_array_new_with_free_func(cell_free);
 	ledger->services = g_ptr_array_new_with_free_func(g_free);
-	ledger->list = g_array_new(FALSE, FALSE, sizeof(struct ledger_runner));
+	ledger->runner_list =
+		g_array_new(FALSE, FALSE, sizeof(struct ledger_runner));
 	ledger->items = g_hash_table_new(g_int64_hash, g_int64_equal);
 	msgpack_sbuffer_init(&ledger->buffer);
 	msgpack_packer_init(&ledger->packer, &ledger->buffer,
@@ -81,7 +82,7 @@
 	g_ptr_array_free(ledger->services, TRUE);
 	peers_clear(ledger);
 	runner_list_clear(ledger);
-	g_array_free(ledger->list, TRUE);
+	g_array_free(ledger->runner_list, TRUE);
 	if (ledger->policy != NULL)
 		ledger->policy->destroy(ledger->policy_state);
 	g_free(ledger->policy_key);
--- a/coord/ledger_config.c
+++ b/coord/ledger_config.c
@@ -107,8 +107,8 @@
 	if (created)
 		runners_set(cell,
 			    (const struct ledger_runner *)(void *)
-				    ledger->list->data,
-			    ledger->list->len);
+				    ledger->runner_list->data,
+			    ledger->runner_list->len);
 	return cell;
 }
 
@@ -135,7 +135,7 @@
 		struct pending *pending = g_ptr_array_index(list, i);
 
 		pending->service = service_find(ledger, pending->service_id);
-		if (pending->service != NULL && pending->place != NULL)
+		if (pending->service != NULL && pending->lane_position != NULL)
 			pending->service->waiting++;
 	}
 	for (guint i = 0; i < list->len; i++) {
--- a/coord/ledger_item.c
+++ b/coord/ledger_item.c
@@ -101,7 +101,7 @@
 
 void item_send(struct item *item)
 {
-	bool waits =
+	bool is_waiting =
 		item->state == ITEM_SUBMITTED || item->state == ITEM_QUEUED;
 	int64_t delay =
 		item->state == ITEM_QUEUED ? QUEUED_RESEND_USEC : backoff(item);
@@ -110,7 +110,7 @@
 		item_send_message(item);
 		item->tries++;
 	}
-	if (waits)
+	if (is_waiting)
 		delay = MIN(delay, time_to_deadline(item));
 	if (item->state == ITEM_GRANTED && !item->progress_due)
 		timer_stop(&item->timer);
--- a/coord/ledger_level.c
+++ b/coord/ledger_level.c
@@ -97,11 +97,11 @@
 /* Stores the wait and returns the one measured a second before. */
 static int64_t wait_record(struct level *level, int64_t wait)
 {
-	int64_t before = level->history[level->history_next];
+	int64_t wait_before = level->history[level->history_next];
 
 	level->history[level->history_next] = wait;
 	level->history_next = (level->history_next + 1) % LEVEL_HISTORY;
-	return before;
+	return wait_before;
 }
 
 /* Fraction of the other data centres that accept requests now. */
@@ -110,7 +110,7 @@
 	const struct ledger *ledger = cell->ledger;
 	const struct config *config = ledger->config;
 	const char *here = membership_self(ledger->membership)->data_centre;
-	double open = 0;
+	double free_count = 0;
 
 	for (size_t i = 0; i < config->data_centre_count; i++) {
 		const char *name = config->data_centres[i].name;
@@ -119,10 +119,10 @@
 
 		if (strcmp(name, here) != 0 &&
 		    cell_load_get(ledger->membership, cell_there) == CELL_FREE)
-			open++;
+			free_count++;
 	}
 	return config->data_centre_count > 1
-		       ? open / (double)(config->data_centre_count - 1)
+		       ? free_count / (double)(config->data_centre_count - 1)
 		       : 0;
 }
 
@@ -131,10 +131,10 @@
  * if all other data centres accept their part. While some do not, a larger
  * share would overload them later. */
 static uint32_t share_for(const struct cell *cell, uint32_t share, int64_t wait,
-			  int64_t before)
+			  int64_t wait_before)
 {
 	double seconds = (double)LEVEL_HISTORY * CHECK_USEC;
-	double load = 1 + MAX((double)(wait - before) / seconds, 0);
+	double load = 1 + MAX((double)(wait - wait_before) / seconds, 0);
 	double target = MAX(LOAD_TARGET - (double)wait / CATCH_UP_USEC,
 			    LOAD_TARGET_MIN);
 	double leaving = (double)share / CELL_LOAD_SHARES * free_fraction(cell);
@@ -146,14 +146,14 @@
 }
 
 static uint32_t share_raise(struct cell *cell, uint32_t share, int64_t wait,
-			    int64_t before, int64_t now)
+			    int64_t wait_before, int64_t now)
 {
 	struct level *level = &cell->level;
 
-	if (now - level->raised_at < SHARE_RAISE_USEC || wait < before)
+	if (now - level->raised_at < SHARE_RAISE_USEC || wait < wait_before)
 		return share;
 	level->raised_at = now;
-	return share_for(cell, share, wait, before);
+	return share_for(cell, share, wait, wait_before);
 }
 
 static uint32_t share_lower(struct cell *cell, uint32_t share, int64_t now)
@@ -171,7 +171,7 @@
 {
 	struct level *level = &cell->level;
 	int64_t wait = urgent_wait(cell, now);
-	int64_t before = wait_record(level, wait);
+	int64_t wait_before = wait_record(level, wait);
 	bool is_waiting = wait >= CELL_LOAD_WAIT_USEC / LOW_WAIT_DIVISOR;
 
 	if (is_waiting != level->is_waiting) {
@@ -185,7 +185,7 @@
 	    now - level->waiting_changed_at < BURST_USEC)
 		return share;
 	level->busy = true;
-	return share_raise(cell, share, wait, before, now);
+	return share_raise(cell, share, wait, wait_before, now);
 }
 
 static bool level_is_busy(struct level *level, int64_t now)
@@ -303,8 +303,8 @@
 		return CELL_FREE;
 	cell = service->cell;
 	*share = CELL_LOAD_SHARES;
-	if (ledger->list->len > 0 && (!role_listed(cell, POOL_PREFILL) ||
-				      !role_listed(cell, POOL_DECODE)))
+	if (ledger->runner_list->len > 0 && (!role_listed(cell, POOL_PREFILL) ||
+					     !role_listed(cell, POOL_DECODE)))
 		return CELL_FULL;
 	*share = cell_load_share(ledger->membership, cell->id);
 	return cell_load_get(ledger->membership, cell->id);
--- a/coord/ledger_queue.c
+++ b/coord/ledger_queue.c
@@ -39,10 +39,10 @@
 {
 	struct cell *cell = pending->cell;
 
-	if (pending->place == NULL)
+	if (pending->lane_position == NULL)
 		return;
-	g_sequence_remove(pending->place);
-	pending->place = NULL;
+	g_sequence_remove(pending->lane_position);
+	pending->lane_position = NULL;
 	if (pending->service != NULL)
 		pending->service->waiting--;
 	cell->waiting_pieces[pending->need.class] -= pending->need.pieces;
@@ -66,11 +66,12 @@
 void pending_remove(struct pending *pending)
 {
 	struct record *record = pending->record;
-	bool spent = pending->holder.attempt > 0 && !pending->idempotent;
+	bool may_have_run = pending->holder.attempt > 0 && !pending->idempotent;
 
 	pending_discard(pending);
 	if (record != NULL && record->grant == NULL)
-		record_end(record, spent ? RECORD_FAILED : RECORD_REMOVED);
+		record_end(record,
+			   may_have_run ? RECORD_FAILED : RECORD_REMOVED);
 }
 
 void pending_refuse(struct pending *pending, enum result_code code,
@@ -134,11 +135,12 @@
 	GSequence *lane = cell->lanes[pending->need.class];
 
 	pending->rank = rank;
-	if (pending->place != NULL)
-		g_sequence_sort_changed(pending->place, compare_rank, NULL);
+	if (pending->lane_position != NULL)
+		g_sequence_sort_changed(pending->lane_position, compare_rank,
+					NULL);
 	else
-		pending->place = g_sequence_insert_sorted(lane, pending,
-							  compare_rank, NULL);
+		pending->lane_position = g_sequence_insert_sorted(
+			lane, pending, compare_rank, NULL);
 }
 
 /* Pieces freed per second at the mean observed hold time. */
--- a/coord/ledger_roles.c
+++ b/coord/ledger_roles.c
@@ -119,7 +119,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct pending *pending = value;
 
-		if (pending->place != NULL)
+		if (pending->lane_position != NULL)
 			work_add(&out->waiting, cell, &pending->need);
 	}
 }
--- a/coord/ledger_runner.c
+++ b/coord/ledger_runner.c
@@ -211,14 +211,14 @@
 
 void runner_list_clear(struct ledger *ledger)
 {
-	for (guint i = 0; i < ledger->list->len; i++) {
-		struct ledger_runner *entry =
-			&g_array_index(ledger->list, struct ledger_runner, i);
+	for (guint i = 0; i < ledger->runner_list->len; i++) {
+		struct ledger_runner *entry = &g_array_index(
+			ledger->runner_list, struct ledger_runner, i);
 
 		g_free((char *)entry->pool);
 		g_free((char *)entry->data_centre);
 	}
-	g_array_set_size(ledger->list, 0);
+	g_array_set_size(ledger->runner_list, 0);
 }
 
 void runner_list_set(struct ledger *ledger, const struct ledger_runner *list,
@@ -234,8 +234,8 @@
 		g_array_append_val(copies, copy);
 	}
 	runner_list_clear(ledger);
-	g_array_free(ledger->list, TRUE);
-	ledger->list = copies;
+	g_array_free(ledger->runner_list, TRUE);
+	ledger->runner_list = copies;
 }
 
 static double observe(double old, double seen, double configured)
--- a/coord/ledger_types.h
+++ b/coord/ledger_types.h
@@ -92,7 +92,7 @@
 	struct record *parked; /* record whose outcome it waits for */
 	struct record *record; /* its own */
 	int64_t rank;
-	GSequenceIter *place; /* in its lane; NULL if unsettled or parked */
+	GSequenceIter *lane_position; /* NULL if unsettled or parked */
 	struct policy_request need;
 };
 
@@ -331,7 +331,7 @@
 	uint64_t self;
 	uint64_t incarnation;
 	uint32_t record_count;
-	GArray *list; /* struct ledger_runner, strings owned */
+	GArray *runner_list; /* struct ledger_runner, strings owned */
 	uint64_t cancels;
 	uint64_t sent_bytes;
 	uint64_t sent_messages;
--- a/coord/ledger_view.c
+++ b/coord/ledger_view.c
@@ -82,7 +82,7 @@
 	view->ctx = cell;
 }
 
-static int64_t seconds(double value)
+static int64_t usec_from_seconds(double value)
 {
 	return (int64_t)(CLAMP(value, 0, 1e6) * (double)USEC_PER_SEC);
 }
@@ -94,7 +94,7 @@
 	uint64_t in = cell->decode->link_bytes_per_s;
 	uint64_t rate = out != 0 && (in == 0 || out < in) ? out : in;
 
-	return rate != 0 ? seconds(bytes / (double)rate) : 0;
+	return rate != 0 ? usec_from_seconds(bytes / (double)rate) : 0;
 }
 
 /* Accounts for the request on prefill runner and links. Returns the expected
@@ -113,27 +113,28 @@
 		need->prompt_tokens > cached ? need->prompt_tokens - cached : 0;
 	double rate = MAX(p->prefill_tokens_per_s, 1.0);
 	int64_t transfer = transfer_time(cell, need->prompt_tokens);
-	int64_t at;
+	int64_t decode_start;
 
 	cell->cached_tokens += need->prompt_tokens - tokens;
-	*prefill_time = seconds(tokens / rate);
+	*prefill_time = usec_from_seconds(tokens / rate);
 	p->busy_until = MAX(p->busy_until, now) + *prefill_time;
-	at = MAX(p->busy_until, MAX(p->link_until, d->link_until)) + transfer;
-	p->link_until = at;
-	d->link_until = at;
+	decode_start = MAX(p->busy_until, MAX(p->link_until, d->link_until)) +
+		       transfer;
+	p->link_until = decode_start;
+	d->link_until = decode_start;
 	p->link_free = MAX(p->link_free, now) + transfer;
 	d->link_free = MAX(d->link_free, now) + transfer;
 	for (uint32_t i = 0; i < need->block_count; i++)
 		prefix_store(cell->prefix, placement->prefill, need->blocks[i]);
 	cell->prefix_depths_for = NULL;
-	return at;
+	return decode_start;
 }
 
 static int64_t decode_time(const struct cell *cell,
 			   const struct policy_request *need, uint32_t decode)
 {
 	double rate = MAX(runner_view(cell, decode)->decode_tokens_per_s, 1.0);
-	int64_t most = seconds(need->output_tokens_max / rate);
+	int64_t most = usec_from_seconds(need->output_tokens_max / rate);
 
 	if (cell->hold_usec[need->class] <= 0)
 		return most;
@@ -223,17 +224,17 @@
 struct pass {
 	struct cell *cell;
 	struct policy_view view;
-	GSequenceIter *at[CLASS_COUNT];
+	GSequenceIter *position[CLASS_COUNT];
 	uint32_t wait_counts[CLASS_COUNT];
-	int64_t again_at;
+	int64_t next_scan_at;
 };
 
 static struct pending *lane_head(const struct pass *pass, int class)
 {
-	if (g_sequence_iter_is_end(pass->at[class]) ||
+	if (g_sequence_iter_is_end(pass->position[class]) ||
 	    pass->wait_counts[class] >= SCAN_WAITS_MAX)
 		return NULL;
-	return g_sequence_get(pass->at[class]);
+	return g_sequence_get(pass->position[class]);
 }
 
 static int64_t rank_of(GSequenceIter *iter)
@@ -263,12 +264,12 @@
 			head->rank = rank;
 			return head;
 		}
-		next = g_sequence_iter_next(pass->at[class]);
+		next = g_sequence_iter_next(pass->position[class]);
 		if (g_sequence_iter_is_end(next) || rank_of(next) >= rank) {
 			head->rank = rank;
 			return head;
 		}
-		pass->at[class] = next;
+		pass->position[class] = next;
 		lane_rank(pass->cell, head, rank);
 	}
 	return lane_head(pass, class);
@@ -293,7 +294,7 @@
 	struct cell *cell = pass->cell;
 
 	pass->wait_counts[class]++;
-	pass->again_at = MIN(pass->again_at, placement->again_at);
+	pass->next_scan_at = MIN(pass->next_scan_at, placement->again_at);
 	if (placement->hold < cell->view->len)
 		runner_view(cell, placement->hold)->held = true;
 }
@@ -309,7 +310,7 @@
 				      .code = RESULT_QUEUE_FULL};
 	enum verdict verdict;
 
-	pass->at[class] = g_sequence_iter_next(pending->place);
+	pass->position[class] = g_sequence_iter_next(pending->lane_position);
 	verdict = place_avoiding(cell, &pass->view, pending, &placement);
 	if (verdict == VERDICT_START &&
 	    placement_valid(cell, &pending->need, &placement))
@@ -328,14 +329,14 @@
 
 	for (guint i = 0; i < cell->view->len; i++)
 		runner_view(cell, i)->held = false;
-	if (pass->again_at != CLOCK_NEVER && !timer_running(&cell->scan))
+	if (pass->next_scan_at != CLOCK_NEVER && !timer_running(&cell->scan))
 		timer_start(&cell->scan,
-			    MAX(pass->again_at - pass->view.now, 0));
+			    MAX(pass->next_scan_at - pass->view.now, 0));
 }
 
 void queue_scan(struct cell *cell)
 {
-	struct pass pass = {.cell = cell, .again_at = CLOCK_NEVER};
+	struct pass pass = {.cell = cell, .next_scan_at = CLOCK_NEVER};
 	struct pending *pending;
 	uint32_t seen = 0;
 
@@ -345,10 +346,11 @@
 	cell->prefix_depths_for = NULL;
 	view_fill(cell, &pass.view);
 	for (int class = 0; class < CLASS_COUNT; class ++)
-		pass.at[class] = g_sequence_get_begin_iter(cell->lanes[class]);
+		pass.position[class] =
+			g_sequence_get_begin_iter(cell->lanes[class]);
 	while (seen++ < SCAN_MAX && (pending = pass_next(&pass)) != NULL)
 		pass_place(&pass, pending);
 	if (seen > SCAN_MAX)
-		pass.again_at = pass.view.now + SCAN_CONTINUE_USEC;
+		pass.next_scan_at = pass.view.now + SCAN_CONTINUE_USEC;
 	pass_end(&pass);
 }
