--- a/tests/ledger/test_path.c
+++ b/tests/ledger/test_path.c
@@ -160,13 +160,13 @@
 static void test_bad_calls(void)
 {
 	struct instance *instance;
-	struct ledger_request ask = {.request = 9, .service = "model"};
+	struct ledger_request request = {.request = 9, .service = "model"};
 	struct job *job;
 
 	world_start("reserve", 100);
 	instance = &world->instances[0];
 	job = app_ask(world, 0, &(struct spec){.service = "nothing"});
-	ledger_submit(instance->ledger, &ask);
+	ledger_submit(instance->ledger, &request);
 	ledger_withdraw(instance->ledger, 12345);
 	ledger_release(instance->ledger, 12345, RELEASE_DONE);
 	ledger_retry(instance->ledger, 12345, RESULT_STREAM_LOST, 1);
