--- a/coord/ledger_level.c
+++ b/coord/ledger_level.c
@@ -1,7 +1,7 @@
 /*
- * How busy a cell is. The home measures it and spreads it as a fact when it
- * changes. What it controls is the share of urgent requests that leave: as many
- * as bring the wait down, not all, or the free cells would be next to be busy.
+ * Load level of a cell. The home measures it and announces changes as a fact.
+ * It controls the share of urgent requests sent to other data centres: enough
+ * to bring the wait down, but not all, which would overload the free cells.
  */
 #include "ledger_parts.h"
 
@@ -10,28 +10,28 @@
 #include "coord/ledger_level.h"
 
 #define CHECK_USEC (100 * USEC_PER_MSEC)
-/* A role without a usable runner for so long makes the cell full. */
-#define UNMANNED_USEC (1 * USEC_PER_SEC)
-/* Urgent requests that are looked at for the one that has waited longest. */
-#define LOOK_MAX 64u
+/* A cell is full after this time without a usable runner of a role. */
+#define ROLE_MISSING_USEC (1 * USEC_PER_SEC)
+/* Number of urgent requests examined for the longest wait. */
+#define WAIT_SCAN_MAX 64u
 
-/* A cell is busy until urgent requests have not waited for so long. */
+/* A cell stays busy until no urgent request has waited for this time. */
 #define BUSY_USEC (2 * USEC_PER_SEC)
-/* A wait that is over sooner is a burst, of which nothing is told. */
+/* Shorter periods of waiting are bursts and are not announced. */
 #define BURST_USEC (500 * USEC_PER_MSEC)
-/* Until a new share shows in the queue, it is not raised again. */
-#define RAISE_USEC (2 * USEC_PER_SEC)
-/* The load that is aimed at: less, the more there is to catch up with. */
-#define LOAD_AIM 0.9
-#define LOAD_AIM_MIN 0.75
+/* Minimum time between raises, so that the last one takes effect first. */
+#define SHARE_RAISE_USEC (2 * USEC_PER_SEC)
+/* Target load; it falls with the wait, down to the minimum, so that a backlog
+ * is worked off. */
+#define LOAD_TARGET 0.9
+#define LOAD_TARGET_MIN 0.75
 #define CATCH_UP_USEC (8 * USEC_PER_SEC)
-/* Of what is urgent, some stays: it may be that it is not what makes it wait.
- */
+/* Some urgent requests always stay: they may not be the cause of the wait. */
 #define SHARE_MAX (CELL_LOAD_SHARES * 3 / 4)
 
-/* The share falls by one after such a calm. */
-#define CALM_USEC (5 * USEC_PER_SEC)
-#define CALM_PART 4 /* a wait below this part of the bound is calm */
+/* The share is lowered by one after this time of low waits. */
+#define SHARE_LOWER_USEC (5 * USEC_PER_SEC)
+#define LOW_WAIT_DIVISOR 4 /* a wait below 1/4 of the bound is low */
 
 static bool role_usable(const struct cell *cell, enum pool_role role)
 {
@@ -44,21 +44,21 @@
 	return false;
 }
 
-/* Either way it must have been so for a while. */
-static bool unmanned(struct cell *cell, int64_t now)
+/* Changes only after ROLE_MISSING_USEC of contrary checks. */
+static bool role_missing(struct cell *cell, int64_t now)
 {
 	struct level *level = &cell->level;
 	bool usable = role_usable(cell, POOL_PREFILL) &&
 		      role_usable(cell, POOL_DECODE);
 
-	if (usable != level->unmanned)
-		level->manned_since = now;
-	else if (now - level->manned_since >= UNMANNED_USEC)
-		level->unmanned = !usable;
-	return level->unmanned;
+	if (usable != level->role_missing)
+		level->role_agreed_at = now;
+	else if (now - level->role_agreed_at >= ROLE_MISSING_USEC)
+		level->role_missing = !usable;
+	return level->role_missing;
 }
 
-/* A full queue stays so until a quarter of it is gone. */
+/* Hysteresis: a full queue counts as full until a quarter of it is free. */
 static bool queue_full(const struct cell *cell, enum cell_level current)
 {
 	const struct ledger *ledger = cell->ledger;
@@ -66,13 +66,13 @@
 	for (guint i = 0; i < ledger->services->len; i++) {
 		const struct service *service =
 			g_ptr_array_index(ledger->services, i);
-		uint32_t most = service->config->queue_max;
+		uint32_t limit = service->config->queue_max;
 
-		if (service->cell != cell || most == 0)
+		if (service->cell != cell || limit == 0)
 			continue;
 		if (current == CELL_FULL)
-			most = MAX(most - most / 4, 1);
-		if (service->waiting >= most)
+			limit = MAX(limit - limit / 4, 1);
+		if (service->waiting >= limit)
 			return true;
 	}
 	return false;
@@ -84,136 +84,139 @@
 		g_sequence_get_begin_iter(cell->lanes[CLASS_URGENT]);
 	int64_t longest = 0;
 
-	for (guint i = 0; i < LOOK_MAX && !g_sequence_iter_is_end(iter); i++) {
-		const struct waiting *waiting = g_sequence_get(iter);
+	for (guint i = 0; i < WAIT_SCAN_MAX && !g_sequence_iter_is_end(iter);
+	     i++) {
+		const struct pending *pending = g_sequence_get(iter);
 
-		longest = MAX(longest, now - waiting->need.arrived);
+		longest = MAX(longest, now - pending->need.arrived);
 		iter = g_sequence_iter_next(iter);
 	}
 	return longest;
 }
 
-/* Keeps the waits of the last second, one a check. */
-static int64_t wait_note(struct level *level, int64_t wait)
+/* Stores the wait and returns the one measured a second before. */
+static int64_t wait_record(struct level *level, int64_t wait)
 {
-	int64_t before = level->history[level->at];
+	int64_t wait_before = level->history[level->history_next];
 
-	level->history[level->at] = wait;
-	level->at = (level->at + 1) % LEVEL_WAITS;
-	return before;
+	level->history[level->history_next] = wait;
+	level->history_next = (level->history_next + 1) % LEVEL_HISTORY;
+	return wait_before;
 }
 
-/* Of the data centres that requests leave for, the part that takes them now. */
-static double open_part(const struct cell *cell)
+/* Fraction of the other data centres that accept requests now. */
+static double free_fraction(const struct cell *cell)
 {
 	const struct ledger *ledger = cell->ledger;
 	const struct config *config = ledger->config;
 	const char *here = membership_self(ledger->membership)->data_centre;
-	double open = 0;
+	double free_count = 0;
 
 	for (size_t i = 0; i < config->data_centre_count; i++) {
 		const char *name = config->data_centres[i].name;
-		uint64_t there = cell_id_of_pools(cell->prefill_pool,
-						  cell->decode_pool, name);
+		uint64_t cell_there = cell_id_of_pools(cell->prefill_pool,
+						       cell->decode_pool, name);
 
 		if (strcmp(name, here) != 0 &&
-		    cell_load_get(ledger->membership, there) == CELL_FREE)
-			open++;
+		    cell_load_get(ledger->membership, cell_there) == CELL_FREE)
+			free_count++;
 	}
 	return config->data_centre_count > 1
-		       ? open / (double)(config->data_centre_count - 1)
+		       ? free_count / (double)(config->data_centre_count - 1)
 		       : 0;
 }
 
-/* In a queue that is served in order, the wait of the oldest grows a second by
- * load - 1 seconds. From that follows the load if all stayed, and the share
- * that would bring it to the aim if the others took theirs: while they do not,
- * a larger one would only overrun them later. */
+/* In a FIFO queue the longest wait grows by (load - 1) seconds per second. This
+ * gives the load if all requests stayed, and the share that reaches the target
+ * if all other data centres accept their part. While some do not, a larger
+ * share would overload them later. */
 static uint32_t share_for(const struct cell *cell, uint32_t share, int64_t wait,
-			  int64_t before)
+			  int64_t wait_before)
 {
-	double seconds = (double)LEVEL_WAITS * CHECK_USEC;
-	double load = 1 + MAX((double)(wait - before) / seconds, 0);
-	double aim = MAX(LOAD_AIM - (double)wait / CATCH_UP_USEC, LOAD_AIM_MIN);
-	double left = (double)share / CELL_LOAD_SHARES * open_part(cell);
-	double all = load / (1 - left);
-	double leaves = (1 - aim / all) * CELL_LOAD_SHARES + 0.5;
-
-	return CLAMP((uint32_t)leaves, share, SHARE_MAX);
+	double seconds = (double)LEVEL_HISTORY * CHECK_USEC;
+	double load = 1 + MAX((double)(wait - wait_before) / seconds, 0);
+	double target = MAX(LOAD_TARGET - (double)wait / CATCH_UP_USEC,
+			    LOAD_TARGET_MIN);
+	double leaving = (double)share / CELL_LOAD_SHARES * free_fraction(cell);
+	double total_load = load / (1 - leaving);
+	double share_needed =
+		(1 - target / total_load) * CELL_LOAD_SHARES + 0.5;
+
+	return CLAMP((uint32_t)share_needed, share, SHARE_MAX);
 }
 
 static uint32_t share_raise(struct cell *cell, uint32_t share, int64_t wait,
-			    int64_t before, int64_t now)
+			    int64_t wait_before, int64_t now)
 {
 	struct level *level = &cell->level;
 
-	if (now - level->raised < RAISE_USEC || wait < before)
+	if (now - level->raised_at < SHARE_RAISE_USEC || wait < wait_before)
 		return share;
-	level->raised = now;
-	return share_for(cell, share, wait, before);
+	level->raised_at = now;
+	return share_for(cell, share, wait, wait_before);
 }
 
 static uint32_t share_lower(struct cell *cell, uint32_t share, int64_t now)
 {
 	struct level *level = &cell->level;
 
-	if (share == 0 || now - level->calm_since < CALM_USEC)
+	if (share == 0 || now - level->low_wait_since < SHARE_LOWER_USEC)
 		return share;
-	level->calm_since = now;
+	level->low_wait_since = now;
 	return share - 1;
 }
 
-/* What the share should be by what urgent requests wait. */
+/* The new share, from the current waits of urgent requests. */
 static uint32_t share_next(struct cell *cell, uint32_t share, int64_t now)
 {
 	struct level *level = &cell->level;
 	int64_t wait = urgent_wait(cell, now);
-	int64_t before = wait_note(level, wait);
-	bool waits = wait >= CELL_LOAD_WAIT_USEC / CALM_PART;
+	int64_t wait_before = wait_record(level, wait);
+	bool is_waiting = wait >= CELL_LOAD_WAIT_USEC / LOW_WAIT_DIVISOR;
 
-	if (waits != level->waits) {
-		level->waits = waits;
-		level->waits_since = now;
-		level->calm_since = now;
+	if (is_waiting != level->is_waiting) {
+		level->is_waiting = is_waiting;
+		level->waiting_changed_at = now;
+		level->low_wait_since = now;
 	}
-	if (!waits)
+	if (!is_waiting)
 		return share_lower(cell, share, now);
 	if (wait <= CELL_LOAD_WAIT_USEC ||
-	    now - level->waits_since < BURST_USEC)
+	    now - level->waiting_changed_at < BURST_USEC)
 		return share;
 	level->busy = true;
-	return share_raise(cell, share, wait, before, now);
+	return share_raise(cell, share, wait, wait_before, now);
 }
 
-static bool busy(struct level *level, int64_t now)
+static bool level_is_busy(struct level *level, int64_t now)
 {
-	if (!level->waits && now - level->waits_since >= BUSY_USEC)
+	if (!level->is_waiting && now - level->waiting_changed_at >= BUSY_USEC)
 		level->busy = false;
 	return level->busy;
 }
 
-static uint32_t share_said(const struct level *level)
+static uint32_t share_to_announce(const struct level *level)
 {
-	return level->unmanned ? CELL_LOAD_SHARES : level->share;
+	return level->role_missing ? CELL_LOAD_SHARES : level->share;
 }
 
-static void level_say(struct cell *cell, enum cell_level level, uint32_t share,
-		      int64_t now)
+static void level_announce(struct cell *cell, enum cell_level level,
+			   uint32_t share, int64_t now)
 {
 	static const char *const names[] = {[CELL_FREE] = "free",
 					    [CELL_BUSY] = "busy",
 					    [CELL_FULL] = "full"};
 	struct ledger *ledger = cell->ledger;
 
-	cell->level.said = now;
+	cell->level.announced_at = now;
 	cell_load_set(ledger->membership, cell->id, level, share,
 		      (uint64_t)clock_unix(ledger->clock));
 	log_event(LOG_INFO, "cell_level", LOG_X("cell", cell->id),
 		  LOG_S("level", names[level]), LOG_D("share", share));
 }
 
-/* The fact itself says what was said last: another home may have set it, or it
- * was dropped for its age. */
+/* Compares with the fact itself, not with the last announcement: another home
+ * may have set it, or it may have expired. */
 static void level_check(struct cell *cell)
 {
 	struct level *level = &cell->level;
@@ -224,15 +227,15 @@
 	enum cell_level next;
 
 	level->share = share_next(cell, level->share, now);
-	next = busy(level, now) ? CELL_BUSY : CELL_FREE;
+	next = level_is_busy(level, now) ? CELL_BUSY : CELL_FREE;
 	if (queue_full(cell, current))
 		next = CELL_FULL;
-	if (unmanned(cell, now))
+	if (role_missing(cell, now))
 		next = CELL_FULL;
-	if (level->said + CELL_LOAD_HOLD_USEC > now)
+	if (level->announced_at + CELL_LOAD_HOLD_USEC > now)
 		return;
-	if (next != current || share != share_said(level))
-		level_say(cell, next, share_said(level), now);
+	if (next != current || share != share_to_announce(level))
+		level_announce(cell, next, share_to_announce(level), now);
 }
 
 static void level_timer(struct timer *timer, void *ctx)
@@ -249,7 +252,7 @@
 	timer_init(&cell->level.timer, cell->ledger->clock, level_timer, cell);
 }
 
-/* A new home goes on from what the former one said. */
+/* A new home continues from the share that the previous one announced. */
 void level_start(struct cell *cell)
 {
 	const struct membership *membership = cell->ledger->membership;
@@ -257,15 +260,15 @@
 	int64_t now = clock_now(cell->ledger->clock);
 	uint32_t share = cell_load_share(membership, cell->id);
 
-	level->unmanned = false;
+	level->role_missing = false;
 	level->share = share < CELL_LOAD_SHARES ? share : 0;
-	level->said = now;
-	level->manned_since = now;
-	level->waits = false;
+	level->announced_at = now;
+	level->role_agreed_at = now;
+	level->is_waiting = false;
 	level->busy = false;
-	level->waits_since = now;
-	level->calm_since = now;
-	level->raised = now;
+	level->waiting_changed_at = now;
+	level->low_wait_since = now;
+	level->raised_at = now;
 	memset(level->history, 0, sizeof(level->history));
 	timer_start(&level->timer, CHECK_USEC);
 }
@@ -280,7 +283,7 @@
 	for (guint i = 0; i < cell->view->len; i++) {
 		const struct runner *runner = runner_at(cell, i);
 
-		if (runner->known && !runner->list_leaving &&
+		if (runner->in_list && !runner->list_leaving &&
 		    runner_view(cell, i)->role == role)
 			return true;
 	}
@@ -300,8 +303,8 @@
 		return CELL_FREE;
 	cell = service->cell;
 	*share = CELL_LOAD_SHARES;
-	if (ledger->list->len > 0 && (!role_listed(cell, POOL_PREFILL) ||
-				      !role_listed(cell, POOL_DECODE)))
+	if (ledger->runner_list->len > 0 && (!role_listed(cell, POOL_PREFILL) ||
+					     !role_listed(cell, POOL_DECODE)))
 		return CELL_FULL;
 	*share = cell_load_share(ledger->membership, cell->id);
 	return cell_load_get(ledger->membership, cell->id);
--- a/coord/ledger_view.c
+++ b/coord/ledger_view.c
@@ -1,27 +1,27 @@
 #include "ledger_parts.h"
 
-/* How many requests a pass looks at, and how many of a class may wait before
- * the rest of the class is left for later. */
+/* Limits of a pass: requests examined, and requests of a class that can't start
+ * before the rest of the class is skipped. */
 #define SCAN_MAX 64u
-#define SCAN_WAITS 4u
-/* A pass that ended early goes on in the next turn. */
-#define SCAN_AGAIN_USEC 0
+#define SCAN_WAITS_MAX 4u
+/* A pass that hit SCAN_MAX continues in the next iteration of the loop. */
+#define SCAN_CONTINUE_USEC 0
 
 static uint32_t cached_blocks(void *ctx, uint32_t runner,
 			      const struct policy_request *request)
 {
 	struct cell *cell = ctx;
 
-	if (runner >= cell->depth->len)
+	if (runner >= cell->prefix_depths->len)
 		return 0;
-	if (cell->depth_for != request) {
+	if (cell->prefix_depths_for != request) {
 		prefix_match(cell->prefix, request->blocks,
 			     request->block_count,
-			     (uint32_t *)(void *)cell->depth->data,
-			     cell->depth->len);
-		cell->depth_for = request;
+			     (uint32_t *)(void *)cell->prefix_depths->data,
+			     cell->prefix_depths->len);
+		cell->prefix_depths_for = request;
 	}
-	return g_array_index(cell->depth, uint32_t, runner);
+	return g_array_index(cell->prefix_depths, uint32_t, runner);
 }
 
 static double output_tokens(void *ctx, enum request_class class)
@@ -32,7 +32,7 @@
 	       cell->decode->decode_tokens_per_s;
 }
 
-static int compare_end(const void *a, const void *b)
+static int compare_expected_end(const void *a, const void *b)
 {
 	const struct grant *x = *(struct grant *const *)a;
 	const struct grant *y = *(struct grant *const *)b;
@@ -52,7 +52,7 @@
 	if (used + pieces <= view->pieces)
 		return now;
 	if (!runner->sorted)
-		g_ptr_array_sort(runner->grants, compare_end);
+		g_ptr_array_sort(runner->grants, compare_expected_end);
 	runner->sorted = true;
 	for (guint i = 0; i < runner->grants->len; i++) {
 		const struct grant *grant =
@@ -82,7 +82,7 @@
 	view->ctx = cell;
 }
 
-static int64_t seconds(double value)
+static int64_t usec_from_seconds(double value)
 {
 	return (int64_t)(CLAMP(value, 0, 1e6) * (double)USEC_PER_SEC);
 }
@@ -94,13 +94,15 @@
 	uint64_t in = cell->decode->link_bytes_per_s;
 	uint64_t rate = out != 0 && (in == 0 || out < in) ? out : in;
 
-	return rate != 0 ? seconds(bytes / (double)rate) : 0;
+	return rate != 0 ? usec_from_seconds(bytes / (double)rate) : 0;
 }
 
-/* Books the work on prefill runner and links; returns when decode starts, and
- * how long the prefill takes. */
-static int64_t book_work(struct cell *cell, const struct policy_request *need,
-			 const struct placement *placement, int64_t *takes)
+/* Accounts for the request on prefill runner and links. Returns the expected
+ * start of decode and sets the expected prefill time. */
+static int64_t placement_book(struct cell *cell,
+			      const struct policy_request *need,
+			      const struct placement *placement,
+			      int64_t *prefill_time)
 {
 	struct policy_runner *p = runner_view(cell, placement->prefill);
 	struct policy_runner *d = runner_view(cell, placement->decode);
@@ -111,34 +113,35 @@
 		need->prompt_tokens > cached ? need->prompt_tokens - cached : 0;
 	double rate = MAX(p->prefill_tokens_per_s, 1.0);
 	int64_t transfer = transfer_time(cell, need->prompt_tokens);
-	int64_t at;
+	int64_t decode_start;
 
 	cell->cached_tokens += need->prompt_tokens - tokens;
-	*takes = seconds(tokens / rate);
-	p->busy_until = MAX(p->busy_until, now) + *takes;
-	at = MAX(p->busy_until, MAX(p->link_until, d->link_until)) + transfer;
-	p->link_until = at;
-	d->link_until = at;
+	*prefill_time = usec_from_seconds(tokens / rate);
+	p->busy_until = MAX(p->busy_until, now) + *prefill_time;
+	decode_start = MAX(p->busy_until, MAX(p->link_until, d->link_until)) +
+		       transfer;
+	p->link_until = decode_start;
+	d->link_until = decode_start;
 	p->link_free = MAX(p->link_free, now) + transfer;
 	d->link_free = MAX(d->link_free, now) + transfer;
 	for (uint32_t i = 0; i < need->block_count; i++)
 		prefix_store(cell->prefix, placement->prefill, need->blocks[i]);
-	cell->depth_for = NULL;
-	return at;
+	cell->prefix_depths_for = NULL;
+	return decode_start;
 }
 
 static int64_t decode_time(const struct cell *cell,
 			   const struct policy_request *need, uint32_t decode)
 {
 	double rate = MAX(runner_view(cell, decode)->decode_tokens_per_s, 1.0);
-	int64_t most = seconds(need->output_tokens_max / rate);
+	int64_t most = usec_from_seconds(need->output_tokens_max / rate);
 
 	if (cell->hold_usec[need->class] <= 0)
 		return most;
 	return MIN(most, (int64_t)cell->hold_usec[need->class]);
 }
 
-/* Whatever a policy answers, what it reserves is never given twice. */
+/* No policy can reserve memory that is already granted. */
 static bool placement_valid(const struct cell *cell,
 			    const struct policy_request *need,
 			    const struct placement *placement)
@@ -156,24 +159,24 @@
 	       decode->granted_pieces + need->pieces <= decode->pieces;
 }
 
-static void start(struct cell *cell, struct waiting *waiting,
-		  const struct placement *placement)
+static void request_start(struct cell *cell, struct pending *pending,
+			  const struct placement *placement)
 {
-	const struct policy_request *need = &waiting->need;
-	struct tag holder = waiting->holder;
-	int64_t takes;
-	int64_t end = book_work(cell, need, placement, &takes) +
+	const struct policy_request *need = &pending->need;
+	struct tag holder = pending->holder;
+	int64_t prefill_time;
+	int64_t end = placement_book(cell, need, placement, &prefill_time) +
 		      decode_time(cell, need, placement->decode);
 	struct grant *grant;
 
-	ask_grant(waiting, placement->prefill, placement->decode);
+	pending_grant(pending, placement->prefill, placement->decode);
 	grant = grant_find(cell, &holder.owner, holder.request);
 	grant->expected_end = end;
-	prefill_book(grant, takes);
+	prefill_book(grant, prefill_time);
 	runner_at(cell, grant->decode)->sorted = false;
 }
 
-/* Whether another usable runner of the role is there. */
+/* Whether the role has another usable runner. */
 static bool other_usable(const struct cell *cell, uint32_t index)
 {
 	enum pool_role role = runner_view(cell, index)->role;
@@ -187,9 +190,9 @@
 	return false;
 }
 
-/* Runners that failed the former attempt are shown as not usable. */
+/* Shows the policy the runners of the failed attempt as not usable. */
 static enum verdict place_avoiding(struct cell *cell, struct policy_view *view,
-				   struct waiting *waiting,
+				   struct pending *pending,
 				   struct placement *placement)
 {
 	struct ledger *ledger = cell->ledger;
@@ -197,23 +200,23 @@
 	enum verdict verdict;
 
 	for (int i = 0; i < 2; i++) {
-		uint32_t index = runner_index(cell, waiting->avoid[i]);
+		uint32_t index = runner_index(cell, pending->avoid[i]);
 
 		if (index == RUNNER_NONE || !runner_view(cell, index)->usable ||
-		    view->now >= waiting->avoid_until ||
+		    view->now >= pending->avoid_until ||
 		    !other_usable(cell, index))
 			continue;
 		runner_view(cell, index)->usable = false;
 		hidden[i] = index;
 	}
 	verdict = ledger->policy->place(ledger->policy_state, view,
-					&waiting->need, placement);
+					&pending->need, placement);
 	for (int i = 0; i < 2; i++) {
 		if (hidden[i] == RUNNER_NONE)
 			continue;
 		runner_refresh(cell, hidden[i]);
 		placement->again_at =
-			MIN(placement->again_at, waiting->avoid_until);
+			MIN(placement->again_at, pending->avoid_until);
 	}
 	return verdict;
 }
@@ -221,32 +224,32 @@
 struct pass {
 	struct cell *cell;
 	struct policy_view view;
-	GSequenceIter *at[CLASS_COUNT];
-	uint32_t waits[CLASS_COUNT];
-	int64_t again_at;
+	GSequenceIter *position[CLASS_COUNT];
+	uint32_t wait_counts[CLASS_COUNT];
+	int64_t next_scan_at;
 };
 
-static struct waiting *lane_head(const struct pass *pass, int class)
+static struct pending *lane_head(const struct pass *pass, int class)
 {
-	if (g_sequence_iter_is_end(pass->at[class]) ||
-	    pass->waits[class] >= SCAN_WAITS)
+	if (g_sequence_iter_is_end(pass->position[class]) ||
+	    pass->wait_counts[class] >= SCAN_WAITS_MAX)
 		return NULL;
-	return g_sequence_get(pass->at[class]);
+	return g_sequence_get(pass->position[class]);
 }
 
 static int64_t rank_of(GSequenceIter *iter)
 {
-	const struct waiting *waiting = g_sequence_get(iter);
+	const struct pending *pending = g_sequence_get(iter);
 
-	return waiting->rank;
+	return pending->rank;
 }
 
-/* Ranks may rise while requests wait: a head whose rank has risen goes back to
- * its place, and the next one is looked at. */
-static struct waiting *fresh_head(struct pass *pass, int class)
+/* Ranks may rise while requests wait: a head whose rank has risen is sorted
+ * back into the lane and the next one is examined. */
+static struct pending *lane_head_reranked(struct pass *pass, int class)
 {
 	struct ledger *ledger = pass->cell->ledger;
-	struct waiting *head;
+	struct pending *head;
 
 	for (uint32_t i = 0; i < SCAN_MAX; i++) {
 		GSequenceIter *next;
@@ -261,23 +264,23 @@
 			head->rank = rank;
 			return head;
 		}
-		next = g_sequence_iter_next(pass->at[class]);
+		next = g_sequence_iter_next(pass->position[class]);
 		if (g_sequence_iter_is_end(next) || rank_of(next) >= rank) {
 			head->rank = rank;
 			return head;
 		}
-		pass->at[class] = next;
+		pass->position[class] = next;
 		lane_rank(pass->cell, head, rank);
 	}
 	return lane_head(pass, class);
 }
 
-static struct waiting *pass_next(struct pass *pass)
+static struct pending *pass_next(struct pass *pass)
 {
-	struct waiting *best = NULL;
+	struct pending *best = NULL;
 
 	for (int class = 0; class < CLASS_COUNT; class ++) {
-		struct waiting *head = fresh_head(pass, class);
+		struct pending *head = lane_head_reranked(pass, class);
 
 		if (head != NULL && (best == NULL || head->rank < best->rank))
 			best = head;
@@ -285,21 +288,21 @@
 	return best;
 }
 
-static void pass_wait(struct pass *pass, int class,
-		      const struct placement *placement)
+static void pass_count_wait(struct pass *pass, int class,
+			    const struct placement *placement)
 {
 	struct cell *cell = pass->cell;
 
-	pass->waits[class]++;
-	pass->again_at = MIN(pass->again_at, placement->again_at);
+	pass->wait_counts[class]++;
+	pass->next_scan_at = MIN(pass->next_scan_at, placement->again_at);
 	if (placement->hold < cell->view->len)
 		runner_view(cell, placement->hold)->held = true;
 }
 
-static void pass_one(struct pass *pass, struct waiting *waiting)
+static void pass_place(struct pass *pass, struct pending *pending)
 {
 	struct cell *cell = pass->cell;
-	int class = waiting->need.class;
+	int class = pending->need.class;
 	struct placement placement = {.prefill = RUNNER_NONE,
 				      .decode = RUNNER_NONE,
 				      .again_at = CLOCK_NEVER,
@@ -307,17 +310,17 @@
 				      .code = RESULT_QUEUE_FULL};
 	enum verdict verdict;
 
-	pass->at[class] = g_sequence_iter_next(waiting->place);
-	verdict = place_avoiding(cell, &pass->view, waiting, &placement);
+	pass->position[class] = g_sequence_iter_next(pending->lane_position);
+	verdict = place_avoiding(cell, &pass->view, pending, &placement);
 	if (verdict == VERDICT_START &&
-	    placement_valid(cell, &waiting->need, &placement))
-		start(cell, waiting, &placement);
+	    placement_valid(cell, &pending->need, &placement))
+		request_start(cell, pending, &placement);
 	else if (verdict == VERDICT_REFUSE)
-		ask_refuse(waiting, placement.code,
-			   MAX(placement.retry_after,
-			       queue_time(cell, &waiting->need)));
+		pending_refuse(pending, placement.code,
+			       MAX(placement.retry_after,
+				   queue_time(cell, &pending->need)));
 	else
-		pass_wait(pass, class, &placement);
+		pass_count_wait(pass, class, &placement);
 }
 
 static void pass_end(struct pass *pass)
@@ -326,27 +329,28 @@
 
 	for (guint i = 0; i < cell->view->len; i++)
 		runner_view(cell, i)->held = false;
-	if (pass->again_at != CLOCK_NEVER && !timer_running(&cell->scan))
+	if (pass->next_scan_at != CLOCK_NEVER && !timer_running(&cell->scan))
 		timer_start(&cell->scan,
-			    MAX(pass->again_at - pass->view.now, 0));
+			    MAX(pass->next_scan_at - pass->view.now, 0));
 }
 
 void queue_scan(struct cell *cell)
 {
-	struct pass pass = {.cell = cell, .again_at = CLOCK_NEVER};
-	struct waiting *waiting;
+	struct pass pass = {.cell = cell, .next_scan_at = CLOCK_NEVER};
+	struct pending *pending;
 	uint32_t seen = 0;
 
 	if (!cell->is_home || !cell->settled || cell->decode == NULL)
 		return;
 	timer_stop(&cell->scan);
-	cell->depth_for = NULL;
+	cell->prefix_depths_for = NULL;
 	view_fill(cell, &pass.view);
 	for (int class = 0; class < CLASS_COUNT; class ++)
-		pass.at[class] = g_sequence_get_begin_iter(cell->lanes[class]);
-	while (seen++ < SCAN_MAX && (waiting = pass_next(&pass)) != NULL)
-		pass_one(&pass, waiting);
+		pass.position[class] =
+			g_sequence_get_begin_iter(cell->lanes[class]);
+	while (seen++ < SCAN_MAX && (pending = pass_next(&pass)) != NULL)
+		pass_place(&pass, pending);
 	if (seen > SCAN_MAX)
-		pass.again_at = pass.view.now + SCAN_AGAIN_USEC;
+		pass.next_scan_at = pass.view.now + SCAN_CONTINUE_USEC;
 	pass_end(&pass);
 }
