--- a/coord/cell_load.c
+++ b/coord/cell_load.c
@@ -36,7 +36,7 @@
 		membership_fact_find(membership, fact_key(cell), &size);
 
 	if (!value || size != 1 || (value[0] & LEVEL_MASK) > CELL_FULL ||
-	    value[0] >> SHARE_SHIFT > CELL_LOAD_SHARES)
+	    value[0] >> SHARE_SHIFT > CELL_LOAD_SHARE_ALL)
 		return CELL_FREE;
 	return value[0];
 }
@@ -68,12 +68,12 @@
 	return membership_home(membership, data_centre, 0, 0) != 0;
 }
 
-bool cell_load_leaves(uint32_t share, enum request_class class, uint64_t key)
+bool cell_load_redirects(uint32_t share, enum request_class class, uint64_t key)
 {
-	if (share >= CELL_LOAD_SHARES)
+	if (share >= CELL_LOAD_SHARE_ALL)
 		return true;
 	return class == CLASS_URGENT &&
-	       id_mix(key, id_of("cell-load")) % CELL_LOAD_SHARES < share;
+	       id_mix(key, id_of("cell-load")) % CELL_LOAD_SHARE_ALL < share;
 }
 
 /* One way; 0 when the configuration names no such link. */
@@ -95,12 +95,13 @@
 	double ms = latency_ms(config, here, there) +
 		    latency_ms(config, there, here);
 
-	return ms * USEC_PER_MSEC > CELL_LOAD_WAIT_USEC;
+	return ms * USEC_PER_MSEC > CELL_LOAD_BUSY_WAIT_USEC;
 }
 
-const char *cell_load_spread(const struct membership *membership,
-			     const struct config *config,
-			     const struct config_service *service, uint64_t key)
+const char *cell_load_pick_by_key(const struct membership *membership,
+				  const struct config *config,
+				  const struct config_service *service,
+				  uint64_t key)
 {
 	const char *here = membership_self(membership)->data_centre;
 	const char *best = NULL;
@@ -123,10 +124,10 @@
 	return best;
 }
 
-const char *cell_load_choose(const struct membership *membership,
-			     const struct config *config,
-			     const struct config_service *service,
-			     enum cell_level own, uint64_t key)
+const char *cell_load_pick_least_loaded(const struct membership *membership,
+					const struct config *config,
+					const struct config_service *service,
+					enum cell_level own, uint64_t key)
 {
 	const char *here = membership_self(membership)->data_centre;
 	const char *best = NULL;
--- a/coord/ledger.c
+++ b/coord/ledger.c
@@ -114,7 +114,7 @@
 }
 
 static const receive_fn receivers[] = {
-	[MESSAGE_ASK] = home_receive_ask,
+	[MESSAGE_SUBMIT] = home_receive_ask,
 	[MESSAGE_GRANT] = holder_receive_grant,
 	[MESSAGE_REFUSE] = holder_receive_refuse,
 	[MESSAGE_DUPLICATE] = holder_receive_duplicate,
@@ -242,7 +242,7 @@
 	if (!runner_lookup(ledger, runner, &cell, &index))
 		return;
 	if (count == 0 && !stored)
-		prefix_forget(cell->prefix, index);
+		prefix_clear(cell->prefix, index);
 	for (size_t i = 0; i < count; i++) {
 		if (stored)
 			prefix_store(cell->prefix, index, blocks[i]);
--- a/coord/ledger_codec.c
+++ b/coord/ledger_codec.c
@@ -5,11 +5,11 @@
 
 #include <string.h>
 
-#define ASK_IDEMPOTENT 1u
-#define ASK_ADOPT 2u
-#define ASK_FORMER_FREE 4u
-#define ASK_DEFERRABLE 8u
-#define ASK_HERE 16u
+#define SUBMIT_IDEMPOTENT 1u
+#define SUBMIT_ADOPT 2u
+#define SUBMIT_FORMER_FREE 4u
+#define SUBMIT_DEFERRABLE 8u
+#define SUBMIT_HERE 16u
 #define BLOCK_SIZE 4u
 
 bool reader_open(struct reader *reader, const msgpack_object *object)
@@ -166,20 +166,20 @@
 	return true;
 }
 
-void ask_send(struct ledger *ledger, uint64_t to, uint32_t epoch,
-	      const struct item *item)
+void submission_send(struct ledger *ledger, uint64_t to, uint32_t epoch,
+		     const struct item *item)
 {
 	const struct policy_request *need = &item->need;
 	int64_t now = clock_now(ledger->clock);
 	msgpack_packer *packer =
-		message_begin(ledger, MESSAGE_ASK, item->incarnation, 14);
+		message_begin(ledger, MESSAGE_SUBMIT, item->incarnation, 14);
 	uint32_t flags = 0;
 
-	flags |= item->idempotent ? ASK_IDEMPOTENT : 0;
-	flags |= item->adopt ? ASK_ADOPT : 0;
-	flags |= item->here ? ASK_HERE : 0;
-	flags |= item->former_free ? ASK_FORMER_FREE : 0;
-	flags |= need->class == CLASS_DEFERRABLE ? ASK_DEFERRABLE : 0;
+	flags |= item->idempotent ? SUBMIT_IDEMPOTENT : 0;
+	flags |= item->adopt ? SUBMIT_ADOPT : 0;
+	flags |= item->here ? SUBMIT_HERE : 0;
+	flags |= item->former_free ? SUBMIT_FORMER_FREE : 0;
+	flags |= need->class == CLASS_DEFERRABLE ? SUBMIT_DEFERRABLE : 0;
 	pack_u(packer, epoch);
 	pack_u(packer, item->request);
 	pack_u(packer, item->attempt);
@@ -197,25 +197,27 @@
 	message_send(ledger, to);
 }
 
-bool ask_read(struct ledger *ledger, struct reader *reader, struct ask *ask)
+bool submission_read(struct ledger *ledger, struct reader *reader,
+		     struct submission *submission)
 {
-	struct policy_request *need = &ask->need;
+	struct policy_request *need = &submission->need;
 	int64_t now = clock_now(ledger->clock);
 	uint64_t flags, age;
 
-	memset(ask, 0, sizeof(*ask));
-	ask->epoch = (uint32_t)read_u(reader);
-	ask->request = read_u(reader);
-	ask->attempt = (uint32_t)read_u(reader);
-	ask->service = (uint32_t)read_u(reader);
-	ask->key = read_u(reader);
-	ask->fingerprint = read_u(reader);
+	memset(submission, 0, sizeof(*submission));
+	submission->epoch = (uint32_t)read_u(reader);
+	submission->request = read_u(reader);
+	submission->attempt = (uint32_t)read_u(reader);
+	submission->service = (uint32_t)read_u(reader);
+	submission->key = read_u(reader);
+	submission->fingerprint = read_u(reader);
 	flags = read_u(reader);
-	ask->idempotent = flags & ASK_IDEMPOTENT;
-	ask->adopt = flags & ASK_ADOPT;
-	ask->here = flags & ASK_HERE;
-	ask->former_free = flags & ASK_FORMER_FREE;
-	need->class = flags & ASK_DEFERRABLE ? CLASS_DEFERRABLE : CLASS_URGENT;
+	submission->idempotent = flags & SUBMIT_IDEMPOTENT;
+	submission->adopt = flags & SUBMIT_ADOPT;
+	submission->here = flags & SUBMIT_HERE;
+	submission->former_free = flags & SUBMIT_FORMER_FREE;
+	need->class =
+		flags & SUBMIT_DEFERRABLE ? CLASS_DEFERRABLE : CLASS_URGENT;
 	need->prompt_tokens = (uint32_t)read_u(reader);
 	need->output_tokens_max = (uint32_t)read_u(reader);
 	age = read_u(reader);
@@ -223,7 +225,7 @@
 	need->deadline = due_unpack(read_u(reader), now);
 	need->first_token_by = due_unpack(read_u(reader), now);
 	need->organisation = read_u(reader);
-	need->attempt = ask->attempt;
+	need->attempt = submission->attempt;
 	return blocks_read(reader, need) && !reader->bad;
 }
 
--- a/coord/ledger_codec.h
+++ b/coord/ledger_codec.h
@@ -12,7 +12,7 @@
 #include "ledger_types.h"
 
 enum message_type {
-	MESSAGE_ASK = 1,
+	MESSAGE_SUBMIT = 1,
 	MESSAGE_GRANT,
 	MESSAGE_REFUSE,
 	MESSAGE_DUPLICATE,
@@ -65,7 +65,7 @@
 		       enum message_type type, uint64_t first, uint64_t second);
 
 /* An ask as it stands in the message. */
-struct ask {
+struct submission {
 	uint32_t epoch;
 	uint64_t request;
 	uint32_t attempt;
@@ -79,9 +79,10 @@
 	struct policy_request need;
 };
 
-void ask_send(struct ledger *ledger, uint64_t to, uint32_t epoch,
-	      const struct item *item);
-bool ask_read(struct ledger *ledger, struct reader *reader, struct ask *ask);
+void submission_send(struct ledger *ledger, uint64_t to, uint32_t epoch,
+		     const struct item *item);
+bool submission_read(struct ledger *ledger, struct reader *reader,
+		     struct submission *submission);
 
 /* Announcements and record batches carry entries, each an array, in one array.
  */
--- a/coord/ledger_grant.c
+++ b/coord/ledger_grant.c
@@ -287,7 +287,7 @@
 	record->service = grant->service;
 	record->idempotent = grant->idempotent;
 	grant->record = record;
-	record_owned(record, &grant->holder.owner, grant->holder.request);
+	record_set_owner(record, &grant->holder.owner, grant->holder.request);
 	if (other != NULL)
 		ask_again(other);
 }
--- a/coord/ledger_home.c
+++ b/coord/ledger_home.c
@@ -142,7 +142,7 @@
 
 	timer_stop(&cell->settle);
 	cell->settled = true;
-	records_doubt(cell);
+	records_check_abandoned(cell);
 	level_start(cell);
 	home_bury(cell);
 	adopt_records(cell);
@@ -228,30 +228,32 @@
 }
 
 static void ask_take(struct cell *cell, const struct owner *owner,
-		     const struct ask *ask, struct service *service)
+		     const struct submission *submission,
+		     struct service *service)
 {
-	struct grant *grant = grant_find(cell, owner, ask->request);
-	struct waiting *waiting = ask_find(cell, owner, ask->request);
+	struct grant *grant = grant_find(cell, owner, submission->request);
+	struct waiting *waiting = ask_find(cell, owner, submission->request);
 	uint64_t avoid[2] = {0, 0};
 
 	if (waiting != NULL) {
 		if (!waiting->fresh)
 			ack_add(cell->ledger, owner->instance,
-				owner->incarnation, ACK_QUEUED, ask->request,
-				waiting->holder.attempt);
+				owner->incarnation, ACK_QUEUED,
+				submission->request, waiting->holder.attempt);
 		return;
 	}
 	if (grant != NULL && grant->state != GRANT_HELD)
 		return;
-	if (grant != NULL && ask->attempt <= grant->holder.attempt) {
-		if (ask->attempt == grant->holder.attempt || grant->adopted)
+	if (grant != NULL && submission->attempt <= grant->holder.attempt) {
+		if (submission->attempt == grant->holder.attempt ||
+		    grant->adopted)
 			grant_send(grant);
 		return;
 	}
 	if (grant != NULL)
-		former_end(grant, ask->former_free, avoid);
-	waiting = ask_add(cell, owner, ask, service);
-	if (ask->attempt == 0 && !ask->adopt)
+		former_end(grant, submission->former_free, avoid);
+	waiting = ask_add(cell, owner, submission, service);
+	if (submission->attempt == 0 && !submission->adopt)
 		arrival_count(cell, &waiting->need);
 	memcpy(waiting->avoid, avoid, sizeof(avoid));
 	waiting->avoid_until = clock_now(cell->ledger->clock) + AVOID_USEC;
@@ -279,21 +281,23 @@
 	const struct announcer *announcer;
 	struct service *service;
 	struct cell *cell;
-	struct ask ask;
+	struct submission submission;
 
-	if (!ask_read(ledger, reader, &ask) || !owner_alive(ledger, &owner))
+	if (!submission_read(ledger, reader, &submission) ||
+	    !owner_alive(ledger, &owner))
 		return;
-	service = service_find(ledger, ask.service);
+	service = service_find(ledger, submission.service);
 	if (service == NULL)
 		return;
 	cell = service->cell;
 	announcer = g_hash_table_lookup(cell->announcers, &from);
 	if (!cell->is_home || !announced(cell, &owner) ||
-	    announcer->epoch != ask.epoch) {
-		announce_unknown_send(cell, from, incarnation, ask.epoch);
+	    announcer->epoch != submission.epoch) {
+		announce_unknown_send(cell, from, incarnation,
+				      submission.epoch);
 		return;
 	}
-	ask_take(cell, &owner, &ask, service);
+	ask_take(cell, &owner, &submission, service);
 }
 
 static void observe_hold(struct cell *cell, const struct grant *grant)
--- a/coord/ledger_item.c
+++ b/coord/ledger_item.c
@@ -85,7 +85,8 @@
 	switch (item->state) {
 	case ITEM_ASKING:
 	case ITEM_QUEUED:
-		ask_send(item->ledger, cell->home, cell->announce.epoch, item);
+		submission_send(item->ledger, cell->home, cell->announce.epoch,
+				item);
 		return;
 	case ITEM_ENDING:
 		release_send(item->ledger, cell->id, cell->home, item);
--- a/coord/ledger_level.c
+++ b/coord/ledger_level.c
@@ -27,7 +27,7 @@
 #define CATCH_UP_USEC (8 * USEC_PER_SEC)
 /* Of what is urgent, some stays: it may be that it is not what makes it wait.
  */
-#define SHARE_MAX (CELL_LOAD_SHARES * 3 / 4)
+#define SHARE_MAX (CELL_LOAD_SHARE_ALL * 3 / 4)
 
 /* The share falls by one after such a calm. */
 #define CALM_USEC (5 * USEC_PER_SEC)
@@ -135,9 +135,9 @@
 	double seconds = (double)LEVEL_WAITS * CHECK_USEC;
 	double load = 1 + MAX((double)(wait - before) / seconds, 0);
 	double aim = MAX(LOAD_AIM - (double)wait / CATCH_UP_USEC, LOAD_AIM_MIN);
-	double left = (double)share / CELL_LOAD_SHARES * open_part(cell);
+	double left = (double)share / CELL_LOAD_SHARE_ALL * open_part(cell);
 	double all = load / (1 - left);
-	double leaves = (1 - aim / all) * CELL_LOAD_SHARES + 0.5;
+	double leaves = (1 - aim / all) * CELL_LOAD_SHARE_ALL + 0.5;
 
 	return CLAMP((uint32_t)leaves, share, SHARE_MAX);
 }
@@ -169,7 +169,7 @@
 	struct level *level = &cell->level;
 	int64_t wait = urgent_wait(cell, now);
 	int64_t before = wait_note(level, wait);
-	bool waits = wait >= CELL_LOAD_WAIT_USEC / CALM_PART;
+	bool waits = wait >= CELL_LOAD_BUSY_WAIT_USEC / CALM_PART;
 
 	if (waits != level->waits) {
 		level->waits = waits;
@@ -178,7 +178,7 @@
 	}
 	if (!waits)
 		return share_lower(cell, share, now);
-	if (wait <= CELL_LOAD_WAIT_USEC ||
+	if (wait <= CELL_LOAD_BUSY_WAIT_USEC ||
 	    now - level->waits_since < BURST_USEC)
 		return share;
 	level->busy = true;
@@ -194,7 +194,7 @@
 
 static uint32_t share_said(const struct level *level)
 {
-	return level->unmanned ? CELL_LOAD_SHARES : level->share;
+	return level->unmanned ? CELL_LOAD_SHARE_ALL : level->share;
 }
 
 static void level_say(struct cell *cell, enum cell_level level, uint32_t share,
@@ -229,7 +229,7 @@
 		next = CELL_FULL;
 	if (unmanned(cell, now))
 		next = CELL_FULL;
-	if (level->said + CELL_LOAD_HOLD_USEC > now)
+	if (level->said + CELL_LOAD_INTERVAL_USEC > now)
 		return;
 	if (next != current || share != share_said(level))
 		level_say(cell, next, share_said(level), now);
@@ -258,7 +258,7 @@
 	uint32_t share = cell_load_share(membership, cell->id);
 
 	level->unmanned = false;
-	level->share = share < CELL_LOAD_SHARES ? share : 0;
+	level->share = share < CELL_LOAD_SHARE_ALL ? share : 0;
 	level->said = now;
 	level->manned_since = now;
 	level->waits = false;
@@ -299,7 +299,7 @@
 	if (service == NULL || service->plain)
 		return CELL_FREE;
 	cell = service->cell;
-	*share = CELL_LOAD_SHARES;
+	*share = CELL_LOAD_SHARE_ALL;
 	if (ledger->list->len > 0 && (!role_listed(cell, POOL_PREFILL) ||
 				      !role_listed(cell, POOL_DECODE)))
 		return CELL_FULL;
--- a/coord/ledger_parts.h
+++ b/coord/ledger_parts.h
@@ -56,7 +56,7 @@
 void runner_report(struct cell *cell, uint32_t index,
 		   const struct ledger_report *report);
 /* Reports from before now prove nothing any more. */
-void runners_doubt(struct cell *cell);
+void runners_invalidate(struct cell *cell);
 /* Forgets what only the home knows. */
 void runners_reset(struct cell *cell);
 void runner_destroy(void *runner);
@@ -104,7 +104,7 @@
 void arrival_count(struct cell *cell, const struct policy_request *need);
 /* The runner is in the cell's other pool now: what was learnt of it in the
  * former role holds no more. */
-void runner_repool(struct cell *cell, uint32_t index, const char *pool);
+void runner_set_pool(struct cell *cell, uint32_t index, const char *pool);
 
 /* ledger_record.c */
 struct record *record_find(const struct cell *cell, uint64_t key);
@@ -113,12 +113,12 @@
 void record_end(struct record *record, uint32_t state);
 void record_remove(struct record *record);
 void record_touch(struct record *record);
-void record_owned(struct record *record, const struct owner *owner,
-		  uint64_t request);
+void record_set_owner(struct record *record, const struct owner *owner,
+		      uint64_t request);
 /* Looks again at the asks that waited for the record. */
 void record_unpark(struct record *record);
 /* Running records may have nobody behind them: looks for those for a while. */
-void records_doubt(struct cell *cell);
+void records_check_abandoned(struct cell *cell);
 void record_merge(struct cell *cell, const struct record *copy);
 void records_clear(struct cell *cell);
 void records_init(struct cell *cell);
@@ -127,7 +127,8 @@
 struct waiting *ask_find(const struct cell *cell, const struct owner *owner,
 			 uint64_t request);
 struct waiting *ask_add(struct cell *cell, const struct owner *owner,
-			const struct ask *ask, struct service *service);
+			const struct submission *submission,
+			struct service *service);
 /* Finds out what is known of its key, then queues or answers it. */
 void ask_resolve(struct waiting *waiting);
 void ask_refuse(struct waiting *waiting, enum result_code code,
@@ -145,11 +146,11 @@
 int64_t queue_time(const struct cell *cell, const struct policy_request *need);
 
 /* ledger_prefill.c: when a prefill runner is expected to be free. */
-void prefill_book(struct grant *grant, int64_t time);
+void prefill_assign(struct grant *grant, int64_t time);
 /* The prompt of a grant is known to be computed, or given up. */
 void prefill_ended(struct grant *grant);
-void prefill_forget(struct cell *cell, uint32_t index);
-void prefill_observe(struct cell *cell, uint32_t index, int64_t taken);
+void prefill_reset(struct cell *cell, uint32_t index);
+void prefill_apply_report(struct cell *cell, uint32_t index, int64_t taken);
 
 /* ledger_view.c: the policy's view, and a pass over the queue. */
 void queue_scan(struct cell *cell);
@@ -214,9 +215,9 @@
 void remote_reset(struct cell *cell);
 void remote_clear(struct cell *cell);
 /* The cell has a new record: the other data centres will be told. */
-void remote_tell(struct cell *cell, uint64_t key);
+void remote_announce(struct cell *cell, uint64_t key);
 /* Answers the ask when another data centre has its key; false when not. */
-bool remote_answer(struct waiting *waiting);
+bool remote_redirect(struct waiting *waiting);
 void remote_receive(struct ledger *ledger, uint64_t from, uint64_t incarnation,
 		    struct reader *reader);
 
--- a/coord/ledger_prefill.c
+++ b/coord/ledger_prefill.c
@@ -6,19 +6,20 @@
 #define GIVEN_USEC (10 * USEC_PER_SEC)
 #define GIVEN_SLACK_USEC (5 * USEC_PER_MSEC)
 
-static void given_add(GArray *given, int64_t now, int64_t time)
+static void given_add(GArray *assigned, int64_t now, int64_t time)
 {
-	struct given entry = {.at = now, .time = time};
+	struct assigned entry = {.at = now, .time = time};
 	guint old = 0;
 
-	while (old < given->len &&
-	       g_array_index(given, struct given, old).at < now - GIVEN_USEC)
+	while (old < assigned->len &&
+	       g_array_index(assigned, struct assigned, old).at <
+		       now - GIVEN_USEC)
 		old++;
-	g_array_remove_range(given, 0, old);
-	g_array_append_val(given, entry);
+	g_array_remove_range(assigned, 0, old);
+	g_array_append_val(assigned, entry);
 }
 
-void prefill_book(struct grant *grant, int64_t time)
+void prefill_assign(struct grant *grant, int64_t time)
 {
 	struct runner *runner = runner_at(grant->cell, grant->prefill);
 
@@ -26,7 +27,8 @@
 	grant->prefill_time = time;
 	runner->prefilling++;
 	runner->prefill_time += time;
-	given_add(runner->given, clock_now(grant->cell->ledger->clock), time);
+	given_add(runner->assigned, clock_now(grant->cell->ledger->clock),
+		  time);
 }
 
 /* What is left cannot take longer than it would from now on: the prompt may
@@ -53,7 +55,7 @@
 	view->busy_until = MIN(view->busy_until, until);
 }
 
-void prefill_forget(struct cell *cell, uint32_t index)
+void prefill_reset(struct cell *cell, uint32_t index)
 {
 	struct policy_runner *view = runner_view(cell, index);
 	struct runner *runner = runner_at(cell, index);
@@ -63,12 +65,12 @@
 	view->link_free = 0;
 	runner->prefilling = 0;
 	runner->prefill_time = 0;
-	g_array_set_size(runner->given, 0);
+	g_array_set_size(runner->assigned, 0);
 }
 
 /* What was queued when the report was taken, and what was given since; that
  * cannot take longer than all prompts that are not known to be computed. */
-void prefill_observe(struct cell *cell, uint32_t index, int64_t taken)
+void prefill_apply_report(struct cell *cell, uint32_t index, int64_t taken)
 {
 	struct policy_runner *view = runner_view(cell, index);
 	const struct runner *runner = runner_at(cell, index);
@@ -81,12 +83,12 @@
 		 (int64_t)((double)view->reported_queue_tokens /
 			   view->prefill_tokens_per_s * (double)USEC_PER_SEC);
 	until = queued;
-	for (guint i = 0; i < runner->given->len; i++) {
-		const struct given *given =
-			&g_array_index(runner->given, struct given, i);
+	for (guint i = 0; i < runner->assigned->len; i++) {
+		const struct assigned *assigned =
+			&g_array_index(runner->assigned, struct assigned, i);
 
-		if (given->at > taken - GIVEN_SLACK_USEC)
-			until = MAX(until, given->at) + given->time;
+		if (assigned->at > taken - GIVEN_SLACK_USEC)
+			until = MAX(until, assigned->at) + assigned->time;
 	}
 	until = MIN(until, now + MAX(runner->prefill_time, 0));
 	view->busy_until = MAX(until, queued);
--- a/coord/ledger_prefix.c
+++ b/coord/ledger_prefix.c
@@ -93,7 +93,7 @@
 	drop_key(prefix, runner, GUINT_TO_POINTER((guint)block));
 }
 
-void prefix_forget(struct prefix *prefix, uint32_t runner)
+void prefix_clear(struct prefix *prefix, uint32_t runner)
 {
 	GQueue *queue = queue_of(prefix, runner);
 
--- a/coord/ledger_prefix.h
+++ b/coord/ledger_prefix.h
@@ -22,7 +22,7 @@
 void prefix_store(struct prefix *prefix, uint32_t runner, uint64_t block);
 void prefix_drop(struct prefix *prefix, uint32_t runner, uint64_t block);
 /* Nothing is believed cached on the runner any more. */
-void prefix_forget(struct prefix *prefix, uint32_t runner);
+void prefix_clear(struct prefix *prefix, uint32_t runner);
 /* Sets depth[r], for each runner r below runners, to how many of the blocks,
  * from the first on, r has cached. */
 void prefix_match(const struct prefix *prefix, const uint64_t *blocks,
--- a/coord/ledger_queue.c
+++ b/coord/ledger_queue.c
@@ -14,7 +14,8 @@
 }
 
 struct waiting *ask_add(struct cell *cell, const struct owner *owner,
-			const struct ask *ask, struct service *service)
+			const struct submission *submission,
+			struct service *service)
 {
 	struct waiting *waiting = g_new0(struct waiting, 1);
 
@@ -22,15 +23,15 @@
 	waiting->service = service;
 	waiting->service_id = service->id;
 	waiting->holder.owner = *owner;
-	waiting->holder.request = ask->request;
-	waiting->holder.attempt = ask->attempt;
-	waiting->key = ask->key;
-	waiting->fingerprint = ask->fingerprint;
-	waiting->idempotent = ask->idempotent;
-	waiting->adopt = ask->adopt;
-	waiting->here = ask->here;
-	waiting->need = ask->need;
-	waiting->need.id = id_mix(owner->instance, ask->request);
+	waiting->holder.request = submission->request;
+	waiting->holder.attempt = submission->attempt;
+	waiting->key = submission->key;
+	waiting->fingerprint = submission->fingerprint;
+	waiting->idempotent = submission->idempotent;
+	waiting->adopt = submission->adopt;
+	waiting->here = submission->here;
+	waiting->need = submission->need;
+	waiting->need.id = id_mix(owner->instance, submission->request);
 	g_hash_table_insert(cell->asks, &waiting->holder, waiting);
 	return waiting;
 }
@@ -222,14 +223,15 @@
 	record->fingerprint = waiting->fingerprint;
 	record->service = waiting->service->id;
 	record->idempotent = waiting->idempotent;
-	record_owned(record, &waiting->holder.owner, waiting->holder.request);
+	record_set_owner(record, &waiting->holder.owner,
+			 waiting->holder.request);
 	ask_enqueue(waiting);
 }
 
 static void ask_park(struct waiting *waiting, struct record *record)
 {
 	waiting->parked = record;
-	records_doubt(waiting->cell);
+	records_check_abandoned(waiting->cell);
 	g_queue_push_tail(&record->parked, waiting);
 	ack_add(waiting->cell->ledger, waiting->holder.owner.instance,
 		waiting->holder.owner.incarnation, ACK_QUEUED,
@@ -248,7 +250,7 @@
 	grant->adopted = true;
 	grant->acknowledged = false;
 	grant->tries = 0;
-	record_owned(record, &holder.owner, holder.request);
+	record_set_owner(record, &holder.owner, holder.request);
 	grant_send(grant);
 	record_unpark(record);
 }
@@ -273,7 +275,7 @@
 	struct cell *cell = waiting->cell;
 	struct record *record;
 
-	if (remote_answer(waiting))
+	if (remote_redirect(waiting))
 		return;
 	record = record_add(cell, waiting->key);
 	if (record == NULL) {
@@ -281,7 +283,7 @@
 			   queue_time(cell, &waiting->need));
 		return;
 	}
-	remote_tell(cell, waiting->key);
+	remote_announce(cell, waiting->key);
 	ask_own(waiting, record);
 }
 
--- a/coord/ledger_record.c
+++ b/coord/ledger_record.c
@@ -80,8 +80,8 @@
 	replica_touch(record->cell, record->key);
 }
 
-void record_owned(struct record *record, const struct owner *owner,
-		  uint64_t request)
+void record_set_owner(struct record *record, const struct owner *owner,
+		      uint64_t request)
 {
 	record->state = RECORD_RUNNING;
 	record->owner = *owner;
@@ -162,13 +162,13 @@
 	       record->cell->settled && now >= record->confirm_by;
 }
 
-void records_doubt(struct cell *cell)
+void records_check_abandoned(struct cell *cell)
 {
 	const struct ledger *ledger = cell->ledger;
 
-	cell->doubt_until = clock_now(ledger->clock) + DOUBT_USEC +
-			    ledger->settings.settle +
-			    ledger->settings.orphan_grace;
+	cell->abandoned_check_until = clock_now(ledger->clock) + DOUBT_USEC +
+				      ledger->settings.settle +
+				      ledger->settings.orphan_grace;
 	if (!timer_running(&cell->expiry))
 		timer_start(&cell->expiry, EXPIRY_USEC);
 }
@@ -206,7 +206,7 @@
 	while ((record = g_queue_peek_head(&cell->ended)) != NULL &&
 	       record->expires <= now)
 		record_remove(record);
-	if (now < cell->doubt_until)
+	if (now < cell->abandoned_check_until)
 		give_up_unbacked(cell, now);
 	if (g_hash_table_size(cell->records) > 0)
 		timer_start(timer, EXPIRY_USEC);
@@ -247,7 +247,7 @@
 	copy_fields(record, copy);
 	record_touch(record);
 	if (record->state == RECORD_RUNNING) {
-		records_doubt(cell);
+		records_check_abandoned(cell);
 		return;
 	}
 	record->expires = copy->expires;
--- a/coord/ledger_remote.c
+++ b/coord/ledger_remote.c
@@ -44,7 +44,7 @@
 	g_array_set_size(remote->due, 0);
 	g_hash_table_remove_all(remote->young);
 	g_hash_table_remove_all(remote->old);
-	remote->turned = clock_now(cell->ledger->clock);
+	remote->rotated_at = clock_now(cell->ledger->clock);
 }
 
 void remote_clear(struct cell *cell)
@@ -57,7 +57,7 @@
 	g_hash_table_destroy(remote->old);
 }
 
-void remote_tell(struct cell *cell, uint64_t key)
+void remote_announce(struct cell *cell, uint64_t key)
 {
 	struct remote *remote = &cell->remote;
 
@@ -129,7 +129,7 @@
 {
 	struct remote *remote = &cell->remote;
 	int64_t now = clock_now(cell->ledger->clock);
-	int64_t age = now - remote->turned;
+	int64_t age = now - remote->rotated_at;
 	GHashTable *young = remote->old;
 
 	if (age < GENERATION_USEC &&
@@ -140,7 +140,7 @@
 	g_hash_table_remove_all(young);
 	remote->old = remote->young;
 	remote->young = young;
-	remote->turned = now;
+	remote->rotated_at = now;
 }
 
 void remote_receive(struct ledger *ledger, uint64_t from, uint64_t incarnation,
@@ -196,7 +196,7 @@
 	return NULL;
 }
 
-bool remote_answer(struct waiting *waiting)
+bool remote_redirect(struct waiting *waiting)
 {
 	struct ledger *ledger = waiting->cell->ledger;
 	const struct tag *holder = &waiting->holder;
--- a/coord/ledger_roles.c
+++ b/coord/ledger_roles.c
@@ -40,7 +40,7 @@
 	work_add(&cell->arrived, cell, need);
 }
 
-void runner_repool(struct cell *cell, uint32_t index, const char *pool)
+void runner_set_pool(struct cell *cell, uint32_t index, const char *pool)
 {
 	struct policy_runner *view = runner_view(cell, index);
 	struct runner *runner = runner_at(cell, index);
@@ -56,10 +56,10 @@
 	view->reported_at = 0;
 	view->reported_pieces = 0;
 	view->reported_queue_tokens = 0;
-	prefill_forget(cell, index);
+	prefill_reset(cell, index);
 	view->prefill_tokens_per_s = 0;
 	view->decode_tokens_per_s = 0;
-	prefix_forget(cell->prefix, index);
+	prefix_clear(cell->prefix, index);
 	runner_configure(cell, index);
 }
 
--- a/coord/ledger_runner.c
+++ b/coord/ledger_runner.c
@@ -28,7 +28,7 @@
 	struct runner *runner = data;
 
 	g_ptr_array_free(runner->grants, TRUE);
-	g_array_free(runner->given, TRUE);
+	g_array_free(runner->assigned, TRUE);
 	g_hash_table_destroy(runner->strays);
 	g_free(runner->pool);
 	g_free(runner);
@@ -94,14 +94,14 @@
 		g_hash_table_remove_all(runner->strays);
 		g_free(runner->pool);
 		runner->pool = NULL;
-		prefix_forget(cell->prefix, i);
-		prefill_forget(cell, i);
+		prefix_clear(cell->prefix, i);
+		prefill_reset(cell, i);
 		*runner_view(cell, i) = view;
 		return i;
 	}
 	runner = g_new0(struct runner, 1);
 	runner->grants = g_ptr_array_new();
-	runner->given = g_array_new(FALSE, FALSE, sizeof(struct given));
+	runner->assigned = g_array_new(FALSE, FALSE, sizeof(struct assigned));
 	runner->strays = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       stray_destroy);
 	g_ptr_array_add(cell->runners, runner);
@@ -159,7 +159,7 @@
 	runner = runner_at(cell, index);
 	changed = !runner->known || runner->list_leaving != entry->leaving;
 	if (strcmp(runner->pool, entry->pool) != 0) {
-		runner_repool(cell, index, entry->pool);
+		runner_set_pool(cell, index, entry->pool);
 		changed = true;
 	}
 	runner->known = true;
@@ -278,12 +278,12 @@
 		view->reported_waiting = report->waiting;
 		view->reported_queue_tokens = report->queue_tokens;
 		observe_rate(cell, view, report);
-		prefill_observe(cell, index, now - report->age);
+		prefill_apply_report(cell, index, now - report->age);
 	}
 	runner_refresh(cell, index);
 }
 
-void runners_doubt(struct cell *cell)
+void runners_invalidate(struct cell *cell)
 {
 	for (guint i = 0; i < cell->runners->len; i++) {
 		struct runner *runner = runner_at(cell, i);
@@ -309,8 +309,8 @@
 		runner->skip_report = cell->was_home;
 		runner->skip_listing = cell->was_home;
 		view->reported_at = 0;
-		prefill_forget(cell, i);
+		prefill_reset(cell, i);
 		runner_refresh(cell, i);
-		prefix_forget(cell->prefix, i);
+		prefix_clear(cell->prefix, i);
 	}
 }
--- a/entry/request_forward.c
+++ b/entry/request_forward.c
@@ -144,13 +144,14 @@
 	if (request->service.kind != SERVICE_MODEL)
 		return false;
 	ledger_level(entry->ledger, request->service.name, &share);
-	if (!refused && !cell_load_leaves(share, request->class, key))
+	if (!refused && !cell_load_redirects(share, request->class, key))
 		return false;
-	if (refused || share >= CELL_LOAD_SHARES)
-		there = cell_load_choose(entry->membership, entry->config,
-					 &request->service, CELL_FULL, key);
+	if (refused || share >= CELL_LOAD_SHARE_ALL)
+		there = cell_load_pick_least_loaded(
+			entry->membership, entry->config, &request->service,
+			CELL_FULL, key);
 	else
-		there = cell_load_spread(entry->membership, entry->config,
-					 &request->service, key);
+		there = cell_load_pick_by_key(entry->membership, entry->config,
+					      &request->service, key);
 	return there && request_forward(request, there);
 }
--- a/tests/data_centres/calls.c
+++ b/tests/data_centres/calls.c
@@ -78,14 +78,15 @@
 
 	ledger_level(at->ledger, site_service()->name, &share);
 	if (site->settings.stay || job->here ||
-	    (!refused && !cell_load_leaves(share, job->class, key)))
+	    (!refused && !cell_load_redirects(share, job->class, key)))
 		return false;
-	if (refused || share >= CELL_LOAD_SHARES)
-		there = cell_load_choose(at->membership, &site->config,
-					 site_service(), CELL_FULL, key);
+	if (refused || share >= CELL_LOAD_SHARE_ALL)
+		there = cell_load_pick_least_loaded(
+			at->membership, &site->config, site_service(),
+			CELL_FULL, key);
 	else
-		there = cell_load_spread(at->membership, &site->config,
-					 site_service(), key);
+		there = cell_load_pick_by_key(at->membership, &site->config,
+					      site_service(), key);
 	return there && job_forward(job, centre_of(there));
 }
 
--- a/tests/ledger/app.c
+++ b/tests/ledger/app.c
@@ -55,7 +55,7 @@
 	};
 }
 
-struct job *app_ask(struct world *world, int index, const struct spec *spec)
+struct job *app_submit(struct world *world, int index, const struct spec *spec)
 {
 	struct instance *instance = &world->instances[index];
 	struct job *job = g_new0(struct job, 1);
@@ -67,8 +67,9 @@
 	job->incarnation = membership_self(instance->membership)->incarnation;
 	job->key = spec->key;
 	job->class = spec->class;
-	job->asked_at = clock_now(world->clock);
-	job->work = spec->work != 0 ? spec->work : 100 * USEC_PER_MSEC;
+	job->submitted_at = clock_now(world->clock);
+	job->decode_usec = spec->decode_usec != 0 ? spec->decode_usec
+						  : 100 * USEC_PER_MSEC;
 	job->prefill = spec->prefill != 0 ? spec->prefill : PREFILL_USEC;
 	timer_init(&job->timer, world->clock, job_timer, job);
 	g_ptr_array_add(world->jobs, job);
@@ -89,7 +90,7 @@
 	struct instance *instance = ctx;
 	struct job *job = job_find(instance, grant->request);
 
-	if (job == NULL || job->state != JOB_ASKED) {
+	if (job == NULL || job->state != JOB_SUBMITTED) {
 		world_fail(instance->world, "request %lu was granted unasked",
 			   (unsigned long)grant->request);
 		return;
@@ -107,7 +108,8 @@
 		ledger_progress(instance->ledger, job->request, STAGE_DECODE,
 				job->stream);
 	}
-	timer_start(&job->timer, grant->decode != 0 ? job->prefill : job->work);
+	timer_start(&job->timer,
+		    grant->decode != 0 ? job->prefill : job->decode_usec);
 }
 
 static void app_refused(void *ctx, const struct ledger_refusal *refusal)
@@ -162,7 +164,7 @@
 
 static void ask_again(struct job *job, enum result_code why)
 {
-	job->state = JOB_ASKED;
+	job->state = JOB_SUBMITTED;
 	job->answers = 0;
 	job->stream[0] = '\0';
 	ledger_retry(job->instance->ledger, job->request, why, 0);
@@ -174,9 +176,10 @@
 			NULL);
 	if (!engine_open(engine, job, job->grant.pieces, job->stream)) {
 		if (engine->stale == 0 && !engine->leaving &&
-		    clock_now(job->world->clock) >= job->world->split_until &&
-		    !members_held_dead(job->world, job->instance->index,
-				       job->incarnation))
+		    clock_now(job->world->clock) >=
+			    job->world->split_brain_until &&
+		    !members_declared_dead(job->world, job->instance->index,
+					   job->incarnation))
 			world_fail(job->world, "an engine was overfilled");
 		ask_again(job, RESULT_BACKEND_REFUSED);
 		return;
@@ -184,7 +187,7 @@
 	job->state = JOB_DECODE;
 	ledger_progress(job->instance->ledger, job->request, STAGE_DECODE,
 			job->stream);
-	timer_start(&job->timer, job->work);
+	timer_start(&job->timer, job->decode_usec);
 }
 
 static void end_decode(struct job *job, struct engine *engine)
@@ -205,7 +208,8 @@
 
 static void end_cancel(struct job *job, struct engine *engine)
 {
-	if (engine->deaf || world_chance(job->world, job->world->lose)) {
+	if (engine->ignores_cancel ||
+	    world_chance(job->world, job->world->loss_rate)) {
 		timer_start(&job->timer, CANCEL_USEC);
 		return;
 	}
@@ -247,7 +251,7 @@
 {
 	if (job_over(job) || job->state == JOB_CANCELLING)
 		return;
-	if (job->state == JOB_ASKED) {
+	if (job->state == JOB_SUBMITTED) {
 		app_withdraw(job);
 		return;
 	}
--- a/tests/ledger/engine.c
+++ b/tests/ledger/engine.c
@@ -75,8 +75,8 @@
 	entry->request = job->request;
 	entry->attempt = job->attempt;
 	entry->pieces = pieces;
-	stream->stale = members_held_dead(world, job->instance->index,
-					  job->incarnation);
+	stream->stale = members_declared_dead(world, job->instance->index,
+					      job->incarnation);
 	engine->used += pieces;
 	engine->stale += stream->stale ? pieces : 0;
 	g_hash_table_insert(engine->streams, entry->stream, stream);
@@ -167,10 +167,10 @@
 	struct world *world = answer->instance->world;
 	struct engine *engine = engine_find(world, answer->report.runner);
 
-	if (engine->deaf || world_chance(world, world->lose))
+	if (engine->ignores_cancel || world_chance(world, world->loss_rate))
 		return;
 	engine_close(engine, answer->cancel);
-	if (!world_chance(world, world->lose))
+	if (!world_chance(world, world->loss_rate))
 		world_after(world, CANCEL_USEC, cancel_answer,
 			    g_memdup2(answer, sizeof(*answer)), g_free);
 }
--- a/tests/ledger/invariants.c
+++ b/tests/ledger/invariants.c
@@ -8,8 +8,8 @@
 	return !job_over(job) && job->instance->up &&
 	       (job->state == JOB_PREFILL || job->state == JOB_DECODE ||
 		job->state == JOB_CANCELLING) &&
-	       !members_held_dead(world, job->instance->index,
-				  job->incarnation);
+	       !members_declared_dead(world, job->instance->index,
+				      job->incarnation);
 }
 
 /* Engine memory in use, and granted but not yet used, fits the runner. */
@@ -64,11 +64,11 @@
 {
 	int64_t now = clock_now(world->clock);
 
-	if (members_split(world)) {
-		world->splits += now >= world->split_until;
-		world->split_until = now + SPLIT_USEC;
+	if (members_split_brain(world)) {
+		world->split_brains += now >= world->split_brain_until;
+		world->split_brain_until = now + SPLIT_USEC;
 	}
-	return now < world->split_until;
+	return now < world->split_brain_until;
 }
 
 void invariants_always(struct world *world)
--- a/tests/ledger/members.c
+++ b/tests/ledger/members.c
@@ -150,8 +150,8 @@
 	return instance->membership->view[index].incarnation;
 }
 
-void members_tell(struct world *world, int index, enum member_state state,
-		  int64_t delay_max)
+void members_announce(struct world *world, int index, enum member_state state,
+		      int64_t delay_max)
 {
 	for (int i = 0; i < world->count; i++) {
 		struct news news = {.world = world,
@@ -187,7 +187,7 @@
 	}
 }
 
-uint64_t members_raise(struct world *world, int index)
+uint64_t members_raise_incarnation(struct world *world, int index)
 {
 	struct member *member =
 		&world->instances[index].membership->view[index];
@@ -196,7 +196,7 @@
 	return ++member->incarnation;
 }
 
-bool members_split(struct world *world)
+bool members_split_brain(struct world *world)
 {
 	for (int i = 0; i < world->count; i++) {
 		const struct instance *home = &world->instances[i];
@@ -215,7 +215,7 @@
 	return false;
 }
 
-bool members_held_dead(struct world *world, int index, uint64_t incarnation)
+bool members_declared_dead(struct world *world, int index, uint64_t incarnation)
 {
 	for (int i = 0; i < world->count; i++) {
 		const struct instance *other = &world->instances[i];
--- a/tests/ledger/test_faults.c
+++ b/tests/ledger/test_faults.c
@@ -41,34 +41,34 @@
 
 static void cut_both(void)
 {
-	world_cut(world, home, holder, true);
-	world_cut(world, holder, home, true);
+	world_block(world, home, holder, true);
+	world_block(world, holder, home, true);
 }
 
 static void cut_to_home(void)
 {
-	world_cut(world, holder, home, true);
+	world_block(world, holder, home, true);
 }
 
 static void cut_to_holder(void)
 {
-	world_cut(world, home, holder, true);
+	world_block(world, home, holder, true);
 }
 
 static void join(void)
 {
-	world_cut(world, home, holder, false);
-	world_cut(world, holder, home, false);
+	world_block(world, home, holder, false);
+	world_block(world, holder, home, false);
 }
 
 static void lossy(void)
 {
-	world->lose = 0.4;
+	world->loss_rate = 0.4;
 }
 
 static void double_all(void)
 {
-	world->twice = 1;
+	world->duplicate_rate = 1;
 }
 
 static void reorder(void)
@@ -78,8 +78,8 @@
 
 static void calm(void)
 {
-	world->lose = 0;
-	world->twice = 0;
+	world->loss_rate = 0;
+	world->duplicate_rate = 0;
 	world->delay_max = 3 * USEC_PER_MSEC;
 }
 
@@ -100,7 +100,7 @@
 
 static void wake_holder(void)
 {
-	world_wake(world, holder);
+	world_resume(world, holder);
 }
 
 static void kill_home(void)
@@ -120,7 +120,7 @@
 
 static void wake_home(void)
 {
-	world_wake(world, home);
+	world_resume(world, home);
 }
 
 static void kill_home_and_holder(void)
@@ -157,7 +157,7 @@
 static void set_deaf(bool deaf)
 {
 	for (int i = 0; i < world->engine_count; i++)
-		world->engines[i].deaf = deaf;
+		world->engines[i].ignores_cancel = deaf;
 }
 
 static void caller_gone_deaf(void)
@@ -285,20 +285,21 @@
 
 static void fill_memory(void)
 {
-	struct spec spec = {.tokens = 16000, .work = 600 * USEC_PER_MSEC};
+	struct spec spec = {.tokens = 16000,
+			    .decode_usec = 600 * USEC_PER_MSEC};
 
-	app_ask(world, third, &spec);
-	app_ask(world, third, &spec);
+	app_submit(world, third, &spec);
+	app_submit(world, third, &spec);
 	world_run(world, 100 * USEC_PER_MSEC);
 }
 
 static void reach(enum stage stage)
 {
-	struct spec spec = {.key = KEY, .work = 400 * USEC_PER_MSEC};
+	struct spec spec = {.key = KEY, .decode_usec = 400 * USEC_PER_MSEC};
 
 	if (stage == AT_QUEUE)
 		fill_memory();
-	job = app_ask(world, holder, &spec);
+	job = app_submit(world, holder, &spec);
 	if (stage == AT_QUEUE)
 		world_run(world, 50 * USEC_PER_MSEC);
 	else if (stage == AT_GRANT)
@@ -358,7 +359,7 @@
 		row->mend();
 	if (!soon)
 		world_run(world, RETRY_LATE_USEC);
-	retry = app_ask(world, third, &spec);
+	retry = app_submit(world, third, &spec);
 	retry->adopt = true;
 	world_run(world, MEND_USEC - RETRY_SOON_USEC);
 	if (soon)
@@ -366,8 +367,9 @@
 	world_run(world, RETRY_LATE_USEC);
 	invariants_end(world);
 	g_test_message("%s at stage %d: ends %c, retry %c %s", row->fault,
-		       stage, end_of(job), met_by(retry), world->broken->str);
-	g_assert_cmpstr(world->broken->str, ==, "");
+		       stage, end_of(job), met_by(retry),
+		       world->violation->str);
+	g_assert_cmpstr(world->violation->str, ==, "");
 	g_assert_cmpint(end_of(job), ==, expected);
 	g_assert_cmpint(met_by(retry), ==, (unsigned char)row->retries[stage]);
 	world_destroy(world);
--- a/tests/ledger/test_path.c
+++ b/tests/ledger/test_path.c
@@ -20,10 +20,10 @@
 /* Fills all decode memory for a while. */
 static void fill(int64_t work)
 {
-	struct spec spec = {.tokens = 16000, .work = work};
+	struct spec spec = {.tokens = 16000, .decode_usec = work};
 
-	app_ask(world, 0, &spec);
-	app_ask(world, 1, &spec);
+	app_submit(world, 0, &spec);
+	app_submit(world, 1, &spec);
 	world_run(world, 50 * MSEC);
 	g_assert_cmpuint(world->engines[2].used, ==, 8);
 	g_assert_cmpuint(world->engines[3].used, ==, 8);
@@ -34,7 +34,7 @@
 	struct job *job;
 
 	begin("reserve", 100);
-	job = app_ask(world, 0, &(struct spec){.key = 0});
+	job = app_submit(world, 0, &(struct spec){.key = 0});
 	world_run(world, 50 * MSEC);
 	g_assert_cmpint(job->state, ==, JOB_DECODE);
 	g_assert_cmpuint(job->grant.pieces, ==, 2);
@@ -102,12 +102,12 @@
 	begin("reserve", 2);
 	fill(2 * USEC_PER_SEC);
 	for (int i = 0; row->full && i < 2; i++)
-		app_ask(world, i, &(struct spec){.key = 0});
+		app_submit(world, i, &(struct spec){.key = 0});
 	world_run(world, 20 * MSEC);
 	for (int i = 0; i < world->count; i++)
-		world_cut(world, cut_one(), i, row->cut);
-	job = app_ask(world, cut_one(), &row->spec);
-	g_assert_cmpint(job->state, ==, JOB_ASKED);
+		world_block(world, cut_one(), i, row->cut);
+	job = app_submit(world, cut_one(), &row->spec);
+	g_assert_cmpint(job->state, ==, JOB_SUBMITTED);
 	world_run(world, row->within);
 	g_assert_cmpint(job->state, ==, JOB_REFUSED);
 	g_assert_cmpint(job->refusal.code, ==, row->code);
@@ -115,7 +115,7 @@
 	if (row->code == RESULT_QUEUE_FULL)
 		g_assert_cmpint(job->refusal.retry_after, >=, USEC_PER_SEC);
 	for (int i = 0; i < world->count; i++)
-		world_cut(world, cut_one(), i, false);
+		world_block(world, cut_one(), i, false);
 	world_end(world);
 }
 
@@ -165,7 +165,7 @@
 
 	begin("reserve", 100);
 	instance = &world->instances[0];
-	job = app_ask(world, 0, &(struct spec){.service = "nothing"});
+	job = app_submit(world, 0, &(struct spec){.service = "nothing"});
 	ledger_submit(instance->ledger, &ask);
 	ledger_withdraw(instance->ledger, 12345);
 	ledger_release(instance->ledger, 12345, RELEASE_DONE);
@@ -259,9 +259,9 @@
 	struct job *first, *second;
 
 	begin("reserve", 100);
-	first = app_ask(world, 0, &row->first);
+	first = app_submit(world, 0, &row->first);
 	world_run(world, row->later);
-	second = app_ask(world, 1, &row->second);
+	second = app_submit(world, 1, &row->second);
 	world_run(world, 300 * MSEC);
 	g_assert_cmpint(first->state, ==, JOB_DONE);
 	g_assert_cmpint(second->state, ==, row->meets);
@@ -287,10 +287,11 @@
 
 	begin("reserve", 100);
 	fill(5 * USEC_PER_SEC);
-	world->twice = 1;
+	world->duplicate_rate = 1;
 	world->delay_max = 300 * MSEC;
 	for (int i = 0; i < 10; i++)
-		jobs[i] = app_ask(world, cut_one(), &(struct spec){.key = 0});
+		jobs[i] =
+			app_submit(world, cut_one(), &(struct spec){.key = 0});
 	world_run(world, 100 * MSEC);
 	for (int i = 0; i < 10; i++)
 		app_withdraw(jobs[i]);
@@ -299,7 +300,7 @@
 	g_assert_cmpuint(stats.waiting, ==, 0);
 	for (int i = 0; i < 10; i++)
 		g_assert_cmpuint(jobs[i]->answers, ==, 0);
-	world->twice = 0;
+	world->duplicate_rate = 0;
 	world_end(world);
 }
 
@@ -310,10 +311,11 @@
 	struct job *job;
 
 	begin("reserve", 100);
-	app_ask(world, 0,
-		&(struct spec){.tokens = 12000, .work = 2 * USEC_PER_SEC});
+	app_submit(world, 0,
+		   &(struct spec){.tokens = 12000,
+				  .decode_usec = 2 * USEC_PER_SEC});
 	world_run(world, 50 * MSEC);
-	job = app_ask(world, 0, &(struct spec){.key = 4});
+	job = app_submit(world, 0, &(struct spec){.key = 4});
 	job->fail_times = 1;
 	world_run(world, 100 * MSEC);
 	former = job->grant.decode;
@@ -331,12 +333,12 @@
 
 	begin("reserve", 100);
 	fill(500 * MSEC);
-	deferrable = app_ask(
+	deferrable = app_submit(
 		world, 0,
 		&(struct spec){.class = CLASS_DEFERRABLE, .tokens = 16000});
 	world_run(world, 10 * MSEC);
-	urgent = app_ask(world, 1, &(struct spec){.tokens = 16000});
-	app_ask(world, 1, &(struct spec){.tokens = 16000});
+	urgent = app_submit(world, 1, &(struct spec){.tokens = 16000});
+	app_submit(world, 1, &(struct spec){.tokens = 16000});
 	world_run(world, 10 * USEC_PER_SEC);
 	g_assert_cmpint(urgent->answered_at, <, deferrable->answered_at);
 	world_end(world);
@@ -346,22 +348,22 @@
  * that can wait: it is owed a share after the ageing time of 5 s. */
 static void test_no_starvation(void)
 {
-	struct spec spec = {.tokens = 6000, .work = 200 * MSEC};
+	struct spec spec = {.tokens = 6000, .decode_usec = 200 * MSEC};
 	struct job *large = NULL;
 	int64_t waited;
 
 	begin("reserve", 1000);
 	for (int i = 0; i < 400; i++) {
-		app_ask(world, i % 3, &spec);
+		app_submit(world, i % 3, &spec);
 		world_run(world, 50 * MSEC);
 		if (i == 40)
-			large = app_ask(
+			large = app_submit(
 				world, 0,
 				&(struct spec){.class = CLASS_DEFERRABLE,
 					       .tokens = 16000});
 	}
 	g_assert_cmpuint(large->answers, ==, 1);
-	waited = large->answered_at - large->asked_at;
+	waited = large->answered_at - large->submitted_at;
 	g_test_message("waited %.1f s", (double)waited / 1e6);
 	g_assert_cmpint(waited, >, USEC_PER_SEC);
 	g_assert_cmpint(waited, <, 10 * USEC_PER_SEC);
@@ -374,7 +376,8 @@
 
 	begin(policy, 100);
 	for (int i = 0; i < 6; i++)
-		jobs[i] = app_ask(world, i % 3, &(struct spec){.tokens = 100});
+		jobs[i] =
+			app_submit(world, i % 3, &(struct spec){.tokens = 100});
 	world_run(world, 30 * MSEC);
 	for (int i = 0; i < 6; i++)
 		g_assert_cmpuint(jobs[i]->answers, ==, 1);
@@ -425,14 +428,14 @@
 	world_run(world, 200 * MSEC);
 	report_prefill(&report, 40);
 	for (int i = 0; row->given > 0 && i < 2; i++)
-		app_ask(world, i, &spec);
+		app_submit(world, i, &spec);
 	world_run(world, 10 * MSEC);
 	report.queue_tokens = row->tokens;
 	report.age = row->age;
 	report_prefill(&report, 1);
-	job = app_ask(world, 0, &(struct spec){.tokens = 200});
+	job = app_submit(world, 0, &(struct spec){.tokens = 200});
 	world_run(world, USEC_PER_SEC);
-	waited = job->answered_at - job->asked_at;
+	waited = job->answered_at - job->submitted_at;
 	g_test_message("waited %ld ms", (long)(waited / MSEC));
 	g_assert_cmpint(waited, >=, MAX(row->wait - 35 * MSEC, 0));
 	g_assert_cmpint(waited, <=, row->wait + 15 * MSEC);
@@ -454,8 +457,8 @@
 	unknown.incarnation = 1;
 	g_assert_true(engine_open(engine, &unknown, 6, stream));
 	world_run(world, 500 * MSEC);
-	app_ask(world, 0, &(struct spec){.tokens = 16000});
-	app_ask(world, 0, &(struct spec){.tokens = 16000});
+	app_submit(world, 0, &(struct spec){.tokens = 16000});
+	app_submit(world, 0, &(struct spec){.tokens = 16000});
 	world_run(world, 1200 * MSEC);
 	g_assert_true(engine_has(engine, stream));
 	world_run(world, 2 * USEC_PER_SEC);
@@ -473,20 +476,20 @@
 
 	begin("reserve", 100);
 	home = world_home(world)->index;
-	first = app_ask(world, (home + 1) % 3,
-			&(struct spec){.key = 3,
-				       .tokens = 16000,
-				       .work = 10 * USEC_PER_SEC});
+	first = app_submit(world, (home + 1) % 3,
+			   &(struct spec){.key = 3,
+					  .tokens = 16000,
+					  .decode_usec = 10 * USEC_PER_SEC});
 	world_run(world, 200 * MSEC);
 	engine = engine_find(world, first->grant.decode);
 	world_kill(world, first->instance->index);
 	world_run(world, 500 * MSEC);
-	retry = app_ask(world, (home + 2) % 3, &(struct spec){.key = 3});
+	retry = app_submit(world, (home + 2) % 3, &(struct spec){.key = 3});
 	retry->adopt = true;
 	world_until(world, retry->duplicate.request != 0);
 	app_withdraw(retry);
 	for (int i = 0; i < 4; i++)
-		app_ask(world, home, &(struct spec){.tokens = 16000});
+		app_submit(world, home, &(struct spec){.tokens = 16000});
 	world_run(world, 3 * USEC_PER_SEC);
 	g_assert_false(engine_has(engine, first->stream));
 	world_end(world);
@@ -498,7 +501,7 @@
 	world->engines[2].leaving = true;
 	world_run(world, 200 * MSEC);
 	for (int i = 0; i < 6; i++) {
-		struct job *job = app_ask(world, i % 3, &(struct spec){0});
+		struct job *job = app_submit(world, i % 3, &(struct spec){0});
 
 		world_run(world, 200 * MSEC);
 		g_assert_cmpuint(job->grant.decode, ==, world->engines[3].id);
@@ -514,12 +517,12 @@
 	struct job *last;
 
 	begin("reserve", 100);
-	world_settings(world, &settings);
+	world_restart_all(world, &settings);
 	for (uint64_t key = 1; key <= 100; key++) {
-		last = app_ask(world, 0,
-			       &(struct spec){.service = PLAIN,
-					      .key = key,
-					      .work = MSEC});
+		last = app_submit(world, 0,
+				  &(struct spec){.service = PLAIN,
+						 .key = key,
+						 .decode_usec = MSEC});
 		world_run(world, 40 * MSEC);
 	}
 	for (int i = 0; i < world->count; i++) {
@@ -540,24 +543,24 @@
 	begin("reserve", 100);
 	home = world_home(world);
 	for (uint64_t key = 1; key <= 2500; key++) {
-		app_ask(world, home->index,
-			&(struct spec){.tokens = 100,
-				       .key = key,
-				       .prefill = MSEC,
-				       .work = MSEC});
+		app_submit(world, home->index,
+			   &(struct spec){.tokens = 100,
+					  .key = key,
+					  .prefill = MSEC,
+					  .decode_usec = MSEC});
 		world_run(world, 5 * MSEC);
 	}
-	world->lose = 0.2;
+	world->loss_rate = 0.2;
 	world_leave(world, home->index);
 	world_run(world, 8 * USEC_PER_SEC);
 	ledger_stats(home->ledger, &stats);
 	g_assert_cmpuint(stats.handovers, ==, 0);
-	world->lose = 0;
+	world->loss_rate = 0;
 	ledger_stats(world_home(world)->ledger, &stats);
 	g_assert_cmpuint(stats.records, ==, 2500);
 	for (uint64_t key = 1; key <= 2500; key += 249) {
-		retry = app_ask(world, (home->index + 1) % 3,
-				&(struct spec){.key = key});
+		retry = app_submit(world, (home->index + 1) % 3,
+				   &(struct spec){.key = key});
 		world_run(world, 50 * MSEC);
 		g_assert_cmpint(retry->state, ==, JOB_DUPLICATE);
 	}
@@ -572,7 +575,8 @@
 
 	begin("reserve", 100);
 	home = world_home(world);
-	job = app_ask(world, (home->index + 1) % 3, &(struct spec){.key = 6});
+	job = app_submit(world, (home->index + 1) % 3,
+			 &(struct spec){.key = 6});
 	world_run(world, 300 * MSEC);
 	g_assert_cmpint(job->state, ==, JOB_DONE);
 	world_leave(world, home->index);
@@ -582,7 +586,8 @@
 	ledger_stats(home->ledger, &stats);
 	g_assert_cmpuint(stats.handovers, ==, 0);
 	world_kill(world, home->index);
-	retry = app_ask(world, (home->index + 2) % 3, &(struct spec){.key = 6});
+	retry = app_submit(world, (home->index + 2) % 3,
+			   &(struct spec){.key = 6});
 	world_run(world, 200 * MSEC);
 	g_assert_cmpint(retry->state, ==, JOB_DUPLICATE);
 	g_assert_cmpint(retry->duplicate.state, ==, RECORD_DONE);
@@ -595,14 +600,15 @@
 	struct job *job;
 
 	begin("reserve", 100);
-	world->garble = 0.3;
+	world->corruption_rate = 0.3;
 	for (int i = 0; i < 300; i++) {
-		app_ask(world, i % 3, &(struct spec){.key = (uint64_t)i % 20});
+		app_submit(world, i % 3,
+			   &(struct spec){.key = (uint64_t)i % 20});
 		world_run(world, 20 * MSEC);
 	}
-	world->garble = 0;
+	world->corruption_rate = 0;
 	world_run(world, 20 * USEC_PER_SEC);
-	job = app_ask(world, 0, &(struct spec){.key = 1000});
+	job = app_submit(world, 0, &(struct spec){.key = 1000});
 	world_run(world, USEC_PER_SEC);
 	g_assert_cmpint(job->state, ==, JOB_DONE);
 	world_destroy(world);
@@ -616,7 +622,7 @@
 	bytes = world->bytes;
 	messages = world->messages;
 	for (int i = 0; i < 100; i++) {
-		app_ask(world, i % 3, &(struct spec){.tokens = 2000});
+		app_submit(world, i % 3, &(struct spec){.tokens = 2000});
 		world_run(world, 300 * MSEC);
 	}
 	bytes = (world->bytes - bytes) / 100;
--- a/tests/ledger/test_prefill.c
+++ b/tests/ledger/test_prefill.c
@@ -43,10 +43,10 @@
 
 		begin();
 		report(ages[i].age);
-		job = app_ask(world, 0, &(struct spec){.key = 0});
+		job = app_submit(world, 0, &(struct spec){.key = 0});
 		world_run(world, USEC_PER_SEC);
 		g_assert_cmpuint(job->answers, ==, 1);
-		waited = job->answered_at - job->asked_at;
+		waited = job->answered_at - job->submitted_at;
 		g_assert_cmpint(waited, >=, ages[i].waits);
 		g_assert_cmpint(waited, <, ages[i].waits + 20 * MSEC);
 		world_end(world);
@@ -67,18 +67,18 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(ends); i++) {
 		struct spec first = {.key = ends[i].key,
 				     .prefill = 50 * MSEC,
-				     .work = 2 * USEC_PER_SEC};
+				     .decode_usec = 2 * USEC_PER_SEC};
 		struct job *job;
 		int64_t waited;
 
 		begin();
-		app_ask(world, 0, &first);
+		app_submit(world, 0, &first);
 		world_run(world, 20 * MSEC);
 		report(0);
-		job = app_ask(world, 1, &(struct spec){.key = 0});
+		job = app_submit(world, 1, &(struct spec){.key = 0});
 		world_run(world, USEC_PER_SEC);
 		g_assert_cmpuint(job->answers, ==, 1);
-		waited = job->answered_at - job->asked_at;
+		waited = job->answered_at - job->submitted_at;
 		g_assert_cmpint(waited, >=, ends[i].least);
 		g_assert_cmpint(waited, <, ends[i].most);
 		world_end(world);
--- a/tests/ledger/test_rehome.c
+++ b/tests/ledger/test_rehome.c
@@ -34,18 +34,18 @@
 
 static void cut_pair(bool cut)
 {
-	world_cut(world, next, other, cut);
-	world_cut(world, other, next, cut);
+	world_block(world, next, other, cut);
+	world_block(world, other, next, cut);
 }
 
 /* Two requests that fill both decode runners. */
 static void ask_both(int index, int64_t prefill, struct job *jobs[2])
 {
 	struct spec spec = {
-		.tokens = 16000, .prefill = prefill, .work = 500 * MSEC};
+		.tokens = 16000, .prefill = prefill, .decode_usec = 500 * MSEC};
 
 	for (int i = 0; i < 2; i++)
-		jobs[i] = app_ask(world, index, &spec);
+		jobs[i] = app_submit(world, index, &spec);
 	world_until(world, jobs[0]->state == JOB_PREFILL &&
 				   jobs[1]->state == JOB_PREFILL);
 }
@@ -66,8 +66,8 @@
 	cut_pair(true);
 	ask_both(other, 1500 * MSEC, held);
 	world_kill(world, home);
-	asked[0] = app_ask(world, next, &(struct spec){.tokens = 16000});
-	asked[1] = app_ask(world, next, &(struct spec){.tokens = 16000});
+	asked[0] = app_submit(world, next, &(struct spec){.tokens = 16000});
+	asked[1] = app_submit(world, next, &(struct spec){.tokens = 16000});
 	world_run(world, 1300 * MSEC);
 	g_assert_cmpuint(asked[0]->answers + asked[1]->answers, ==, 0);
 	cut_pair(false);
@@ -84,10 +84,10 @@
 	ask_both(home, 20 * MSEC, held);
 	engine_poll(&world->instances[home]);
 	wait_open(held);
-	members_raise(world, home);
+	members_raise_incarnation(world, home);
 	members_notify(&world->instances[home]);
-	members_tell(world, home, MEMBER_ALIVE, 1);
-	app_ask(world, next, &(struct spec){.tokens = 16000});
+	members_announce(world, home, MEMBER_ALIVE, 1);
+	app_submit(world, next, &(struct spec){.tokens = 16000});
 	world_end(world);
 }
 
@@ -100,12 +100,12 @@
 	cut_pair(true);
 	ask_both(other, 600 * MSEC, held);
 	world_kill(world, home);
-	app_ask(world, next, &(struct spec){.tokens = 16000});
+	app_submit(world, next, &(struct spec){.tokens = 16000});
 	world_run(world, 590 * MSEC);
 	engine_poll(&world->instances[next]);
 	wait_open(held);
 	world_kill(world, other);
-	members_tell(world, other, MEMBER_DEAD, 1);
+	members_announce(world, other, MEMBER_DEAD, 1);
 	world_end(world);
 }
 
@@ -124,7 +124,7 @@
 		report.runner = world->engines[i].id;
 		ledger_report(world->instances[next].ledger, &report);
 	}
-	job = app_ask(world, other, &(struct spec){.tokens = 16000});
+	job = app_submit(world, other, &(struct spec){.tokens = 16000});
 	world_run(world, 300 * MSEC);
 	g_assert_cmpuint(job->answers, ==, 0);
 	world->poll = 100 * MSEC;
@@ -148,21 +148,21 @@
 	struct spec spec = {.tokens = 16000, .class = CLASS_DEFERRABLE};
 
 	begin();
-	world->slow[home][other] = 600 * MSEC;
-	app_ask(world, other, &spec);
-	app_ask(world, other, &spec);
+	world->extra_delay[home][other] = 600 * MSEC;
+	app_submit(world, other, &spec);
+	app_submit(world, other, &spec);
 	world_until(world, grants_given() == 2);
-	members_raise(world, home);
+	members_raise_incarnation(world, home);
 	members_notify(&world->instances[home]);
-	members_tell(world, home, MEMBER_ALIVE, 1);
+	members_announce(world, home, MEMBER_ALIVE, 1);
 	spec.class = CLASS_URGENT;
-	spec.work = 800 * MSEC;
-	app_ask(world, next, &spec);
-	app_ask(world, next, &spec);
+	spec.decode_usec = 800 * MSEC;
+	app_submit(world, next, &spec);
+	app_submit(world, next, &spec);
 	world_run(world, 500 * MSEC);
 	g_assert_cmpuint(world->engines[2].used, ==, 8);
 	world_run(world, 300 * MSEC);
-	world->slow[home][other] = 0;
+	world->extra_delay[home][other] = 0;
 	world_end(world);
 }
 
@@ -170,18 +170,18 @@
  * to stop. */
 static void test_conflict(void)
 {
-	struct spec spec = {.key = 9, .work = 30 * USEC_PER_SEC};
+	struct spec spec = {.key = 9, .decode_usec = 30 * USEC_PER_SEC};
 	struct job *first, *second;
 
 	begin();
-	first = app_ask(world, other, &spec);
+	first = app_submit(world, other, &spec);
 	world_run(world, 300 * MSEC);
-	world->split_until = CLOCK_NEVER; /* two do hold it for a while */
+	world->split_brain_until = CLOCK_NEVER; /* two do hold it for a while */
 	cut_pair(true);
 	world_kill(world, home);
 	world_run(world, 6 * USEC_PER_SEC);
-	spec.work = 10 * USEC_PER_SEC;
-	second = app_ask(world, next, &spec);
+	spec.decode_usec = 10 * USEC_PER_SEC;
+	second = app_submit(world, next, &spec);
 	world_run(world, 500 * MSEC);
 	g_assert_cmpint(second->state, ==, JOB_DECODE);
 	cut_pair(false);
@@ -195,18 +195,18 @@
 /* The home knows a stream before any listing shows it. */
 static void test_progress(void)
 {
-	struct spec spec = {.key = 9, .work = 3 * USEC_PER_SEC};
+	struct spec spec = {.key = 9, .decode_usec = 3 * USEC_PER_SEC};
 	struct job *first, *retry;
 
 	begin();
 	world->poll = 30 * USEC_PER_SEC;
 	world_run(world, 200 * MSEC);
-	first = app_ask(world, other, &spec);
+	first = app_submit(world, other, &spec);
 	world_until(world, first->state == JOB_DECODE);
 	world_run(world, 20 * MSEC);
 	world_kill(world, other);
 	world_run(world, 400 * MSEC);
-	retry = app_ask(world, next, &spec);
+	retry = app_submit(world, next, &spec);
 	retry->adopt = true;
 	world_run(world, 100 * MSEC);
 	g_assert_true(retry->adopted);
--- a/tests/ledger/test_schedules.c
+++ b/tests/ledger/test_schedules.c
@@ -32,7 +32,7 @@
 {
 	struct act *act = data;
 
-	if (act->job->state == JOB_ASKED && act->job->answers == 0 &&
+	if (act->job->state == JOB_SUBMITTED && act->job->answers == 0 &&
 	    act->job->instance->up && !act->job->instance->paused)
 		app_withdraw(act->job);
 }
@@ -50,18 +50,18 @@
 	struct act act = *(struct act *)data;
 	struct world *world = act.world;
 	struct instance *instance = &world->instances[act.index];
-	struct spec spec = {.class = world_chance(world, 0.5)
-					     ? CLASS_URGENT
-					     : CLASS_DEFERRABLE,
-			    .tokens = (uint32_t)world_range(world, 100, 16000),
-			    .work = world_range(world, 20, 400) * USEC_PER_MSEC,
-			    .block = (uint64_t)world_range(world, 1, 6)};
+	struct spec spec = {
+		.class = world_chance(world, 0.5) ? CLASS_URGENT
+						  : CLASS_DEFERRABLE,
+		.tokens = (uint32_t)world_range(world, 100, 16000),
+		.decode_usec = world_range(world, 20, 400) * USEC_PER_MSEC,
+		.block = (uint64_t)world_range(world, 1, 6)};
 
 	if (!instance->up || instance->paused)
 		return;
 	if (world_chance(world, 0.4))
 		spec.key = (uint64_t)world_range(world, 1, 12);
-	act.job = app_ask(world, act.index, &spec);
+	act.job = app_submit(world, act.index, &spec);
 	act.job->adopt = world_chance(world, 0.5);
 	if (world_chance(world, 0.1))
 		act.job->fail_times = 1;
@@ -93,7 +93,7 @@
 {
 	struct act *act = data;
 
-	world_wake(act->world, act->index);
+	world_resume(act->world, act->index);
 }
 
 static void do_pause(void *data)
@@ -109,7 +109,7 @@
 {
 	struct act *act = data;
 
-	world_cut(act->world, act->index, act->other, false);
+	world_block(act->world, act->index, act->other, false);
 }
 
 /* Shorter than the settling time: a longer cut is for membership to see. */
@@ -117,7 +117,7 @@
 {
 	struct act *act = data;
 
-	world_cut(act->world, act->index, act->other, true);
+	world_block(act->world, act->index, act->other, true);
 	plan(act->world, world_range(act->world, 0, USEC_PER_SEC), do_join,
 	     act);
 }
@@ -155,8 +155,8 @@
 
 	world = world_create(seed, count, "reserve", 500);
 	act.world = world;
-	world->lose = world_chance(world, 0.5) ? 0.1 : 0;
-	world->twice = world_chance(world, 0.5) ? 0.2 : 0;
+	world->loss_rate = world_chance(world, 0.5) ? 0.1 : 0;
+	world->duplicate_rate = world_chance(world, 0.5) ? 0.2 : 0;
 	world->delay_max = world_range(world, 1, 40) * USEC_PER_MSEC;
 	for (int i = 0; i < JOBS; i++) {
 		act.index = (int)world_range(world, 0, count);
@@ -171,12 +171,12 @@
 		     &act);
 	}
 	world_run(world, LOAD_USEC);
-	for (int i = 0; i < 60 && world->broken->len == 0; i++)
+	for (int i = 0; i < 60 && world->violation->len == 0; i++)
 		world_run(world, QUIET_USEC / 60);
 	invariants_end(world);
-	if (world->broken->len > 0)
-		g_test_message("seed %u: %s", seed, world->broken->str);
-	g_assert_cmpstr(world->broken->str, ==, "");
+	if (world->violation->len > 0)
+		g_test_message("seed %u: %s", seed, world->violation->str);
+	g_assert_cmpstr(world->violation->str, ==, "");
 	world_destroy(world);
 }
 
--- a/tests/ledger/world.c
+++ b/tests/ledger/world.c
@@ -23,12 +23,12 @@
 {
 	va_list args;
 
-	if (world->broken->len > 0)
+	if (world->violation->len > 0)
 		return;
-	g_string_printf(world->broken, "at %.3f s: ",
+	g_string_printf(world->violation, "at %.3f s: ",
 			(double)clock_now(world->clock) / USEC_PER_SEC);
 	va_start(args, fmt);
-	g_string_append_vprintf(world->broken, fmt, args);
+	g_string_append_vprintf(world->violation, fmt, args);
 	va_end(args);
 }
 
@@ -79,18 +79,18 @@
 	world->bytes += size;
 	if (to != from->index) {
 		if (world->cut[from->index][to] ||
-		    world_chance(world, world->lose))
+		    world_chance(world, world->loss_rate))
 			return;
-		copies += world_chance(world, world->twice);
+		copies += world_chance(world, world->duplicate_rate);
 	}
 	while (copies-- > 0) {
 		letter = letter_create(from, &world->instances[to], channel,
 				       payload, size);
-		if (size > 0 && world_chance(world, world->garble))
+		if (size > 0 && world_chance(world, world->corruption_rate))
 			letter->data[world_range(world, 0, (int64_t)size)] ^=
 				(uint8_t)world_range(world, 1, 256);
 		world_after(world,
-			    world->slow[from->index][to] +
+			    world->extra_delay[from->index][to] +
 				    world_range(world, 100, world->delay_max),
 			    deliver, letter, g_free);
 	}
@@ -195,7 +195,7 @@
 	world->count = instances;
 	world->jobs = g_ptr_array_new_with_free_func(g_free);
 	world->later = later_create(world->clock);
-	world->broken = g_string_new(NULL);
+	world->violation = g_string_new(NULL);
 	world->delay_max = 3 * USEC_PER_MSEC;
 	world->poll = 100 * USEC_PER_MSEC;
 	world->engine_count = ENGINES_MAX;
@@ -224,7 +224,8 @@
 	g_queue_clear_full(&instance->inbox, g_free);
 }
 
-void world_settings(struct world *world, const struct ledger_settings *settings)
+void world_restart_all(struct world *world,
+		       const struct ledger_settings *settings)
 {
 	world->settings = *settings;
 	for (int i = 0; i < world->count; i++) {
@@ -251,7 +252,7 @@
 		engine_clear(&world->engines[i]);
 	g_ptr_array_free(world->jobs, TRUE);
 	g_ptr_array_free(world->configs, TRUE);
-	g_string_free(world->broken, TRUE);
+	g_string_free(world->violation, TRUE);
 	g_rand_free(world->rand);
 	clock_destroy(world->clock);
 	g_free(world);
@@ -296,7 +297,7 @@
 		return;
 	app_instance_died(instance);
 	instance_stop(instance);
-	members_tell(world, index, MEMBER_DEAD, DEAD_NEWS_USEC);
+	members_announce(world, index, MEMBER_DEAD, DEAD_NEWS_USEC);
 }
 
 void world_restart(struct world *world, int index)
@@ -306,10 +307,10 @@
 	if (instance->up)
 		return;
 	clock_advance(instance->clock, clock_now(world->clock));
-	members_raise(world, index);
+	members_raise_incarnation(world, index);
 	members_refresh(world, index);
 	instance_start(world, index);
-	members_tell(world, index, MEMBER_ALIVE, DEAD_NEWS_USEC);
+	members_announce(world, index, MEMBER_ALIVE, DEAD_NEWS_USEC);
 }
 
 void world_pause(struct world *world, int index)
@@ -319,7 +320,7 @@
 	if (!instance->up || instance->paused)
 		return;
 	instance->paused = true;
-	members_tell(world, index, MEMBER_DEAD, DEAD_NEWS_USEC);
+	members_announce(world, index, MEMBER_DEAD, DEAD_NEWS_USEC);
 }
 
 static void hear_of_death(void *data)
@@ -328,13 +329,13 @@
 
 	if (!instance->up || instance->paused)
 		return;
-	members_raise(instance->world, instance->index);
+	members_raise_incarnation(instance->world, instance->index);
 	members_notify(instance);
-	members_tell(instance->world, instance->index, MEMBER_ALIVE,
-		     DEAD_NEWS_USEC);
+	members_announce(instance->world, instance->index, MEMBER_ALIVE,
+			 DEAD_NEWS_USEC);
 }
 
-void world_wake(struct world *world, int index)
+void world_resume(struct world *world, int index)
 {
 	struct instance *instance = &world->instances[index];
 	struct letter *letter;
@@ -354,10 +355,10 @@
 void world_leave(struct world *world, int index)
 {
 	if (world->instances[index].up)
-		members_tell(world, index, MEMBER_LEAVING, DEAD_NEWS_USEC);
+		members_announce(world, index, MEMBER_LEAVING, DEAD_NEWS_USEC);
 }
 
-void world_cut(struct world *world, int a, int b, bool cut)
+void world_block(struct world *world, int a, int b, bool cut)
 {
 	world->cut[a][b] = cut;
 }
@@ -393,6 +394,6 @@
 {
 	world_run(world, 20 * USEC_PER_SEC);
 	invariants_end(world);
-	g_assert_cmpstr(world->broken->str, ==, "");
+	g_assert_cmpstr(world->violation->str, ==, "");
 	world_destroy(world);
 }
--- a/tests/ledger/world.h
+++ b/tests/ledger/world.h
@@ -20,7 +20,7 @@
 #define ENGINES_MAX 4
 
 enum job_state {
-	JOB_ASKED,
+	JOB_SUBMITTED,
 	JOB_PREFILL,
 	JOB_DECODE,
 	JOB_CANCELLING,
@@ -38,11 +38,11 @@
 	uint64_t key;
 	uint64_t fingerprint;
 	enum request_class class;
-	uint32_t tokens; /* default 4,000: two pieces */
-	int64_t work;	 /* of decode; default 100 ms */
-	int64_t prefill; /* default 20 ms */
-	int64_t timeout; /* to the deadline; 0: none */
-	uint64_t block;	 /* first block of the prompt; 0: none */
+	uint32_t tokens;     /* default 4,000: two pieces */
+	int64_t decode_usec; /* default 100 ms */
+	int64_t prefill;     /* default 20 ms */
+	int64_t timeout;     /* to the deadline; 0: none */
+	uint64_t block;	     /* first block of the prompt; 0: none */
 	bool not_idempotent;
 };
 
@@ -58,9 +58,9 @@
 	uint32_t answers; /* granted at first, refused or duplicate */
 	uint32_t attempt;
 	uint32_t fail_times; /* attempts that the engine cuts */
-	int64_t asked_at;
+	int64_t submitted_at;
 	int64_t answered_at;
-	int64_t work; /* microseconds of decode */
+	int64_t decode_usec;
 	int64_t prefill;
 	bool adopt; /* takes over the stream of a dead owner */
 	bool adopted;
@@ -81,7 +81,7 @@
 	uint32_t refused;
 	uint32_t next_stream;
 	bool leaving;
-	bool deaf; /* cancels are lost */
+	bool ignores_cancel;
 	GHashTable *streams;
 };
 
@@ -110,19 +110,19 @@
 	GPtrArray *jobs;
 	uint64_t next_request;
 	bool cut[INSTANCES_MAX][INSTANCES_MAX]; /* one way */
-	int64_t slow[INSTANCES_MAX][INSTANCES_MAX];
-	double lose;
-	double twice;
-	double garble; /* flips a byte of the message */
+	int64_t extra_delay[INSTANCES_MAX][INSTANCES_MAX];
+	double loss_rate;
+	double duplicate_rate;
+	double corruption_rate; /* of messages with one byte changed */
 	struct ledger_settings settings;
 	int64_t poll; /* between two polls of a runner */
 	int64_t delay_max;
-	int64_t split_until; /* see invariants.c */
-	uint32_t splits;
+	int64_t split_brain_until; /* see invariants.c */
+	uint32_t split_brains;
 	uint64_t messages;
 	uint64_t bytes;
 	struct later *later;
-	GString *broken; /* the first invariant that did not hold */
+	GString *violation; /* of the first invariant that did not hold */
 };
 
 /* world.c */
@@ -145,12 +145,12 @@
 void world_kill(struct world *world, int index);
 void world_restart(struct world *world, int index);
 void world_pause(struct world *world, int index);
-void world_wake(struct world *world, int index);
+void world_resume(struct world *world, int index);
 void world_leave(struct world *world, int index);
-void world_cut(struct world *world, int a, int b, bool cut);
+void world_block(struct world *world, int a, int b, bool cut);
 /* Restarts all with settings; for the start of a test. */
-void world_settings(struct world *world,
-		    const struct ledger_settings *settings);
+void world_restart_all(struct world *world,
+		       const struct ledger_settings *settings);
 /* Puts another policy in force at all instances. */
 void world_configure(struct world *world, const char *policy,
 		     uint32_t queue_max);
@@ -164,13 +164,14 @@
 struct membership *members_create(struct world *world, int index);
 void members_destroy(struct membership *membership);
 /* Tells all instances, each after a while of its own. */
-void members_tell(struct world *world, int index, enum member_state state,
-		  int64_t delay_max);
+void members_announce(struct world *world, int index, enum member_state state,
+		      int64_t delay_max);
 void members_refresh(struct world *world, int index);
-uint64_t members_raise(struct world *world, int index);
-bool members_held_dead(struct world *world, int index, uint64_t incarnation);
+uint64_t members_raise_incarnation(struct world *world, int index);
+bool members_declared_dead(struct world *world, int index,
+			   uint64_t incarnation);
 /* A home that lives under a new incarnation while others hold it dead. */
-bool members_split(struct world *world);
+bool members_split_brain(struct world *world);
 void members_notify(struct instance *instance);
 
 /* engine.c */
@@ -194,7 +195,7 @@
 
 /* app.c: what the daemon does with a request. */
 extern const struct ledger_ops app_ops;
-struct job *app_ask(struct world *world, int index, const struct spec *spec);
+struct job *app_submit(struct world *world, int index, const struct spec *spec);
 void app_withdraw(struct job *job);
 void app_cancel(struct job *job);
 void app_instance_died(struct instance *instance);
--- a/tests/limit/test_cell_load.c
+++ b/tests/limit/test_cell_load.c
@@ -125,7 +125,8 @@
 	members_make(clock, members);
 	cell_load_set(members[0], cell_id(&service, "b"), row->b, 0, 1);
 	cell_load_set(members[0], cell_id(&service, "c"), row->c, 0, 1);
-	there = cell_load_choose(members[0], &config, &service, row->own, 7);
+	there = cell_load_pick_least_loaded(members[0], &config, &service,
+					    row->own, 7);
 	if (row->chosen && strcmp(row->chosen, "*") == 0) {
 		g_assert_nonnull(there);
 		g_assert_true(strcmp(there, "b") == 0 ||
@@ -171,19 +172,19 @@
 {
 	uint32_t before = 0;
 
-	for (uint32_t share = 0; share <= CELL_LOAD_SHARES; share++) {
+	for (uint32_t share = 0; share <= CELL_LOAD_SHARE_ALL; share++) {
 		uint32_t left[CLASS_COUNT] = {0};
 
 		for (uint64_t key = 0; key < 1000; key++)
 			for (int class = 0; class < CLASS_COUNT; class ++)
-				left[class] += cell_load_leaves(share, class,
-								id_mix(key, 1));
+				left[class] += cell_load_redirects(
+					share, class, id_mix(key, 1));
 		g_assert_cmpuint(left[CLASS_URGENT], >=, before);
 		g_assert_cmpfloat_with_epsilon(
-			left[CLASS_URGENT], 1000.0 * share / CELL_LOAD_SHARES,
-			50);
+			left[CLASS_URGENT],
+			1000.0 * share / CELL_LOAD_SHARE_ALL, 50);
 		g_assert_cmpuint(left[CLASS_DEFERRABLE], ==,
-				 share < CELL_LOAD_SHARES ? 0 : 1000);
+				 share < CELL_LOAD_SHARE_ALL ? 0 : 1000);
 		before = left[CLASS_URGENT];
 	}
 }
@@ -203,16 +204,16 @@
 	far.link_count = G_N_ELEMENTS(links);
 	members_make(clock, members);
 	for (uint64_t key = 0; key < 100; key++) {
-		const char *near =
-			cell_load_spread(members[0], &config, &service, key);
+		const char *near = cell_load_pick_by_key(members[0], &config,
+							 &service, key);
 
 		g_assert_nonnull(near);
 		g_assert_cmpstr(
-			cell_load_spread(members[0], &far, &service, key), ==,
-			"c");
+			cell_load_pick_by_key(members[0], &far, &service, key),
+			==, "c");
 	}
-	g_assert_nonnull(
-		cell_load_choose(members[0], &far, &service, CELL_FULL, 7));
+	g_assert_nonnull(cell_load_pick_least_loaded(members[0], &far, &service,
+						     CELL_FULL, 7));
 	members_free(clock, members);
 }
 
@@ -230,10 +231,12 @@
 
 		cell_load_set(members[0], cell_id(&service, "b"), CELL_FREE, 0,
 			      2 * key + 1);
-		before = cell_load_spread(members[0], &config, &service, key);
+		before = cell_load_pick_by_key(members[0], &config, &service,
+					       key);
 		cell_load_set(members[0], cell_id(&service, "b"), CELL_BUSY, 0,
 			      2 * key + 2);
-		after = cell_load_spread(members[0], &config, &service, key);
+		after = cell_load_pick_by_key(members[0], &config, &service,
+					      key);
 		g_assert_nonnull(before);
 		g_assert_cmpstr(after, ==,
 				strcmp(before, "b") == 0 ? NULL : "c");
--- a/tests/requests/fakes.c
+++ b/tests/requests/fakes.c
@@ -306,7 +306,7 @@
 enum cell_level ledger_level(const struct ledger *ledger, const char *service,
 			     uint32_t *share)
 {
-	*share = (uint32_t)fakes.level * CELL_LOAD_SHARES / 2;
+	*share = (uint32_t)fakes.level * CELL_LOAD_SHARE_ALL / 2;
 	return fakes.level;
 }
 
--- a/tests/role/test_ledger_roles.c
+++ b/tests/role/test_ledger_roles.c
@@ -66,7 +66,8 @@
 
 	begin();
 	ledger = world_home(world)->ledger;
-	first = app_ask(world, 0, &(struct spec){.work = USEC_PER_SEC});
+	first = app_submit(world, 0,
+			   &(struct spec){.decode_usec = USEC_PER_SEC});
 	world_run(world, 50 * MSEC);
 	decode = first->grant.decode;
 	g_assert_cmpuint(grants_of(decode), ==, 1);
@@ -74,7 +75,7 @@
 	ledger_withhold(ledger, decode, true);
 	g_assert_cmpuint(usable_of(POOL_DECODE), ==, 1);
 	for (int i = 0; i < 8; i++) {
-		second = app_ask(world, i % 3, &(struct spec){0});
+		second = app_submit(world, i % 3, &(struct spec){0});
 		world_run(world, 150 * MSEC);
 		g_assert_cmpint(second->state, ==, JOB_DONE);
 		g_assert_cmpuint(second->grant.decode, !=, decode);
@@ -83,12 +84,13 @@
 	g_assert_cmpint(first->state, ==, JOB_DONE);
 	g_assert_cmpuint(grants_of(decode), ==, 0);
 	/* What waits because of it starts when it is let go. */
-	app_ask(world, 0,
-		&(struct spec){.tokens = 16000, .work = USEC_PER_SEC});
+	app_submit(
+		world, 0,
+		&(struct spec){.tokens = 16000, .decode_usec = USEC_PER_SEC});
 	world_run(world, 50 * MSEC);
-	third = app_ask(world, 1, &(struct spec){.tokens = 16000});
+	third = app_submit(world, 1, &(struct spec){.tokens = 16000});
 	world_run(world, 200 * MSEC);
-	g_assert_cmpint(third->state, ==, JOB_ASKED);
+	g_assert_cmpint(third->state, ==, JOB_SUBMITTED);
 	ledger_withhold(ledger, decode, false);
 	world_run(world, 200 * MSEC);
 	g_assert_cmpint(third->state, ==, JOB_DONE);
@@ -178,12 +180,14 @@
 	struct ledger_cell cell;
 
 	begin();
-	app_ask(world, 0,
-		&(struct spec){.tokens = 16000, .work = USEC_PER_SEC});
-	app_ask(world, 1,
-		&(struct spec){.tokens = 16000, .work = USEC_PER_SEC});
+	app_submit(
+		world, 0,
+		&(struct spec){.tokens = 16000, .decode_usec = USEC_PER_SEC});
+	app_submit(
+		world, 1,
+		&(struct spec){.tokens = 16000, .decode_usec = USEC_PER_SEC});
 	world_run(world, 50 * MSEC);
-	app_ask(world, 2, &(struct spec){.tokens = 4000});
+	app_submit(world, 2, &(struct spec){.tokens = 4000});
 	world_run(world, 50 * MSEC);
 	cell_get(&cell);
 	g_assert_cmpfloat(cell.arrived.requests, ==, 3);
