--- a/coord/ledger_holder.c
+++ b/coord/ledger_holder.c
@@ -21,10 +21,10 @@
 	}
 }
 
-/* What is not wanted any more, an ask that came late or a grant, ends at once.
- * Cell 0 stands for any. */
-static void return_work(struct ledger *ledger, uint64_t cell, uint64_t from,
-			uint64_t request, uint32_t attempt)
+/* Tells the home to drop a queued request or a grant that this instance no
+ * longer has. Cell 0 stands for the cell that knows the request. */
+static void release_unknown(struct ledger *ledger, uint64_t cell, uint64_t from,
+			    uint64_t request, uint32_t attempt)
 {
 	struct item item = {.request = request,
 			    .incarnation = ledger->incarnation,
@@ -34,7 +34,8 @@
 	release_send(ledger, cell, from, &item);
 }
 
-static void item_take(struct item *item, const struct ledger_grant *grant)
+static void item_apply_grant(struct item *item,
+			     const struct ledger_grant *grant)
 {
 	struct ledger *ledger = item->ledger;
 
@@ -73,8 +74,8 @@
 		return;
 	item = item_find(ledger, grant.request);
 	if (item == NULL) {
-		return_work(ledger, cell->id, from, grant.request,
-			    grant.attempt);
+		release_unknown(ledger, cell->id, from, grant.request,
+				grant.attempt);
 		return;
 	}
 	if (item->state == ITEM_GRANTED && item->attempt == grant.attempt)
@@ -82,12 +83,12 @@
 			grant.attempt);
 	else if ((item->state == ITEM_ASKING || item->state == ITEM_QUEUED) &&
 		 (item->attempt == grant.attempt || item->adopt))
-		item_take(item, &grant);
+		item_apply_grant(item, &grant);
 }
 
-static struct item *asking_item(struct ledger *ledger, uint64_t from,
-				uint64_t incarnation, uint64_t request,
-				uint32_t attempt)
+static struct item *item_find_waiting(struct ledger *ledger, uint64_t from,
+				      uint64_t incarnation, uint64_t request,
+				      uint32_t attempt)
 {
 	struct item *item = item_find(ledger, request);
 
@@ -109,7 +110,7 @@
 	int64_t retry_after =
 		(int64_t)MIN(retry_ms, G_MAXINT32) * USEC_PER_MSEC;
 	struct item *item =
-		asking_item(ledger, from, incarnation, request, attempt);
+		item_find_waiting(ledger, from, incarnation, request, attempt);
 
 	if (!reader->bad && item != NULL)
 		item_refused(item, code, retry_after);
@@ -120,8 +121,8 @@
 {
 	struct ledger_duplicate duplicate = {.request = read_u(reader)};
 	uint32_t attempt = (uint32_t)read_u(reader);
-	struct item *item = asking_item(ledger, from, incarnation,
-					duplicate.request, attempt);
+	struct item *item = item_find_waiting(ledger, from, incarnation,
+					      duplicate.request, attempt);
 	struct tag tag = {.attempt = 0};
 	uint64_t state;
 
@@ -152,8 +153,8 @@
 	struct ledger_duplicate duplicate = {.request = read_u(reader),
 					     .state = RECORD_ELSEWHERE};
 	uint32_t attempt = (uint32_t)read_u(reader);
-	struct item *item = asking_item(ledger, from, incarnation,
-					duplicate.request, attempt);
+	struct item *item = item_find_waiting(ledger, from, incarnation,
+					      duplicate.request, attempt);
 
 	read_text(reader, duplicate.data_centre, sizeof(duplicate.data_centre));
 	if (reader->bad || item == NULL)
@@ -184,7 +185,7 @@
 
 	if (item == NULL && kind == ACK_QUEUED &&
 	    incarnation == ledger->incarnation)
-		return_work(ledger, 0, from, request, attempt);
+		release_unknown(ledger, 0, from, request, attempt);
 	if (item == NULL || item->incarnation != incarnation ||
 	    item->cell == NULL || item->cell->home != from)
 		return;
@@ -219,8 +220,9 @@
 	}
 }
 
-/* Asks go on under the new incarnation, ends under the old. */
-static bool item_reborn(struct item *item)
+/* Moves a waiting request to the new incarnation; a release is still sent under
+ * the old one. Returns true if the request had a grant, which is now lost. */
+static bool item_renew(struct item *item)
 {
 	switch (item->state) {
 	case ITEM_ASKING:
@@ -238,27 +240,28 @@
 
 void holder_reset(struct ledger *ledger)
 {
-	GArray *lost = g_array_new(FALSE, FALSE, sizeof(struct tag));
+	GArray *revoked_tags = g_array_new(FALSE, FALSE, sizeof(struct tag));
 	GHashTableIter iter;
 	void *value;
 
 	g_hash_table_iter_init(&iter, ledger->items);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct item *item = value;
-		struct tag name = {.request = item->request,
-				   .attempt = item->attempt};
+		struct tag tag = {.request = item->request,
+				  .attempt = item->attempt};
 
-		if (item_reborn(item))
-			g_array_append_val(lost, name);
+		if (item_renew(item))
+			g_array_append_val(revoked_tags, tag);
 	}
-	for (guint i = 0; i < lost->len; i++) {
-		const struct tag *name = &g_array_index(lost, struct tag, i);
-		struct item *item = item_find(ledger, name->request);
+	for (guint i = 0; i < revoked_tags->len; i++) {
+		const struct tag *tag =
+			&g_array_index(revoked_tags, struct tag, i);
+		struct item *item = item_find(ledger, tag->request);
 
 		if (item == NULL || item->state != ITEM_GRANTED)
 			continue;
 		item_remove(item);
-		ledger->ops.revoked(ledger->ctx, name->request, name->attempt);
+		ledger->ops.revoked(ledger->ctx, tag->request, tag->attempt);
 	}
-	g_array_free(lost, TRUE);
+	g_array_free(revoked_tags, TRUE);
 }
--- a/coord/ledger_record.c
+++ b/coord/ledger_record.c
@@ -2,10 +2,11 @@
 
 #include <string.h>
 
-#define EXPIRY_USEC (1 * USEC_PER_SEC)
-/* How much longer than they may wait for it records are looked through. */
-#define DOUBT_USEC (10 * USEC_PER_SEC)
-#define KEEP_DEFAULT_USEC (60 * USEC_PER_SEC)
+#define EXPIRY_INTERVAL_USEC (1 * USEC_PER_SEC)
+/* The check for abandoned records goes on for this long after the last of them
+ * can have become due. */
+#define ABANDONED_CHECK_USEC (10 * USEC_PER_SEC)
+#define RETENTION_DEFAULT_USEC (60 * USEC_PER_SEC)
 
 static void expire(struct timer *timer, void *ctx);
 
@@ -39,7 +40,7 @@
 	return g_hash_table_lookup(cell->records, &key);
 }
 
-static bool record_evict(struct cell *cell)
+static bool record_evict_oldest(struct cell *cell)
 {
 	struct record *oldest = g_queue_peek_head(&cell->ended);
 
@@ -55,7 +56,7 @@
 	struct record *record;
 
 	if (ledger->record_count >= ledger->settings.records_max &&
-	    !record_evict(cell))
+	    !record_evict_oldest(cell))
 		return NULL;
 	record = g_new0(struct record, 1);
 	record->cell = cell;
@@ -68,7 +69,7 @@
 	ledger->record_count++;
 	g_hash_table_insert(cell->records, &record->key, record);
 	if (!timer_running(&cell->expiry))
-		timer_start(&cell->expiry, EXPIRY_USEC);
+		timer_start(&cell->expiry, EXPIRY_INTERVAL_USEC);
 	return record;
 }
 
@@ -121,17 +122,17 @@
 	}
 }
 
-static int64_t keep_of(const struct record *record)
+static int64_t retention_of(const struct record *record)
 {
 	const struct service *service =
 		service_find(record->cell->ledger, record->service);
 
 	if (service == NULL || service->config->record_ms == 0)
-		return KEEP_DEFAULT_USEC;
+		return RETENTION_DEFAULT_USEC;
 	return (int64_t)service->config->record_ms * USEC_PER_MSEC;
 }
 
-static void record_queue_end(struct record *record)
+static void record_queue_expiry(struct record *record)
 {
 	if (record->ended != NULL)
 		return;
@@ -147,15 +148,15 @@
 	}
 	record->state = (enum record_state)state;
 	record->expires =
-		clock_now(record->cell->ledger->clock) + keep_of(record);
-	record_queue_end(record);
+		clock_now(record->cell->ledger->clock) + retention_of(record);
+	record_queue_expiry(record);
 	record_touch(record);
 	record_unpark(record);
 }
 
-/* A running record that no grant and no ask stands behind is a copy whose owner
- * has not been heard: it is given up after a while. */
-static bool unbacked(const struct record *record, int64_t now)
+/* A running record without a grant or a waiting request is a copy from the
+ * former home whose owner has not announced it; it ends after confirm_by. */
+static bool is_abandoned(const struct record *record, int64_t now)
 {
 	return record->state == RECORD_RUNNING && record->grant == NULL &&
 	       record->waiting == NULL && record->cell->is_home &&
@@ -166,14 +167,14 @@
 {
 	const struct ledger *ledger = cell->ledger;
 
-	cell->abandoned_check_until = clock_now(ledger->clock) + DOUBT_USEC +
-				      ledger->settings.settle +
-				      ledger->settings.orphan_grace;
+	cell->abandoned_check_until =
+		clock_now(ledger->clock) + ABANDONED_CHECK_USEC +
+		ledger->settings.settle + ledger->settings.orphan_grace;
 	if (!timer_running(&cell->expiry))
-		timer_start(&cell->expiry, EXPIRY_USEC);
+		timer_start(&cell->expiry, EXPIRY_INTERVAL_USEC);
 }
 
-static void give_up_unbacked(struct cell *cell, int64_t now)
+static void end_abandoned(struct cell *cell, int64_t now)
 {
 	GHashTableIter iter;
 	GArray *keys = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -183,7 +184,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct record *record = value;
 
-		if (unbacked(record, now))
+		if (is_abandoned(record, now))
 			g_array_append_val(keys, record->key);
 	}
 	for (guint i = 0; i < keys->len; i++) {
@@ -207,12 +208,12 @@
 	       record->expires <= now)
 		record_remove(record);
 	if (now < cell->abandoned_check_until)
-		give_up_unbacked(cell, now);
+		end_abandoned(cell, now);
 	if (g_hash_table_size(cell->records) > 0)
-		timer_start(timer, EXPIRY_USEC);
+		timer_start(timer, EXPIRY_INTERVAL_USEC);
 }
 
-static void copy_fields(struct record *record, const struct record *copy)
+static void record_copy_fields(struct record *record, const struct record *copy)
 {
 	record->fingerprint = copy->fingerprint;
 	record->state = copy->state;
@@ -244,13 +245,13 @@
 		record = record_add(cell, copy->key);
 	if (record == NULL)
 		return;
-	copy_fields(record, copy);
+	record_copy_fields(record, copy);
 	record_touch(record);
 	if (record->state == RECORD_RUNNING) {
 		records_check_abandoned(cell);
 		return;
 	}
 	record->expires = copy->expires;
-	record_queue_end(record);
+	record_queue_expiry(record);
 	record_unpark(record);
 }
--- a/coord/ledger_runner.c
+++ b/coord/ledger_runner.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* Observed rates are believed within this factor of the configured one. */
-#define RATE_FACTOR 4.0
-#define RATE_WEIGHT 0.2
+/* Observed rates are clamped to within this factor of the configured one. */
+#define RATE_FACTOR_MAX 4.0
+#define RATE_EWMA_WEIGHT 0.2
 
 struct policy_runner *runner_view(const struct cell *cell, uint32_t index)
 {
@@ -80,8 +80,8 @@
 		runner_configure(cell, i);
 }
 
-/* A place of a runner that is gone and holds nothing, else a new one. */
-static uint32_t runner_place(struct cell *cell)
+/* Reuses the slot of a removed runner without grants, or appends one. */
+static uint32_t runner_slot(struct cell *cell)
 {
 	struct policy_runner view = {.role = POOL_PLAIN};
 	struct runner *runner;
@@ -112,7 +112,7 @@
 
 static void runner_add(struct cell *cell, const struct ledger_runner *entry)
 {
-	uint32_t index = runner_place(cell);
+	uint32_t index = runner_slot(cell);
 	struct runner *runner = runner_at(cell, index);
 
 	runner->id = entry->id;
@@ -131,8 +131,8 @@
 	runner_configure(cell, index);
 }
 
-static bool entry_belongs(const struct cell *cell,
-			  const struct ledger_runner *entry)
+static bool entry_is_in_cell(const struct cell *cell,
+			     const struct ledger_runner *entry)
 {
 	const struct member *self = membership_self(cell->ledger->membership);
 
@@ -144,8 +144,8 @@
 	       strcmp(entry->pool, cell->decode_pool) == 0;
 }
 
-static bool entry_take(struct cell *cell, const struct ledger_runner *entry,
-		       GHashTable *seen)
+static bool entry_apply(struct cell *cell, const struct ledger_runner *entry,
+			GHashTable *seen)
 {
 	uint32_t index = runner_index(cell, entry->id);
 	struct runner *runner;
@@ -168,8 +168,8 @@
 	return changed;
 }
 
-/* What it held is gone with it. */
-static void runner_lost(struct cell *cell, uint32_t index)
+/* Orphaned and closing grants of a removed runner hold no memory any more. */
+static void runner_mark_removed(struct cell *cell, uint32_t index)
 {
 	struct runner *runner = runner_at(cell, index);
 
@@ -193,15 +193,15 @@
 	bool changed = false;
 
 	for (size_t i = 0; i < count; i++) {
-		if (entry_belongs(cell, &list[i]))
-			changed |= entry_take(cell, &list[i], seen);
+		if (entry_is_in_cell(cell, &list[i]))
+			changed |= entry_apply(cell, &list[i], seen);
 	}
 	for (guint i = 0; i < cell->runners->len; i++) {
 		struct runner *runner = runner_at(cell, i);
 
 		if (!runner->known || g_hash_table_contains(seen, &runner->id))
 			continue;
-		runner_lost(cell, i);
+		runner_mark_removed(cell, i);
 		changed = true;
 	}
 	g_hash_table_destroy(seen);
@@ -237,13 +237,14 @@
 	ledger->list = copies;
 }
 
-static double observe(double old, double seen, double configured)
+static double rate_average(double mean, double sample, double configured)
 {
-	seen = CLAMP(seen, configured / RATE_FACTOR, configured * RATE_FACTOR);
-	return old + RATE_WEIGHT * (seen - old);
+	sample = CLAMP(sample, configured / RATE_FACTOR_MAX,
+		       configured * RATE_FACTOR_MAX);
+	return mean + RATE_EWMA_WEIGHT * (sample - mean);
 }
 
-static void observe_rate(const struct cell *cell, struct policy_runner *view,
+static void rate_observe(const struct cell *cell, struct policy_runner *view,
 			 const struct ledger_report *report)
 {
 	bool busy = report->queue_tokens > 0 || report->running > 0;
@@ -251,13 +252,13 @@
 	if (!busy || report->tokens_per_s <= 0 || cell->decode == NULL)
 		return;
 	if (view->role == POOL_PREFILL)
-		view->prefill_tokens_per_s = observe(
+		view->prefill_tokens_per_s = rate_average(
 			view->prefill_tokens_per_s, report->tokens_per_s,
 			cell->prefill->prefill_tokens_per_s);
 	else if (view->role == POOL_DECODE)
-		view->decode_tokens_per_s =
-			observe(view->decode_tokens_per_s, report->tokens_per_s,
-				cell->decode->decode_tokens_per_s);
+		view->decode_tokens_per_s = rate_average(
+			view->decode_tokens_per_s, report->tokens_per_s,
+			cell->decode->decode_tokens_per_s);
 }
 
 void runner_report(struct cell *cell, uint32_t index,
@@ -277,7 +278,7 @@
 		view->reported_running = report->running;
 		view->reported_waiting = report->waiting;
 		view->reported_queue_tokens = report->queue_tokens;
-		observe_rate(cell, view, report);
+		rate_observe(cell, view, report);
 		prefill_apply_report(cell, index, now - report->age);
 	}
 	runner_refresh(cell, index);
