--- a/coord/ledger_orphan.c
+++ b/coord/ledger_orphan.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Listings without the stream before its absence is believed. */
-#define LISTINGS_MIN 2u
+/* Listings in a row without the stream before it counts as ended. */
+#define MISSING_LISTINGS_MIN 2u
 
 void stray_destroy(void *data)
 {
@@ -23,8 +23,8 @@
 	return grant_of_tag(cell, index, &tag);
 }
 
-/* A copied record may know the request of a dead owner's stream though no grant
- * does. */
+/* Recreates the grant for a dead owner's stream from a record that was copied
+ * from the former home. */
 static struct grant *grant_of_record(struct cell *cell, uint32_t index,
 				     const struct ledger_stream *stream)
 {
@@ -85,8 +85,8 @@
 	ledger->ops.cancel(ledger->ctx, runner->id, stream);
 }
 
-static void stray_seen(struct cell *cell, uint32_t index,
-		       const struct ledger_stream *stream)
+static void stray_track(struct cell *cell, uint32_t index,
+			const struct ledger_stream *stream)
 {
 	struct runner *runner = runner_at(cell, index);
 	struct stray *stray =
@@ -106,7 +106,7 @@
 	stray->listed = true;
 }
 
-static gboolean stray_gone(void *key, void *value, void *ctx)
+static gboolean stray_sweep(void *key, void *value, void *ctx)
 {
 	struct stray *stray = value;
 	uint32_t *pieces = ctx;
@@ -118,21 +118,21 @@
 	return FALSE;
 }
 
-static void strays_sum(struct cell *cell, uint32_t index)
+static void strays_sweep(struct cell *cell, uint32_t index)
 {
 	struct runner *runner = runner_at(cell, index);
 	uint32_t before = runner->stray_pieces;
 	uint32_t pieces = 0;
 
-	g_hash_table_foreach_remove(runner->strays, stray_gone, &pieces);
+	g_hash_table_foreach_remove(runner->strays, stray_sweep, &pieces);
 	runner->stray_pieces = pieces;
 	runner_refresh(cell, index);
 	if (pieces < before)
 		cell_wake(cell);
 }
 
-static bool listed_among(const struct grant *grant,
-			 const struct ledger_stream *streams, size_t count)
+static bool stream_is_listed(const struct grant *grant,
+			     const struct ledger_stream *streams, size_t count)
 {
 	for (size_t i = 0; i < count; i++) {
 		if (grant->tag.request == streams[i].request &&
@@ -143,10 +143,11 @@
 	return false;
 }
 
-/* A closing grant whose stream is not listed any more, or never came, holds
- * nothing; a request of its dead holder may still be on its way for a while. */
-static void close_unlisted(struct cell *cell, uint32_t index,
-			   const struct ledger_stream *streams, size_t count)
+/* Frees closing grants whose stream is not or no longer listed. The grace time
+ * covers a request that the dead holder sent and the engine has yet to get. */
+static void grants_free_unlisted(struct cell *cell, uint32_t index,
+				 const struct ledger_stream *streams,
+				 size_t count)
 {
 	struct runner *runner = runner_at(cell, index);
 	int64_t now = clock_now(cell->ledger->clock);
@@ -157,11 +158,11 @@
 
 		if (grant->state != GRANT_CLOSING)
 			continue;
-		if (listed_among(grant, streams, count)) {
+		if (stream_is_listed(grant, streams, count)) {
 			grant->listings = 0;
 			continue;
 		}
-		if (++grant->listings < LISTINGS_MIN ||
+		if (++grant->listings < MISSING_LISTINGS_MIN ||
 		    now - grant->closing_since < grace)
 			continue;
 		grant_done_seen(grant);
@@ -185,13 +186,13 @@
 		if (grant != NULL)
 			grant_learn_stream(grant, streams[i].stream);
 		else
-			stray_seen(cell, index, &streams[i]);
+			stray_track(cell, index, &streams[i]);
 	}
 	if (!runner->listed)
 		cell_wake(cell);
 	runner->listed = true;
-	close_unlisted(cell, index, streams, count);
-	strays_sum(cell, index);
+	grants_free_unlisted(cell, index, streams, count);
+	strays_sweep(cell, index);
 }
 
 void stream_cancelled(struct cell *cell, uint32_t index, const char *stream)
--- a/coord/ledger_prefill.c
+++ b/coord/ledger_prefill.c
@@ -1,21 +1,22 @@
-/* When a prefill runner is expected to have computed what it was given. */
+/* Estimates when a prefill runner will have computed its assigned prompts. */
 #include "ledger_parts.h"
 
-/* Grants are remembered longer than any report is old. What was given just
- * before a report's figures were taken had not reached the runner then. */
-#define GIVEN_USEC (10 * USEC_PER_SEC)
-#define GIVEN_SLACK_USEC (5 * USEC_PER_MSEC)
+/* Assigned prompts are kept for longer than any report is old. A prompt that
+ * was assigned within the slack before a report was taken had not reached the
+ * runner by then, so the report's queue does not count it. */
+#define ASSIGNED_KEEP_USEC (10 * USEC_PER_SEC)
+#define ASSIGNED_SLACK_USEC (5 * USEC_PER_MSEC)
 
-static void given_add(GArray *assigned, int64_t now, int64_t time)
+static void assigned_add(GArray *assigned, int64_t now, int64_t time)
 {
 	struct assigned entry = {.at = now, .time = time};
-	guint old = 0;
+	guint expired = 0;
 
-	while (old < assigned->len &&
-	       g_array_index(assigned, struct assigned, old).at <
-		       now - GIVEN_USEC)
-		old++;
-	g_array_remove_range(assigned, 0, old);
+	while (expired < assigned->len &&
+	       g_array_index(assigned, struct assigned, expired).at <
+		       now - ASSIGNED_KEEP_USEC)
+		expired++;
+	g_array_remove_range(assigned, 0, expired);
 	g_array_append_val(assigned, entry);
 }
 
@@ -27,12 +28,12 @@
 	grant->prefill_time = time;
 	runner->prefilling++;
 	runner->prefill_time += time;
-	given_add(runner->assigned, clock_now(grant->cell->ledger->clock),
-		  time);
+	assigned_add(runner->assigned, clock_now(grant->cell->ledger->clock),
+		     time);
 }
 
-/* What is left cannot take longer than it would from now on: the prompt may
- * have ended sooner than expected, when more of it was cached. */
+/* The remaining prompts bound the busy time from now on: the computed one may
+ * have taken less time than expected because more of it was cached. */
 void prefill_ended(struct grant *grant)
 {
 	struct cell *cell = grant->cell;
@@ -68,8 +69,8 @@
 	g_array_set_size(runner->assigned, 0);
 }
 
-/* What was queued when the report was taken, and what was given since; that
- * cannot take longer than all prompts that are not known to be computed. */
+/* Adds the prompts assigned since the report to the queue it reported, bounded
+ * by the expected time of all prompts not known to be computed. */
 void prefill_apply_report(struct cell *cell, uint32_t index, int64_t taken)
 {
 	struct policy_runner *view = runner_view(cell, index);
@@ -87,7 +88,7 @@
 		const struct assigned *assigned =
 			&g_array_index(runner->assigned, struct assigned, i);
 
-		if (assigned->at > taken - GIVEN_SLACK_USEC)
+		if (assigned->at > taken - ASSIGNED_SLACK_USEC)
 			until = MAX(until, assigned->at) + assigned->time;
 	}
 	until = MIN(until, now + MAX(runner->prefill_time, 0));
--- a/coord/ledger_prefix.c
+++ b/coord/ledger_prefix.c
@@ -3,11 +3,10 @@
 #include <glib.h>
 #include <string.h>
 
-/* Holders of a block by runner, and each runner's blocks from the oldest on. A
- * dropped block stays in the runner's queue until its turn comes. */
+/* A dropped block stays in its runner's queue until it is the oldest there. */
 struct prefix {
 	GHashTable *holders; /* block to GArray of runners */
-	GPtrArray *queues;   /* of each runner: GQueue of blocks */
+	GPtrArray *queues;   /* by runner: GQueue of blocks, oldest first */
 };
 
 static void holders_free(void *data)
@@ -46,7 +45,7 @@
 	return g_ptr_array_index(prefix->queues, runner);
 }
 
-static bool holders_find(const GArray *holders, uint32_t runner, guint *at)
+static bool holder_find(const GArray *holders, uint32_t runner, guint *at)
 {
 	for (guint i = 0; i < holders->len; i++) {
 		if (g_array_index(holders, uint32_t, i) != runner)
@@ -57,12 +56,12 @@
 	return false;
 }
 
-static void drop_key(struct prefix *prefix, uint32_t runner, void *key)
+static void holder_remove(struct prefix *prefix, uint32_t runner, void *key)
 {
 	GArray *holders = g_hash_table_lookup(prefix->holders, key);
 	guint at;
 
-	if (holders == NULL || !holders_find(holders, runner, &at))
+	if (holders == NULL || !holder_find(holders, runner, &at))
 		return;
 	g_array_remove_index_fast(holders, at);
 	if (holders->len == 0)
@@ -80,17 +79,17 @@
 		holders = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 		g_hash_table_insert(prefix->holders, key, holders);
 	}
-	if (holders_find(holders, runner, &at))
+	if (holder_find(holders, runner, &at))
 		return;
 	g_array_append_val(holders, runner);
 	g_queue_push_tail(queue, key);
 	if (queue->length > PREFIX_RUNNER_MAX)
-		drop_key(prefix, runner, g_queue_pop_head(queue));
+		holder_remove(prefix, runner, g_queue_pop_head(queue));
 }
 
 void prefix_drop(struct prefix *prefix, uint32_t runner, uint64_t block)
 {
-	drop_key(prefix, runner, GUINT_TO_POINTER((guint)block));
+	holder_remove(prefix, runner, GUINT_TO_POINTER((guint)block));
 }
 
 void prefix_clear(struct prefix *prefix, uint32_t runner)
@@ -98,7 +97,7 @@
 	GQueue *queue = queue_of(prefix, runner);
 
 	while (!g_queue_is_empty(queue))
-		drop_key(prefix, runner, g_queue_pop_head(queue));
+		holder_remove(prefix, runner, g_queue_pop_head(queue));
 }
 
 void prefix_match(const struct prefix *prefix, const uint64_t *blocks,
@@ -109,7 +108,7 @@
 		void *key = GUINT_TO_POINTER((guint)blocks[i]);
 		const GArray *holders =
 			g_hash_table_lookup(prefix->holders, key);
-		bool any = false;
+		bool matched = false;
 
 		if (holders == NULL)
 			return;
@@ -119,9 +118,9 @@
 			if (runner >= runners || depth[runner] != i)
 				continue;
 			depth[runner] = i + 1;
-			any = true;
+			matched = true;
 		}
-		if (!any)
+		if (!matched)
 			return;
 	}
 }
--- a/coord/ledger_remote.c
+++ b/coord/ledger_remote.c
@@ -1,11 +1,11 @@
 /*
- * Keys between data centres. Each home tells the homes of the same pools in
- * the other data centres which keys are new, a few times a second and only
- * when there are any. They keep them for a minute or two, so that a retry that
- * arrives there is sent to where the first try went.
+ * Idempotency keys between data centres. Each home announces new keys to the
+ * homes of the same pools in the other data centres, at most four times a
+ * second. These remember a key for one to two minutes and redirect a retry to
+ * the data centre that has its record.
  *
- * Only half a key's bytes are sent. A key that is mistaken for another costs
- * one detour: the data centre that was named finds nothing and runs it.
+ * Only the upper half of a key is sent. A collision costs one detour: the data
+ * centre that was named finds no record and runs the request.
  */
 #include "ledger_parts.h"
 
@@ -13,15 +13,15 @@
 
 #include "coord/cell_load.h"
 
-#define BATCH_USEC (250 * USEC_PER_MSEC)
+#define BATCH_DELAY_USEC (250 * USEC_PER_MSEC)
 #define BATCH_MAX 4096u
-#define SHORT_SIZE 4u
+#define SHORT_KEY_SIZE 4u
 #define GENERATION_USEC (60 * USEC_PER_SEC)
 #define GENERATION_MAX 32768u
 
 static void batch_timer(struct timer *timer, void *ctx);
 
-static void *short_of(uint64_t key)
+static void *short_key(uint64_t key)
 {
 	return GUINT_TO_POINTER((uint32_t)(key >> 32));
 }
@@ -65,10 +65,10 @@
 		return;
 	g_array_append_val(remote->due, key);
 	if (!timer_running(&remote->timer))
-		timer_start(&remote->timer, BATCH_USEC);
+		timer_start(&remote->timer, BATCH_DELAY_USEC);
 }
 
-/* Those whose record is gone again, refused or withdrawn, are not told. */
+/* Leaves out keys whose request was refused or withdrawn in the meantime. */
 static GByteArray *batch_take(struct cell *cell)
 {
 	struct remote *remote = &cell->remote;
@@ -77,11 +77,11 @@
 
 	for (guint i = 0; i < count; i++) {
 		uint64_t key = g_array_index(remote->due, uint64_t, i);
-		uint32_t part = GUINT32_TO_BE((uint32_t)(key >> 32));
+		uint32_t half = GUINT32_TO_BE((uint32_t)(key >> 32));
 
 		if (record_find(cell, key) != NULL)
-			g_byte_array_append(batch, (const guint8 *)&part,
-					    SHORT_SIZE);
+			g_byte_array_append(batch, (const guint8 *)&half,
+					    SHORT_KEY_SIZE);
 	}
 	g_array_remove_range(remote->due, 0, count);
 	return batch;
@@ -91,16 +91,16 @@
 		       const GByteArray *batch)
 {
 	struct ledger *ledger = cell->ledger;
-	uint64_t there = cell_id_of_pools(cell->prefill_pool, cell->decode_pool,
-					  data_centre);
-	uint64_t home =
-		membership_home(ledger->membership, data_centre, there, 0);
+	uint64_t remote_cell = cell_id_of_pools(cell->prefill_pool,
+						cell->decode_pool, data_centre);
+	uint64_t home = membership_home(ledger->membership, data_centre,
+					remote_cell, 0);
 	msgpack_packer *packer;
 
 	if (home == 0)
 		return;
 	packer = message_begin(ledger, MESSAGE_KEYS, 0, 2);
-	pack_u(packer, there);
+	pack_u(packer, remote_cell);
 	pack_bin(packer, batch->data, batch->len);
 	message_send(ledger, home);
 }
@@ -110,22 +110,22 @@
 	struct cell *cell = ctx;
 	const struct ledger *ledger = cell->ledger;
 	const struct config *config = ledger->config;
-	const char *here = membership_self(ledger->membership)->data_centre;
+	const char *local = membership_self(ledger->membership)->data_centre;
 	GByteArray *batch = batch_take(cell);
 
 	for (size_t i = 0; batch->len > 0 && i < config->data_centre_count;
 	     i++) {
 		const char *name = config->data_centres[i].name;
 
-		if (strcmp(name, here) != 0)
+		if (strcmp(name, local) != 0)
 			batch_send(cell, name, batch);
 	}
 	g_byte_array_free(batch, TRUE);
 	if (cell->remote.due->len > 0)
-		timer_start(timer, BATCH_USEC);
+		timer_start(timer, BATCH_DELAY_USEC);
 }
 
-static void generation_turn(struct cell *cell)
+static void generations_rotate(struct cell *cell)
 {
 	struct remote *remote = &cell->remote;
 	int64_t now = clock_now(cell->ledger->clock);
@@ -155,13 +155,14 @@
 	if (reader->bad || cell == NULL || !cell->is_home || member == NULL)
 		return;
 	data_centre = id_of(member->data_centre);
-	for (uint32_t at = 0; at + SHORT_SIZE <= size; at += SHORT_SIZE) {
-		uint32_t part;
-
-		memcpy(&part, data + at, SHORT_SIZE);
-		part = GUINT32_FROM_BE(part);
-		generation_turn(cell);
-		g_hash_table_insert(cell->remote.young, GUINT_TO_POINTER(part),
+	for (uint32_t at = 0; at + SHORT_KEY_SIZE <= size;
+	     at += SHORT_KEY_SIZE) {
+		uint32_t half;
+
+		memcpy(&half, data + at, SHORT_KEY_SIZE);
+		half = GUINT32_FROM_BE(half);
+		generations_rotate(cell);
+		g_hash_table_insert(cell->remote.young, GUINT_TO_POINTER(half),
 				    GSIZE_TO_POINTER(data_centre));
 	}
 }
@@ -171,23 +172,24 @@
 	struct remote *remote = &cell->remote;
 	void *found;
 
-	generation_turn(cell);
-	found = g_hash_table_lookup(remote->young, short_of(key));
+	generations_rotate(cell);
+	found = g_hash_table_lookup(remote->young, short_key(key));
 	if (found == NULL)
-		found = g_hash_table_lookup(remote->old, short_of(key));
+		found = g_hash_table_lookup(remote->old, short_key(key));
 	return GPOINTER_TO_SIZE(found);
 }
 
-/* The name of the data centre; NULL when it is the own, gone, or cut off. */
+/* NULL if the data centre is the local one, is no longer configured, or has no
+ * live member. */
 static const char *reachable_name(const struct ledger *ledger, uint64_t id)
 {
 	const struct config *config = ledger->config;
-	const char *here = membership_self(ledger->membership)->data_centre;
+	const char *local = membership_self(ledger->membership)->data_centre;
 
 	for (size_t i = 0; i < config->data_centre_count; i++) {
 		const char *name = config->data_centres[i].name;
 
-		if (id_of(name) != id || strcmp(name, here) == 0)
+		if (id_of(name) != id || strcmp(name, local) == 0)
 			continue;
 		return membership_home(ledger->membership, name, 0, 0) != 0
 			       ? name
--- a/coord/ledger_replica.c
+++ b/coord/ledger_replica.c
@@ -1,6 +1,6 @@
 #include "ledger_parts.h"
 
-#define BATCH_USEC (20 * USEC_PER_MSEC)
+#define BATCH_DELAY_USEC (20 * USEC_PER_MSEC)
 #define RESEND_MAX_USEC (1 * USEC_PER_SEC)
 #define RESEND_SHIFT_MAX 5u
 
@@ -14,7 +14,7 @@
 	timer_init(&rep->timer, cell->ledger->clock, replica_timer, cell);
 }
 
-static void sent_drop(struct replication *rep)
+static void batch_drop(struct replication *rep)
 {
 	if (rep->sent != NULL)
 		g_bytes_unref(rep->sent);
@@ -28,7 +28,7 @@
 	void *value;
 
 	timer_stop(&rep->timer);
-	sent_drop(rep);
+	batch_drop(rep);
 	g_array_set_size(rep->dirty, 0);
 	g_hash_table_iter_init(&iter, cell->records);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
@@ -43,7 +43,7 @@
 		return;
 	g_array_append_val(rep->dirty, key);
 	if (!timer_running(&rep->timer))
-		timer_start(&rep->timer, BATCH_USEC);
+		timer_start(&rep->timer, BATCH_DELAY_USEC);
 }
 
 void replica_restart(struct cell *cell)
@@ -72,9 +72,9 @@
 	pack_u(packer, rep->sequence);
 	pack_bin(packer, data, size);
 	message_send(ledger, cell->replica);
-	timer_start(&rep->timer,
-		    MIN(2 * BATCH_USEC << MIN(rep->tries, RESEND_SHIFT_MAX),
-			RESEND_MAX_USEC));
+	timer_start(&rep->timer, MIN(2 * BATCH_DELAY_USEC << MIN(
+					     rep->tries, RESEND_SHIFT_MAX),
+				     RESEND_MAX_USEC));
 	rep->tries++;
 }
 
@@ -83,12 +83,12 @@
 	struct replication *rep = &cell->replication;
 	int64_t now = clock_now(cell->ledger->clock);
 	struct entries entries;
-	guint taken = 0;
+	guint count = 0;
 
 	entries_init(&entries);
-	while (taken < rep->dirty->len &&
+	while (count < rep->dirty->len &&
 	       entries.buffer.size < LEDGER_CHUNK_MAX) {
-		uint64_t key = g_array_index(rep->dirty, uint64_t, taken++);
+		uint64_t key = g_array_index(rep->dirty, uint64_t, count++);
 		struct record *record = record_find(cell, key);
 
 		if (record == NULL) {
@@ -98,7 +98,7 @@
 		record->dirty = false;
 		record_entry_pack(&entries, record, now);
 	}
-	g_array_remove_range(rep->dirty, 0, taken);
+	g_array_remove_range(rep->dirty, 0, count);
 	rep->sent = entries_take(&entries);
 	rep->sequence++;
 	rep->tries = 0;
@@ -119,7 +119,7 @@
 	batch_send(cell);
 }
 
-static void take_copy(void *ctx, struct reader *reader)
+static void entry_apply(void *ctx, struct reader *reader)
 {
 	struct cell *cell = ctx;
 	struct record copy;
@@ -148,7 +148,7 @@
 	}
 	if (sequence > rep->received) {
 		rep->received = sequence;
-		entries_each(data, size, take_copy, cell);
+		entries_each(data, size, entry_apply, cell);
 	}
 	message_send_pair(ledger, &owner, MESSAGE_RECORDS_ACK, cell->id,
 			  sequence);
@@ -166,8 +166,8 @@
 	rep = &cell->replication;
 	if (rep->sent == NULL || rep->sequence != sequence)
 		return;
-	sent_drop(rep);
+	batch_drop(rep);
 	timer_stop(&rep->timer);
 	if (rep->dirty->len > 0)
-		timer_start(&rep->timer, BATCH_USEC);
+		timer_start(&rep->timer, BATCH_DELAY_USEC);
 }
