--- a/coord/cell_load.c
+++ b/coord/cell_load.c
@@ -28,8 +28,8 @@
 	return id_mix(id_of("cell-load"), cell);
 }
 
-static unsigned char value_get(const struct membership *membership,
-			       uint64_t cell)
+static unsigned char fact_get(const struct membership *membership,
+			      uint64_t cell)
 {
 	size_t size;
 	const unsigned char *value =
@@ -44,12 +44,12 @@
 enum cell_level cell_load_get(const struct membership *membership,
 			      uint64_t cell)
 {
-	return (enum cell_level)(value_get(membership, cell) & LEVEL_MASK);
+	return (enum cell_level)(fact_get(membership, cell) & LEVEL_MASK);
 }
 
 uint32_t cell_load_share(const struct membership *membership, uint64_t cell)
 {
-	return (uint32_t)value_get(membership, cell) >> SHARE_SHIFT;
+	return (uint32_t)fact_get(membership, cell) >> SHARE_SHIFT;
 }
 
 void cell_load_set(struct membership *membership, uint64_t cell,
@@ -62,8 +62,8 @@
 			    sizeof(value));
 }
 
-static bool data_centre_lives(const struct membership *membership,
-			      const char *data_centre)
+static bool data_centre_is_alive(const struct membership *membership,
+				 const char *data_centre)
 {
 	return membership_home(membership, data_centre, 0, 0) != 0;
 }
@@ -76,7 +76,7 @@
 	       id_mix(key, id_of("cell-load")) % CELL_LOAD_SHARE_ALL < share;
 }
 
-/* One way; 0 when the configuration names no such link. */
+/* One way; 0 if the link is not configured. */
 static double latency_ms(const struct config *config, const char *from,
 			 const char *to)
 {
@@ -89,11 +89,11 @@
 	return 0;
 }
 
-static bool too_far(const struct config *config, const char *here,
-		    const char *there)
+static bool is_too_far(const struct config *config, const char *local,
+		       const char *remote)
 {
-	double ms = latency_ms(config, here, there) +
-		    latency_ms(config, there, here);
+	double ms = latency_ms(config, local, remote) +
+		    latency_ms(config, remote, local);
 
 	return ms * USEC_PER_MSEC > CELL_LOAD_BUSY_WAIT_USEC;
 }
@@ -103,7 +103,7 @@
 				  const struct config_service *service,
 				  uint64_t key)
 {
-	const char *here = membership_self(membership)->data_centre;
+	const char *local = membership_self(membership)->data_centre;
 	const char *best = NULL;
 	uint64_t best_weight = 0;
 
@@ -111,8 +111,9 @@
 		const char *name = config->data_centres[i].name;
 		uint64_t weight = id_mix(key, id_of(name));
 
-		if (strcmp(name, here) == 0 || too_far(config, here, name) ||
-		    !data_centre_lives(membership, name) ||
+		if (strcmp(name, local) == 0 ||
+		    is_too_far(config, local, name) ||
+		    !data_centre_is_alive(membership, name) ||
 		    (best && weight <= best_weight))
 			continue;
 		best = name;
@@ -129,7 +130,7 @@
 					const struct config_service *service,
 					enum cell_level own, uint64_t key)
 {
-	const char *here = membership_self(membership)->data_centre;
+	const char *local = membership_self(membership)->data_centre;
 	const char *best = NULL;
 	enum cell_level best_level = own;
 	uint64_t best_weight = 0;
@@ -139,8 +140,8 @@
 		uint64_t weight = id_mix(key, id_of(name));
 		enum cell_level level;
 
-		if (strcmp(name, here) == 0 ||
-		    !data_centre_lives(membership, name))
+		if (strcmp(name, local) == 0 ||
+		    !data_centre_is_alive(membership, name))
 			continue;
 		level = cell_load_get(membership, cell_id(service, name));
 		if (level > best_level || (!best && level == best_level) ||
--- a/coord/ledger_codec.c
+++ b/coord/ledger_codec.c
@@ -119,15 +119,15 @@
 	message_send(ledger, to->instance);
 }
 
-/* Milliseconds from now, plus one; 0 stands for never. */
-static uint64_t due_pack(int64_t due, int64_t now)
+/* Milliseconds from now plus one; 0 means never. */
+static uint64_t time_pack(int64_t time, int64_t now)
 {
-	if (due == CLOCK_NEVER)
+	if (time == CLOCK_NEVER)
 		return 0;
-	return (uint64_t)(MAX(due - now, 0) / USEC_PER_MSEC) + 1;
+	return (uint64_t)(MAX(time - now, 0) / USEC_PER_MSEC) + 1;
 }
 
-static int64_t due_unpack(uint64_t value, int64_t now)
+static int64_t time_unpack(uint64_t value, int64_t now)
 {
 	if (value == 0 || value > G_MAXINT32)
 		return CLOCK_NEVER;
@@ -147,7 +147,7 @@
 	pack_bin(packer, bytes, (size_t)need->block_count * BLOCK_SIZE);
 }
 
-/* The low half of a chained hash is enough to tell blocks apart. */
+/* The low 32 bits of a chained hash are enough to distinguish blocks. */
 static bool blocks_read(struct reader *reader, struct policy_request *need)
 {
 	uint32_t size;
@@ -190,8 +190,8 @@
 	pack_u(packer, need->prompt_tokens);
 	pack_u(packer, need->output_tokens_max);
 	pack_u(packer, (uint64_t)MAX(now - need->arrived, 0) / USEC_PER_MSEC);
-	pack_u(packer, due_pack(need->deadline, now));
-	pack_u(packer, due_pack(need->first_token_by, now));
+	pack_u(packer, time_pack(need->deadline, now));
+	pack_u(packer, time_pack(need->first_token_by, now));
 	pack_u(packer, need->organisation);
 	blocks_pack(packer, need);
 	message_send(ledger, to);
@@ -222,8 +222,8 @@
 	need->output_tokens_max = (uint32_t)read_u(reader);
 	age = read_u(reader);
 	need->arrived = now - (int64_t)MIN(age, G_MAXINT32) * USEC_PER_MSEC;
-	need->deadline = due_unpack(read_u(reader), now);
-	need->first_token_by = due_unpack(read_u(reader), now);
+	need->deadline = time_unpack(read_u(reader), now);
+	need->first_token_by = time_unpack(read_u(reader), now);
 	need->organisation = read_u(reader);
 	need->attempt = submission->attempt;
 	return blocks_read(reader, need) && !reader->bad;
@@ -250,18 +250,18 @@
 
 GBytes *entries_take(struct entries *entries)
 {
-	msgpack_sbuffer whole;
+	msgpack_sbuffer array;
 	msgpack_packer packer;
 	GBytes *bytes;
 
-	msgpack_sbuffer_init(&whole);
-	msgpack_packer_init(&packer, &whole, msgpack_sbuffer_write);
+	msgpack_sbuffer_init(&array);
+	msgpack_packer_init(&packer, &array, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, entries->count);
 	if (entries->buffer.size > 0)
-		msgpack_sbuffer_write(&whole, entries->buffer.data,
+		msgpack_sbuffer_write(&array, entries->buffer.data,
 				      entries->buffer.size);
-	bytes = g_bytes_new(whole.data, whole.size);
-	msgpack_sbuffer_destroy(&whole);
+	bytes = g_bytes_new(array.data, array.size);
+	msgpack_sbuffer_destroy(&array);
 	msgpack_sbuffer_clear(&entries->buffer);
 	entries->count = 0;
 	return bytes;
@@ -272,22 +272,22 @@
 	msgpack_zone zone;
 	msgpack_object object;
 	struct reader reader;
-	bool good = false;
+	bool is_array = false;
 
 	if (!msgpack_zone_init(&zone, MSGPACK_ZONE_CHUNK_SIZE))
 		return false;
 	if (codec_unpack(&zone, data, size, &object) &&
 	    object.type == MSGPACK_OBJECT_ARRAY) {
-		good = true;
+		is_array = true;
 		for (uint32_t i = 0; i < object.via.array.size; i++) {
 			if (reader_open(&reader, &object.via.array.ptr[i]))
 				fn(ctx, &reader);
 		}
 	}
 	msgpack_zone_destroy(&zone);
-	if (!good)
+	if (!is_array)
 		log_event(LOG_ERR, "ledger_entries_bad", LOG_D("size", size));
-	return good;
+	return is_array;
 }
 
 #define GRANT_IDEMPOTENT 1u
@@ -372,7 +372,7 @@
 	pack_u(packer, record->pieces);
 	pack_u(packer, record->service);
 	pack_u(packer, record->idempotent);
-	pack_u(packer, due_pack(record->expires, now));
+	pack_u(packer, time_pack(record->expires, now));
 	pack_text(packer, record->stream);
 }
 
@@ -409,7 +409,7 @@
 	record->pieces = (uint32_t)read_u(reader);
 	record->service = (uint32_t)read_u(reader);
 	record->idempotent = read_u(reader) != 0;
-	record->expires = due_unpack(read_u(reader), now);
+	record->expires = time_unpack(read_u(reader), now);
 	read_text(reader, record->stream, sizeof(record->stream));
 	return !reader->bad;
 }
--- a/coord/ledger_codec.h
+++ b/coord/ledger_codec.h
@@ -2,8 +2,8 @@
  * ledger_codec.h - the ledger's messages as MessagePack arrays
  *
  * DESCRIPTION
- *	Every message is an array [type, holder's incarnation, ...]. Times go as
- *	milliseconds from the moment of sending, since clocks differ.
+ *	Every message is an array [type, holder's incarnation, ...]. Times are
+ *	sent as milliseconds from the time of sending, since clocks differ.
  */
 #ifndef COORD_LEDGER_CODEC_H
 #define COORD_LEDGER_CODEC_H
@@ -25,20 +25,20 @@
 	MESSAGE_RECORDS,
 	MESSAGE_RECORDS_ACK,
 	MESSAGE_UNKNOWN_EPOCH,
-	MESSAGE_KEYS, /* between data centres; its incarnation is 0 */
+	MESSAGE_KEYS, /* between data centres; incarnation is 0 */
 	MESSAGE_ELSEWHERE,
 };
 
 enum ack_kind {
 	ACK_QUEUED,
 	ACK_RELEASED,
-	ACK_GRANTED, /* to the home */
+	ACK_GRANTED, /* from holder to home; the others from home to holder */
 	ACK_PROGRESS,
 };
 #define ACK_SIZE 9u
 
-/* Walks the fields of one array; bad once a field is missing or of a wrong
- * type, and then yields zeros. */
+/* Reads the fields of one array. A missing field or one of a wrong type sets
+ * bad; every read from then on returns zeros. */
 struct reader {
 	const msgpack_object *at;
 	uint32_t left;
@@ -48,7 +48,7 @@
 bool reader_open(struct reader *reader, const msgpack_object *object);
 uint64_t read_u(struct reader *reader);
 const void *read_bin(struct reader *reader, uint32_t *size);
-/* Copies a string, cut off to size with its end mark. */
+/* Copies a string, truncated to size including the terminating zero. */
 void read_text(struct reader *reader, char *text, size_t size);
 struct owner read_owner(struct reader *reader);
 
@@ -56,15 +56,15 @@
 void pack_bin(msgpack_packer *packer, const void *data, size_t size);
 void pack_owner(msgpack_packer *packer, const struct owner *owner);
 
-/* Opens a message of so many fields after type and incarnation. */
+/* fields is their number after type and incarnation. */
 msgpack_packer *message_begin(struct ledger *ledger, enum message_type type,
 			      uint64_t incarnation, uint32_t fields);
 void message_send(struct ledger *ledger, uint64_t to);
-/* Sends a message of two numbers to an instance of that incarnation. */
+/* Sends a message of two numbers for that incarnation of an instance. */
 void message_send_pair(struct ledger *ledger, const struct owner *to,
 		       enum message_type type, uint64_t first, uint64_t second);
 
-/* An ask as it stands in the message. */
+/* The content of MESSAGE_SUBMIT. */
 struct submission {
 	uint32_t epoch;
 	uint64_t request;
@@ -84,8 +84,7 @@
 bool submission_read(struct ledger *ledger, struct reader *reader,
 		     struct submission *submission);
 
-/* Announcements and record batches carry entries, each an array, in one array.
- */
+/* The body of an announcement or of a batch of records: an array of arrays. */
 struct entries {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
@@ -94,13 +93,14 @@
 
 void entries_init(struct entries *entries);
 void entries_clear(struct entries *entries);
-/* Adds one that was packed before. */
+/* Adds an entry that is already packed. */
 void entries_add(struct entries *entries, const void *data, size_t size);
-/* Takes out all that were added. */
+/* Returns the array and empties entries. */
 GBytes *entries_take(struct entries *entries);
 
 typedef void (*entry_fn)(void *ctx, struct reader *reader);
-/* False when data is no array of arrays. */
+/* Returns false and calls nothing if data is not an array; elements that are
+ * not arrays are skipped. */
 bool entries_each(const void *data, size_t size, entry_fn fn, void *ctx);
 
 enum entry_kind {
@@ -109,7 +109,7 @@
 	ENTRY_RECORD,
 };
 
-/* A grant as its holder, or the former home, tells the new home. */
+/* A grant as its holder or the former home announces it to the new home. */
 struct grant_entry {
 	struct owner owner;
 	uint64_t request;
@@ -133,7 +133,7 @@
 void record_entry_pack(struct entries *entries, const struct record *record,
 		       int64_t now);
 void record_entry_remove(struct entries *entries, uint64_t key);
-/* Fills all but the pointers; expires is made absolute. */
+/* Leaves the pointers NULL; expires becomes an absolute time. */
 bool record_entry_read(struct reader *reader, struct record *record,
 		       int64_t now);
 
--- a/coord/ledger_peer.c
+++ b/coord/ledger_peer.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* How long an acknowledgement may wait for others to the same peer. */
-#define FLUSH_USEC (5 * USEC_PER_MSEC)
-#define ACKS_MAX 128u
+/* An acknowledgement waits this long for others to the same peer. */
+#define ACK_DELAY_USEC (5 * USEC_PER_MSEC)
+#define ACKS_PER_MESSAGE_MAX 128u
 
 static void peer_destroy(void *data)
 {
@@ -26,7 +26,7 @@
 	message_send(ledger, peer->id);
 }
 
-static void flush_all(struct timer *timer, void *ctx)
+static void peers_flush(struct timer *timer, void *ctx)
 {
 	struct ledger *ledger = ctx;
 
@@ -37,7 +37,7 @@
 void peers_init(struct ledger *ledger)
 {
 	ledger->peers = g_ptr_array_new_with_free_func(peer_destroy);
-	timer_init(&ledger->flush, ledger->clock, flush_all, ledger);
+	timer_init(&ledger->flush, ledger->clock, peers_flush, ledger);
 }
 
 void peers_clear(struct ledger *ledger)
@@ -67,22 +67,22 @@
 {
 	struct peer *peer = peer_get(ledger, peer_id);
 	uint8_t ack[ACK_SIZE];
-	uint64_t order = GUINT64_TO_BE(request);
+	uint64_t request_be = GUINT64_TO_BE(request);
 
 	if (peer->incarnation != incarnation ||
-	    peer->acks->len >= (size_t)ACKS_MAX * ACK_SIZE)
+	    peer->acks->len >= (size_t)ACKS_PER_MESSAGE_MAX * ACK_SIZE)
 		peer_flush(ledger, peer);
 	peer->incarnation = incarnation;
-	memcpy(ack, &order, sizeof(order));
+	memcpy(ack, &request_be, sizeof(request_be));
 	ack[ACK_SIZE - 1] =
 		(uint8_t)((unsigned int)kind << 6 | (attempt & 63u));
 	g_byte_array_append(peer->acks, ack, sizeof(ack));
 	if (!timer_running(&ledger->flush))
-		timer_start(&ledger->flush, FLUSH_USEC);
+		timer_start(&ledger->flush, ACK_DELAY_USEC);
 }
 
-static void ack_take(struct ledger *ledger, uint64_t from, uint64_t incarnation,
-		     const uint8_t *ack)
+static void ack_receive(struct ledger *ledger, uint64_t from,
+			uint64_t incarnation, const uint8_t *ack)
 {
 	enum ack_kind kind = (enum ack_kind)(ack[ACK_SIZE - 1] >> 6);
 	uint32_t attempt = ack[ACK_SIZE - 1] & 63u;
@@ -105,5 +105,5 @@
 	if (bytes == NULL)
 		return;
 	for (uint32_t at = 0; at + ACK_SIZE <= size; at += ACK_SIZE)
-		ack_take(ledger, from, incarnation, bytes + at);
+		ack_receive(ledger, from, incarnation, bytes + at);
 }
--- a/coord/ledger_prefill.c
+++ b/coord/ledger_prefill.c
@@ -32,8 +32,8 @@
 		     time);
 }
 
-/* The remaining prompts bound the busy time from now on: the computed one may
- * have taken less time than expected because more of it was cached. */
+/* Caps the busy time at the expected time of the remaining prompts: this one
+ * may have ended early because more of it was cached. */
 void prefill_ended(struct grant *grant)
 {
 	struct cell *cell = grant->cell;
--- a/coord/ledger_roles.c
+++ b/coord/ledger_roles.c
@@ -2,20 +2,21 @@
 
 #include <math.h>
 
-/* The mean of answers that ended, or half the bound before there was one. */
-static double output_expected(const struct cell *cell,
-			      const struct policy_request *need)
+/* From the mean time that grants were held; half of the request's limit until
+ * one has ended. */
+static double output_tokens_expected(const struct cell *cell,
+				     const struct policy_request *need)
 {
-	double most = need->output_tokens_max;
-	double held = cell->hold_usec[need->class];
+	double limit = need->output_tokens_max;
+	double mean_usec = cell->hold_usec[need->class];
 
-	if (held <= 0 || cell->decode == NULL)
-		return most / 2;
-	return fmin(most, held / (double)USEC_PER_SEC *
-				  cell->decode->decode_tokens_per_s);
+	if (mean_usec <= 0 || cell->decode == NULL)
+		return limit / 2;
+	return fmin(limit, mean_usec / (double)USEC_PER_SEC *
+				   cell->decode->decode_tokens_per_s);
 }
 
-/* The request's own figure is not yet set when it has just arrived. */
+/* need->pieces is not yet set when a request arrives. */
 static double pieces_of(const struct cell *cell,
 			const struct policy_request *need)
 {
@@ -31,7 +32,7 @@
 {
 	work->requests++;
 	work->prompt_tokens += need->prompt_tokens;
-	work->output_tokens += output_expected(cell, need);
+	work->output_tokens += output_tokens_expected(cell, need);
 	work->pieces += pieces_of(cell, need);
 }
 
@@ -50,7 +51,7 @@
 	g_hash_table_remove_all(runner->strays);
 	runner->stray_pieces = 0;
 	runner->listed = false;
-	/* Answers to polls under way are of the former role. */
+	/* Polls in flight are answered with figures of the former role. */
 	runner->skip_report = true;
 	runner->skip_listing = true;
 	view->reported_at = 0;
@@ -83,13 +84,13 @@
 		grant_count(cell, grant->prefill);
 		grant_count(cell, grant->decode);
 	}
-	/* Those that their holder is done with, and the engine may not be. */
+	/* Grants that the holder has released and the engine may still run. */
 	for (guint i = 0; i < cell->runners->len; i++) {
 		const GPtrArray *grants = runner_at(cell, i)->grants;
 
-		for (guint k = 0; k < grants->len; k++) {
+		for (guint j = 0; j < grants->len; j++) {
 			const struct grant *grant =
-				g_ptr_array_index(grants, k);
+				g_ptr_array_index(grants, j);
 
 			if (!grant->hashed)
 				grant_count(cell, i);
