--- a/tests/ledger/app.c
+++ b/tests/ledger/app.c
@@ -1,9 +1,9 @@
-/* What the daemon does with a request, in short: prefill, decode, release. */
+/* Runs requests as the daemon does: prefill, decode, release. */
 #include "world.h"
 
-#define PREFILL_USEC (20 * USEC_PER_MSEC)
+#define PREFILL_DEFAULT_USEC (20 * USEC_PER_MSEC)
 #define CANCEL_USEC (10 * USEC_PER_MSEC)
-#define WAKE_USEC (5 * USEC_PER_MSEC)
+#define PAUSED_POLL_USEC (5 * USEC_PER_MSEC)
 
 static void job_timer(struct timer *timer, void *ctx);
 
@@ -70,14 +70,15 @@
 	job->submitted_at = clock_now(world->clock);
 	job->decode_usec = spec->decode_usec != 0 ? spec->decode_usec
 						  : 100 * USEC_PER_MSEC;
-	job->prefill = spec->prefill != 0 ? spec->prefill : PREFILL_USEC;
+	job->prefill =
+		spec->prefill != 0 ? spec->prefill : PREFILL_DEFAULT_USEC;
 	timer_init(&job->timer, world->clock, job_timer, job);
 	g_ptr_array_add(world->jobs, job);
 	ledger_submit(instance->ledger, &request);
 	return job;
 }
 
-static void answered(struct job *job)
+static void job_record_answer(struct job *job)
 {
 	if (job->answers++ > 0)
 		world_fail(job->world, "request %lu was answered twice",
@@ -91,11 +92,12 @@
 	struct job *job = job_find(instance, grant->request);
 
 	if (job == NULL || job->state != JOB_SUBMITTED) {
-		world_fail(instance->world, "request %lu was granted unasked",
+		world_fail(instance->world,
+			   "request %lu was granted but is not waiting",
 			   (unsigned long)grant->request);
 		return;
 	}
-	answered(job);
+	job_record_answer(job);
 	job->attempt = grant->attempt;
 	job->grant = *grant;
 	job->incarnation = membership_self(instance->membership)->incarnation;
@@ -116,7 +118,7 @@
 {
 	struct job *job = job_find(ctx, refusal->request);
 
-	answered(job);
+	job_record_answer(job);
 	job->refusal = *refusal;
 	job_end(job, JOB_REFUSED);
 }
@@ -131,7 +133,7 @@
 		ledger_adopt(job->instance->ledger, job->request);
 		return;
 	}
-	answered(job);
+	job_record_answer(job);
 	job_end(job, JOB_DUPLICATE);
 }
 
@@ -162,7 +164,7 @@
 	.homes = app_homes,
 };
 
-static void ask_again(struct job *job, enum result_code why)
+static void job_retry(struct job *job, enum result_code why)
 {
 	job->state = JOB_SUBMITTED;
 	job->answers = 0;
@@ -180,8 +182,10 @@
 			    job->world->split_brain_until &&
 		    !members_declared_dead(job->world, job->instance->index,
 					   job->incarnation))
-			world_fail(job->world, "an engine was overfilled");
-		ask_again(job, RESULT_BACKEND_REFUSED);
+			world_fail(
+				job->world,
+				"an engine had no memory for a granted stream");
+		job_retry(job, RESULT_BACKEND_REFUSED);
 		return;
 	}
 	job->state = JOB_DECODE;
@@ -193,12 +197,12 @@
 static void end_decode(struct job *job, struct engine *engine)
 {
 	if (!engine_has(engine, job->stream)) {
-		ask_again(job, RESULT_STREAM_LOST);
+		job_retry(job, RESULT_STREAM_LOST);
 		return;
 	}
 	if (job->fail_times > 0) {
 		job->fail_times--;
-		ask_again(job, RESULT_STREAM_LOST);
+		job_retry(job, RESULT_STREAM_LOST);
 		return;
 	}
 	engine_close(engine, job->stream);
@@ -224,7 +228,7 @@
 	struct engine *engine = engine_find(job->world, job->grant.decode);
 
 	if (job->instance->paused) {
-		timer_start(timer, WAKE_USEC);
+		timer_start(timer, PAUSED_POLL_USEC);
 		return;
 	}
 	if (job->state == JOB_PREFILL && engine != NULL) {
@@ -246,7 +250,7 @@
 	job_end(job, JOB_WITHDRAWN);
 }
 
-/* The caller hangs up, wherever the request is. */
+/* The caller disconnects, at any stage of the request. */
 void app_cancel(struct job *job)
 {
 	if (job_over(job) || job->state == JOB_CANCELLING)
--- a/tests/ledger/engine.c
+++ b/tests/ledger/engine.c
@@ -1,13 +1,13 @@
-/* Runners of the test: memory in pieces, streams that end when told to. */
+/* Fake runners: memory in pieces, streams that end when closed or cancelled. */
 #include "world.h"
 
 #include <string.h>
 
-#define LAG_USEC (30 * USEC_PER_MSEC)
+#define REPORT_AGE_USEC (30 * USEC_PER_MSEC)
 #define CANCEL_USEC (5 * USEC_PER_MSEC)
 
-/* A report and listing, or the answer to a cancel, on its way to an instance.
- */
+/* A report with a listing of streams, or the answer to a cancel, in flight to
+ * an instance. */
 struct answer {
 	struct instance *instance;
 	uint64_t incarnation;
@@ -108,7 +108,7 @@
 	return instance->up && !instance->paused;
 }
 
-static void poll_answer(void *data)
+static void report_receive(void *data)
 {
 	const struct answer *answer = data;
 
@@ -119,7 +119,7 @@
 		       answer->streams, answer->count);
 }
 
-static void poll_one(struct instance *instance, struct engine *engine)
+static void runner_poll(struct instance *instance, struct engine *engine)
 {
 	struct answer *answer = g_new0(struct answer, 1);
 	GHashTableIter iter;
@@ -128,7 +128,7 @@
 	answer->instance = instance;
 	answer->report.runner = engine->id;
 	answer->report.reachable = true;
-	answer->report.age = LAG_USEC;
+	answer->report.age = REPORT_AGE_USEC;
 	answer->report.leaving = engine->leaving;
 	answer->report.pieces_used = engine->used;
 	answer->streams = g_new0(struct ledger_stream,
@@ -137,7 +137,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		answer->streams[answer->count++] =
 			((const struct engine_stream *)value)->entry;
-	world_after(instance->world, LAG_USEC, poll_answer, answer,
+	world_after(instance->world, REPORT_AGE_USEC, report_receive, answer,
 		    answer_free);
 }
 
@@ -147,12 +147,12 @@
 
 	for (int i = 0; i < world->engine_count; i++) {
 		if (ledger_is_home(instance->ledger, world->engines[i].id))
-			poll_one(instance, &world->engines[i]);
+			runner_poll(instance, &world->engines[i]);
 	}
 	timer_start(&instance->poll, world->poll);
 }
 
-static void cancel_answer(void *data)
+static void cancel_receive_answer(void *data)
 {
 	const struct answer *answer = data;
 
@@ -161,7 +161,7 @@
 				 answer->report.runner, answer->cancel, true);
 }
 
-static void cancel_arrives(void *data)
+static void cancel_receive(void *data)
 {
 	struct answer *answer = data;
 	struct world *world = answer->instance->world;
@@ -171,7 +171,7 @@
 		return;
 	engine_close(engine, answer->cancel);
 	if (!world_chance(world, world->loss_rate))
-		world_after(world, CANCEL_USEC, cancel_answer,
+		world_after(world, CANCEL_USEC, cancel_receive_answer,
 			    g_memdup2(answer, sizeof(*answer)), g_free);
 }
 
@@ -183,6 +183,6 @@
 	answer->instance = instance;
 	answer->report.runner = runner;
 	g_strlcpy(answer->cancel, stream, sizeof(answer->cancel));
-	world_after(instance->world, CANCEL_USEC, cancel_arrives, answer,
+	world_after(instance->world, CANCEL_USEC, cancel_receive, answer,
 		    g_free);
 }
--- a/tests/ledger/invariants.c
+++ b/tests/ledger/invariants.c
@@ -1,9 +1,10 @@
-/* What must hold, always and at the end, whatever failed. */
+/* Invariants that hold at all times, and at the end, under any fault. */
 #include "world.h"
 
-/* A holder that others hold dead may run on until it hears of it: its engine
- * bounds it, the ledger cannot. */
-static bool counts(struct world *world, const struct job *job)
+/* Whether the job runs for an instance that nobody has declared dead. One that
+ * was declared dead may run on until it learns of it: the engine's memory
+ * limits that, the ledger cannot. */
+static bool job_is_running(struct world *world, const struct job *job)
 {
 	return !job_over(job) && job->instance->up &&
 	       (job->state == JOB_PREFILL || job->state == JOB_DECODE ||
@@ -12,12 +13,12 @@
 				      job->incarnation);
 }
 
-/* Engine memory in use, and granted but not yet used, fits the runner. */
+/* Memory in use and memory granted but not yet used fit the runner. */
 static void check_memory(struct world *world)
 {
 	for (int i = 0; i < world->engine_count; i++) {
 		const struct engine *engine = &world->engines[i];
-		uint32_t promised = engine->used - engine->stale;
+		uint32_t committed = engine->used - engine->stale;
 
 		for (guint j = 0; j < world->jobs->len; j++) {
 			const struct job *job =
@@ -25,27 +26,28 @@
 
 			if (job->state == JOB_PREFILL &&
 			    job->grant.decode == engine->id &&
-			    counts(world, job))
-				promised += job->grant.pieces;
+			    job_is_running(world, job))
+				committed += job->grant.pieces;
 		}
-		if (promised > engine->pieces)
-			world_fail(world, "runner %d: %u of %u pieces promised",
-				   i, promised, engine->pieces);
+		if (committed > engine->pieces)
+			world_fail(world,
+				   "runner %d: %u of %u pieces committed", i,
+				   committed, engine->pieces);
 	}
 }
 
-/* Two holders never run the same key at once. */
+/* No two holders run the same key at the same time. */
 static void check_keys(struct world *world)
 {
 	for (guint i = 0; i < world->jobs->len; i++) {
 		const struct job *a = g_ptr_array_index(world->jobs, i);
 
-		if (a->key == 0 || !counts(world, a))
+		if (a->key == 0 || !job_is_running(world, a))
 			continue;
 		for (guint j = 0; j < i; j++) {
 			const struct job *b = g_ptr_array_index(world->jobs, j);
 
-			if (b->key != a->key || !counts(world, b))
+			if (b->key != a->key || !job_is_running(world, b))
 				continue;
 			world_fail(world, "key %lu runs twice: %lu and %lu",
 				   (unsigned long)a->key,
@@ -55,32 +57,32 @@
 	}
 }
 
-/* While a home has refuted its death and others have not heard it yet, they
- * have another: two homes grant until the news arrives. Engines and claims on
- * the log bound what comes of it; the ledger cannot, without a quorum. */
-#define SPLIT_USEC (3 * USEC_PER_SEC)
+/* Split brain: until the refutation of a home's death has reached the others,
+ * these have another home, and both grant. Engines and claims on the log limit
+ * the effect; the ledger cannot without a quorum. */
+#define SPLIT_BRAIN_USEC (3 * USEC_PER_SEC)
 
-static bool split(struct world *world)
+static bool in_split_brain(struct world *world)
 {
 	int64_t now = clock_now(world->clock);
 
 	if (members_split_brain(world)) {
 		world->split_brains += now >= world->split_brain_until;
-		world->split_brain_until = now + SPLIT_USEC;
+		world->split_brain_until = now + SPLIT_BRAIN_USEC;
 	}
 	return now < world->split_brain_until;
 }
 
 void invariants_always(struct world *world)
 {
-	if (split(world))
+	if (in_split_brain(world))
 		return;
 	check_memory(world);
 	check_keys(world);
 }
 
-/* Every ask of a living holder was answered once, unless withdrawn; nothing is
- * held any more, by engines or in the ledgers' books. */
+/* Every request of a live holder was answered once or withdrawn; engines and
+ * ledgers hold nothing any more. */
 void invariants_end(struct world *world)
 {
 	for (guint i = 0; i < world->jobs->len; i++) {
--- a/tests/ledger/members.c
+++ b/tests/ledger/members.c
@@ -1,5 +1,5 @@
-/* A stub of coord/member.h: what each instance believes of the others is set
- * by the test, late and at different times. */
+/* A fake of coord/member.h: the test sets each instance's view of the others,
+ * after delays that differ by instance. */
 #include "world.h"
 
 #include <string.h>
@@ -8,13 +8,13 @@
 	struct world *world;
 	int self;
 	struct member view[INSTANCES_MAX];
-	GHashTable *facts; /* key to GBytes; of the own instance only */
+	GHashTable *facts; /* key to GBytes; not sent to other instances */
 };
 
-struct news {
+struct update {
 	struct world *world;
-	int of;
-	int to;
+	int subject;
+	int target;
 	uint64_t incarnation;
 	enum member_state state;
 };
@@ -89,24 +89,24 @@
 uint64_t membership_home(const struct membership *membership,
 			 const char *data_centre, uint64_t key, uint32_t rank)
 {
-	uint64_t passed = UINT64_MAX;
+	uint64_t previous = UINT64_MAX;
 	const struct member *best;
 
 	for (uint32_t r = 0; r <= rank; r++) {
-		uint64_t top = 0;
+		uint64_t best_weight = 0;
 
 		best = NULL;
 		for (int i = 0; i < membership->world->count; i++) {
 			const struct member *m = &membership->view[i];
 			uint64_t weight = id_mix(m->id, key);
 
-			if (m->state > MEMBER_SUSPECT || weight >= passed ||
-			    (best != NULL && weight <= top))
+			if (m->state > MEMBER_SUSPECT || weight >= previous ||
+			    (best != NULL && weight <= best_weight))
 				continue;
 			best = m;
-			top = weight;
+			best_weight = weight;
 		}
-		passed = top;
+		previous = best_weight;
 		if (best == NULL)
 			return 0;
 	}
@@ -120,26 +120,26 @@
 	ledger_member(instance->ledger, membership_self(membership));
 }
 
-static void tell_one(void *data)
+static void update_apply(void *data)
 {
-	struct news *news = data;
-	struct instance *instance = &news->world->instances[news->to];
+	struct update *update = data;
+	struct instance *instance = &update->world->instances[update->target];
 	struct member *member;
 
 	if (!instance->up)
 		return;
 	if (instance->paused) {
-		world_after(news->world, 50 * USEC_PER_MSEC, tell_one,
-			    g_memdup2(news, sizeof(*news)), g_free);
+		world_after(update->world, 50 * USEC_PER_MSEC, update_apply,
+			    g_memdup2(update, sizeof(*update)), g_free);
 		return;
 	}
-	member = &instance->membership->view[news->of];
-	if (news->incarnation < member->incarnation ||
-	    (news->incarnation == member->incarnation &&
-	     news->state < member->state))
+	member = &instance->membership->view[update->subject];
+	if (update->incarnation < member->incarnation ||
+	    (update->incarnation == member->incarnation &&
+	     update->state < member->state))
 		return;
-	member->incarnation = news->incarnation;
-	member->state = news->state;
+	member->incarnation = update->incarnation;
+	member->state = update->state;
 	ledger_member(instance->ledger, member);
 }
 
@@ -154,24 +154,26 @@
 		      int64_t delay_max)
 {
 	for (int i = 0; i < world->count; i++) {
-		struct news news = {.world = world,
-				    .of = index,
-				    .to = i,
-				    .incarnation = incarnation_of(world, index),
-				    .state = state};
+		struct update update = {.world = world,
+					.subject = index,
+					.target = i,
+					.incarnation =
+						incarnation_of(world, index),
+					.state = state};
 
 		if (i == index && state == MEMBER_DEAD)
 			continue;
 		if (i == index)
-			tell_one(&news);
+			update_apply(&update);
 		else
 			world_after(world, world_range(world, 0, delay_max),
-				    tell_one, g_memdup2(&news, sizeof(news)),
-				    g_free);
+				    update_apply,
+				    g_memdup2(&update, sizeof(update)), g_free);
 	}
 }
 
-/* One that starts learns from the others how things are. */
+/* Copies the state of each other instance; one that is down or paused is dead.
+ */
 void members_refresh(struct world *world, int index)
 {
 	struct membership *membership = world->instances[index].membership;
--- a/tests/ledger/test_prefill.c
+++ b/tests/ledger/test_prefill.c
@@ -1,13 +1,13 @@
-/* When the home thinks that a prefill runner is free: it is told by reports,
- * which are old when they are read, and by the holders of grants. */
+/* The home's estimate of when a prefill runner is free. It comes from reports,
+ * which are old when they arrive, and from the progress that holders send. */
 #include "world.h"
 
 #define MSEC USEC_PER_MSEC
-#define QUEUE 100000 /* tokens: half a second of the two runners' work */
+#define QUEUE_TOKENS 100000 /* half a second of prefill on one runner */
 
 static struct world *world;
 
-static void begin(void)
+static void setup(void)
 {
 	world = world_create(1, 3, "reserve", 100);
 	world_run(world, 500 * MSEC);
@@ -15,14 +15,14 @@
 	world_run(world, 200 * MSEC);
 }
 
-/* Both prefill runners say that QUEUE tokens waited when they took it. */
-static void report(int64_t age)
+/* Both prefill runners report QUEUE_TOKENS waiting, age ago. */
+static void report_queues(int64_t age)
 {
 	for (int i = 0; i < 2; i++) {
 		struct ledger_report queued = {.runner = world->engines[i].id,
 					       .reachable = true,
 					       .running = 1,
-					       .queue_tokens = QUEUE,
+					       .queue_tokens = QUEUE_TOKENS,
 					       .age = age};
 
 		g_assert_cmpint(world->engines[i].role, ==, POOL_PREFILL);
@@ -32,7 +32,7 @@
 
 static const struct {
 	int64_t age;
-	int64_t waits;
+	int64_t wait_usec;
 } ages[] = {{0, 480 * MSEC}, {300 * MSEC, 180 * MSEC}, {600 * MSEC, 0}};
 
 static void test_age(void)
@@ -41,25 +41,25 @@
 		struct job *job;
 		int64_t waited;
 
-		begin();
-		report(ages[i].age);
+		setup();
+		report_queues(ages[i].age);
 		job = app_submit(world, 0, &(struct spec){.key = 0});
 		world_run(world, USEC_PER_SEC);
 		g_assert_cmpuint(job->answers, ==, 1);
 		waited = job->answered_at - job->submitted_at;
-		g_assert_cmpint(waited, >=, ages[i].waits);
-		g_assert_cmpint(waited, <, ages[i].waits + 20 * MSEC);
+		g_assert_cmpint(waited, >=, ages[i].wait_usec);
+		g_assert_cmpint(waited, <, ages[i].wait_usec + 20 * MSEC);
 		world_end(world);
 	}
 }
 
-/* The first request has the runner compute for 50 ms, whatever was expected;
- * its holder's word frees the runner, and only the holder's of a key sends one.
- */
+/* The first prompt takes 50 ms, while the reported queue predicts 500 ms. The
+ * holder's progress message, sent only for a request with a key, frees the
+ * runner early. */
 static const struct {
 	uint64_t key;
-	int64_t least;
-	int64_t most;
+	int64_t wait_min;
+	int64_t wait_max;
 } ends[] = {{7, 0, 80 * MSEC}, {0, 400 * MSEC, 600 * MSEC}};
 
 static void test_ended(void)
@@ -71,16 +71,16 @@
 		struct job *job;
 		int64_t waited;
 
-		begin();
+		setup();
 		app_submit(world, 0, &first);
 		world_run(world, 20 * MSEC);
-		report(0);
+		report_queues(0);
 		job = app_submit(world, 1, &(struct spec){.key = 0});
 		world_run(world, USEC_PER_SEC);
 		g_assert_cmpuint(job->answers, ==, 1);
 		waited = job->answered_at - job->submitted_at;
-		g_assert_cmpint(waited, >=, ends[i].least);
-		g_assert_cmpint(waited, <, ends[i].most);
+		g_assert_cmpint(waited, >=, ends[i].wait_min);
+		g_assert_cmpint(waited, <, ends[i].wait_max);
 		world_end(world);
 	}
 }
--- a/tests/ledger/test_schedules.c
+++ b/tests/ledger/test_schedules.c
@@ -1,4 +1,4 @@
-/* Seeded schedules of load and failures, each checked against invariants.c.
+/* Random schedules of load and failures by seed, checked against invariants.c.
  * Usage: test_ledger_schedules [FIRST-SEED [COUNT]]; a failure names its seed.
  */
 #include "world.h"
@@ -15,41 +15,41 @@
 static uint32_t first_seed = 1;
 static uint32_t seed_count = SCHEDULES;
 
-struct act {
+struct action {
 	struct world *world;
 	int index;
 	int other;
 	struct job *job;
 };
 
-static void plan(struct world *world, int64_t at, void (*fn)(void *),
-		 const struct act *act)
+static void action_schedule(struct world *world, int64_t at, void (*fn)(void *),
+			    const struct action *action)
 {
-	world_after(world, at, fn, g_memdup2(act, sizeof(*act)), g_free);
+	world_after(world, at, fn, g_memdup2(action, sizeof(*action)), g_free);
 }
 
 static void do_withdraw(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	if (act->job->state == JOB_SUBMITTED && act->job->answers == 0 &&
-	    act->job->instance->up && !act->job->instance->paused)
-		app_withdraw(act->job);
+	if (action->job->state == JOB_SUBMITTED && action->job->answers == 0 &&
+	    action->job->instance->up && !action->job->instance->paused)
+		app_withdraw(action->job);
 }
 
 static void do_cancel(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	if (act->job->instance->up && !act->job->instance->paused)
-		app_cancel(act->job);
+	if (action->job->instance->up && !action->job->instance->paused)
+		app_cancel(action->job);
 }
 
-static void do_ask(void *data)
+static void do_submit(void *data)
 {
-	struct act act = *(struct act *)data;
-	struct world *world = act.world;
-	struct instance *instance = &world->instances[act.index];
+	struct action action = *(struct action *)data;
+	struct world *world = action.world;
+	struct instance *instance = &world->instances[action.index];
 	struct spec spec = {
 		.class = world_chance(world, 0.5) ? CLASS_URGENT
 						  : CLASS_DEFERRABLE,
@@ -61,114 +61,119 @@
 		return;
 	if (world_chance(world, 0.4))
 		spec.key = (uint64_t)world_range(world, 1, 12);
-	act.job = app_submit(world, act.index, &spec);
-	act.job->adopt = world_chance(world, 0.5);
+	action.job = app_submit(world, action.index, &spec);
+	action.job->adopt = world_chance(world, 0.5);
 	if (world_chance(world, 0.1))
-		act.job->fail_times = 1;
+		action.job->fail_times = 1;
 	if (world_chance(world, 0.1))
-		plan(world, world_range(world, 0, USEC_PER_SEC), do_withdraw,
-		     &act);
+		action_schedule(world, world_range(world, 0, USEC_PER_SEC),
+				do_withdraw, &action);
 	if (world_chance(world, 0.1))
-		plan(world, world_range(world, 0, USEC_PER_SEC), do_cancel,
-		     &act);
+		action_schedule(world, world_range(world, 0, USEC_PER_SEC),
+				do_cancel, &action);
 }
 
 static void do_restart(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	world_restart(act->world, act->index);
+	world_restart(action->world, action->index);
 }
 
 static void do_kill(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	world_kill(act->world, act->index);
-	plan(act->world, world_range(act->world, 1, 3 * USEC_PER_SEC),
-	     do_restart, act);
+	world_kill(action->world, action->index);
+	action_schedule(action->world,
+			world_range(action->world, 1, 3 * USEC_PER_SEC),
+			do_restart, action);
 }
 
-static void do_wake(void *data)
+static void do_resume(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	world_resume(act->world, act->index);
+	world_resume(action->world, action->index);
 }
 
 static void do_pause(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	world_pause(act->world, act->index);
-	plan(act->world, world_range(act->world, 0, 4 * USEC_PER_SEC), do_wake,
-	     act);
+	world_pause(action->world, action->index);
+	action_schedule(action->world,
+			world_range(action->world, 0, 4 * USEC_PER_SEC),
+			do_resume, action);
 }
 
-static void do_join(void *data)
+static void do_unblock(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	world_block(act->world, act->index, act->other, false);
+	world_block(action->world, action->index, action->other, false);
 }
 
-/* Shorter than the settling time: a longer cut is for membership to see. */
-static void do_cut(void *data)
+/* Shorter than the settling time: membership would notice a longer one. */
+static void do_block(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	world_block(act->world, act->index, act->other, true);
-	plan(act->world, world_range(act->world, 0, USEC_PER_SEC), do_join,
-	     act);
+	world_block(action->world, action->index, action->other, true);
+	action_schedule(action->world,
+			world_range(action->world, 0, USEC_PER_SEC), do_unblock,
+			action);
 }
 
 static void do_leave(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	world_leave(act->world, act->index);
+	world_leave(action->world, action->index);
 }
 
-static void do_swap(void *data)
+static void do_change_policy(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	world_configure(act->world, "least_load", 500);
-	world_configure(act->world, "reserve", 400);
+	world_configure(action->world, "least_load", 500);
+	world_configure(action->world, "reserve", 400);
 }
 
 static void do_runner_leaves(void *data)
 {
-	struct act *act = data;
+	struct action *action = data;
 
-	act->world->engines[3].leaving = true;
+	action->world->engines[3].leaving = true;
 }
 
-static void (*const faults[])(void *) = {do_kill,  do_pause, do_cut,
-					 do_leave, do_swap,  do_runner_leaves};
+static void (*const faults[])(void *) = {do_kill,	   do_pause,
+					 do_block,	   do_leave,
+					 do_change_policy, do_runner_leaves};
 
 static void schedule(uint32_t seed)
 {
 	struct world *world;
-	struct act act = {.job = NULL};
+	struct action action = {.job = NULL};
 	int count = 2 + (int)(seed % 3);
 
 	world = world_create(seed, count, "reserve", 500);
-	act.world = world;
+	action.world = world;
 	world->loss_rate = world_chance(world, 0.5) ? 0.1 : 0;
 	world->duplicate_rate = world_chance(world, 0.5) ? 0.2 : 0;
 	world->delay_max = world_range(world, 1, 40) * USEC_PER_MSEC;
 	for (int i = 0; i < JOBS; i++) {
-		act.index = (int)world_range(world, 0, count);
-		plan(world, world_range(world, 0, LOAD_USEC), do_ask, &act);
+		action.index = (int)world_range(world, 0, count);
+		action_schedule(world, world_range(world, 0, LOAD_USEC),
+				do_submit, &action);
 	}
 	for (int i = (int)world_range(world, 0, 4); i > 0; i--) {
 		int64_t fault = world_range(world, 0, G_N_ELEMENTS(faults));
 
-		act.index = (int)world_range(world, 0, count);
-		act.other = (act.index + 1) % count;
-		plan(world, world_range(world, 0, LOAD_USEC), faults[fault],
-		     &act);
+		action.index = (int)world_range(world, 0, count);
+		action.other = (action.index + 1) % count;
+		action_schedule(world, world_range(world, 0, LOAD_USEC),
+				faults[fault], &action);
 	}
 	world_run(world, LOAD_USEC);
 	for (int i = 0; i < 60 && world->violation->len == 0; i++)
--- a/tests/ledger/world.c
+++ b/tests/ledger/world.c
@@ -3,10 +3,8 @@
 #include <stdarg.h>
 #include <string.h>
 
-/* Long enough for the clocks to have no event that must wait for it. */
-#define STEP_MAX (20 * USEC_PER_MSEC)
-#define DEAD_NEWS_USEC (300 * USEC_PER_MSEC)
-#define HEARTBEAT_USEC (200 * USEC_PER_MSEC)
+#define STATE_DELAY_MAX_USEC (300 * USEC_PER_MSEC)
+#define REFUTE_DELAY_MAX_USEC (200 * USEC_PER_MSEC)
 
 int64_t world_range(struct world *world, int64_t low, int64_t high)
 {
@@ -78,7 +76,7 @@
 	world->messages++;
 	world->bytes += size;
 	if (to != from->index) {
-		if (world->cut[from->index][to] ||
+		if (world->blocked[from->index][to] ||
 		    world_chance(world, world->loss_rate))
 			return;
 		copies += world_chance(world, world->duplicate_rate);
@@ -101,7 +99,7 @@
 	engine_poll(ctx);
 }
 
-static void tell_runners(struct instance *instance)
+static void send_runners(struct instance *instance)
 {
 	struct world *world = instance->world;
 	struct ledger_runner runners[ENGINES_MAX];
@@ -178,7 +176,7 @@
 		ledger_create(instance->clock, instance->membership,
 			      &world->settings, &transport, &app_ops, instance);
 	ledger_configure(instance->ledger, world->config, NULL);
-	tell_runners(instance);
+	send_runners(instance);
 	timer_init(&instance->poll, instance->clock, poll, instance);
 	timer_start(&instance->poll, 1 + index * USEC_PER_MSEC);
 }
@@ -297,7 +295,7 @@
 		return;
 	app_instance_died(instance);
 	instance_stop(instance);
-	members_announce(world, index, MEMBER_DEAD, DEAD_NEWS_USEC);
+	members_announce(world, index, MEMBER_DEAD, STATE_DELAY_MAX_USEC);
 }
 
 void world_restart(struct world *world, int index)
@@ -310,7 +308,7 @@
 	members_raise_incarnation(world, index);
 	members_refresh(world, index);
 	instance_start(world, index);
-	members_announce(world, index, MEMBER_ALIVE, DEAD_NEWS_USEC);
+	members_announce(world, index, MEMBER_ALIVE, STATE_DELAY_MAX_USEC);
 }
 
 void world_pause(struct world *world, int index)
@@ -320,10 +318,10 @@
 	if (!instance->up || instance->paused)
 		return;
 	instance->paused = true;
-	members_announce(world, index, MEMBER_DEAD, DEAD_NEWS_USEC);
+	members_announce(world, index, MEMBER_DEAD, STATE_DELAY_MAX_USEC);
 }
 
-static void hear_of_death(void *data)
+static void refute_death(void *data)
 {
 	struct instance *instance = data;
 
@@ -332,7 +330,7 @@
 	members_raise_incarnation(instance->world, instance->index);
 	members_notify(instance);
 	members_announce(instance->world, instance->index, MEMBER_ALIVE,
-			 DEAD_NEWS_USEC);
+			 STATE_DELAY_MAX_USEC);
 }
 
 void world_resume(struct world *world, int index)
@@ -348,19 +346,20 @@
 		deliver(letter);
 		g_free(letter);
 	}
-	world_after(world, world_range(world, 0, HEARTBEAT_USEC), hear_of_death,
-		    instance, NULL);
+	world_after(world, world_range(world, 0, REFUTE_DELAY_MAX_USEC),
+		    refute_death, instance, NULL);
 }
 
 void world_leave(struct world *world, int index)
 {
 	if (world->instances[index].up)
-		members_announce(world, index, MEMBER_LEAVING, DEAD_NEWS_USEC);
+		members_announce(world, index, MEMBER_LEAVING,
+				 STATE_DELAY_MAX_USEC);
 }
 
-void world_block(struct world *world, int a, int b, bool cut)
+void world_block(struct world *world, int from, int to, bool blocked)
 {
-	world->cut[a][b] = cut;
+	world->blocked[from][to] = blocked;
 }
 
 void world_configure(struct world *world, const char *policy,
--- a/tests/ledger/world.h
+++ b/tests/ledger/world.h
@@ -1,10 +1,10 @@
 /*
- * world.h - a few instances with a ledger each, over a link that misbehaves
+ * world.h - simulated instances with a ledger each, over an unreliable network
  *
  * DESCRIPTION
- *	Each instance has a paused clock of its own, so that it can stand still
- *	while the others go on. Engines, link and membership are small fakes on
- *	the world's clock. All choices come from one seeded generator.
+ *	Each instance has its own simulated clock, so that one can be paused
+ *	while the others run. Engines, network and membership are fakes on the
+ *	world's clock. All random choices come from one seeded generator.
  */
 #ifndef TESTS_LEDGER_WORLD_H
 #define TESTS_LEDGER_WORLD_H
@@ -32,7 +32,7 @@
 	JOB_LOST, /* its instance died */
 };
 
-/* What a caller asks for; zeros take the defaults. */
+/* A caller's request; a field of 0 takes the default. */
 struct spec {
 	const char *service; /* default "model" */
 	uint64_t key;
@@ -51,13 +51,13 @@
 	struct world *world;
 	struct instance *instance;
 	uint64_t request;
-	uint64_t incarnation; /* of the instance when it was asked */
+	uint64_t incarnation; /* of the instance at submission or grant */
 	uint64_t key;
 	enum request_class class;
 	enum job_state state;
-	uint32_t answers; /* granted at first, refused or duplicate */
+	uint32_t answers; /* first grant, refusal or duplicate */
 	uint32_t attempt;
-	uint32_t fail_times; /* attempts that the engine cuts */
+	uint32_t fail_times; /* attempts that end with a lost stream */
 	int64_t submitted_at;
 	int64_t answered_at;
 	int64_t decode_usec;
@@ -77,7 +77,7 @@
 	enum pool_role role;
 	uint32_t pieces;
 	uint32_t used;
-	uint32_t stale; /* of it, by owners that others held dead already */
+	uint32_t stale; /* of used: by owners already declared dead */
 	uint32_t refused;
 	uint32_t next_stream;
 	bool leaving;
@@ -94,7 +94,7 @@
 	struct ledger *ledger;
 	bool up;
 	bool paused;
-	GQueue inbox; /* deliveries that wait while paused */
+	GQueue inbox; /* messages received while paused */
 	struct timer poll;
 };
 
@@ -109,15 +109,15 @@
 	int engine_count;
 	GPtrArray *jobs;
 	uint64_t next_request;
-	bool cut[INSTANCES_MAX][INSTANCES_MAX]; /* one way */
+	bool blocked[INSTANCES_MAX][INSTANCES_MAX]; /* from, to */
 	int64_t extra_delay[INSTANCES_MAX][INSTANCES_MAX];
 	double loss_rate;
 	double duplicate_rate;
 	double corruption_rate; /* of messages with one byte changed */
 	struct ledger_settings settings;
-	int64_t poll; /* between two polls of a runner */
+	int64_t poll; /* interval between polls of a runner */
 	int64_t delay_max;
-	int64_t split_brain_until; /* see invariants.c */
+	int64_t split_brain_until; /* invariants are not checked until then */
 	uint32_t split_brains;
 	uint64_t messages;
 	uint64_t bytes;
@@ -129,10 +129,11 @@
 struct world *world_create(uint32_t seed, int instances, const char *policy,
 			   uint32_t queue_max);
 void world_destroy(struct world *world);
-/* Lets all come to rest, checks the invariants, and destroys it. */
+/* Runs for 20 s, by which all requests must have ended, checks the invariants
+ * and destroys the world. */
 void world_end(struct world *world);
 void world_run(struct world *world, int64_t usec);
-/* Runs until the condition holds, for five seconds at most. */
+/* Runs until the condition holds; fails after five seconds. */
 #define world_until(world, condition)                                          \
 	do {                                                                   \
 		for (int i_ = 0; i_ < 100000 && !(condition); i_++)            \
@@ -147,11 +148,12 @@
 void world_pause(struct world *world, int index);
 void world_resume(struct world *world, int index);
 void world_leave(struct world *world, int index);
-void world_block(struct world *world, int a, int b, bool cut);
-/* Restarts all with settings; for the start of a test. */
+/* Drops messages in one direction. */
+void world_block(struct world *world, int from, int to, bool blocked);
+/* Restarts all instances with settings; for the start of a test. */
 void world_restart_all(struct world *world,
 		       const struct ledger_settings *settings);
-/* Puts another policy in force at all instances. */
+/* Applies another policy at all instances. */
 void world_configure(struct world *world, const char *policy,
 		     uint32_t queue_max);
 struct instance *world_home(struct world *world);
@@ -160,17 +162,17 @@
 void world_fail(struct world *world, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 
-/* members.c: every instance's view of who lives. */
+/* members.c: each instance's view of the membership. */
 struct membership *members_create(struct world *world, int index);
 void members_destroy(struct membership *membership);
-/* Tells all instances, each after a while of its own. */
+/* Announces the state to all instances, each after its own random delay. */
 void members_announce(struct world *world, int index, enum member_state state,
 		      int64_t delay_max);
 void members_refresh(struct world *world, int index);
 uint64_t members_raise_incarnation(struct world *world, int index);
 bool members_declared_dead(struct world *world, int index,
 			   uint64_t incarnation);
-/* A home that lives under a new incarnation while others hold it dead. */
+/* Whether a running home is dead in the view of another instance. */
 bool members_split_brain(struct world *world);
 void members_notify(struct instance *instance);
 
@@ -179,7 +181,6 @@
 		 uint32_t pieces);
 void engine_clear(struct engine *engine);
 struct engine *engine_find(struct world *world, uint64_t id);
-/* A stream as the engine keeps it. */
 struct engine_stream {
 	struct ledger_stream entry;
 	bool stale;
@@ -193,7 +194,7 @@
 void engine_cancel(struct instance *instance, uint64_t runner,
 		   const char *stream);
 
-/* app.c: what the daemon does with a request. */
+/* app.c: runs requests as the daemon does. */
 extern const struct ledger_ops app_ops;
 struct job *app_submit(struct world *world, int index, const struct spec *spec);
 void app_withdraw(struct job *job);
