--- a/coord/ledger_cell.c
+++ b/coord/ledger_cell.c
@@ -187,7 +187,7 @@
 void cell_member_died(struct cell *cell, const struct member *member)
 {
 	if (cell->is_home && !heard(cell, member))
-		runners_invalidate_reports(cell);
+		runners_invalidate(cell);
 }
 
 void cell_settle_check(struct cell *cell)
--- a/coord/ledger_codec.c
+++ b/coord/ledger_codec.c
@@ -9,7 +9,7 @@
 #define SUBMIT_ADOPT 2u
 #define SUBMIT_FORMER_FREE 4u
 #define SUBMIT_DEFERRABLE 8u
-#define SUBMIT_NO_REDIRECT 16u
+#define SUBMIT_HERE 16u
 #define BLOCK_SIZE 4u
 
 bool reader_open(struct reader *reader, const msgpack_object *object)
@@ -177,7 +177,7 @@
 
 	flags |= item->idempotent ? SUBMIT_IDEMPOTENT : 0;
 	flags |= item->adopt ? SUBMIT_ADOPT : 0;
-	flags |= item->here ? SUBMIT_NO_REDIRECT : 0;
+	flags |= item->here ? SUBMIT_HERE : 0;
 	flags |= item->former_free ? SUBMIT_FORMER_FREE : 0;
 	flags |= need->class == CLASS_DEFERRABLE ? SUBMIT_DEFERRABLE : 0;
 	pack_u(packer, epoch);
@@ -214,7 +214,7 @@
 	flags = read_u(reader);
 	submission->idempotent = flags & SUBMIT_IDEMPOTENT;
 	submission->adopt = flags & SUBMIT_ADOPT;
-	submission->here = flags & SUBMIT_NO_REDIRECT;
+	submission->here = flags & SUBMIT_HERE;
 	submission->former_free = flags & SUBMIT_FORMER_FREE;
 	need->class =
 		flags & SUBMIT_DEFERRABLE ? CLASS_DEFERRABLE : CLASS_URGENT;
--- a/coord/ledger_home.c
+++ b/coord/ledger_home.c
@@ -142,7 +142,7 @@
 
 	timer_stop(&cell->settle);
 	cell->settled = true;
-	records_watch_unbacked(cell);
+	records_check_abandoned(cell);
 	level_start(cell);
 	home_bury(cell);
 	adopt_records(cell);
--- a/coord/ledger_parts.h
+++ b/coord/ledger_parts.h
@@ -56,7 +56,7 @@
 void runner_report(struct cell *cell, uint32_t index,
 		   const struct ledger_report *report);
 /* Reports from before now prove nothing any more. */
-void runners_invalidate_reports(struct cell *cell);
+void runners_invalidate(struct cell *cell);
 /* Forgets what only the home knows. */
 void runners_reset(struct cell *cell);
 void runner_destroy(void *runner);
@@ -118,7 +118,7 @@
 /* Looks again at the asks that waited for the record. */
 void record_unpark(struct record *record);
 /* Running records may have nobody behind them: looks for those for a while. */
-void records_watch_unbacked(struct cell *cell);
+void records_check_abandoned(struct cell *cell);
 void record_merge(struct cell *cell, const struct record *copy);
 void records_clear(struct cell *cell);
 void records_init(struct cell *cell);
@@ -146,7 +146,7 @@
 int64_t queue_time(const struct cell *cell, const struct policy_request *need);
 
 /* ledger_prefill.c: when a prefill runner is expected to be free. */
-void prefill_book(struct grant *grant, int64_t time);
+void prefill_assign(struct grant *grant, int64_t time);
 /* The prompt of a grant is known to be computed, or given up. */
 void prefill_ended(struct grant *grant);
 void prefill_reset(struct cell *cell, uint32_t index);
--- a/coord/ledger_prefill.c
+++ b/coord/ledger_prefill.c
@@ -1,27 +1,26 @@
-/* Estimates when a prefill runner will have computed the prompts booked on it.
- */
+/* Estimates when a prefill runner will have computed its assigned prompts. */
 #include "ledger_parts.h"
 
-/* Booked prompts are kept for longer than any report is old. A prompt that was
- * booked within the slack before a report was taken had not reached the runner
- * by then, so the report's queue does not count it. */
-#define BOOKED_KEEP_USEC (10 * USEC_PER_SEC)
-#define BOOKED_SLACK_USEC (5 * USEC_PER_MSEC)
+/* Assigned prompts are kept for longer than any report is old. A prompt that
+ * was assigned within the slack before a report was taken had not reached the
+ * runner by then, so the report's queue does not count it. */
+#define ASSIGNED_KEEP_USEC (10 * USEC_PER_SEC)
+#define ASSIGNED_SLACK_USEC (5 * USEC_PER_MSEC)
 
-static void booked_add(GArray *booked, int64_t now, int64_t time)
+static void assigned_add(GArray *assigned, int64_t now, int64_t time)
 {
-	struct booked entry = {.at = now, .time = time};
+	struct assigned entry = {.at = now, .time = time};
 	guint expired = 0;
 
-	while (expired < booked->len &&
-	       g_array_index(booked, struct booked, expired).at <
-		       now - BOOKED_KEEP_USEC)
+	while (expired < assigned->len &&
+	       g_array_index(assigned, struct assigned, expired).at <
+		       now - ASSIGNED_KEEP_USEC)
 		expired++;
-	g_array_remove_range(booked, 0, expired);
-	g_array_append_val(booked, entry);
+	g_array_remove_range(assigned, 0, expired);
+	g_array_append_val(assigned, entry);
 }
 
-void prefill_book(struct grant *grant, int64_t time)
+void prefill_assign(struct grant *grant, int64_t time)
 {
 	struct runner *runner = runner_at(grant->cell, grant->prefill);
 
@@ -29,7 +28,8 @@
 	grant->prefill_time = time;
 	runner->prefilling++;
 	runner->prefill_time += time;
-	booked_add(runner->booked, clock_now(grant->cell->ledger->clock), time);
+	assigned_add(runner->assigned, clock_now(grant->cell->ledger->clock),
+		     time);
 }
 
 /* Caps the busy time at the expected time of the remaining prompts: this one
@@ -66,10 +66,10 @@
 	view->link_free = 0;
 	runner->prefilling = 0;
 	runner->prefill_time = 0;
-	g_array_set_size(runner->booked, 0);
+	g_array_set_size(runner->assigned, 0);
 }
 
-/* Adds the prompts booked since the report to the queue it reported, bounded
+/* Adds the prompts assigned since the report to the queue it reported, bounded
  * by the expected time of all prompts not known to be computed. */
 void prefill_apply_report(struct cell *cell, uint32_t index, int64_t taken)
 {
@@ -84,12 +84,12 @@
 		 (int64_t)((double)view->reported_queue_tokens /
 			   view->prefill_tokens_per_s * (double)USEC_PER_SEC);
 	until = queued;
-	for (guint i = 0; i < runner->booked->len; i++) {
-		const struct booked *booked =
-			&g_array_index(runner->booked, struct booked, i);
+	for (guint i = 0; i < runner->assigned->len; i++) {
+		const struct assigned *assigned =
+			&g_array_index(runner->assigned, struct assigned, i);
 
-		if (booked->at > taken - BOOKED_SLACK_USEC)
-			until = MAX(until, booked->at) + booked->time;
+		if (assigned->at > taken - ASSIGNED_SLACK_USEC)
+			until = MAX(until, assigned->at) + assigned->time;
 	}
 	until = MIN(until, now + MAX(runner->prefill_time, 0));
 	view->busy_until = MAX(until, queued);
--- a/coord/ledger_queue.c
+++ b/coord/ledger_queue.c
@@ -231,7 +231,7 @@
 static void ask_park(struct waiting *waiting, struct record *record)
 {
 	waiting->parked = record;
-	records_watch_unbacked(waiting->cell);
+	records_check_abandoned(waiting->cell);
 	g_queue_push_tail(&record->parked, waiting);
 	ack_add(waiting->cell->ledger, waiting->holder.owner.instance,
 		waiting->holder.owner.incarnation, ACK_QUEUED,
--- a/coord/ledger_record.c
+++ b/coord/ledger_record.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 #define EXPIRY_INTERVAL_USEC (1 * USEC_PER_SEC)
-/* The check for unbacked records goes on for this long after the last of them
+/* The check for abandoned records goes on for this long after the last of them
  * can have become due. */
-#define UNBACKED_WATCH_USEC (10 * USEC_PER_SEC)
+#define ABANDONED_CHECK_USEC (10 * USEC_PER_SEC)
 #define RETENTION_DEFAULT_USEC (60 * USEC_PER_SEC)
 
 static void expire(struct timer *timer, void *ctx);
@@ -156,25 +156,25 @@
 
 /* A running record without a grant or a waiting request is a copy from the
  * former home whose owner has not announced it; it ends after confirm_by. */
-static bool is_unbacked(const struct record *record, int64_t now)
+static bool is_abandoned(const struct record *record, int64_t now)
 {
 	return record->state == RECORD_RUNNING && record->grant == NULL &&
 	       record->waiting == NULL && record->cell->is_home &&
 	       record->cell->settled && now >= record->confirm_by;
 }
 
-void records_watch_unbacked(struct cell *cell)
+void records_check_abandoned(struct cell *cell)
 {
 	const struct ledger *ledger = cell->ledger;
 
-	cell->watch_unbacked_until =
-		clock_now(ledger->clock) + UNBACKED_WATCH_USEC +
+	cell->abandoned_check_until =
+		clock_now(ledger->clock) + ABANDONED_CHECK_USEC +
 		ledger->settings.settle + ledger->settings.orphan_grace;
 	if (!timer_running(&cell->expiry))
 		timer_start(&cell->expiry, EXPIRY_INTERVAL_USEC);
 }
 
-static void end_unbacked(struct cell *cell, int64_t now)
+static void end_abandoned(struct cell *cell, int64_t now)
 {
 	GHashTableIter iter;
 	GArray *keys = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -184,7 +184,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct record *record = value;
 
-		if (is_unbacked(record, now))
+		if (is_abandoned(record, now))
 			g_array_append_val(keys, record->key);
 	}
 	for (guint i = 0; i < keys->len; i++) {
@@ -207,8 +207,8 @@
 	while ((record = g_queue_peek_head(&cell->ended)) != NULL &&
 	       record->expires <= now)
 		record_remove(record);
-	if (now < cell->watch_unbacked_until)
-		end_unbacked(cell, now);
+	if (now < cell->abandoned_check_until)
+		end_abandoned(cell, now);
 	if (g_hash_table_size(cell->records) > 0)
 		timer_start(timer, EXPIRY_INTERVAL_USEC);
 }
@@ -248,7 +248,7 @@
 	record_copy_fields(record, copy);
 	record_touch(record);
 	if (record->state == RECORD_RUNNING) {
-		records_watch_unbacked(cell);
+		records_check_abandoned(cell);
 		return;
 	}
 	record->expires = copy->expires;
--- a/coord/ledger_runner.c
+++ b/coord/ledger_runner.c
@@ -28,7 +28,7 @@
 	struct runner *runner = data;
 
 	g_ptr_array_free(runner->grants, TRUE);
-	g_array_free(runner->booked, TRUE);
+	g_array_free(runner->assigned, TRUE);
 	g_hash_table_destroy(runner->strays);
 	g_free(runner->pool);
 	g_free(runner);
@@ -101,7 +101,7 @@
 	}
 	runner = g_new0(struct runner, 1);
 	runner->grants = g_ptr_array_new();
-	runner->booked = g_array_new(FALSE, FALSE, sizeof(struct booked));
+	runner->assigned = g_array_new(FALSE, FALSE, sizeof(struct assigned));
 	runner->strays = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       stray_destroy);
 	g_ptr_array_add(cell->runners, runner);
@@ -284,7 +284,7 @@
 	runner_refresh(cell, index);
 }
 
-void runners_invalidate_reports(struct cell *cell)
+void runners_invalidate(struct cell *cell)
 {
 	for (guint i = 0; i < cell->runners->len; i++) {
 		struct runner *runner = runner_at(cell, i);
--- a/coord/ledger_types.h
+++ b/coord/ledger_types.h
@@ -167,7 +167,7 @@
 };
 
 /* A prompt that a prefill runner was given. */
-struct booked {
+struct assigned {
 	int64_t at;
 	int64_t time; /* that it should take */
 };
@@ -190,7 +190,7 @@
 	uint32_t stray_pieces;
 	uint32_t prefilling;  /* prompts granted and not known as computed */
 	int64_t prefill_time; /* that these are expected to take */
-	GArray *booked;	      /* struct given of late, oldest first */
+	GArray *assigned;     /* struct given of late, oldest first */
 	GPtrArray *grants;    /* of decode runners */
 	bool sorted;	      /* by when they are expected to end */
 	GHashTable *strays;   /* by stream */
@@ -294,7 +294,7 @@
 	struct timer scan;
 
 	GHashTable *records;
-	int64_t watch_unbacked_until; /* copied records may have nobody behind
+	int64_t abandoned_check_until; /* copied records may have nobody behind
 					  them */
 	GQueue ended;
 	struct timer expiry;
--- a/coord/ledger_view.c
+++ b/coord/ledger_view.c
@@ -169,7 +169,7 @@
 	ask_grant(waiting, placement->prefill, placement->decode);
 	grant = grant_find(cell, &holder.owner, holder.request);
 	grant->expected_end = end;
-	prefill_book(grant, takes);
+	prefill_assign(grant, takes);
 	runner_at(cell, grant->decode)->sorted = false;
 }
 
