--- a/coord/ledger_codec.c
+++ b/coord/ledger_codec.c
@@ -7,9 +7,9 @@
 
 #define SUBMIT_IDEMPOTENT 1u
 #define SUBMIT_ADOPT 2u
-#define SUBMIT_FORMER_FREE 4u
+#define SUBMIT_PREVIOUS_FREED 4u
 #define SUBMIT_DEFERRABLE 8u
-#define SUBMIT_HERE 16u
+#define SUBMIT_NO_REDIRECT 16u
 #define BLOCK_SIZE 4u
 
 bool reader_open(struct reader *reader, const msgpack_object *object)
@@ -177,8 +177,8 @@
 
 	flags |= item->idempotent ? SUBMIT_IDEMPOTENT : 0;
 	flags |= item->adopt ? SUBMIT_ADOPT : 0;
-	flags |= item->here ? SUBMIT_HERE : 0;
-	flags |= item->former_free ? SUBMIT_FORMER_FREE : 0;
+	flags |= item->here ? SUBMIT_NO_REDIRECT : 0;
+	flags |= item->former_free ? SUBMIT_PREVIOUS_FREED : 0;
 	flags |= need->class == CLASS_DEFERRABLE ? SUBMIT_DEFERRABLE : 0;
 	pack_u(packer, epoch);
 	pack_u(packer, item->request);
@@ -214,8 +214,8 @@
 	flags = read_u(reader);
 	submission->idempotent = flags & SUBMIT_IDEMPOTENT;
 	submission->adopt = flags & SUBMIT_ADOPT;
-	submission->here = flags & SUBMIT_HERE;
-	submission->former_free = flags & SUBMIT_FORMER_FREE;
+	submission->here = flags & SUBMIT_NO_REDIRECT;
+	submission->former_free = flags & SUBMIT_PREVIOUS_FREED;
 	need->class =
 		flags & SUBMIT_DEFERRABLE ? CLASS_DEFERRABLE : CLASS_URGENT;
 	need->prompt_tokens = (uint32_t)read_u(reader);
