--- a/coord/ledger_codec.c
+++ b/coord/ledger_codec.c
@@ -5,11 +5,11 @@
 
 #include <string.h>
 
-#define ASK_IDEMPOTENT 1u
-#define ASK_ADOPT 2u
-#define ASK_FORMER_FREE 4u
-#define ASK_DEFERRABLE 8u
-#define ASK_HERE 16u
+#define SUBMIT_IDEMPOTENT 1u
+#define SUBMIT_ADOPT 2u
+#define SUBMIT_PREVIOUS_FREED 4u
+#define SUBMIT_DEFERRABLE 8u
+#define SUBMIT_NO_REDIRECT 16u
 #define BLOCK_SIZE 4u
 
 bool reader_open(struct reader *reader, const msgpack_object *object)
@@ -119,15 +119,15 @@
 	message_send(ledger, to->instance);
 }
 
-/* Milliseconds from now, plus one; 0 stands for never. */
-static uint64_t due_pack(int64_t due, int64_t now)
+/* Milliseconds from now plus one; 0 means never. */
+static uint64_t time_pack(int64_t time, int64_t now)
 {
-	if (due == CLOCK_NEVER)
+	if (time == CLOCK_NEVER)
 		return 0;
-	return (uint64_t)(MAX(due - now, 0) / USEC_PER_MSEC) + 1;
+	return (uint64_t)(MAX(time - now, 0) / USEC_PER_MSEC) + 1;
 }
 
-static int64_t due_unpack(uint64_t value, int64_t now)
+static int64_t time_unpack(uint64_t value, int64_t now)
 {
 	if (value == 0 || value > G_MAXINT32)
 		return CLOCK_NEVER;
@@ -147,7 +147,7 @@
 	pack_bin(packer, bytes, (size_t)need->block_count * BLOCK_SIZE);
 }
 
-/* The low half of a chained hash is enough to tell blocks apart. */
+/* The low 32 bits of a chained hash are enough to distinguish blocks. */
 static bool blocks_read(struct reader *reader, struct policy_request *need)
 {
 	uint32_t size;
@@ -166,20 +166,20 @@
 	return true;
 }
 
-void ask_send(struct ledger *ledger, uint64_t to, uint32_t epoch,
-	      const struct item *item)
+void submission_send(struct ledger *ledger, uint64_t to, uint32_t epoch,
+		     const struct item *item)
 {
 	const struct policy_request *need = &item->need;
 	int64_t now = clock_now(ledger->clock);
 	msgpack_packer *packer =
-		message_begin(ledger, MESSAGE_ASK, item->incarnation, 14);
+		message_begin(ledger, MESSAGE_SUBMIT, item->incarnation, 14);
 	uint32_t flags = 0;
 
-	flags |= item->idempotent ? ASK_IDEMPOTENT : 0;
-	flags |= item->adopt ? ASK_ADOPT : 0;
-	flags |= item->no_redirect ? ASK_HERE : 0;
-	flags |= item->previous_freed ? ASK_FORMER_FREE : 0;
-	flags |= need->class == CLASS_DEFERRABLE ? ASK_DEFERRABLE : 0;
+	flags |= item->idempotent ? SUBMIT_IDEMPOTENT : 0;
+	flags |= item->adopt ? SUBMIT_ADOPT : 0;
+	flags |= item->no_redirect ? SUBMIT_NO_REDIRECT : 0;
+	flags |= item->previous_freed ? SUBMIT_PREVIOUS_FREED : 0;
+	flags |= need->class == CLASS_DEFERRABLE ? SUBMIT_DEFERRABLE : 0;
 	pack_u(packer, epoch);
 	pack_u(packer, item->request);
 	pack_u(packer, item->attempt);
@@ -190,40 +190,42 @@
 	pack_u(packer, need->prompt_tokens);
 	pack_u(packer, need->output_tokens_max);
 	pack_u(packer, (uint64_t)MAX(now - need->arrived, 0) / USEC_PER_MSEC);
-	pack_u(packer, due_pack(need->deadline, now));
-	pack_u(packer, due_pack(need->first_token_by, now));
+	pack_u(packer, time_pack(need->deadline, now));
+	pack_u(packer, time_pack(need->first_token_by, now));
 	pack_u(packer, need->organisation);
 	blocks_pack(packer, need);
 	message_send(ledger, to);
 }
 
-bool ask_read(struct ledger *ledger, struct reader *reader, struct ask *ask)
+bool submission_read(struct ledger *ledger, struct reader *reader,
+		     struct submission *submission)
 {
-	struct policy_request *need = &ask->need;
+	struct policy_request *need = &submission->need;
 	int64_t now = clock_now(ledger->clock);
 	uint64_t flags, age;
 
-	memset(ask, 0, sizeof(*ask));
-	ask->epoch = (uint32_t)read_u(reader);
-	ask->request = read_u(reader);
-	ask->attempt = (uint32_t)read_u(reader);
-	ask->service = (uint32_t)read_u(reader);
-	ask->key = read_u(reader);
-	ask->fingerprint = read_u(reader);
+	memset(submission, 0, sizeof(*submission));
+	submission->epoch = (uint32_t)read_u(reader);
+	submission->request = read_u(reader);
+	submission->attempt = (uint32_t)read_u(reader);
+	submission->service = (uint32_t)read_u(reader);
+	submission->key = read_u(reader);
+	submission->fingerprint = read_u(reader);
 	flags = read_u(reader);
-	ask->idempotent = flags & ASK_IDEMPOTENT;
-	ask->adopt = flags & ASK_ADOPT;
-	ask->no_redirect = flags & ASK_HERE;
-	ask->previous_freed = flags & ASK_FORMER_FREE;
-	need->class = flags & ASK_DEFERRABLE ? CLASS_DEFERRABLE : CLASS_URGENT;
+	submission->idempotent = flags & SUBMIT_IDEMPOTENT;
+	submission->adopt = flags & SUBMIT_ADOPT;
+	submission->no_redirect = flags & SUBMIT_NO_REDIRECT;
+	submission->previous_freed = flags & SUBMIT_PREVIOUS_FREED;
+	need->class =
+		flags & SUBMIT_DEFERRABLE ? CLASS_DEFERRABLE : CLASS_URGENT;
 	need->prompt_tokens = (uint32_t)read_u(reader);
 	need->output_tokens_max = (uint32_t)read_u(reader);
 	age = read_u(reader);
 	need->arrived = now - (int64_t)MIN(age, G_MAXINT32) * USEC_PER_MSEC;
-	need->deadline = due_unpack(read_u(reader), now);
-	need->first_token_by = due_unpack(read_u(reader), now);
+	need->deadline = time_unpack(read_u(reader), now);
+	need->first_token_by = time_unpack(read_u(reader), now);
 	need->organisation = read_u(reader);
-	need->attempt = ask->attempt;
+	need->attempt = submission->attempt;
 	return blocks_read(reader, need) && !reader->bad;
 }
 
@@ -248,18 +250,18 @@
 
 GBytes *entries_take(struct entries *entries)
 {
-	msgpack_sbuffer whole;
+	msgpack_sbuffer array;
 	msgpack_packer packer;
 	GBytes *bytes;
 
-	msgpack_sbuffer_init(&whole);
-	msgpack_packer_init(&packer, &whole, msgpack_sbuffer_write);
+	msgpack_sbuffer_init(&array);
+	msgpack_packer_init(&packer, &array, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, entries->count);
 	if (entries->buffer.size > 0)
-		msgpack_sbuffer_write(&whole, entries->buffer.data,
+		msgpack_sbuffer_write(&array, entries->buffer.data,
 				      entries->buffer.size);
-	bytes = g_bytes_new(whole.data, whole.size);
-	msgpack_sbuffer_destroy(&whole);
+	bytes = g_bytes_new(array.data, array.size);
+	msgpack_sbuffer_destroy(&array);
 	msgpack_sbuffer_clear(&entries->buffer);
 	entries->count = 0;
 	return bytes;
@@ -270,22 +272,22 @@
 	msgpack_zone zone;
 	msgpack_object object;
 	struct reader reader;
-	bool good = false;
+	bool is_array = false;
 
 	if (!msgpack_zone_init(&zone, MSGPACK_ZONE_CHUNK_SIZE))
 		return false;
 	if (codec_unpack(&zone, data, size, &object) &&
 	    object.type == MSGPACK_OBJECT_ARRAY) {
-		good = true;
+		is_array = true;
 		for (uint32_t i = 0; i < object.via.array.size; i++) {
 			if (reader_open(&reader, &object.via.array.ptr[i]))
 				fn(ctx, &reader);
 		}
 	}
 	msgpack_zone_destroy(&zone);
-	if (!good)
+	if (!is_array)
 		log_event(LOG_ERR, "ledger_entries_bad", LOG_D("size", size));
-	return good;
+	return is_array;
 }
 
 #define GRANT_IDEMPOTENT 1u
@@ -370,7 +372,7 @@
 	pack_u(packer, record->pieces);
 	pack_u(packer, record->service);
 	pack_u(packer, record->idempotent);
-	pack_u(packer, due_pack(record->expires, now));
+	pack_u(packer, time_pack(record->expires, now));
 	pack_text(packer, record->stream);
 }
 
@@ -407,7 +409,7 @@
 	record->pieces = (uint32_t)read_u(reader);
 	record->service = (uint32_t)read_u(reader);
 	record->idempotent = read_u(reader) != 0;
-	record->expires = due_unpack(read_u(reader), now);
+	record->expires = time_unpack(read_u(reader), now);
 	read_text(reader, record->stream, sizeof(record->stream));
 	return !reader->bad;
 }
--- a/coord/ledger_home.c
+++ b/coord/ledger_home.c
@@ -228,30 +228,33 @@
 }
 
 static void home_accept(struct cell *cell, const struct owner *owner,
-			const struct ask *ask, struct service *service)
+			const struct submission *submission,
+			struct service *service)
 {
-	struct grant *grant = grant_find(cell, owner, ask->request);
-	struct pending *pending = pending_find(cell, owner, ask->request);
+	struct grant *grant = grant_find(cell, owner, submission->request);
+	struct pending *pending =
+		pending_find(cell, owner, submission->request);
 	uint64_t avoid[2] = {0, 0};
 
 	if (pending != NULL) {
 		if (!pending->unsettled)
 			ack_add(cell->ledger, owner->instance,
-				owner->incarnation, ACK_QUEUED, ask->request,
-				pending->holder.attempt);
+				owner->incarnation, ACK_QUEUED,
+				submission->request, pending->holder.attempt);
 		return;
 	}
 	if (grant != NULL && grant->state != GRANT_HELD)
 		return;
-	if (grant != NULL && ask->attempt <= grant->holder.attempt) {
-		if (ask->attempt == grant->holder.attempt || grant->adopted)
+	if (grant != NULL && submission->attempt <= grant->holder.attempt) {
+		if (submission->attempt == grant->holder.attempt ||
+		    grant->adopted)
 			grant_send(grant);
 		return;
 	}
 	if (grant != NULL)
-		previous_grant_end(grant, ask->previous_freed, avoid);
-	pending = pending_add(cell, owner, ask, service);
-	if (ask->attempt == 0 && !ask->adopt)
+		previous_grant_end(grant, submission->previous_freed, avoid);
+	pending = pending_add(cell, owner, submission, service);
+	if (submission->attempt == 0 && !submission->adopt)
 		arrival_count(cell, &pending->need);
 	memcpy(pending->avoid, avoid, sizeof(avoid));
 	pending->avoid_until = clock_now(cell->ledger->clock) + AVOID_USEC;
@@ -279,21 +282,23 @@
 	const struct announcer *announcer;
 	struct service *service;
 	struct cell *cell;
-	struct ask ask;
+	struct submission submission;
 
-	if (!ask_read(ledger, reader, &ask) || !owner_alive(ledger, &owner))
+	if (!submission_read(ledger, reader, &submission) ||
+	    !owner_alive(ledger, &owner))
 		return;
-	service = service_find(ledger, ask.service);
+	service = service_find(ledger, submission.service);
 	if (service == NULL)
 		return;
 	cell = service->cell;
 	announcer = g_hash_table_lookup(cell->announcers, &from);
 	if (!cell->is_home || !has_announced(cell, &owner) ||
-	    announcer->epoch != ask.epoch) {
-		announce_unknown_send(cell, from, incarnation, ask.epoch);
+	    announcer->epoch != submission.epoch) {
+		announce_unknown_send(cell, from, incarnation,
+				      submission.epoch);
 		return;
 	}
-	home_accept(cell, &owner, &ask, service);
+	home_accept(cell, &owner, &submission, service);
 }
 
 static void hold_observe(struct cell *cell, const struct grant *grant)
--- a/coord/ledger_level.c
+++ b/coord/ledger_level.c
@@ -27,7 +27,7 @@
 #define LOAD_TARGET_MIN 0.75
 #define CATCH_UP_USEC (8 * USEC_PER_SEC)
 /* Some urgent requests always stay: they may not be the cause of the wait. */
-#define SHARE_MAX (CELL_LOAD_SHARES * 3 / 4)
+#define SHARE_MAX (CELL_LOAD_SHARE_ALL * 3 / 4)
 
 /* The share is lowered by one after this time of low waits. */
 #define SHARE_LOWER_USEC (5 * USEC_PER_SEC)
@@ -137,10 +137,11 @@
 	double load = 1 + MAX((double)(wait - wait_before) / seconds, 0);
 	double target = MAX(LOAD_TARGET - (double)wait / CATCH_UP_USEC,
 			    LOAD_TARGET_MIN);
-	double leaving = (double)share / CELL_LOAD_SHARES * free_fraction(cell);
+	double leaving =
+		(double)share / CELL_LOAD_SHARE_ALL * free_fraction(cell);
 	double total_load = load / (1 - leaving);
 	double share_needed =
-		(1 - target / total_load) * CELL_LOAD_SHARES + 0.5;
+		(1 - target / total_load) * CELL_LOAD_SHARE_ALL + 0.5;
 
 	return CLAMP((uint32_t)share_needed, share, SHARE_MAX);
 }
@@ -172,7 +173,7 @@
 	struct level *level = &cell->level;
 	int64_t wait = urgent_wait(cell, now);
 	int64_t wait_before = wait_record(level, wait);
-	bool is_waiting = wait >= CELL_LOAD_WAIT_USEC / LOW_WAIT_DIVISOR;
+	bool is_waiting = wait >= CELL_LOAD_BUSY_WAIT_USEC / LOW_WAIT_DIVISOR;
 
 	if (is_waiting != level->is_waiting) {
 		level->is_waiting = is_waiting;
@@ -181,7 +182,7 @@
 	}
 	if (!is_waiting)
 		return share_lower(cell, share, now);
-	if (wait <= CELL_LOAD_WAIT_USEC ||
+	if (wait <= CELL_LOAD_BUSY_WAIT_USEC ||
 	    now - level->waiting_changed_at < BURST_USEC)
 		return share;
 	level->busy = true;
@@ -197,7 +198,7 @@
 
 static uint32_t share_to_announce(const struct level *level)
 {
-	return level->role_missing ? CELL_LOAD_SHARES : level->share;
+	return level->role_missing ? CELL_LOAD_SHARE_ALL : level->share;
 }
 
 static void level_announce(struct cell *cell, enum cell_level level,
@@ -232,7 +233,7 @@
 		next = CELL_FULL;
 	if (role_missing(cell, now))
 		next = CELL_FULL;
-	if (level->announced_at + CELL_LOAD_HOLD_USEC > now)
+	if (level->announced_at + CELL_LOAD_INTERVAL_USEC > now)
 		return;
 	if (next != current || share != share_to_announce(level))
 		level_announce(cell, next, share_to_announce(level), now);
@@ -261,7 +262,7 @@
 	uint32_t share = cell_load_share(membership, cell->id);
 
 	level->role_missing = false;
-	level->share = share < CELL_LOAD_SHARES ? share : 0;
+	level->share = share < CELL_LOAD_SHARE_ALL ? share : 0;
 	level->announced_at = now;
 	level->role_agreed_at = now;
 	level->is_waiting = false;
@@ -302,7 +303,7 @@
 	if (service == NULL || service->plain)
 		return CELL_FREE;
 	cell = service->cell;
-	*share = CELL_LOAD_SHARES;
+	*share = CELL_LOAD_SHARE_ALL;
 	if (ledger->runner_list->len > 0 && (!role_listed(cell, POOL_PREFILL) ||
 					     !role_listed(cell, POOL_DECODE)))
 		return CELL_FULL;
--- a/coord/ledger_parts.h
+++ b/coord/ledger_parts.h
@@ -103,7 +103,7 @@
 void arrival_count(struct cell *cell, const struct policy_request *need);
 /* The runner has moved to the cell's other pool: discards its measurements in
  * the previous role. */
-void runner_repool(struct cell *cell, uint32_t index, const char *pool);
+void runner_set_pool(struct cell *cell, uint32_t index, const char *pool);
 
 /* ledger_record.c */
 struct record *record_find(const struct cell *cell, uint64_t key);
@@ -112,8 +112,8 @@
 void record_end(struct record *record, uint32_t state);
 void record_remove(struct record *record);
 void record_touch(struct record *record);
-void record_owned(struct record *record, const struct owner *owner,
-		  uint64_t request);
+void record_set_owner(struct record *record, const struct owner *owner,
+		      uint64_t request);
 /* Resolves the pending requests that waited for the record. */
 void record_unpark(struct record *record);
 /* For a limited time, ends running records that have neither a grant nor a
@@ -127,7 +127,8 @@
 struct pending *pending_find(const struct cell *cell, const struct owner *owner,
 			     uint64_t request);
 struct pending *pending_add(struct cell *cell, const struct owner *owner,
-			    const struct ask *ask, struct service *service);
+			    const struct submission *submission,
+			    struct service *service);
 /* Looks its key up, then queues or answers it. */
 void pending_resolve(struct pending *pending);
 void pending_refuse(struct pending *pending, enum result_code code,
@@ -145,11 +146,11 @@
 int64_t queue_time(const struct cell *cell, const struct policy_request *need);
 
 /* ledger_prefill.c: when a prefill runner is expected to be free. */
-void prefill_book(struct grant *grant, int64_t time);
+void prefill_assign(struct grant *grant, int64_t time);
 /* The grant's prompt has been computed or abandoned. */
 void prefill_ended(struct grant *grant);
-void prefill_forget(struct cell *cell, uint32_t index);
-void prefill_observe(struct cell *cell, uint32_t index, int64_t taken);
+void prefill_reset(struct cell *cell, uint32_t index);
+void prefill_apply_report(struct cell *cell, uint32_t index, int64_t taken);
 
 /* ledger_view.c: the policy's view, and scans of the queue. */
 void queue_scan(struct cell *cell);
@@ -216,7 +217,7 @@
 /* Announces a new record's key to the other data centres. */
 void remote_announce(struct cell *cell, uint64_t key);
 /* Answers the request and returns true if another data centre has its key. */
-bool remote_answer(struct pending *pending);
+bool remote_redirect(struct pending *pending);
 void remote_receive(struct ledger *ledger, uint64_t from, uint64_t incarnation,
 		    struct reader *reader);
 
--- a/coord/ledger_queue.c
+++ b/coord/ledger_queue.c
@@ -14,7 +14,8 @@
 }
 
 struct pending *pending_add(struct cell *cell, const struct owner *owner,
-			    const struct ask *ask, struct service *service)
+			    const struct submission *submission,
+			    struct service *service)
 {
 	struct pending *pending = g_new0(struct pending, 1);
 
@@ -22,15 +23,15 @@
 	pending->service = service;
 	pending->service_id = service->id;
 	pending->holder.owner = *owner;
-	pending->holder.request = ask->request;
-	pending->holder.attempt = ask->attempt;
-	pending->key = ask->key;
-	pending->fingerprint = ask->fingerprint;
-	pending->idempotent = ask->idempotent;
-	pending->adopt = ask->adopt;
-	pending->no_redirect = ask->no_redirect;
-	pending->need = ask->need;
-	pending->need.id = id_mix(owner->instance, ask->request);
+	pending->holder.request = submission->request;
+	pending->holder.attempt = submission->attempt;
+	pending->key = submission->key;
+	pending->fingerprint = submission->fingerprint;
+	pending->idempotent = submission->idempotent;
+	pending->adopt = submission->adopt;
+	pending->no_redirect = submission->no_redirect;
+	pending->need = submission->need;
+	pending->need.id = id_mix(owner->instance, submission->request);
 	g_hash_table_insert(cell->pending_requests, &pending->holder, pending);
 	return pending;
 }
@@ -225,7 +226,8 @@
 	record->fingerprint = pending->fingerprint;
 	record->service = pending->service->id;
 	record->idempotent = pending->idempotent;
-	record_owned(record, &pending->holder.owner, pending->holder.request);
+	record_set_owner(record, &pending->holder.owner,
+			 pending->holder.request);
 	pending_enqueue(pending);
 }
 
@@ -251,7 +253,7 @@
 	grant->adopted = true;
 	grant->acknowledged = false;
 	grant->tries = 0;
-	record_owned(record, &holder.owner, holder.request);
+	record_set_owner(record, &holder.owner, holder.request);
 	grant_send(grant);
 	record_unpark(record);
 }
@@ -277,7 +279,7 @@
 	struct cell *cell = pending->cell;
 	struct record *record;
 
-	if (remote_answer(pending))
+	if (remote_redirect(pending))
 		return;
 	record = record_add(cell, pending->key);
 	if (record == NULL) {
--- a/coord/ledger_view.c
+++ b/coord/ledger_view.c
@@ -172,7 +172,7 @@
 	pending_grant(pending, placement->prefill, placement->decode);
 	grant = grant_find(cell, &holder.owner, holder.request);
 	grant->expected_end = end;
-	prefill_book(grant, prefill_time);
+	prefill_assign(grant, prefill_time);
 	runner_at(cell, grant->decode)->sorted = false;
 }
 
--- a/tests/ledger/test_faults.c
+++ b/tests/ledger/test_faults.c
@@ -41,34 +41,34 @@
 
 static void block_both(void)
 {
-	world_cut(world, home, holder, true);
-	world_cut(world, holder, home, true);
+	world_block(world, home, holder, true);
+	world_block(world, holder, home, true);
 }
 
 static void block_to_home(void)
 {
-	world_cut(world, holder, home, true);
+	world_block(world, holder, home, true);
 }
 
 static void block_to_holder(void)
 {
-	world_cut(world, home, holder, true);
+	world_block(world, home, holder, true);
 }
 
 static void unblock(void)
 {
-	world_cut(world, home, holder, false);
-	world_cut(world, holder, home, false);
+	world_block(world, home, holder, false);
+	world_block(world, holder, home, false);
 }
 
 static void lose_messages(void)
 {
-	world->lose = 0.4;
+	world->loss_rate = 0.4;
 }
 
 static void duplicate_messages(void)
 {
-	world->twice = 1;
+	world->duplicate_rate = 1;
 }
 
 static void reorder_messages(void)
@@ -78,8 +78,8 @@
 
 static void restore_network(void)
 {
-	world->lose = 0;
-	world->twice = 0;
+	world->loss_rate = 0;
+	world->duplicate_rate = 0;
 	world->delay_max = 3 * USEC_PER_MSEC;
 }
 
@@ -100,7 +100,7 @@
 
 static void resume_holder(void)
 {
-	world_wake(world, holder);
+	world_resume(world, holder);
 }
 
 static void kill_home(void)
@@ -120,7 +120,7 @@
 
 static void resume_home(void)
 {
-	world_wake(world, home);
+	world_resume(world, home);
 }
 
 static void kill_home_and_holder(void)
@@ -157,7 +157,7 @@
 static void set_ignores_cancel(bool ignores)
 {
 	for (int i = 0; i < world->engine_count; i++)
-		world->engines[i].deaf = ignores;
+		world->engines[i].ignores_cancel = ignores;
 }
 
 static void caller_gone_cancel_lost(void)
@@ -288,20 +288,21 @@
 
 static void fill_memory(void)
 {
-	struct spec spec = {.tokens = 16000, .work = 600 * USEC_PER_MSEC};
+	struct spec spec = {.tokens = 16000,
+			    .decode_usec = 600 * USEC_PER_MSEC};
 
-	app_ask(world, replica, &spec);
-	app_ask(world, replica, &spec);
+	app_submit(world, replica, &spec);
+	app_submit(world, replica, &spec);
 	world_run(world, 100 * USEC_PER_MSEC);
 }
 
 static void reach_stage(enum stage stage)
 {
-	struct spec spec = {.key = KEY, .work = 400 * USEC_PER_MSEC};
+	struct spec spec = {.key = KEY, .decode_usec = 400 * USEC_PER_MSEC};
 
 	if (stage == AT_QUEUE)
 		fill_memory();
-	job = app_ask(world, holder, &spec);
+	job = app_submit(world, holder, &spec);
 	if (stage == AT_QUEUE)
 		world_run(world, 50 * USEC_PER_MSEC);
 	else if (stage == AT_GRANT)
@@ -361,7 +362,7 @@
 		row->repair();
 	if (!soon)
 		world_run(world, RETRY_LATE_USEC);
-	retry = app_ask(world, replica, &spec);
+	retry = app_submit(world, replica, &spec);
 	retry->adopt = true;
 	world_run(world, REPAIR_USEC - RETRY_SOON_USEC);
 	if (soon)
@@ -370,8 +371,8 @@
 	invariants_end(world);
 	g_test_message("%s at stage %d: ends %c, retry %c %s", row->fault,
 		       stage, job_result(job), retry_result(retry),
-		       world->broken->str);
-	g_assert_cmpstr(world->broken->str, ==, "");
+		       world->violation->str);
+	g_assert_cmpstr(world->violation->str, ==, "");
 	g_assert_cmpint(job_result(job), ==, expected);
 	g_assert_cmpint(retry_result(retry), ==,
 			(unsigned char)row->retries[stage]);
--- a/tests/ledger/test_rehome.c
+++ b/tests/ledger/test_rehome.c
@@ -35,18 +35,18 @@
 
 static void block_pair(bool blocked)
 {
-	world_cut(world, next_home, other, blocked);
-	world_cut(world, other, next_home, blocked);
+	world_block(world, next_home, other, blocked);
+	world_block(world, other, next_home, blocked);
 }
 
 /* Submits two requests that fill both decode runners. */
 static void submit_both(int index, int64_t prefill, struct job *jobs[2])
 {
 	struct spec spec = {
-		.tokens = 16000, .prefill = prefill, .work = 500 * MSEC};
+		.tokens = 16000, .prefill = prefill, .decode_usec = 500 * MSEC};
 
 	for (int i = 0; i < 2; i++)
-		jobs[i] = app_ask(world, index, &spec);
+		jobs[i] = app_submit(world, index, &spec);
 	world_until(world, jobs[0]->state == JOB_PREFILL &&
 				   jobs[1]->state == JOB_PREFILL);
 }
@@ -68,9 +68,9 @@
 	submit_both(other, 1500 * MSEC, holding);
 	world_kill(world, home);
 	submitted[0] =
-		app_ask(world, next_home, &(struct spec){.tokens = 16000});
+		app_submit(world, next_home, &(struct spec){.tokens = 16000});
 	submitted[1] =
-		app_ask(world, next_home, &(struct spec){.tokens = 16000});
+		app_submit(world, next_home, &(struct spec){.tokens = 16000});
 	world_run(world, 1300 * MSEC);
 	g_assert_cmpuint(submitted[0]->answers + submitted[1]->answers, ==, 0);
 	block_pair(false);
@@ -87,10 +87,10 @@
 	submit_both(home, 20 * MSEC, holding);
 	engine_poll(&world->instances[home]);
 	wait_for_decode(holding);
-	members_raise(world, home);
+	members_raise_incarnation(world, home);
 	members_notify(&world->instances[home]);
-	members_tell(world, home, MEMBER_ALIVE, 1);
-	app_ask(world, next_home, &(struct spec){.tokens = 16000});
+	members_announce(world, home, MEMBER_ALIVE, 1);
+	app_submit(world, next_home, &(struct spec){.tokens = 16000});
 	world_end(world);
 }
 
@@ -104,12 +104,12 @@
 	block_pair(true);
 	submit_both(other, 600 * MSEC, holding);
 	world_kill(world, home);
-	app_ask(world, next_home, &(struct spec){.tokens = 16000});
+	app_submit(world, next_home, &(struct spec){.tokens = 16000});
 	world_run(world, 590 * MSEC);
 	engine_poll(&world->instances[next_home]);
 	wait_for_decode(holding);
 	world_kill(world, other);
-	members_tell(world, other, MEMBER_DEAD, 1);
+	members_announce(world, other, MEMBER_DEAD, 1);
 	world_end(world);
 }
 
@@ -128,7 +128,7 @@
 		report.runner = world->engines[i].id;
 		ledger_report(world->instances[next_home].ledger, &report);
 	}
-	job = app_ask(world, other, &(struct spec){.tokens = 16000});
+	job = app_submit(world, other, &(struct spec){.tokens = 16000});
 	world_run(world, 300 * MSEC);
 	g_assert_cmpuint(job->answers, ==, 0);
 	world->poll = 100 * MSEC;
@@ -153,21 +153,21 @@
 	struct spec spec = {.tokens = 16000, .class = CLASS_DEFERRABLE};
 
 	world_start();
-	world->slow[home][other] = 600 * MSEC;
-	app_ask(world, other, &spec);
-	app_ask(world, other, &spec);
+	world->extra_delay[home][other] = 600 * MSEC;
+	app_submit(world, other, &spec);
+	app_submit(world, other, &spec);
 	world_until(world, grants_given() == 2);
-	members_raise(world, home);
+	members_raise_incarnation(world, home);
 	members_notify(&world->instances[home]);
-	members_tell(world, home, MEMBER_ALIVE, 1);
+	members_announce(world, home, MEMBER_ALIVE, 1);
 	spec.class = CLASS_URGENT;
-	spec.work = 800 * MSEC;
-	app_ask(world, next_home, &spec);
-	app_ask(world, next_home, &spec);
+	spec.decode_usec = 800 * MSEC;
+	app_submit(world, next_home, &spec);
+	app_submit(world, next_home, &spec);
 	world_run(world, 500 * MSEC);
 	g_assert_cmpuint(world->engines[2].used, ==, 8);
 	world_run(world, 300 * MSEC);
-	world->slow[home][other] = 0;
+	world->extra_delay[home][other] = 0;
 	world_end(world);
 }
 
@@ -175,18 +175,18 @@
  * partitioned. */
 static void test_conflict(void)
 {
-	struct spec spec = {.key = 9, .work = 30 * USEC_PER_SEC};
+	struct spec spec = {.key = 9, .decode_usec = 30 * USEC_PER_SEC};
 	struct job *first, *second;
 
 	world_start();
-	first = app_ask(world, other, &spec);
+	first = app_submit(world, other, &spec);
 	world_run(world, 300 * MSEC);
-	world->split_until = CLOCK_NEVER; /* both may hold the key */
+	world->split_brain_until = CLOCK_NEVER; /* both may hold the key */
 	block_pair(true);
 	world_kill(world, home);
 	world_run(world, 6 * USEC_PER_SEC);
-	spec.work = 10 * USEC_PER_SEC;
-	second = app_ask(world, next_home, &spec);
+	spec.decode_usec = 10 * USEC_PER_SEC;
+	second = app_submit(world, next_home, &spec);
 	world_run(world, 500 * MSEC);
 	g_assert_cmpint(second->state, ==, JOB_DECODE);
 	block_pair(false);
@@ -200,18 +200,18 @@
 /* Progress messages make a stream known before any listing shows it. */
 static void test_progress(void)
 {
-	struct spec spec = {.key = 9, .work = 3 * USEC_PER_SEC};
+	struct spec spec = {.key = 9, .decode_usec = 3 * USEC_PER_SEC};
 	struct job *first, *retry;
 
 	world_start();
 	world->poll = 30 * USEC_PER_SEC;
 	world_run(world, 200 * MSEC);
-	first = app_ask(world, other, &spec);
+	first = app_submit(world, other, &spec);
 	world_until(world, first->state == JOB_DECODE);
 	world_run(world, 20 * MSEC);
 	world_kill(world, other);
 	world_run(world, 400 * MSEC);
-	retry = app_ask(world, next_home, &spec);
+	retry = app_submit(world, next_home, &spec);
 	retry->adopt = true;
 	world_run(world, 100 * MSEC);
 	g_assert_true(retry->adopted);
