--- a/coord/lease.c
+++ b/coord/lease.c
@@ -9,9 +9,9 @@
 
 /* Part of the term after which a lease is renewed: leaves two repeats before it
  * ends. */
-#define RENEW_PART 3
+#define RENEWALS_PER_TERM 3
 #define RETRY_BASE_USEC (500 * USEC_PER_MSEC)
-#define VOID_BASE_USEC (100 * USEC_PER_MSEC)
+#define VOID_RETRY_BASE_USEC (100 * USEC_PER_MSEC)
 #define RETRY_MAX_USEC (4 * USEC_PER_SEC)
 /* How far back a reader that starts goes: what it does not see it waits out. */
 #define HISTORY_RECORDS 512u
@@ -24,17 +24,18 @@
 	uint64_t task;
 	struct lease_state state;
 	bool wanted;
-	bool mine;  /* the last valid record is one of ours */
+	bool owned; /* the last valid record is one of ours */
 	bool held;  /* taken() was called, and lost() was not since */
-	bool fresh; /* a record by others has been read in this turn */
+	bool wait_start_pending; /* a record by others has been read in this
+				    turn */
 	uint64_t fence;
-	int64_t end;	  /* of our own lease */
-	int64_t read_at;  /* when the others' last record was read */
-	int64_t retry_at; /* when to append next */
+	int64_t expires_at; /* of our own lease */
+	int64_t wait_start; /* when the others' last record was read */
+	int64_t append_at;  /* when to append next */
 	int64_t order_timeout;
-	uint32_t appends; /* since one of ours was read back */
+	uint32_t attempts; /* since one of ours was read back */
 	struct timer timer;
-	struct timer end_timer;
+	struct timer hold_timer;
 };
 
 struct leases {
@@ -48,11 +49,11 @@
 	struct log_tail *tail;
 	GHashTable *tasks; /* task to struct lease */
 	uint64_t known_from;
-	bool read_whole; /* the end was reached since the start */
-	bool crowded;	 /* tasks were left out of the table */
+	bool caught_up;	    /* the end was reached since the start */
+	bool tasks_skipped; /* tasks were left out of the table */
 };
 
-static bool self_is(const struct leases *leases, const struct owner *owner)
+static bool is_self(const struct leases *leases, const struct owner *owner)
 {
 	return owner->instance == leases->self.instance &&
 	       owner->incarnation == leases->self.incarnation;
@@ -62,7 +63,7 @@
 {
 	struct leases *leases = lease->leases;
 
-	timer_stop(&lease->end_timer);
+	timer_stop(&lease->hold_timer);
 	if (!lease->held)
 		return;
 	lease->held = false;
@@ -74,17 +75,17 @@
 /* Begins or ends the holding. It begins in the turn after the record was read:
  * this process may have stood still between the beginning of that turn, which
  * its clock shows, and the reading. */
-static void lease_end_timer(struct timer *timer, void *ctx)
+static void lease_hold_timer(struct timer *timer, void *ctx)
 {
 	struct lease *lease = ctx;
 	struct leases *leases = lease->leases;
 	int64_t now = clock_now(leases->clock);
 
-	if (!lease->wanted || !lease->mine || now >= lease->end) {
+	if (!lease->wanted || !lease->owned || now >= lease->expires_at) {
 		lease_lose(lease);
 		return;
 	}
-	timer_start(&lease->end_timer, lease->end - now);
+	timer_start(&lease->hold_timer, lease->expires_at - now);
 	if (lease->held)
 		return;
 	lease->held = true;
@@ -94,7 +95,7 @@
 }
 
 /* The answer decides nothing: the record is read back, or repeated. */
-static void append_answered(void *ctx, enum result_code code, uint64_t offset)
+static void append_done(void *ctx, enum result_code code, uint64_t offset)
 {
 }
 
@@ -114,71 +115,71 @@
 	msgpack_sbuffer_init(&buffer);
 	lease_record_pack(&buffer, &record);
 	leases->store.append(leases->store.ctx, LOG_STREAM_LEASES, buffer.data,
-			     buffer.size, append_answered, NULL);
+			     buffer.size, append_done, NULL);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-static void lease_try(struct lease *lease, enum lease_action action)
+static void lease_attempt(struct lease *lease, enum lease_action action)
 {
 	struct leases *leases = lease->leases;
-	int64_t delay = retry_backoff(leases->rand, lease->appends,
+	int64_t delay = retry_backoff(leases->rand, lease->attempts,
 				      RETRY_BASE_USEC, RETRY_MAX_USEC);
 
-	lease->appends++;
-	lease->retry_at = clock_now(leases->clock) + delay;
+	lease->attempts++;
+	lease->append_at = clock_now(leases->clock) + delay;
 	timer_start(&lease->timer, delay);
 	lease_append(lease, action);
 }
 
 /* How long after reading the others' last record the task is surely free. */
-static int64_t lease_wait(const struct lease *lease)
+static int64_t lease_wait_usec(const struct lease *lease)
 {
-	int64_t orders = 0;
+	int64_t order_wait = 0;
 
 	/* The order's timeout is true time; our clock may run fast. */
 	if (lease->order_timeout)
-		orders = lease->order_timeout + lease->order_timeout / 16 +
-			 LEASE_MARGIN_USEC;
-	if (lease->state.free)
-		return orders;
+		order_wait = lease->order_timeout + lease->order_timeout / 16 +
+			     LEASE_MARGIN_USEC;
+	if (lease->state.released)
+		return order_wait;
 	if (!lease->state.next && !lease->state.known_from)
 		return 0; /* it was never held */
-	return lease->leases->term + LEASE_MARGIN_USEC + orders;
+	return lease->leases->term + LEASE_MARGIN_USEC + order_wait;
 }
 
 /* Does what is due, or starts the timer for when it is. */
-static void lease_work(struct lease *lease)
+static void lease_schedule(struct lease *lease)
 {
 	struct leases *leases = lease->leases;
 	int64_t now = clock_now(leases->clock);
-	int64_t due = lease->retry_at;
+	int64_t due = lease->append_at;
 
-	if (!lease->wanted || !leases->read_whole || lease->fresh)
+	if (!lease->wanted || !leases->caught_up || lease->wait_start_pending)
 		return;
-	if (!lease->mine)
-		due = MAX(due, lease->read_at + lease_wait(lease));
+	if (!lease->owned)
+		due = MAX(due, lease->wait_start + lease_wait_usec(lease));
 	if (now < due)
 		timer_start(&lease->timer, due - now);
 	else
-		lease_try(lease, lease->mine ? LEASE_RENEW : LEASE_TAKE);
+		lease_attempt(lease, lease->owned ? LEASE_RENEW : LEASE_TAKE);
 }
 
 static void lease_timer(struct timer *timer, void *ctx)
 {
 	struct lease *lease = ctx;
 
-	if (lease->fresh)
-		lease->read_at = clock_now(timer->clock);
-	lease->fresh = false;
-	lease_work(lease);
+	if (lease->wait_start_pending)
+		lease->wait_start = clock_now(timer->clock);
+	lease->wait_start_pending = false;
+	lease_schedule(lease);
 }
 
 /* The wait is counted from the next turn, for the same reason. */
-static void lease_refresh(struct lease *lease)
+static void lease_restart_wait(struct lease *lease)
 {
-	lease->mine = false;
+	lease->owned = false;
 	lease_lose(lease);
-	lease->fresh = true;
+	lease->wait_start_pending = true;
 	timer_start(&lease->timer, 0);
 }
 
@@ -186,42 +187,43 @@
 {
 	int64_t end = sent + lease->leases->term - LEASE_MARGIN_USEC;
 
-	lease->mine = true;
-	lease->fresh = false;
-	lease->end = MAX(lease->end, end);
-	lease->retry_at = sent + lease->leases->term / RENEW_PART;
-	timer_start(&lease->end_timer, 0);
-	lease_work(lease);
+	lease->owned = true;
+	lease->wait_start_pending = false;
+	lease->expires_at = MAX(lease->expires_at, end);
+	lease->append_at = sent + lease->leases->term / RENEWALS_PER_TERM;
+	timer_start(&lease->hold_timer, 0);
+	lease_schedule(lease);
 }
 
 /* A record of others came between, and voided ours. */
-static void lease_again(struct lease *lease)
+static void lease_retry_void(struct lease *lease)
 {
 	struct leases *leases = lease->leases;
 
-	lease->retry_at =
-		clock_now(leases->clock) +
-		retry_backoff(leases->rand, 0, VOID_BASE_USEC, RETRY_MAX_USEC);
-	lease_work(lease);
+	lease->append_at = clock_now(leases->clock) +
+			   retry_backoff(leases->rand, 0, VOID_RETRY_BASE_USEC,
+					 RETRY_MAX_USEC);
+	lease_schedule(lease);
 }
 
 /* One of our own records was read back. */
-static void lease_own(struct lease *lease, const struct lease_record *record,
-		      enum lease_verdict verdict, uint64_t offset)
+static void lease_own_record(struct lease *lease,
+			     const struct lease_record *record,
+			     enum lease_verdict verdict, uint64_t offset)
 {
-	lease->appends = 0;
+	lease->attempts = 0;
 	if (verdict == LEASE_VOID) {
-		lease_again(lease);
+		lease_retry_void(lease);
 		return;
 	}
 	if (verdict == LEASE_UNCLEAR || record->action == LEASE_RELEASE ||
-	    (record->action == LEASE_RENEW && !lease->mine)) {
-		lease_refresh(lease);
+	    (record->action == LEASE_RENEW && !lease->owned)) {
+		lease_restart_wait(lease);
 		return;
 	}
 	if (record->action == LEASE_TAKE) {
 		lease->fence = offset + 1;
-		lease->end = 0;
+		lease->expires_at = 0;
 	}
 	lease_extend(lease, (int64_t)record->sent);
 }
@@ -231,7 +233,7 @@
 	struct lease *lease = data;
 
 	timer_stop(&lease->timer);
-	timer_stop(&lease->end_timer);
+	timer_stop(&lease->hold_timer);
 	g_free(lease);
 }
 
@@ -241,13 +243,13 @@
 
 	lease->leases = leases;
 	lease->task = task;
-	lease->state.known_from = leases->crowded
+	lease->state.known_from = leases->tasks_skipped
 					  ? log_tail_position(leases->tail)
 					  : leases->known_from;
 	timer_init(&lease->timer, leases->clock, lease_timer, lease);
-	timer_init(&lease->end_timer, leases->clock, lease_end_timer, lease);
+	timer_init(&lease->hold_timer, leases->clock, lease_hold_timer, lease);
 	g_hash_table_insert(leases->tasks, &lease->task, lease);
-	lease_refresh(lease);
+	lease_restart_wait(lease);
 	return lease;
 }
 
@@ -270,30 +272,30 @@
 	}
 	lease = lease_find(leases, record.task);
 	if (!lease && g_hash_table_size(leases->tasks) >= TASKS_MAX) {
-		leases->crowded = true;
+		leases->tasks_skipped = true;
 		return;
 	}
 	if (!lease)
 		lease = lease_add(leases, record.task);
 	verdict = lease_fold(&lease->state, &record, log_record->offset);
-	if (self_is(leases, &record.holder))
-		lease_own(lease, &record, verdict, log_record->offset);
+	if (is_self(leases, &record.holder))
+		lease_own_record(lease, &record, verdict, log_record->offset);
 	else if (verdict != LEASE_VOID)
-		lease_refresh(lease);
+		lease_restart_wait(lease);
 }
 
 /* Starts every wait anew; lost() may be called, which may want more tasks. */
-static void leases_refresh(struct leases *leases)
+static void leases_restart_waits(struct leases *leases)
 {
 	GList *tasks = g_hash_table_get_values(leases->tasks);
 
 	for (GList *link = tasks; link; link = link->next)
-		lease_refresh(link->data);
+		lease_restart_wait(link->data);
 	g_list_free(tasks);
 }
 
 /* What came before first is unknown from now on. */
-static void leases_forget(struct leases *leases, uint64_t first)
+static void leases_forget_before(struct leases *leases, uint64_t first)
 {
 	GHashTableIter iter;
 	void *value;
@@ -304,14 +306,14 @@
 		struct lease *lease = value;
 
 		lease->state.known_from = first;
-		lease->state.free = false;
+		lease->state.released = false;
 	}
-	leases_refresh(leases);
+	leases_restart_waits(leases);
 }
 
 static void tail_gap(void *ctx, uint64_t expected, uint64_t first)
 {
-	leases_forget(ctx, first);
+	leases_forget_before(ctx, first);
 }
 
 /* A long stream is not read whole: its end is enough, and a wait. */
@@ -320,17 +322,17 @@
 	struct leases *leases = ctx;
 	uint64_t left = page->next - log_tail_position(leases->tail);
 
-	if (leases->read_whole)
+	if (leases->caught_up)
 		return;
 	if (left > HISTORY_RECORDS) {
 		log_tail_start(leases->tail, page->next - HISTORY_RECORDS);
-		leases_forget(leases, page->next - HISTORY_RECORDS);
+		leases_forget_before(leases, page->next - HISTORY_RECORDS);
 		return;
 	}
 	if (left)
 		return;
-	leases->read_whole = true;
-	leases_refresh(leases);
+	leases->caught_up = true;
+	leases_restart_waits(leases);
 }
 
 struct leases *leases_create(struct clock *clock, const struct owner *self,
@@ -374,13 +376,13 @@
 	g_free(leases);
 }
 
-void lease_want(struct leases *leases, uint64_t task)
+void lease_acquire(struct leases *leases, uint64_t task)
 {
-	lease_want_unfenced(leases, task, 0);
+	lease_acquire_unfenced(leases, task, 0);
 }
 
-void lease_want_unfenced(struct leases *leases, uint64_t task,
-			 int64_t order_timeout_us)
+void lease_acquire_unfenced(struct leases *leases, uint64_t task,
+			    int64_t order_timeout_us)
 {
 	struct lease *lease = lease_find(leases, task);
 
@@ -392,7 +394,7 @@
 		return;
 	lease->wanted = true;
 	lease->order_timeout = CLAMP(order_timeout_us, 0, ORDER_TIMEOUT_MAX);
-	lease_work(lease);
+	lease_schedule(lease);
 }
 
 void lease_release(struct leases *leases, uint64_t task)
@@ -405,7 +407,7 @@
 	held = lease_valid(leases, task, NULL);
 	lease->wanted = false;
 	lease->held = false;
-	lease_refresh(lease);
+	lease_restart_wait(lease);
 	if (held)
 		lease_append(lease, LEASE_RELEASE);
 }
@@ -415,7 +417,7 @@
 	const struct lease *lease = lease_find(leases, task);
 
 	if (!lease || !lease->wanted || !lease->held ||
-	    clock_now(leases->clock) >= lease->end)
+	    clock_now(leases->clock) >= lease->expires_at)
 		return false;
 	if (fence)
 		*fence = lease->fence;
--- a/coord/lease_fold.c
+++ b/coord/lease_fold.c
@@ -56,12 +56,12 @@
 			      const struct lease_record *record,
 			      uint64_t offset)
 {
-	bool passed = state->next > record->after;
+	bool conflicts = state->next > record->after;
 
 	state->next = offset + 1;
-	if (passed)
+	if (conflicts)
 		return LEASE_VOID;
-	state->free = record->action == LEASE_RELEASE;
+	state->released = record->action == LEASE_RELEASE;
 	if (record->after < state->known_from)
 		return LEASE_UNCLEAR;
 	return LEASE_VALID;
--- a/coord/order.c
+++ b/coord/order.c
@@ -126,10 +126,10 @@
 	struct leases *leases = site->orders->leases;
 
 	if (site->checks_fencing)
-		lease_want(leases, site_task(site));
+		lease_acquire(leases, site_task(site));
 	else
-		lease_want_unfenced(leases, site_task(site),
-				    ORDER_TIMEOUT_USEC);
+		lease_acquire_unfenced(leases, site_task(site),
+				       ORDER_TIMEOUT_USEC);
 }
 
 static void cell_visit(struct orders *orders, const struct order_cell *cell)
--- a/coord/order_site.c
+++ b/coord/order_site.c
@@ -39,7 +39,7 @@
 
 	timer_stop(&site->turn);
 	if (site->call == CALL_READ || site->call == CALL_SEND)
-		orders->ops.drop(orders->ctx, site->runner);
+		orders->ops.cancel(orders->ctx, site->runner);
 	site->call = CALL_NONE;
 }
 
--- a/entry/orders.c
+++ b/entry/orders.c
@@ -250,7 +250,7 @@
 	g_free(call);
 }
 
-static void ops_drop(void *ctx, uint64_t runner)
+static void ops_cancel(void *ctx, uint64_t runner)
 {
 	const struct entry_orders *orders = ctx;
 
@@ -376,7 +376,7 @@
 		.withhold = ops_withhold,
 		.read = ops_read,
 		.send = ops_send,
-		.drop = ops_drop,
+		.cancel = ops_cancel,
 	};
 	struct entry_orders *orders = g_new0(struct entry_orders, 1);
 	struct owner self = {id_of(entry->settings.name), entry->incarnation};
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -173,9 +173,9 @@
 	claims_take(instances[0].claims, 1, BOOKING, USEC_PER_SEC);
 	run(RUN_USEC);
 	claims_take(instances[1].claims, 2, BOOKING, USEC_PER_SEC);
-	lease_want(instances[0].leases, LOAD_MODEL);
+	lease_acquire(instances[0].leases, LOAD_MODEL);
 	run(RUN_USEC);
-	lease_want(instances[1].leases, LOAD_MODEL);
+	lease_acquire(instances[1].leases, LOAD_MODEL);
 	lease_release(instances[0].leases, LOAD_MODEL);
 	run(RUN_USEC);
 
--- a/forward/roles.c
+++ b/forward/roles.c
@@ -353,7 +353,7 @@
 	roles->leases = leases_create(roles->parts.clock, &self,
 				      &roles->parts.log, &ops, roles);
 	leases_set_term(roles->leases, TERM_USEC);
-	lease_want_unfenced(roles->leases, roles->task, ORDER_USEC);
+	lease_acquire_unfenced(roles->leases, roles->task, ORDER_USEC);
 	roles->leasing = true;
 }
 
--- a/include/coord/lease.h
+++ b/include/coord/lease.h
@@ -53,11 +53,11 @@
  * least twice the margin; to be set before a lease is wanted. */
 void leases_set_term(struct leases *leases, int64_t term_us);
 /* Keeps trying to take and renew the task's lease until given up. */
-void lease_want(struct leases *leases, uint64_t task);
+void lease_acquire(struct leases *leases, uint64_t task);
 /* The same for an engine that does not check fencing numbers: an order takes
  * effect within order_timeout_us of being sent, or not at all. */
-void lease_want_unfenced(struct leases *leases, uint64_t task,
-			 int64_t order_timeout_us);
+void lease_acquire_unfenced(struct leases *leases, uint64_t task,
+			    int64_t order_timeout_us);
 /* Ends it with no further call of lost(). The next holder does not wait for the
  * term; where the engine does not check fencing numbers, it does wait for the
  * order's timeout. */
--- a/include/coord/order.h
+++ b/include/coord/order.h
@@ -20,7 +20,7 @@
  *
  *	The embedder reaches engines and ledger through struct order_ops. Calls
  *	are answered by orders_read_done() and orders_send_done(), never from
- *	within the callback; after drop() they are not answered.
+ *	within the callback; after cancel() they are not answered.
  *
  * SEE ALSO
  *	coord/lease.h, coord/role.h, docs/design/roles.md
@@ -86,7 +86,7 @@
 	void (*withhold)(void *ctx, uint64_t runner, bool withheld);
 	void (*read)(void *ctx, uint64_t runner);
 	void (*send)(void *ctx, const struct order *order);
-	void (*drop)(void *ctx, uint64_t runner);
+	void (*cancel)(void *ctx, uint64_t runner);
 };
 
 struct orders;
--- a/tests/coord/lease_trial.c
+++ b/tests/coord/lease_trial.c
@@ -65,9 +65,9 @@
 {
 	holder->wants = true;
 	if (holder->trial->engine.checks)
-		lease_want(holder->leases, TASK);
+		lease_acquire(holder->leases, TASK);
 	else
-		lease_want_unfenced(holder->leases, TASK, ORDER_TIMEOUT);
+		lease_acquire_unfenced(holder->leases, TASK, ORDER_TIMEOUT);
 }
 
 void holder_start(struct holder *holder)
--- a/tests/coord/test_lease.c
+++ b/tests/coord/test_lease.c
@@ -282,7 +282,7 @@
 				lease_fold(&state, &record, step->offset), ==,
 				step->verdict);
 			if (step->verdict != LEASE_VOID)
-				g_assert_cmpint(state.free, ==,
+				g_assert_cmpint(state.released, ==,
 						step->action == LEASE_RELEASE);
 		}
 	}
@@ -320,7 +320,7 @@
 	trial->engine.checks = true;
 	holder_start(holder);
 	lease_release(holder->leases, TASK + 1); /* never wanted */
-	lease_want(holder->leases, TASK);	 /* twice */
+	lease_acquire(holder->leases, TASK);	 /* twice */
 	g_assert_false(lease_valid(holder->leases, TASK + 1, &fence));
 	g_assert_cmpuint(fence, ==, 7);
 	trial_run(trial, 2 * USEC_PER_SEC);
--- a/tests/order/world.c
+++ b/tests/order/world.c
@@ -147,7 +147,7 @@
 	call_start(ctx, order->runner, order);
 }
 
-static void ops_drop(void *ctx, uint64_t runner)
+static void ops_cancel(void *ctx, uint64_t runner)
 {
 	((struct instance *)ctx)->call++;
 }
@@ -210,7 +210,7 @@
 void instance_start(struct instance *instance)
 {
 	static const struct order_ops ops = {
-		ops_cell_next, ops_withhold, ops_read, ops_send, ops_drop,
+		ops_cell_next, ops_withhold, ops_read, ops_send, ops_cancel,
 	};
 	struct site_world *world = instance->world;
 	struct log_store store = fake_log_store(&instance->client);
