--- a/coord/order.c
+++ b/coord/order.c
@@ -4,18 +4,19 @@
 
 #include "common/log.h"
 
-uint64_t site_task(const struct site *site)
+uint64_t controller_task(const struct controller *ctl)
 {
-	return id_mix(id_of("roles"), site->cell);
+	return id_mix(id_of("roles"), ctl->cell);
 }
 
-static bool linger_remove(struct orders *orders, uint64_t runner)
+static bool delayed_release_remove(struct orders *orders, uint64_t runner)
 {
-	for (guint i = 0; i < orders->lingers->len; i++) {
-		if (g_array_index(orders->lingers, struct linger, i).runner !=
-		    runner)
+	for (guint i = 0; i < orders->delayed_releases->len; i++) {
+		if (g_array_index(orders->delayed_releases,
+				  struct delayed_release, i)
+			    .runner != runner)
 			continue;
-		g_array_remove_index_fast(orders->lingers, i);
+		g_array_remove_index_fast(orders->delayed_releases, i);
 		return true;
 	}
 	return false;
@@ -23,142 +24,145 @@
 
 void orders_withhold(struct orders *orders, uint64_t runner)
 {
-	if (!linger_remove(orders, runner))
+	if (!delayed_release_remove(orders, runner))
 		orders->ops.withhold(orders->ctx, runner, true);
 }
 
 void orders_release(struct orders *orders, uint64_t runner, int64_t until)
 {
-	struct linger linger = {.runner = runner, .until = until};
+	struct delayed_release release = {.runner = runner, .until = until};
 
 	if (clock_now(orders->clock) < until)
-		g_array_append_val(orders->lingers, linger);
+		g_array_append_val(orders->delayed_releases, release);
 	else
 		orders->ops.withhold(orders->ctx, runner, false);
 }
 
-static void lingers_sweep(struct orders *orders, int64_t now)
+static void delayed_releases_sweep(struct orders *orders, int64_t now)
 {
-	for (guint i = orders->lingers->len; i > 0; i--) {
-		struct linger linger =
-			g_array_index(orders->lingers, struct linger, i - 1);
+	for (guint i = orders->delayed_releases->len; i > 0; i--) {
+		struct delayed_release release =
+			g_array_index(orders->delayed_releases,
+				      struct delayed_release, i - 1);
 
-		if (now < linger.until)
+		if (now < release.until)
 			continue;
-		g_array_remove_index_fast(orders->lingers, i - 1);
-		orders->ops.withhold(orders->ctx, linger.runner, false);
+		g_array_remove_index_fast(orders->delayed_releases, i - 1);
+		orders->ops.withhold(orders->ctx, release.runner, false);
 	}
 }
 
-static struct site *site_of_task(struct orders *orders, uint64_t task)
+static struct controller *controller_of_task(struct orders *orders,
+					     uint64_t task)
 {
-	for (guint i = 0; i < orders->sites->len; i++) {
-		struct site *site = orders->sites->pdata[i];
+	for (guint i = 0; i < orders->controllers->len; i++) {
+		struct controller *ctl = orders->controllers->pdata[i];
 
-		if (site_task(site) == task)
-			return site;
+		if (controller_task(ctl) == task)
+			return ctl;
 	}
 	return NULL;
 }
 
 static void lease_taken(void *ctx, uint64_t task, uint64_t fence)
 {
-	struct site *site = site_of_task(ctx, task);
+	struct controller *ctl = controller_of_task(ctx, task);
 
-	if (site)
-		site_take(site, fence);
+	if (ctl)
+		controller_start(ctl, fence);
 }
 
 static void lease_lost(void *ctx, uint64_t task)
 {
-	struct site *site = site_of_task(ctx, task);
+	struct controller *ctl = controller_of_task(ctx, task);
 
-	if (site)
-		site_stop(site);
+	if (ctl)
+		controller_stop(ctl);
 }
 
-static void site_turn(struct timer *timer, void *ctx)
+static void controller_send_timer(struct timer *timer, void *ctx)
 {
-	site_send(ctx);
+	controller_send(ctx);
 }
 
-static void site_free(void *data)
+static void controller_free(void *data)
 {
-	struct site *site = data;
+	struct controller *ctl = data;
 
-	site_stop(site);
-	timer_stop(&site->turn);
-	g_array_free(site->asserts, TRUE);
-	g_hash_table_destroy(site->avoid);
-	g_free(site);
+	controller_stop(ctl);
+	timer_stop(&ctl->send_timer);
+	g_array_free(ctl->to_assert, TRUE);
+	g_hash_table_destroy(ctl->avoid_until);
+	g_free(ctl);
 }
 
-static struct site *site_create(struct orders *orders,
-				const struct order_cell *cell)
+static struct controller *controller_create(struct orders *orders,
+					    const struct order_cell *cell)
 {
-	struct site *site = g_new0(struct site, 1);
-
-	site->orders = orders;
-	site->cell = cell->id;
-	site->checks_fencing = cell->checks_fencing;
-	site->asserts = g_array_new(FALSE, FALSE, sizeof(struct runner_name));
-	site->avoid = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					    g_free);
-	timer_init(&site->turn, orders->clock, site_turn, site);
-	role_init(&site->role, &orders->settings);
-	g_ptr_array_add(orders->sites, site);
-	return site;
+	struct controller *ctl = g_new0(struct controller, 1);
+
+	ctl->orders = orders;
+	ctl->cell = cell->id;
+	ctl->checks_fencing = cell->checks_fencing;
+	ctl->to_assert = g_array_new(FALSE, FALSE, sizeof(struct runner_name));
+	ctl->avoid_until = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						 g_free, g_free);
+	timer_init(&ctl->send_timer, orders->clock, controller_send_timer, ctl);
+	role_init(&ctl->role, &orders->settings);
+	g_ptr_array_add(orders->controllers, ctl);
+	return ctl;
 }
 
-static struct site *site_find(const struct orders *orders, uint64_t cell)
+static struct controller *controller_find(const struct orders *orders,
+					  uint64_t cell)
 {
-	for (guint i = 0; i < orders->sites->len; i++) {
-		struct site *site = orders->sites->pdata[i];
+	for (guint i = 0; i < orders->controllers->len; i++) {
+		struct controller *ctl = orders->controllers->pdata[i];
 
-		if (site->cell == cell)
-			return site;
+		if (ctl->cell == cell)
+			return ctl;
 	}
 	return NULL;
 }
 
-static void site_want(struct site *site)
+static void controller_acquire_lease(struct controller *ctl)
 {
-	struct leases *leases = site->orders->leases;
+	struct leases *leases = ctl->orders->leases;
 
-	if (site->checks_fencing)
-		lease_acquire(leases, site_task(site));
+	if (ctl->checks_fencing)
+		lease_acquire(leases, controller_task(ctl));
 	else
-		lease_acquire_unfenced(leases, site_task(site),
+		lease_acquire_unfenced(leases, controller_task(ctl),
 				       ORDER_TIMEOUT_USEC);
 }
 
 static void cell_visit(struct orders *orders, const struct order_cell *cell)
 {
-	struct site *site = site_find(orders, cell->id);
+	struct controller *ctl = controller_find(orders, cell->id);
 
 	/* Another wait belongs to the other kind of engine. */
-	if (site && site->checks_fencing != cell->checks_fencing)
+	if (ctl && ctl->checks_fencing != cell->checks_fencing)
 		return;
-	if (!site)
-		site = site_create(orders, cell);
-	site->seen = true;
-	site_want(site);
-	site_tick(site, cell);
+	if (!ctl)
+		ctl = controller_create(orders, cell);
+	ctl->visited = true;
+	controller_acquire_lease(ctl);
+	controller_tick(ctl, cell);
 }
 
 /* Cells that this is no longer home to, or whose pools changed. */
-static void sites_sweep(struct orders *orders)
+static void controllers_sweep(struct orders *orders)
 {
-	for (guint i = orders->sites->len; i > 0; i--) {
-		struct site *site = orders->sites->pdata[i - 1];
-		bool seen = site->seen;
+	for (guint i = orders->controllers->len; i > 0; i--) {
+		struct controller *ctl = orders->controllers->pdata[i - 1];
+		bool visited = ctl->visited;
 
-		site->seen = false;
-		if (seen)
+		ctl->visited = false;
+		if (visited)
 			continue;
-		site_stop(site);
-		lease_release(orders->leases, site_task(site));
-		g_ptr_array_remove_index(orders->sites, i - 1);
+		controller_stop(ctl);
+		lease_release(orders->leases, controller_task(ctl));
+		g_ptr_array_remove_index(orders->controllers, i - 1);
 	}
 }
 
@@ -169,10 +173,10 @@
 	uint32_t cursor = 0;
 
 	timer_start(timer, ORDER_TICK_USEC);
-	lingers_sweep(orders, clock_now(orders->clock));
+	delayed_releases_sweep(orders, clock_now(orders->clock));
 	while (orders->ops.cell_next(orders->ctx, &cursor, &cell))
 		cell_visit(orders, &cell);
-	sites_sweep(orders);
+	controllers_sweep(orders);
 }
 
 struct orders *orders_create(struct clock *clock, const struct owner *self,
@@ -195,8 +199,9 @@
 	if (orders->settings.dwell > 0)
 		orders->settings.dwell =
 			MAX(orders->settings.dwell, ORDER_TIMEOUT_USEC);
-	orders->lingers = g_array_new(FALSE, FALSE, sizeof(struct linger));
-	orders->sites = g_ptr_array_new_with_free_func(site_free);
+	orders->delayed_releases =
+		g_array_new(FALSE, FALSE, sizeof(struct delayed_release));
+	orders->controllers = g_ptr_array_new_with_free_func(controller_free);
 	orders->leases = leases_create(clock, self, store, &lease_ops, orders);
 	timer_init(&orders->tick, clock, orders_tick, orders);
 	timer_start(&orders->tick, ORDER_TICK_USEC);
@@ -208,22 +213,23 @@
 	if (!orders)
 		return;
 	timer_stop(&orders->tick);
-	sites_sweep(orders);
-	g_ptr_array_free(orders->sites, TRUE);
-	lingers_sweep(orders, CLOCK_NEVER);
-	g_array_free(orders->lingers, TRUE);
+	controllers_sweep(orders);
+	g_ptr_array_free(orders->controllers, TRUE);
+	delayed_releases_sweep(orders, CLOCK_NEVER);
+	g_array_free(orders->delayed_releases, TRUE);
 	leases_destroy(orders->leases);
 	g_free(orders);
 }
 
-static struct site *site_of_call(const struct orders *orders, uint64_t runner,
-				 enum site_call call)
+static struct controller *controller_of_call(const struct orders *orders,
+					     uint64_t runner,
+					     enum call_phase call)
 {
-	for (guint i = 0; i < orders->sites->len; i++) {
-		struct site *site = orders->sites->pdata[i];
+	for (guint i = 0; i < orders->controllers->len; i++) {
+		struct controller *ctl = orders->controllers->pdata[i];
 
-		if (site->call == call && site->runner == runner)
-			return site;
+		if (ctl->call == call && ctl->runner == runner)
+			return ctl;
 	}
 	return NULL;
 }
@@ -231,30 +237,30 @@
 void orders_read_done(struct orders *orders, uint64_t runner, bool ok,
 		      enum pool_role role)
 {
-	struct site *site = site_of_call(orders, runner, CALL_READ);
+	struct controller *ctl = controller_of_call(orders, runner, CALL_READ);
 
-	if (site)
-		site_read_done(site, ok, role);
+	if (ctl)
+		controller_read_done(ctl, ok, role);
 }
 
 void orders_send_done(struct orders *orders, uint64_t runner,
 		      enum order_answer answer)
 {
-	struct site *site = site_of_call(orders, runner, CALL_SEND);
+	struct controller *ctl = controller_of_call(orders, runner, CALL_SEND);
 
-	if (site)
-		site_send_done(site, answer);
+	if (ctl)
+		controller_send_done(ctl, answer);
 }
 
 void orders_stats(const struct orders *orders, struct orders_stats *stats)
 {
 	*stats = orders->stats;
 	stats->leases = 0;
-	for (guint i = 0; i < orders->sites->len; i++) {
-		const struct site *site = orders->sites->pdata[i];
+	for (guint i = 0; i < orders->controllers->len; i++) {
+		const struct controller *ctl = orders->controllers->pdata[i];
 
 		stats->leases +=
-			lease_valid(orders->leases, site_task(site), NULL);
+			lease_valid(orders->leases, controller_task(ctl), NULL);
 	}
 }
 
@@ -266,21 +272,21 @@
 		[STEP_DRAIN] = "drain", [STEP_ORDER] = "order",
 		[STEP_LIST] = "list",
 	};
-	const struct site *site;
+	const struct controller *ctl;
 
-	if (*cursor >= orders->sites->len)
+	if (*cursor >= orders->controllers->len)
 		return false;
-	site = orders->sites->pdata[(*cursor)++];
+	ctl = orders->controllers->pdata[(*cursor)++];
 	*status = (struct orders_status){
-		.cell = site->cell,
-		.held = lease_valid(orders->leases, site_task(site), NULL),
-		.fence = site->fence,
-		.step = labels[site->step],
-		.runner = site->name,
-		.role = site->target,
-		.changes = site->changes,
-		.need_prefill = site->role.prefill,
-		.need_decode = site->role.decode,
+		.cell = ctl->cell,
+		.held = lease_valid(orders->leases, controller_task(ctl), NULL),
+		.fence = ctl->fence,
+		.step = labels[ctl->step],
+		.runner = ctl->name,
+		.role = ctl->target_role,
+		.changes = ctl->changes,
+		.need_prefill = ctl->role.need_prefill,
+		.need_decode = ctl->role.need_decode,
 	};
 	return true;
 }
--- a/coord/order_private.h
+++ b/coord/order_private.h
@@ -9,7 +9,7 @@
 #include "coord/lease.h"
 #include "coord/order.h"
 
-enum site_step {
+enum change_step {
 	STEP_IDLE,
 	STEP_ASSERT, /* orders each runner as it is, after taking the lease */
 	STEP_DRAIN,  /* the runner finishes what it has */
@@ -17,10 +17,10 @@
 	STEP_LIST, /* until the list shows the change */
 };
 
-enum site_call {
+enum call_phase {
 	CALL_NONE,
 	CALL_READ,
-	CALL_TURN, /* the order leaves in the next turn */
+	CALL_SEND_NEXT, /* the order leaves in the next turn */
 	CALL_SEND,
 };
 
@@ -31,34 +31,34 @@
 };
 
 /* An order to it may be under way though nothing is done with it any more. */
-struct linger {
+struct delayed_release {
 	uint64_t runner;
 	int64_t until;
 };
 
-struct site {
+struct controller {
 	struct orders *orders;
 	uint64_t cell;
 	bool checks_fencing;
-	bool seen;
+	bool visited;
 	uint64_t fence;
 	struct role role;
-	enum site_step step;
+	enum change_step step;
 	int64_t step_at;
-	enum site_call call;
-	struct timer turn;
+	enum call_phase call;
+	struct timer send_timer;
 	uint64_t runner;
 	char name[64];
-	enum pool_role listed; /* when its change or assertion began */
-	enum pool_role target;
+	enum pool_role listed_role; /* when its change or assertion began */
+	enum pool_role target_role;
 	bool acknowledged; /* the last order was answered */
 	uint32_t changes;
-	uint32_t sends;
+	uint32_t order_attempts;
 	int64_t sent_at;
 	uint32_t failures;
 	bool asserting;
-	GArray *asserts;   /* struct runner_name, yet to be asserted */
-	GHashTable *avoid; /* runner to the time when it may be chosen */
+	GArray *to_assert;	 /* struct runner_name, yet to be asserted */
+	GHashTable *avoid_until; /* runner to the time when it may be chosen */
 };
 
 struct orders {
@@ -67,8 +67,9 @@
 	struct order_ops ops;
 	void *ctx;
 	struct role_settings settings;
-	GPtrArray *sites;
-	GArray *lingers; /* struct linger: withheld until then */
+	GPtrArray *controllers;
+	GArray *delayed_releases; /* struct delayed_release: withheld until then
+				   */
 	struct timer tick;
 	struct orders_stats stats;
 };
@@ -76,13 +77,13 @@
 /* Lets a runner go, at once or when no order to it can be under way. */
 void orders_release(struct orders *orders, uint64_t runner, int64_t until);
 void orders_withhold(struct orders *orders, uint64_t runner);
-uint64_t site_task(const struct site *site);
+uint64_t controller_task(const struct controller *ctl);
 /* The lease begins and ends. */
-void site_take(struct site *site, uint64_t fence);
-void site_stop(struct site *site);
-void site_tick(struct site *site, const struct order_cell *cell);
-void site_send(struct site *site);
-void site_read_done(struct site *site, bool ok, enum pool_role role);
-void site_send_done(struct site *site, enum order_answer answer);
+void controller_start(struct controller *ctl, uint64_t fence);
+void controller_stop(struct controller *ctl);
+void controller_tick(struct controller *ctl, const struct order_cell *cell);
+void controller_send(struct controller *ctl);
+void controller_read_done(struct controller *ctl, bool ok, enum pool_role role);
+void controller_send_done(struct controller *ctl, enum order_answer answer);
 
 #endif
--- a/coord/order_site.c
+++ b/coord/order_site.c
@@ -5,103 +5,104 @@
 
 #include "common/log.h"
 
-#define TRIES_MAX 10u
-#define ASSERTS_MAX 4u
+#define ATTEMPTS_MAX 10u
+#define ASSERT_ATTEMPTS_MAX 4u
 /* A report that is so much younger than a change shows it. */
 /* The true time of an order's timeout, by a clock that may run fast. */
-#define ORDER_LATE_USEC (ORDER_TIMEOUT_USEC + 1 * USEC_PER_SEC)
-#define SETTLE_USEC (2 * USEC_PER_SEC)
+#define ORDER_EXPIRY_USEC (ORDER_TIMEOUT_USEC + 1 * USEC_PER_SEC)
+#define REPORT_LAG_USEC (2 * USEC_PER_SEC)
 /* A runner that has not reported for so long is gone. */
-#define SILENT_USEC (30 * USEC_PER_SEC)
+#define REPORT_TIMEOUT_USEC (30 * USEC_PER_SEC)
 
 static const char *role_label(enum pool_role role)
 {
 	return role == POOL_DECODE ? "decode" : "prefill";
 }
 
-static int64_t now(const struct site *site)
+static int64_t now(const struct controller *ctl)
 {
-	return clock_now(site->orders->clock);
+	return clock_now(ctl->orders->clock);
 }
 
-static void step_enter(struct site *site, enum site_step step)
+static void step_enter(struct controller *ctl, enum change_step step)
 {
-	site->step = step;
-	site->step_at = now(site);
-	site->sends = 0;
-	site->failures = 0;
-	site->acknowledged = false;
+	ctl->step = step;
+	ctl->step_at = now(ctl);
+	ctl->order_attempts = 0;
+	ctl->failures = 0;
+	ctl->acknowledged = false;
 }
 
-static void call_drop(struct site *site)
+static void call_cancel(struct controller *ctl)
 {
-	struct orders *orders = site->orders;
+	struct orders *orders = ctl->orders;
 
-	timer_stop(&site->turn);
-	if (site->call == CALL_READ || site->call == CALL_SEND)
-		orders->ops.cancel(orders->ctx, site->runner);
-	site->call = CALL_NONE;
+	timer_stop(&ctl->send_timer);
+	if (ctl->call == CALL_READ || ctl->call == CALL_SEND)
+		orders->ops.cancel(orders->ctx, ctl->runner);
+	ctl->call = CALL_NONE;
 }
 
-static bool changing(const struct site *site)
+static bool is_changing(const struct controller *ctl)
 {
-	return site->step == STEP_DRAIN || site->step == STEP_ORDER ||
-	       site->step == STEP_LIST;
+	return ctl->step == STEP_DRAIN || ctl->step == STEP_ORDER ||
+	       ctl->step == STEP_LIST;
 }
 
 /* Lets the runner go, changed or not. */
-static void change_end(struct site *site)
+static void change_end(struct controller *ctl)
 {
-	int64_t until = site->sends ? site->sent_at + ORDER_LATE_USEC : 0;
+	int64_t until =
+		ctl->order_attempts ? ctl->sent_at + ORDER_EXPIRY_USEC : 0;
 
-	call_drop(site);
-	if (site->step == STEP_LIST)
+	call_cancel(ctl);
+	if (ctl->step == STEP_LIST)
 		until = 0; /* an order that is late changes nothing */
-	if (changing(site))
-		orders_release(site->orders, site->runner, until);
-	step_enter(site, STEP_IDLE);
-	site->runner = 0;
-	site->name[0] = '\0';
+	if (is_changing(ctl))
+		orders_release(ctl->orders, ctl->runner, until);
+	step_enter(ctl, STEP_IDLE);
+	ctl->runner = 0;
+	ctl->name[0] = '\0';
 }
 
-void site_stop(struct site *site)
+void controller_stop(struct controller *ctl)
 {
-	change_end(site);
-	site->asserting = false;
-	g_array_set_size(site->asserts, 0);
+	change_end(ctl);
+	ctl->asserting = false;
+	g_array_set_size(ctl->to_assert, 0);
 }
 
-void site_take(struct site *site, uint64_t fence)
+void controller_start(struct controller *ctl, uint64_t fence)
 {
-	site_stop(site);
-	site->fence = fence;
-	role_init(&site->role, &site->orders->settings);
-	site->asserting = true;
-	step_enter(site, STEP_ASSERT);
+	controller_stop(ctl);
+	ctl->fence = fence;
+	role_init(&ctl->role, &ctl->orders->settings);
+	ctl->asserting = true;
+	step_enter(ctl, STEP_ASSERT);
 }
 
-static void change_fail(struct site *site, const char *reason)
+static void change_fail(struct controller *ctl, const char *reason)
 {
-	struct orders *orders = site->orders;
-	uint64_t *runner = g_memdup2(&site->runner, sizeof(site->runner));
+	struct orders *orders = ctl->orders;
+	uint64_t *runner = g_memdup2(&ctl->runner, sizeof(ctl->runner));
 	int64_t *until = g_new(int64_t, 1);
 
-	*until = now(site) + ORDER_AVOID_USEC;
-	g_hash_table_replace(site->avoid, runner, until);
+	*until = now(ctl) + ORDER_AVOID_USEC;
+	g_hash_table_replace(ctl->avoid_until, runner, until);
 	orders->stats.failures++;
-	log_event(LOG_WARNING, "role_change_failed", LOG_X("cell", site->cell),
-		  LOG_S("runner", site->name),
-		  LOG_S("role", role_label(site->target)),
+	log_event(LOG_WARNING, "role_change_failed", LOG_X("cell", ctl->cell),
+		  LOG_S("runner", ctl->name),
+		  LOG_S("role", role_label(ctl->target_role)),
 		  LOG_S("reason", reason));
-	change_end(site);
+	change_end(ctl);
 }
 
-static void read_start(struct site *site)
+static void read_start(struct controller *ctl)
 {
-	struct orders *orders = site->orders;
+	struct orders *orders = ctl->orders;
 
-	site->call = CALL_READ;
-	orders->ops.read(orders->ctx, site->runner);
+	ctl->call = CALL_READ;
+	orders->ops.read(orders->ctx, ctl->runner);
 }
 
 static const struct order_runner *runner_find(const struct order_cell *cell,
@@ -115,30 +116,30 @@
 }
 
 /* The next runner to be asserted; after the last one the step ends. */
-static void assert_next(struct site *site)
+static void assert_next(struct controller *ctl)
 {
-	guint left = site->asserts->len;
+	guint left = ctl->to_assert->len;
 	const struct runner_name *next;
 
 	if (left == 0) {
-		log_event(LOG_INFO, "roles_asserted", LOG_X("cell", site->cell),
-			  LOG_D("fence", site->fence));
-		site->asserting = false;
-		change_end(site);
+		log_event(LOG_INFO, "roles_asserted", LOG_X("cell", ctl->cell),
+			  LOG_D("fence", ctl->fence));
+		ctl->asserting = false;
+		change_end(ctl);
 		return;
 	}
-	next = &g_array_index(site->asserts, struct runner_name, left - 1);
-	site->runner = next->id;
-	site->listed = next->role;
-	g_strlcpy(site->name, next->name, sizeof(site->name));
-	g_array_set_size(site->asserts, left - 1);
-	site->sends = 0;
-	site->failures = 0;
-	site->acknowledged = false;
-	read_start(site);
+	next = &g_array_index(ctl->to_assert, struct runner_name, left - 1);
+	ctl->runner = next->id;
+	ctl->listed_role = next->role;
+	g_strlcpy(ctl->name, next->name, sizeof(ctl->name));
+	g_array_set_size(ctl->to_assert, left - 1);
+	ctl->order_attempts = 0;
+	ctl->failures = 0;
+	ctl->acknowledged = false;
+	read_start(ctl);
 }
 
-static void assert_begin(struct site *site, const struct order_cell *cell)
+static void assert_begin(struct controller *ctl, const struct order_cell *cell)
 {
 	for (uint32_t i = 0; i < cell->runner_count; i++) {
 		struct runner_name item = {
@@ -147,32 +148,32 @@
 		};
 
 		g_strlcpy(item.name, cell->runners[i].name, sizeof(item.name));
-		g_array_append_val(site->asserts, item);
+		g_array_append_val(ctl->to_assert, item);
 	}
-	assert_next(site);
+	assert_next(ctl);
 }
 
-static void assert_tick(struct site *site, const struct order_cell *cell)
+static void assert_tick(struct controller *ctl, const struct order_cell *cell)
 {
-	if (now(site) - site->step_at < SETTLE_USEC || site->call != CALL_NONE)
+	if (now(ctl) - ctl->step_at < REPORT_LAG_USEC || ctl->call != CALL_NONE)
 		return;
-	if (!site->runner)
-		assert_begin(site, cell);
-	else if (site->failures + site->sends >= ASSERTS_MAX)
-		assert_next(site); /* it does not answer, and gets no work */
+	if (!ctl->runner)
+		assert_begin(ctl, cell);
+	else if (ctl->failures + ctl->order_attempts >= ASSERT_ATTEMPTS_MAX)
+		assert_next(ctl); /* it does not answer, and gets no work */
 	else
-		read_start(site);
+		read_start(ctl);
 }
 
-static bool avoided(const struct site *site, uint64_t runner)
+static bool is_avoided(const struct controller *ctl, uint64_t runner)
 {
-	const int64_t *until = g_hash_table_lookup(site->avoid, &runner);
+	const int64_t *until = g_hash_table_lookup(ctl->avoid_until, &runner);
 
-	return until && now(site) < *until;
+	return until && now(ctl) < *until;
 }
 
 /* The one with least work. */
-static const struct order_runner *runner_choose(const struct site *site,
+static const struct order_runner *runner_choose(const struct controller *ctl,
 						const struct order_cell *cell,
 						enum pool_role role)
 {
@@ -181,7 +182,7 @@
 	for (uint32_t i = 0; i < cell->runner_count; i++) {
 		const struct order_runner *r = &cell->runners[i];
 
-		if (!r->usable || r->role != role || avoided(site, r->id))
+		if (!r->usable || r->role != role || is_avoided(ctl, r->id))
 			continue;
 		if (!best || r->grants < best->grants)
 			best = r;
@@ -189,198 +190,198 @@
 	return best;
 }
 
-static void change_start(struct site *site, const struct order_cell *cell,
+static void change_start(struct controller *ctl, const struct order_cell *cell,
 			 enum role_move move)
 {
 	enum pool_role from =
 		move == ROLE_TO_DECODE ? POOL_PREFILL : POOL_DECODE;
-	const struct order_runner *runner = runner_choose(site, cell, from);
+	const struct order_runner *runner = runner_choose(ctl, cell, from);
 
 	if (!runner)
 		return;
-	site->runner = runner->id;
-	g_strlcpy(site->name, runner->name, sizeof(site->name));
-	site->listed = from;
-	site->target = from == POOL_PREFILL ? POOL_DECODE : POOL_PREFILL;
-	step_enter(site, STEP_DRAIN);
-	orders_withhold(site->orders, site->runner);
-	log_event(LOG_NOTICE, "role_change_started", LOG_X("cell", site->cell),
-		  LOG_S("runner", site->name),
-		  LOG_S("role", role_label(site->target)),
-		  LOG_F("need_prefill", site->role.prefill),
-		  LOG_F("need_decode", site->role.decode),
+	ctl->runner = runner->id;
+	g_strlcpy(ctl->name, runner->name, sizeof(ctl->name));
+	ctl->listed_role = from;
+	ctl->target_role = from == POOL_PREFILL ? POOL_DECODE : POOL_PREFILL;
+	step_enter(ctl, STEP_DRAIN);
+	orders_withhold(ctl->orders, ctl->runner);
+	log_event(LOG_NOTICE, "role_change_started", LOG_X("cell", ctl->cell),
+		  LOG_S("runner", ctl->name),
+		  LOG_S("role", role_label(ctl->target_role)),
+		  LOG_F("need_prefill", ctl->role.need_prefill),
+		  LOG_F("need_decode", ctl->role.need_decode),
 		  LOG_D("prefill", cell->load.prefill),
 		  LOG_D("decode", cell->load.decode));
 }
 
 /* The runner of its role that would be left. */
-static bool other_usable(const struct site *site, const struct order_cell *cell,
-			 enum pool_role role)
+static bool has_other_usable(const struct controller *ctl,
+			     const struct order_cell *cell, enum pool_role role)
 {
 	for (uint32_t i = 0; i < cell->runner_count; i++) {
 		const struct order_runner *r = &cell->runners[i];
 
-		if (r->id != site->runner && r->usable && r->role == role)
+		if (r->id != ctl->runner && r->usable && r->role == role)
 			return true;
 	}
 	return false;
 }
 
-static void drain_tick(struct site *site, const struct order_cell *cell)
+static void drain_tick(struct controller *ctl, const struct order_cell *cell)
 {
-	const struct order_runner *runner = runner_find(cell, site->runner);
-	int64_t waited = now(site) - site->step_at;
-
-	if (!runner || (waited > SILENT_USEC &&
-			now(site) - runner->reported_at > SILENT_USEC))
-		change_fail(site, "gone");
-	else if (!other_usable(site, cell, runner->role))
-		change_fail(site, "the last of its role");
+	const struct order_runner *runner = runner_find(cell, ctl->runner);
+	int64_t waited = now(ctl) - ctl->step_at;
+
+	if (!runner || (waited > REPORT_TIMEOUT_USEC &&
+			now(ctl) - runner->reported_at > REPORT_TIMEOUT_USEC))
+		change_fail(ctl, "gone");
+	else if (!has_other_usable(ctl, cell, runner->role))
+		change_fail(ctl, "the last of its role");
 	else if (runner->grants == 0 && runner->empty &&
-		 runner->reported_at > site->step_at + SETTLE_USEC)
-		step_enter(site, STEP_ORDER);
+		 runner->reported_at > ctl->step_at + REPORT_LAG_USEC)
+		step_enter(ctl, STEP_ORDER);
 	else if (waited > ORDER_DRAIN_USEC)
-		change_fail(site, "still busy");
+		change_fail(ctl, "still busy");
 }
 
-static void order_tick(struct site *site)
+static void order_tick(struct controller *ctl)
 {
-	if (site->call != CALL_NONE)
+	if (ctl->call != CALL_NONE)
 		return;
-	if (site->failures >= TRIES_MAX)
-		change_fail(site, "no answer");
+	if (ctl->failures >= ATTEMPTS_MAX)
+		change_fail(ctl, "no answer");
 	else
-		read_start(site);
+		read_start(ctl);
 }
 
 /* The engine has the role, the list does not show it yet. */
-static void list_begin(struct site *site)
+static void list_begin(struct controller *ctl)
 {
-	if (!changing(site))
-		orders_withhold(site->orders, site->runner);
-	step_enter(site, STEP_LIST);
+	if (!is_changing(ctl))
+		orders_withhold(ctl->orders, ctl->runner);
+	step_enter(ctl, STEP_LIST);
 }
 
-static void list_end(struct site *site)
+static void list_end(struct controller *ctl)
 {
-	bool asserting = site->asserting;
+	bool asserting = ctl->asserting;
 
-	change_end(site);
+	change_end(ctl);
 	if (!asserting)
 		return;
-	step_enter(site, STEP_ASSERT);
-	assert_next(site);
+	step_enter(ctl, STEP_ASSERT);
+	assert_next(ctl);
 }
 
 /* Until the list shows it nobody knows how many there are of each role, so
  * nothing else is begun. */
-static void list_wait(struct site *site)
+static void list_wait(struct controller *ctl)
 {
-	if (now(site) - site->step_at <
-	    (int64_t)(site->failures + 1) * ORDER_LIST_USEC)
+	if (now(ctl) - ctl->step_at <
+	    (int64_t)(ctl->failures + 1) * ORDER_LIST_USEC)
 		return;
-	if (site->failures++ == 0)
-		site->orders->stats.failures++;
-	log_event(LOG_WARNING, "role_not_listed", LOG_X("cell", site->cell),
-		  LOG_S("runner", site->name),
-		  LOG_S("role", role_label(site->target)));
+	if (ctl->failures++ == 0)
+		ctl->orders->stats.failures++;
+	log_event(LOG_WARNING, "role_not_listed", LOG_X("cell", ctl->cell),
+		  LOG_S("runner", ctl->name),
+		  LOG_S("role", role_label(ctl->target_role)));
 }
 
-static void list_tick(struct site *site, const struct order_cell *cell)
+static void list_tick(struct controller *ctl, const struct order_cell *cell)
 {
-	const struct order_runner *runner = runner_find(cell, site->runner);
+	const struct order_runner *runner = runner_find(cell, ctl->runner);
 
-	if (!runner || now(site) - runner->reported_at > SILENT_USEC) {
+	if (!runner || now(ctl) - runner->reported_at > REPORT_TIMEOUT_USEC) {
 		log_event(LOG_WARNING, "role_change_failed",
-			  LOG_X("cell", site->cell),
-			  LOG_S("runner", site->name),
-			  LOG_S("role", role_label(site->target)),
+			  LOG_X("cell", ctl->cell), LOG_S("runner", ctl->name),
+			  LOG_S("role", role_label(ctl->target_role)),
 			  LOG_S("reason", "gone"));
-		list_end(site);
-	} else if (runner->role == site->target) {
-		site->orders->stats.changes += !site->asserting;
-		site->changes += !site->asserting;
-		log_event(LOG_NOTICE, "role_changed", LOG_X("cell", site->cell),
-			  LOG_S("runner", site->name),
-			  LOG_S("role", role_label(site->target)),
-			  LOG_D("fence", site->fence));
-		list_end(site);
+		list_end(ctl);
+	} else if (runner->role == ctl->target_role) {
+		ctl->orders->stats.changes += !ctl->asserting;
+		ctl->changes += !ctl->asserting;
+		log_event(LOG_NOTICE, "role_changed", LOG_X("cell", ctl->cell),
+			  LOG_S("runner", ctl->name),
+			  LOG_S("role", role_label(ctl->target_role)),
+			  LOG_D("fence", ctl->fence));
+		list_end(ctl);
 	} else {
-		list_wait(site);
+		list_wait(ctl);
 	}
 }
 
-void site_tick(struct site *site, const struct order_cell *cell)
+void controller_tick(struct controller *ctl, const struct order_cell *cell)
 {
 	struct role_load load = cell->load;
 	enum role_move move;
 
-	if (!lease_valid(site->orders->leases, site_task(site), NULL))
+	if (!lease_valid(ctl->orders->leases, controller_task(ctl), NULL))
 		return;
-	load.moving = site->step != STEP_IDLE;
-	move = role_tick(&site->role, now(site), &load);
-	if (site->step == STEP_ASSERT)
-		assert_tick(site, cell);
-	else if (site->step == STEP_DRAIN)
-		drain_tick(site, cell);
-	else if (site->step == STEP_ORDER)
-		order_tick(site);
-	else if (site->step == STEP_LIST)
-		list_tick(site, cell);
+	load.moving = ctl->step != STEP_IDLE;
+	move = role_tick(&ctl->role, now(ctl), &load);
+	if (ctl->step == STEP_ASSERT)
+		assert_tick(ctl, cell);
+	else if (ctl->step == STEP_DRAIN)
+		drain_tick(ctl, cell);
+	else if (ctl->step == STEP_ORDER)
+		order_tick(ctl);
+	else if (ctl->step == STEP_LIST)
+		list_tick(ctl, cell);
 	else if (move != ROLE_STAY)
-		change_start(site, cell, move);
+		change_start(ctl, cell, move);
 }
 
-void site_read_done(struct site *site, bool ok, enum pool_role role)
+void controller_read_done(struct controller *ctl, bool ok, enum pool_role role)
 {
-	site->call = CALL_NONE;
+	ctl->call = CALL_NONE;
 	if (!ok) {
-		site->failures++;
+		ctl->failures++;
 		return;
 	}
-	if (site->step == STEP_ASSERT) {
-		site->target = role;
-	} else if (site->acknowledged && role == site->target) {
-		list_begin(site);
+	if (ctl->step == STEP_ASSERT) {
+		ctl->target_role = role;
+	} else if (ctl->acknowledged && role == ctl->target_role) {
+		list_begin(ctl);
 		return;
-	} else if (site->acknowledged &&
-		   now(site) - site->sent_at < SETTLE_USEC) {
+	} else if (ctl->acknowledged &&
+		   now(ctl) - ctl->sent_at < REPORT_LAG_USEC) {
 		return;
-	} else if (site->sends >= TRIES_MAX) {
-		change_fail(site, "keeps its role");
+	} else if (ctl->order_attempts >= ATTEMPTS_MAX) {
+		change_fail(ctl, "keeps its role");
 		return;
 	}
-	site->call = CALL_TURN;
-	timer_start(&site->turn, 0);
+	ctl->call = CALL_SEND_NEXT;
+	timer_start(&ctl->send_timer, 0);
 }
 
-void site_send(struct site *site)
+void controller_send(struct controller *ctl)
 {
-	struct orders *orders = site->orders;
+	struct orders *orders = ctl->orders;
 	struct order order = {
-		.cell = site->cell,
-		.runner = site->runner,
-		.role = site->target,
+		.cell = ctl->cell,
+		.runner = ctl->runner,
+		.role = ctl->target_role,
 	};
 
-	site->call = CALL_NONE;
-	if (!lease_valid(orders->leases, site_task(site), &order.fence))
+	ctl->call = CALL_NONE;
+	if (!lease_valid(orders->leases, controller_task(ctl), &order.fence))
 		return;
-	site->call = CALL_SEND;
-	site->sends++;
-	site->sent_at = now(site);
-	site->acknowledged = false;
+	ctl->call = CALL_SEND;
+	ctl->order_attempts++;
+	ctl->sent_at = now(ctl);
+	ctl->acknowledged = false;
 	orders->stats.sent++;
 	orders->ops.send(orders->ctx, &order);
-	log_event(LOG_NOTICE, "role_order", LOG_X("cell", site->cell),
-		  LOG_S("runner", site->name),
-		  LOG_S("role", role_label(site->target)),
-		  LOG_D("fence", order.fence), LOG_D("try", site->sends),
+	log_event(LOG_NOTICE, "role_order", LOG_X("cell", ctl->cell),
+		  LOG_S("runner", ctl->name),
+		  LOG_S("role", role_label(ctl->target_role)),
+		  LOG_D("fence", order.fence),
+		  LOG_D("try", ctl->order_attempts),
 		  LOG_S("reason",
-			site->step == STEP_ASSERT ? "assert" : "change"));
+			ctl->step == STEP_ASSERT ? "assert" : "change"));
 }
 
-static void answer_log(const struct site *site, enum order_answer answer)
+static void answer_log(const struct controller *ctl, enum order_answer answer)
 {
 	static const char *const labels[] = {
 		[ORDER_TAKEN] = "taken",
@@ -389,32 +390,33 @@
 		[ORDER_REFUSED] = "refused",
 	};
 
-	log_event(LOG_NOTICE, "role_order_answer", LOG_X("cell", site->cell),
-		  LOG_S("runner", site->name), LOG_D("fence", site->fence),
+	log_event(LOG_NOTICE, "role_order_answer", LOG_X("cell", ctl->cell),
+		  LOG_S("runner", ctl->name), LOG_D("fence", ctl->fence),
 		  LOG_S("answer", labels[answer]));
 }
 
-void site_send_done(struct site *site, enum order_answer answer)
+void controller_send_done(struct controller *ctl, enum order_answer answer)
 {
-	struct orders *orders = site->orders;
+	struct orders *orders = ctl->orders;
 
-	site->call = CALL_NONE;
-	answer_log(site, answer);
+	ctl->call = CALL_NONE;
+	answer_log(ctl, answer);
 	if (answer == ORDER_TAKEN) {
-		site->acknowledged = true;
-		if (site->step == STEP_ASSERT && site->target != site->listed)
-			list_begin(site);
-		else if (site->step == STEP_ASSERT)
-			assert_next(site);
+		ctl->acknowledged = true;
+		if (ctl->step == STEP_ASSERT &&
+		    ctl->target_role != ctl->listed_role)
+			list_begin(ctl);
+		else if (ctl->step == STEP_ASSERT)
+			assert_next(ctl);
 	} else if (answer == ORDER_LOST) {
 		orders->stats.lost++;
 	} else if (answer == ORDER_REFUSED) {
 		orders->stats.refused++;
-		site->failures++;
+		ctl->failures++;
 	} else {
 		/* A later holder has been there: this lease is none. */
 		orders->stats.fenced++;
-		site_stop(site);
-		lease_release(orders->leases, site_task(site));
+		controller_stop(ctl);
+		lease_release(orders->leases, controller_task(ctl));
 	}
 }
--- a/include/coord/role.h
+++ b/include/coord/role.h
@@ -39,9 +39,9 @@
 struct role_settings {
 	int64_t dwell; /* microseconds from the end of a move to the next */
 	int64_t stabilisation; /* microseconds that the reason must last */
-	int64_t smooth;	       /* microseconds, time constant */
-	double busy;	       /* 0 to 1 */
-	double gain;	       /* 0 to 1 */
+	int64_t smoothing;     /* microseconds, time constant */
+	double busy_above;     /* 0 to 1 */
+	double gain_min;       /* 0 to 1 */
 };
 
 /* The cell now. Negative, infinite and absent figures count as 0. */
@@ -68,13 +68,13 @@
 
 struct role {
 	struct role_settings settings;
-	double prefill; /* needs, smoothed */
-	double decode;
+	double need_prefill; /* in runners, smoothed */
+	double need_decode;
 	enum role_move wanted; /* at all ticks since then */
 	int64_t wanted_since;
-	int64_t ticked;
+	int64_t last_tick;
 	bool started;
-	int64_t rest_until;
+	int64_t dwell_until;
 };
 
 void role_init(struct role *role, const struct role_settings *settings);
