--- a/coord/lease.c
+++ b/coord/lease.c
@@ -7,15 +7,15 @@
 #include "coord/retry.h"
 #include "lease_fold.h"
 
-/* Part of the term after which a lease is renewed: leaves two repeats before it
- * ends. */
+/* Leaves time for two retries of a renewal before the lease expires. */
 #define RENEWALS_PER_TERM 3
 #define RETRY_BASE_USEC (500 * USEC_PER_MSEC)
 #define VOID_RETRY_BASE_USEC (100 * USEC_PER_MSEC)
 #define RETRY_MAX_USEC (4 * USEC_PER_SEC)
-/* How far back a reader that starts goes: what it does not see it waits out. */
+/* Records read at the start. A lease may have been taken in an earlier record,
+ * so a taker waits a full term. */
 #define HISTORY_RECORDS 512u
-/* Tasks that are remembered before they are wanted. */
+/* Tasks tracked from the log before lease_acquire() names them. */
 #define TASKS_MAX 4096u
 #define ORDER_TIMEOUT_MAX (3600 * USEC_PER_SEC)
 
@@ -24,16 +24,15 @@
 	uint64_t task;
 	struct lease_state state;
 	bool wanted;
-	bool owned; /* the last valid record is one of ours */
+	bool owned; /* the last valid record is by this instance */
 	bool held;  /* taken() was called, and lost() was not since */
-	bool wait_start_pending; /* a record by others has been read in this
-				    turn */
+	bool wait_start_pending; /* wait_start is set in the next iteration */
 	uint64_t fence;
-	int64_t expires_at; /* of our own lease */
-	int64_t wait_start; /* when the others' last record was read */
-	int64_t append_at;  /* when to append next */
+	int64_t expires_at;
+	int64_t wait_start; /* when another's last record was read */
+	int64_t append_at;  /* earliest time of the next append */
 	int64_t order_timeout;
-	uint32_t attempts; /* since one of ours was read back */
+	uint32_t attempts; /* appends since a record was read back */
 	struct timer timer;
 	struct timer hold_timer;
 };
@@ -49,8 +48,8 @@
 	struct log_tail *tail;
 	GHashTable *tasks; /* task to struct lease */
 	uint64_t known_from;
-	bool caught_up;	    /* the end was reached since the start */
-	bool tasks_skipped; /* tasks were left out of the table */
+	bool caught_up;	    /* read to the end of the stream once */
+	bool tasks_skipped; /* records of tasks beyond TASKS_MAX were ignored */
 };
 
 static bool is_self(const struct leases *leases, const struct owner *owner)
@@ -72,9 +71,9 @@
 	leases->ops.lost(leases->ctx, lease->task);
 }
 
-/* Begins or ends the holding. It begins in the turn after the record was read:
- * this process may have stood still between the beginning of that turn, which
- * its clock shows, and the reading. */
+/* Begins or ends holding the lease. The clock shows the start of an iteration
+ * of the event loop, and the process may have been paused between that and
+ * reading the record, so holding begins in the iteration after it. */
 static void lease_hold_timer(struct timer *timer, void *ctx)
 {
 	struct lease *lease = ctx;
@@ -94,7 +93,7 @@
 	leases->ops.taken(leases->ctx, lease->task, lease->fence);
 }
 
-/* The answer decides nothing: the record is read back, or repeated. */
+/* The record is read back or appended again, whatever the result. */
 static void append_done(void *ctx, enum result_code code, uint64_t offset)
 {
 }
@@ -131,23 +130,23 @@
 	lease_append(lease, action);
 }
 
-/* How long after reading the others' last record the task is surely free. */
+/* Time from wait_start until no other instance can hold the lease. */
 static int64_t lease_wait_usec(const struct lease *lease)
 {
 	int64_t order_wait = 0;
 
-	/* The order's timeout is true time; our clock may run fast. */
+	/* The timeout is in true time, and the local clock may run fast. */
 	if (lease->order_timeout)
 		order_wait = lease->order_timeout + lease->order_timeout / 16 +
 			     LEASE_MARGIN_USEC;
 	if (lease->state.released)
 		return order_wait;
 	if (!lease->state.next && !lease->state.known_from)
-		return 0; /* it was never held */
+		return 0; /* never held */
 	return lease->leases->term + LEASE_MARGIN_USEC + order_wait;
 }
 
-/* Does what is due, or starts the timer for when it is. */
+/* Appends a record if one is due, or starts the timer until then. */
 static void lease_schedule(struct lease *lease)
 {
 	struct leases *leases = lease->leases;
@@ -174,7 +173,8 @@
 	lease_schedule(lease);
 }
 
-/* The wait is counted from the next turn, for the same reason. */
+/* The wait is counted from the next iteration, as the clock may be behind the
+ * reading of the record (see lease_hold_timer()). */
 static void lease_restart_wait(struct lease *lease)
 {
 	lease->owned = false;
@@ -195,7 +195,7 @@
 	lease_schedule(lease);
 }
 
-/* A record of others came between, and voided ours. */
+/* Another instance's record came first and made ours void. */
 static void lease_retry_void(struct lease *lease)
 {
 	struct leases *leases = lease->leases;
@@ -206,7 +206,7 @@
 	lease_schedule(lease);
 }
 
-/* One of our own records was read back. */
+/* Handles a record of this instance that was read back. */
 static void lease_own_record(struct lease *lease,
 			     const struct lease_record *record,
 			     enum lease_verdict verdict, uint64_t offset)
@@ -284,7 +284,7 @@
 		lease_restart_wait(lease);
 }
 
-/* Starts every wait anew; lost() may be called, which may want more tasks. */
+/* The list is a copy, since lost() may acquire further tasks. */
 static void leases_restart_waits(struct leases *leases)
 {
 	GList *tasks = g_hash_table_get_values(leases->tasks);
@@ -294,7 +294,7 @@
 	g_list_free(tasks);
 }
 
-/* What came before first is unknown from now on. */
+/* Records before first have not been read. */
 static void leases_forget_before(struct leases *leases, uint64_t first)
 {
 	GHashTableIter iter;
@@ -316,7 +316,7 @@
 	leases_forget_before(ctx, first);
 }
 
-/* A long stream is not read whole: its end is enough, and a wait. */
+/* Skips all but the last HISTORY_RECORDS records of a long stream. */
 static void tail_page(void *ctx, const struct log_page *page)
 {
 	struct leases *leases = ctx;
--- a/coord/lease_fold.h
+++ b/coord/lease_fold.h
@@ -1,13 +1,14 @@
 /*
- * lease_fold.h - the records of the stream "leases", and who holds what
+ * lease_fold.h - the records of the stream "leases", and which are valid
  *
  * DESCRIPTION
- *	A record says up to which offset its author had read the stream. It is
- *	valid when no record of its task, valid or not, lies between there and
- *	itself: its author then knew all that came before. So each reader judges
- *	a record by the records around it, and those who began to read at
- *	different offsets agree. A record that reaches back beyond what a reader
- *	has read is unclear to it: maybe held, never its own.
+ *	A record contains the offset up to which its author had read the stream.
+ *	It is valid when no other record of its task, valid or void, lies
+ *	between that offset and the record itself: its author then knew all
+ *	earlier records. Readers that begin at different offsets therefore reach
+ *	the same verdict. When a record's author had read only up to an offset
+ *	before the reader's first, the reader cannot judge the record: it is
+ *	unclear, and may be another holder's lease, but never the reader's.
  */
 #ifndef COORD_LEASE_FOLD_H
 #define COORD_LEASE_FOLD_H
@@ -31,9 +32,9 @@
 	uint64_t task;
 	struct owner holder;
 	enum lease_action action;
-	uint64_t after; /* first offset that its author had not read */
-	uint64_t fence; /* 0 in LEASE_TAKE: it is the offset plus one */
-	uint64_t sent;	/* by its author's own clock, in microseconds */
+	uint64_t after; /* first offset its author had not read */
+	uint64_t fence; /* 0 in LEASE_TAKE: its offset plus one */
+	uint64_t sent;	/* microseconds, by its author's clock */
 };
 
 enum lease_verdict {
@@ -42,11 +43,11 @@
 	LEASE_VALID,
 };
 
-/* What one reader knows of a task. */
+/* The state of a task as one reader knows it. */
 struct lease_state {
-	uint64_t known_from; /* all of its records from this offset on */
-	uint64_t next;	     /* offset of its last record, plus one; 0: none */
-	bool released;	     /* released, and not taken since */
+	uint64_t known_from; /* all records from this offset on were read */
+	uint64_t next;	     /* offset of its last record plus one; 0: none */
+	bool released;	     /* and not taken since */
 };
 
 void lease_record_pack(msgpack_sbuffer *out, const struct lease_record *record);
--- a/include/coord/lease.h
+++ b/include/coord/lease.h
@@ -2,22 +2,29 @@
  * lease.h - leases on the log, whose offsets fence orders to engines
  *
  * DESCRIPTION
- *	A lease names one holder for a task (an order to an engine, a role
- *	change). It is taken by appending to the stream "leases": a record is
- *	valid when its author had read every record of the task before it, and
- *	its offset plus one is the fencing number. A holder stops acting
- *	LEASE_MARGIN_USEC before its term ends, counted by its own clock from
- *	before it called the log; a taker waits LEASE_TERM_USEC plus
- *	LEASE_MARGIN_USEC after it first read the former record. Each clock may
- *run wrong by a twentieth. The former holder may have stood still: engines that
- *check refuse an order with an older number; for those that do not, the next
- *holder also waits out the order's timeout.
+ *	A lease gives one holder at a time a task: to send orders to an engine,
+ *	or to change roles. It is taken by appending a record to the stream
+ *	"leases". A record is valid when its author had read every earlier
+ *	record of the task. The offset of the take plus one is the fencing
+ *	number.
  *
- *	An answer of the log decides nothing; records are read back, and
- *	repeated when they are not. While the log is down, leases run out.
+ *	A holder stops acting LEASE_MARGIN_USEC before its term ends, counted by
+ *	its own clock from before it appended the record. Another instance takes
+ *	the lease LEASE_TERM_USEC plus LEASE_MARGIN_USEC after it read the
+ *	holder's last record. This holds while each clock runs at most 5 % fast
+ *	or slow.
  *
- *	An order under a lease is to be sent in the turn of the loop in which
- *	lease_valid() was asked.
+ *	A holder that was paused may send an order after its lease has expired.
+ *	Engines that check fencing numbers refuse an order with a lower number.
+ *	For engines that do not, the next holder also waits for the timeout of
+ *	an order.
+ *
+ *	The result of an append is ignored: a record counts once it has been
+ *	read back, and is appended again until then. Leases expire while the log
+ *	is down.
+ *
+ *	An order under a lease must be sent in the iteration of the event loop
+ *	in which lease_valid() returned true.
  *
  * SEE ALSO
  *	docs/design/leases.md; Gray and Cheriton, "Leases", SOSP 1989
@@ -37,9 +44,9 @@
 #define LEASE_MARGIN_USEC (1 * USEC_PER_SEC)
 
 struct lease_ops {
-	/* fence rises with each holder, never with a renewal by the same. */
+	/* fence rises with each new holder; a renewal leaves it as it is. */
 	void (*taken)(void *ctx, uint64_t task, uint64_t fence);
-	/* The lease is lost or about to end: start nothing more under it. */
+	/* The lease is lost or about to expire: start no more work under it. */
 	void (*lost)(void *ctx, uint64_t task);
 };
 
@@ -49,20 +56,20 @@
 			     const struct log_store *store,
 			     const struct lease_ops *ops, void *ctx);
 void leases_destroy(struct leases *leases);
-/* Another term than LEASE_TERM_USEC, the same for all that share the log, at
- * least twice the margin; to be set before a lease is wanted. */
+/* Replaces LEASE_TERM_USEC; a term below twice LEASE_MARGIN_USEC is raised to
+ * that. All users of the log must set the same term before they acquire a
+ * lease. */
 void leases_set_term(struct leases *leases, int64_t term_us);
-/* Keeps trying to take and renew the task's lease until given up. */
+/* Keeps trying to take and renew the task's lease until lease_release(). */
 void lease_acquire(struct leases *leases, uint64_t task);
-/* The same for an engine that does not check fencing numbers: an order takes
- * effect within order_timeout_us of being sent, or not at all. */
+/* As lease_acquire(), for engines that do not check fencing numbers. An order
+ * must take effect within order_timeout_us of being sent, or never. */
 void lease_acquire_unfenced(struct leases *leases, uint64_t task,
 			    int64_t order_timeout_us);
-/* Ends it with no further call of lost(). The next holder does not wait for the
- * term; where the engine does not check fencing numbers, it does wait for the
- * order's timeout. */
+/* Releases the lease; lost() is not called for it. The next holder need not
+ * wait for the term, but an unfenced one waits for the order's timeout. */
 void lease_release(struct leases *leases, uint64_t task);
-/* Whether the lease is held now, by this process's own clock. */
+/* Whether the lease is held now, by this process's clock. */
 bool lease_valid(const struct leases *leases, uint64_t task, uint64_t *fence);
 
 #endif
