--- a/coord/order.c
+++ b/coord/order.c
@@ -140,7 +140,8 @@
 {
 	struct controller *ctl = controller_find(orders, cell->id);
 
-	/* Another wait belongs to the other kind of engine. */
+	/* The lease wait depends on checks_fencing: it is swept and recreated.
+	 */
 	if (ctl && ctl->checks_fencing != cell->checks_fencing)
 		return;
 	if (!ctl)
@@ -150,7 +151,7 @@
 	controller_tick(ctl, cell);
 }
 
-/* Cells that this is no longer home to, or whose pools changed. */
+/* Removes cells whose home has moved or whose pools have changed. */
 static void controllers_sweep(struct orders *orders)
 {
 	for (guint i = orders->controllers->len; i > 0; i--) {
@@ -195,7 +196,7 @@
 	orders->ctx = ctx;
 	if (settings)
 		orders->settings = *settings;
-	/* Orders to a runner for one role and the other never cross. */
+	/* Keeps successive orders to one runner from overtaking each other. */
 	if (orders->settings.dwell > 0)
 		orders->settings.dwell =
 			MAX(orders->settings.dwell, ORDER_TIMEOUT_USEC);
--- a/coord/order_private.h
+++ b/coord/order_private.h
@@ -1,5 +1,5 @@
 /*
- * order_private.h - one cell's lease and the change under way, for order*.c
+ * order_private.h - the controller of one cell, for order.c and order_site.c
  */
 #ifndef COORD_ORDER_PRIVATE_H
 #define COORD_ORDER_PRIVATE_H
@@ -11,16 +11,16 @@
 
 enum change_step {
 	STEP_IDLE,
-	STEP_ASSERT, /* orders each runner as it is, after taking the lease */
-	STEP_DRAIN,  /* the runner finishes what it has */
+	STEP_ASSERT, /* orders each runner its present role, as a new holder */
+	STEP_DRAIN,  /* the runner finishes its work */
 	STEP_ORDER,
-	STEP_LIST, /* until the list shows the change */
+	STEP_LIST, /* waits until the list shows the change */
 };
 
 enum call_phase {
 	CALL_NONE,
 	CALL_READ,
-	CALL_SEND_NEXT, /* the order leaves in the next turn */
+	CALL_SEND_NEXT, /* the order is sent in the next iteration */
 	CALL_SEND,
 };
 
@@ -30,17 +30,18 @@
 	char name[64];
 };
 
-/* An order to it may be under way though nothing is done with it any more. */
+/* A runner still withheld after its change, as an order may be under way. */
 struct delayed_release {
 	uint64_t runner;
 	int64_t until;
 };
 
+/* Changes the roles of one cell while this instance is its home. */
 struct controller {
 	struct orders *orders;
 	uint64_t cell;
 	bool checks_fencing;
-	bool visited;
+	bool visited; /* by cell_next() in this tick */
 	uint64_t fence;
 	struct role role;
 	enum change_step step;
@@ -49,16 +50,16 @@
 	struct timer send_timer;
 	uint64_t runner;
 	char name[64];
-	enum pool_role listed_role; /* when its change or assertion began */
+	enum pool_role listed_role; /* when the change or assertion began */
 	enum pool_role target_role;
-	bool acknowledged; /* the last order was answered */
+	bool acknowledged; /* the last order was accepted */
 	uint32_t changes;
 	uint32_t order_attempts;
 	int64_t sent_at;
 	uint32_t failures;
-	bool asserting;
-	GArray *to_assert;	 /* struct runner_name, yet to be asserted */
-	GHashTable *avoid_until; /* runner to the time when it may be chosen */
+	bool asserting;	   /* also while STEP_LIST interrupts STEP_ASSERT */
+	GArray *to_assert; /* struct runner_name */
+	GHashTable *avoid_until; /* runner to time */
 };
 
 struct orders {
@@ -68,17 +69,16 @@
 	void *ctx;
 	struct role_settings settings;
 	GPtrArray *controllers;
-	GArray *delayed_releases; /* struct delayed_release: withheld until then
-				   */
+	GArray *delayed_releases; /* struct delayed_release */
 	struct timer tick;
 	struct orders_stats stats;
 };
 
-/* Lets a runner go, at once or when no order to it can be under way. */
+/* Ends withholding a runner from new work, at once or at the time until. */
 void orders_release(struct orders *orders, uint64_t runner, int64_t until);
 void orders_withhold(struct orders *orders, uint64_t runner);
 uint64_t controller_task(const struct controller *ctl);
-/* The lease begins and ends. */
+/* To be called when the lease is taken, and when it ends. */
 void controller_start(struct controller *ctl, uint64_t fence);
 void controller_stop(struct controller *ctl);
 void controller_tick(struct controller *ctl, const struct order_cell *cell);
--- a/coord/order_site.c
+++ b/coord/order_site.c
@@ -1,5 +1,5 @@
 /*
- * order_site.c - the steps of one cell while its lease is held
+ * order_site.c - the steps of a role change while the lease is held
  */
 #include "order_private.h"
 
@@ -7,11 +7,11 @@
 
 #define ATTEMPTS_MAX 10u
 #define ASSERT_ATTEMPTS_MAX 4u
-/* A report that is so much younger than a change shows it. */
-/* The true time of an order's timeout, by a clock that may run fast. */
+/* ORDER_TIMEOUT_USEC is in true time, and the local clock may run fast. */
 #define ORDER_EXPIRY_USEC (ORDER_TIMEOUT_USEC + 1 * USEC_PER_SEC)
+/* A report that is younger than a change by this much shows the change. */
 #define REPORT_LAG_USEC (2 * USEC_PER_SEC)
-/* A runner that has not reported for so long is gone. */
+/* A runner that has not reported for this time is unreachable. */
 #define REPORT_TIMEOUT_USEC (30 * USEC_PER_SEC)
 
 static const char *role_label(enum pool_role role)
@@ -49,7 +49,7 @@
 	       ctl->step == STEP_LIST;
 }
 
-/* Lets the runner go, changed or not. */
+/* Ends the change, successful or not. */
 static void change_end(struct controller *ctl)
 {
 	int64_t until =
@@ -57,7 +57,7 @@
 
 	call_cancel(ctl);
 	if (ctl->step == STEP_LIST)
-		until = 0; /* an order that is late changes nothing */
+		until = 0; /* a late order only repeats the role */
 	if (is_changing(ctl))
 		orders_release(ctl->orders, ctl->runner, until);
 	step_enter(ctl, STEP_IDLE);
@@ -115,7 +115,7 @@
 	return NULL;
 }
 
-/* The next runner to be asserted; after the last one the step ends. */
+/* Begins with the next runner to be asserted, or ends the step. */
 static void assert_next(struct controller *ctl)
 {
 	guint left = ctl->to_assert->len;
@@ -160,7 +160,7 @@
 	if (!ctl->runner)
 		assert_begin(ctl, cell);
 	else if (ctl->failures + ctl->order_attempts >= ASSERT_ATTEMPTS_MAX)
-		assert_next(ctl); /* it does not answer, and gets no work */
+		assert_next(ctl); /* unreachable runners get no work */
 	else
 		read_start(ctl);
 }
@@ -172,7 +172,7 @@
 	return until && now(ctl) < *until;
 }
 
-/* The one with least work. */
+/* The usable runner of the role with the fewest grants. */
 static const struct order_runner *runner_choose(const struct controller *ctl,
 						const struct order_cell *cell,
 						enum pool_role role)
@@ -214,7 +214,7 @@
 		  LOG_D("decode", cell->load.decode));
 }
 
-/* The runner of its role that would be left. */
+/* Whether the role keeps a usable runner without the one that changes. */
 static bool has_other_usable(const struct controller *ctl,
 			     const struct order_cell *cell, enum pool_role role)
 {
@@ -234,14 +234,14 @@
 
 	if (!runner || (waited > REPORT_TIMEOUT_USEC &&
 			now(ctl) - runner->reported_at > REPORT_TIMEOUT_USEC))
-		change_fail(ctl, "gone");
+		change_fail(ctl, "runner is unreachable");
 	else if (!has_other_usable(ctl, cell, runner->role))
-		change_fail(ctl, "the last of its role");
+		change_fail(ctl, "last usable runner of its role");
 	else if (runner->grants == 0 && runner->empty &&
 		 runner->reported_at > ctl->step_at + REPORT_LAG_USEC)
 		step_enter(ctl, STEP_ORDER);
 	else if (waited > ORDER_DRAIN_USEC)
-		change_fail(ctl, "still busy");
+		change_fail(ctl, "work not finished in time");
 }
 
 static void order_tick(struct controller *ctl)
@@ -249,12 +249,12 @@
 	if (ctl->call != CALL_NONE)
 		return;
 	if (ctl->failures >= ATTEMPTS_MAX)
-		change_fail(ctl, "no answer");
+		change_fail(ctl, "engine does not answer");
 	else
 		read_start(ctl);
 }
 
-/* The engine has the role, the list does not show it yet. */
+/* The engine has changed its role; waits for the list to show it. */
 static void list_begin(struct controller *ctl)
 {
 	if (!is_changing(ctl))
@@ -273,8 +273,8 @@
 	assert_next(ctl);
 }
 
-/* Until the list shows it nobody knows how many there are of each role, so
- * nothing else is begun. */
+/* No other change begins meanwhile, as the number of runners of each role is
+ * not known until the list shows the change. */
 static void list_wait(struct controller *ctl)
 {
 	if (now(ctl) - ctl->step_at <
@@ -295,7 +295,7 @@
 		log_event(LOG_WARNING, "role_change_failed",
 			  LOG_X("cell", ctl->cell), LOG_S("runner", ctl->name),
 			  LOG_S("role", role_label(ctl->target_role)),
-			  LOG_S("reason", "gone"));
+			  LOG_S("reason", "runner is unreachable"));
 		list_end(ctl);
 	} else if (runner->role == ctl->target_role) {
 		ctl->orders->stats.changes += !ctl->asserting;
@@ -347,7 +347,7 @@
 		   now(ctl) - ctl->sent_at < REPORT_LAG_USEC) {
 		return;
 	} else if (ctl->order_attempts >= ATTEMPTS_MAX) {
-		change_fail(ctl, "keeps its role");
+		change_fail(ctl, "engine keeps its role");
 		return;
 	}
 	ctl->call = CALL_SEND_NEXT;
@@ -414,7 +414,7 @@
 		orders->stats.refused++;
 		ctl->failures++;
 	} else {
-		/* A later holder has been there: this lease is none. */
+		/* The engine has seen a later holder: the lease is void. */
 		orders->stats.fenced++;
 		controller_stop(ctl);
 		lease_release(orders->leases, controller_task(ctl));
--- a/coord/role.c
+++ b/coord/role.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* After so long without a tick nothing is known about the time between. */
+/* After a longer gap between ticks the smoothed needs are discarded. */
 #define TICK_GAP_MAX_USEC (5 * USEC_PER_SEC)
 
 static double finite_or_zero(double value)
@@ -45,7 +45,7 @@
 		role->settings.gain_min = ROLE_GAIN;
 }
 
-/* The move that lowers the higher use enough, if any. */
+/* The move that lowers the higher utilisation by more than gain_min, if any. */
 static enum role_move role_choose_move(const struct role *role,
 				       const struct role_load *load)
 {
--- a/include/coord/order.h
+++ b/include/coord/order.h
@@ -1,26 +1,27 @@
 /*
- * order.h - changes the role of runners, by fenced orders under a lease
+ * order.h - changes the role of runners by fenced orders under a lease
  *
  * DESCRIPTION
- *	The home of a cell whose pools swap roles wants the lease of the task
- *	id_mix(id_of("roles"), cell). While it holds it, role.h decides each
- *	second. A runner that is to change gets no new work first; when its
- *	grants have ended and it reports no work, it is ordered to change, with
- *	the lease's fencing number. Before each order the engine's role is read,
- *	so that the connection is open and the order leaves in the turn in which
- *	the lease was found valid. An order whose answer was lost is repeated
- *	after the role was read again. The change is over when the engine has
- *	confirmed it and the platform's list names the runner in the other pool.
+ *	The home of a cell whose pools swap roles acquires the lease of the task
+ *	id_mix(id_of("roles"), cell). While it holds the lease, role.h decides
+ *	each second whether a runner should change. That runner is first
+ *	withheld from new work. Once its grants have ended and it reports no
+ *	work, it is sent an order with the lease's fencing number. Before each
+ *	order the role of the engine is read: this opens the connection, so that
+ *	the order leaves in the iteration of the event loop in which the lease
+ *	was found valid. If the answer to an order is lost, the role is read
+ *	again and the order repeated. The change is complete when the engine has
+ *	confirmed it and the platform's list shows the runner in the other pool.
  *
- *	Whoever has taken the lease first reads each runner's role and orders it
- *	anew as it is: engines that check fencing numbers then refuse what a
- *	former holder sent. Where an engine does not check them, the lease is
- *	taken only after the time that an order under way may need
- *	(ORDER_TIMEOUT_USEC). A refused number or a lost lease ends everything.
+ *	A new holder first reads each runner's role and orders that same role:
+ *	engines that check fencing numbers then refuse late orders of the former
+ *	holder. For engines that do not check them, the lease is taken only once
+ *	an earlier order can no longer take effect (ORDER_TIMEOUT_USEC). A
+ *	refused fencing number or a lost lease ends the change under way.
  *
- *	The embedder reaches engines and ledger through struct order_ops. Calls
- *	are answered by orders_read_done() and orders_send_done(), never from
- *	within the callback; after cancel() they are not answered.
+ *	Engines and ledger are reached through struct order_ops. The embedder
+ *	answers read() and send() by orders_read_done() and orders_send_done(),
+ *	never from within the callback, and not at all after cancel().
  *
  * SEE ALSO
  *	coord/lease.h, coord/role.h, docs/design/roles.md
@@ -40,27 +41,27 @@
 /* An order takes effect within this time of being sent, or never. */
 #define ORDER_TIMEOUT_USEC (5 * USEC_PER_SEC)
 #define ORDER_TICK_USEC (1 * USEC_PER_SEC)
-/* How long a runner may need to finish what it has. */
+/* Limit on the time in which a runner finishes its work. */
 #define ORDER_DRAIN_USEC (600 * USEC_PER_SEC)
-/* How long the list may need to show a change before that is warned of. */
+/* Time until a change missing from the list is logged as a warning. */
 #define ORDER_LIST_USEC (60 * USEC_PER_SEC)
-/* A runner whose change failed is not chosen again for so long. */
+/* Time during which a runner whose change failed is not chosen again. */
 #define ORDER_AVOID_USEC (300 * USEC_PER_SEC)
 
 struct order_runner {
 	uint64_t id;
 	const char *name;
-	enum pool_role role; /* of the pool that the list names */
+	enum pool_role role; /* of its pool in the platform's list */
 	bool usable;
 	bool empty; /* reports no work */
 	int64_t reported_at;
 	uint32_t grants;
 };
 
-/* Valid until the next call of the callback. */
+/* Valid until the next call of cell_next(). */
 struct order_cell {
 	uint64_t id;
-	bool checks_fencing; /* the engines of both pools do */
+	bool checks_fencing; /* all engines of both pools do */
 	struct role_load load;
 	const struct order_runner *runners;
 	uint32_t runner_count;
@@ -75,13 +76,13 @@
 
 enum order_answer {
 	ORDER_TAKEN,
-	ORDER_LOST, /* it may have taken effect */
+	ORDER_LOST, /* no answer: it may have taken effect */
 	ORDER_FENCED,
 	ORDER_REFUSED, /* it has no effect */
 };
 
 struct order_ops {
-	/* Walks the cells that this is home to and whose pools swap roles. */
+	/* Walks the cells with this home whose pools swap roles. */
 	bool (*cell_next)(void *ctx, uint32_t *cursor, struct order_cell *cell);
 	void (*withhold)(void *ctx, uint64_t runner, bool withheld);
 	void (*read)(void *ctx, uint64_t runner);
@@ -91,12 +92,12 @@
 
 struct orders;
 
-/* settings may be NULL. */
+/* settings may be NULL, for the defaults. */
 struct orders *orders_create(struct clock *clock, const struct owner *self,
 			     const struct log_store *store,
 			     const struct role_settings *settings,
 			     const struct order_ops *ops, void *ctx);
-/* Gives up the leases. */
+/* Releases the leases. */
 void orders_destroy(struct orders *orders);
 void orders_read_done(struct orders *orders, uint64_t runner, bool ok,
 		      enum pool_role role);
@@ -112,9 +113,10 @@
 	uint64_t failures;
 	uint32_t leases; /* held now */
 };
+
 void orders_stats(const struct orders *orders, struct orders_stats *stats);
 
-/* For the operators' view. */
+/* The state of one cell, for status pages. */
 struct orders_status {
 	uint64_t cell;
 	bool held;
@@ -122,7 +124,7 @@
 	const char *step;   /* "idle", "assert", "drain", "order", "list" */
 	const char *runner; /* "" when idle */
 	enum pool_role role;
-	uint32_t changes;    /* of this instance */
+	uint32_t changes;    /* made by this instance */
 	double need_prefill; /* in runners */
 	double need_decode;
 };
