--- a/tests/coord/lease_trial.c
+++ b/tests/coord/lease_trial.c
@@ -1,6 +1,6 @@
 #include "lease_trial.h"
 
-/* An order on its way to the engine. */
+/* An order under way to the engine. */
 struct order {
 	struct trial *trial;
 	uint64_t fence;
@@ -35,7 +35,7 @@
 
 static const struct lease_ops holder_ops = {holder_taken, holder_lost};
 
-/* Engines that do not check must never get an order that is out of date. */
+/* An engine that does not check fencing numbers must get no old order. */
 static void order_arrived(void *data)
 {
 	struct order *order = data;
@@ -55,7 +55,7 @@
 	struct order *order = g_new0(struct order, 1);
 
 	*order = (struct order){trial, fence};
-	/* The engine is on the first node's side, which never stops. */
+	/* The engine's node is the one after the holders' and never stops. */
 	world_post(trial->world->nodes->pdata[HOLDERS],
 		   world_draw(trial->world, ORDER_TIMEOUT), order_arrived,
 		   order, g_free, true);
@@ -128,7 +128,7 @@
 	g_free(trial);
 }
 
-/* The promise itself; a paused holder acts on nothing. */
+/* Checks the invariant. A paused holder cannot act, so it does not count. */
 int trial_check_holders(const struct trial *trial, uint32_t *holder_index)
 {
 	uint64_t fence;
--- a/tests/coord/lease_trial.h
+++ b/tests/coord/lease_trial.h
@@ -2,11 +2,10 @@
  * lease_trial.h - three instances that want one task, and an engine
  *
  * DESCRIPTION
- *	Each step checks that at this instant of the true time at most one
- *	running instance holds a valid lease, that fencing numbers rise with
- *	each holder, and that an engine which does not check them gets no order
- *	that is out of date. Holders send orders at random while they hold; an
- *	order is up to ORDER_TIMEOUT on its way.
+ *	At each step of the true time at most one running instance may hold a
+ *	valid lease, fencing numbers must rise with each new holder, and an
+ *	engine that does not check them must get no out-of-date order. Holders
+ *	send orders at random; an order arrives within ORDER_TIMEOUT.
  */
 #ifndef TESTS_LEASE_TRIAL_H
 #define TESTS_LEASE_TRIAL_H
@@ -20,8 +19,8 @@
 #define ORDER_TIMEOUT (6 * USEC_PER_SEC)
 
 struct engine {
-	bool checks_fencing; /* fencing numbers */
-	uint64_t fence;	     /* the highest taken_after */
+	bool checks_fencing;
+	uint64_t fence; /* the highest received */
 	int64_t orders;
 	int64_t refused;
 };
@@ -34,7 +33,7 @@
 	struct fake_log_client client;
 	struct leases *leases; /* NULL while down */
 	uint64_t incarnation;
-	bool held; /* by the callbacks */
+	bool held; /* according to the callbacks */
 	bool wants;
 };
 
@@ -52,8 +51,8 @@
 void trial_destroy(struct trial *trial);
 void trial_step(struct trial *trial);
 void trial_run(struct trial *trial, int64_t usec);
-/* How many hold a valid lease now: 0 or 1; its index goes to holder, which may
- * be NULL. */
+/* The number of valid leases now, 0 or 1. The holder's index goes to *holder if
+ * that is not NULL. */
 int trial_check_holders(const struct trial *trial, uint32_t *holder);
 
 void holder_start(struct holder *holder);
--- a/tests/coord/test_lease.c
+++ b/tests/coord/test_lease.c
@@ -1,4 +1,4 @@
-/* Leases, fault by fault: who holds the task afterwards, and since when. */
+/* Leases under faults: which instance holds the task next, and when. */
 #include "common/log.h"
 #include "lease_fold.h"
 #include "lease_trial.h"
@@ -15,13 +15,13 @@
 	FAULT_RETENTION,
 };
 
-/* The first holder is struck for a while. The next one may hold the task after
- * from, and must by until (0: never); both in seconds after the stroke. */
+/* The first holder has a fault for some seconds. The next one holds the task
+ * between taken_min and taken_max (0: never) seconds after the fault began. */
 static const struct {
 	const char *name;
 	enum fault fault;
 	int64_t seconds;
-	bool checks_fencing; /* the engine checks fencing numbers */
+	bool checks_fencing; /* the engine */
 	double taken_min, taken_max;
 } cases[] = {
 	{"none", FAULT_NONE, 30, true, 0, 0},
@@ -35,8 +35,8 @@
 	{"paused past the lease", FAULT_PAUSE, 30, true, 7.0, 14.0},
 	{"paused past the lease, engine does not check", FAULT_PAUSE, 30, false,
 	 14.0, 22.0},
-	{"gives it up", FAULT_RELEASE, 30, true, 0.0, 2.0},
-	{"gives it up, engine does not check", FAULT_RELEASE, 30, false, 6.0,
+	{"releases it", FAULT_RELEASE, 30, true, 0.0, 2.0},
+	{"releases it, engine does not check", FAULT_RELEASE, 30, false, 6.0,
 	 10.0},
 	{"all answers lost", FAULT_LOST_ANSWERS, 30, true, 0, 0},
 	{"log slow within the lease", FAULT_SLOW_LOG, 5, true, 0, 0},
@@ -85,8 +85,8 @@
 	}
 }
 
-/* Runs until the time is over; returns the seconds after which another holder
- * was first taken_after, or 0. */
+/* Runs for usec; returns the seconds until another instance held the task, or 0
+ * if none did. */
 static double watch(struct trial *trial, uint32_t previous, int64_t usec)
 {
 	int64_t begin = clock_now(trial->world->clock);
@@ -131,7 +131,7 @@
 	} else {
 		g_assert_cmpfloat(taken_after, ==, 0.0);
 	}
-	/* Neither renewals nor short faults make it another lease. */
+	/* Renewals and short faults do not change the fencing number. */
 	if (cases[i].taken_max == 0.0 && cases[i].taken_min == 0.0)
 		g_assert_cmpuint(trial->fence, ==, fence);
 	g_assert_cmpint(trial->engine.orders, >, 10);
@@ -146,8 +146,8 @@
 	}
 }
 
-/* An order of a holder that stood still past its lease is refused by an engine
- * that checks. */
+/* After a pause past its lease the holder no longer holds it, and the engine
+ * has the fencing number of the next holder. */
 static void test_fenced(void)
 {
 	struct trial *trial = trial_create(12);
@@ -169,9 +169,10 @@
 	trial_destroy(trial);
 }
 
-/* A taker is stopped before it reads, by a clock of long ago, a renewal of a
- * moment ago; that moment counts. The read that brings it must have been under
- * way when the taker stopped, hence the different times. */
+/* An instance that waits to take the lease is paused and then reads a recent
+ * renewal while its clock is still behind: its wait must begin now, not at the
+ * old clock time. The read must have been under way at the pause, so several
+ * offsets are tried. */
 static void stale_clock_run(int64_t offset)
 {
 	struct trial *trial = trial_create(15);
@@ -206,8 +207,8 @@
 		stale_clock_run(i * 350 * USEC_PER_MSEC);
 }
 
-/* Whoever reads its own take long after, by a clock of before, must not hold
- * the task: the next holder has begun. */
+/* An instance is paused before it reads back its own take and reads it with a
+ * clock that is behind. It must not hold the task, as another has taken it. */
 static void test_stale_clock_take(void)
 {
 	struct trial *trial = trial_create(16);
@@ -239,8 +240,8 @@
 	enum lease_verdict verdict;
 };
 
-/* The reader begins at known_from; one and the same record is judged alike by
- * all who can judge it. */
+/* The reader begins at known_from. All readers that can judge a record reach
+ * the same verdict. */
 static const struct {
 	const char *name;
 	uint64_t known_from;
@@ -289,7 +290,7 @@
 	}
 }
 
-/* Random bytes in the stream neither crash nor hold the task. */
+/* Random bytes in the stream neither crash the reader nor take the lease. */
 static void test_garbage(void)
 {
 	struct trial *trial = trial_create(13);
@@ -306,7 +307,7 @@
 	}
 	for (uint32_t i = 0; i < HOLDERS; i++)
 		holder_start(&trial->holders[i]);
-	/* A stream longer than what is read back is waited out. */
+	/* The stream is not read whole, so the holder waits a full term. */
 	trial_run(trial, 15 * USEC_PER_SEC);
 	g_assert_cmpint(trial_check_holders(trial, NULL), ==, 1);
 	trial_destroy(trial);
@@ -320,7 +321,7 @@
 
 	trial->engine.checks_fencing = true;
 	holder_start(holder);
-	lease_release(holder->leases, TASK + 1); /* never wanted */
+	lease_release(holder->leases, TASK + 1); /* never acquired */
 	lease_acquire(holder->leases, TASK);	 /* twice */
 	g_assert_false(lease_valid(holder->leases, TASK + 1, &fence));
 	g_assert_cmpuint(fence, ==, 7);
--- a/tests/coord/test_lease_schedules.c
+++ b/tests/coord/test_lease_schedules.c
@@ -1,7 +1,7 @@
 /*
- * Random schedules of leases under faults, checked at every step as
- * lease_trial.h says. LEASE_SEED runs one schedule, LEASE_COUNT another number
- * than 1,000.
+ * Random schedules of leases under faults; the invariants of lease_trial.h are
+ * checked at each step. LEASE_SEED selects one schedule; LEASE_COUNT sets their
+ * number (default 1,000).
  */
 #include "common/log.h"
 #include "lease_trial.h"
@@ -56,7 +56,7 @@
 			1 + world_draw(trial->world, 20 * USEC_PER_SEC);
 }
 
-/* Whoever wants the task takes it again once all is well. */
+/* Once all faults have ended, an instance holds the task again. */
 static void trial_heal(struct trial *trial)
 {
 	trial->log->outage = false;
@@ -123,7 +123,7 @@
 	g_test_message("%u schedules, %d times taken, %" G_GINT64_FORMAT
 		       " late orders refused",
 		       seeds.count, taken, refused);
-	/* The schedules must bring about what they are for. */
+	/* The schedules must cause takeovers and late orders. */
 	g_assert_cmpint(taken, >=, 2 * (int)seeds.count);
 	g_assert_cmpint(refused, >=, (int)seeds.count / 100);
 }
--- a/tests/data_centres/calls.c
+++ b/tests/data_centres/calls.c
@@ -1,4 +1,4 @@
-/* What callers and the daemon do with a request: where it goes, and its end. */
+/* The callers and the daemon: routing, answer and end of each request. */
 #include "calls.h"
 
 #include <string.h>
@@ -49,7 +49,7 @@
 	return -1;
 }
 
-/* On to a random instance of the data centre; false when none is reached. */
+/* Forwards to a random instance of the data centre; false if unreachable. */
 static bool job_forward(struct job *job, int centre)
 {
 	struct site *site = job->site;
@@ -66,7 +66,7 @@
 	return true;
 }
 
-/* As request_spill() of the daemon. */
+/* As request_spill() in the daemon. */
 static bool job_spill(struct job *job, bool refused)
 {
 	struct site *site = job->site;
--- a/tests/data_centres/site.c
+++ b/tests/data_centres/site.c
@@ -7,7 +7,7 @@
 #define POLL_USEC (100 * USEC_PER_MSEC)
 #define LOCAL_USEC 200
 #define LINK_MS 1.5
-/* Frame header, array, channel and the payload's own header; TCP/IP. */
+/* Frame header, array, channel and payload header; below, TCP/IP headers. */
 #define FRAME_BYTES (FRAME_HEADER + 4)
 #define SEGMENT_BYTES 66
 #define KEYS_TYPE 14
--- a/tests/data_centres/test_keys.c
+++ b/tests/data_centres/test_keys.c
@@ -1,4 +1,4 @@
-/* A key that was run in one data centre is known in the others. */
+/* An idempotency key that runs in one data centre is known in the others. */
 #include <msgpack.h>
 
 #include "rows.h"
@@ -17,24 +17,23 @@
 		.seed = 1, .centres = centres, .instances = instances});
 }
 
-/* What happens between the first try, in a, and the retry in b. */
+/* What happens between the first attempt, in a, and the retry, in b. */
 enum event {
 	EVENT_NONE,
-	EVENT_CUT,	  /* a is cut off and known to be so */
-	EVENT_HOME_DIES,  /* the home in b dies and another takes over */
-	EVENT_OWNER_DIES, /* the instance in a that had it dies */
-	EVENT_WITHDRAWN,  /* the first try is withdrawn before it is told */
-	EVENT_MANY_KEYS, /* so many other keys are heard of that it is forgotten
-			  */
-	EVENT_MALFORMED, /* messages that are none arrive */
+	EVENT_CUT,	  /* a is cut off, and b has noticed */
+	EVENT_HOME_DIES,  /* the home in b dies, another takes over */
+	EVENT_OWNER_DIES, /* the instance in a with the request dies */
+	EVENT_WITHDRAWN,  /* the attempt is withdrawn unannounced */
+	EVENT_MANY_KEYS,  /* so many other keys that it is evicted */
+	EVENT_MALFORMED,  /* malformed messages arrive */
 };
 
 struct key_row {
 	const char *name;
-	int64_t retry_after; /* when the retry comes */
+	int64_t retry_after; /* since the first attempt */
 	enum event event;
 	bool here;
-	bool redirected; /* what the retry is told; else it is granted */
+	bool redirected; /* the retry is; else it is granted */
 };
 
 static const struct key_row key_rows[] = {
@@ -141,7 +140,7 @@
 	site_destroy(site);
 }
 
-/* Keys with the first half in common cost a detour, and nothing else. */
+/* Keys with the same first half cost one redirect; the request still runs. */
 static void test_key_collision(void)
 {
 	struct job spec = {.key = KEY};
@@ -200,7 +199,7 @@
 	return key_count;
 }
 
-/* Retries that come later than the keys are told: each key runs once. */
+/* Retries come after the key was announced: each key runs once. */
 static void test_once(void)
 {
 	for (uint32_t seed = 1; seed <= 20; seed++) {
@@ -212,7 +211,7 @@
 	}
 }
 
-/* Data centres are cut off and come back: each request is answered once. */
+/* Data centres are cut off and reconnected: each request is answered once. */
 static void test_faults(void)
 {
 	uint64_t runs = 0;
@@ -228,8 +227,8 @@
 	g_assert_cmpuint(runs, >=, keys);
 }
 
-/* 7,200 keyed requests a second over 35 models in 7 data centres: one cell's
- * share, and what that makes for each of 360 instances. */
+/* The traffic of 7,200 keyed requests a second for 35 models in 7 data centres,
+ * measured for one cell and converted to each of 360 instances. */
 static void test_cost(void)
 {
 	const double cells = 35 * 7;
@@ -253,7 +252,7 @@
 		       (double)site->key_bytes / site->key_messages);
 	g_assert_cmpfloat(bytes * cells / 360, <, 2000);
 	g_assert_cmpfloat(bytes, >, 0);
-	/* Nothing is sent while there is nothing new. */
+	/* No message is sent without a new key. */
 	site_run(site, SEC);
 	site->key_messages = 0;
 	site_run(site, 10 * SEC);
--- a/tests/data_centres/test_level.c
+++ b/tests/data_centres/test_level.c
@@ -1,4 +1,4 @@
-/* How busy a cell is said to be, and what comes of it. */
+/* The load level that a cell announces, and the routing based on it. */
 #include "site.h"
 
 #include <math.h>
@@ -8,7 +8,7 @@
 #define ALL_RUNNERS 0xfu
 #define PREFILL_RUNNERS 0x3u
 #define DECODE_RUNNERS 0xcu
-/* Requests a second that the runners of a data centre can do. */
+/* Requests per second that the runners of a data centre can serve. */
 #define CAPACITY 80.0
 #define TARGET_USEC (250 * MSEC)
 
@@ -18,11 +18,11 @@
 	const char *name;
 	uint32_t down;
 	uint32_t unlisted;
-	int requests; /* in two heaps, of 3 s each; 16 have room */
+	int requests; /* of 3 s each, in two bursts; 16 have room */
 	enum request_class class;
-	bool home_dies; /* after the level was seen */
+	bool home_dies; /* after the others know the level */
 	enum cell_level level;
-	int64_t known_within; /* until the others know */
+	int64_t known_within; /* limit until the others know the level */
 };
 
 static const struct level_row level_rows[] = {
@@ -79,7 +79,7 @@
 	}
 }
 
-/* Afterwards, when the trouble is over, the level falls again. */
+/* The level falls again once the fault or load has ended. */
 static void test_row(const void *data)
 {
 	const struct level_row *row = data;
@@ -110,7 +110,7 @@
 	site_destroy(site);
 }
 
-/* A level that is not free is told anew before others forget it. */
+/* A level other than CELL_FREE is announced again before it expires. */
 static void test_refresh(void)
 {
 	site = site_create(&(struct site_settings){
@@ -128,7 +128,7 @@
 	const char *name;
 	uint32_t queue_max;
 	int64_t work;
-	int64_t pause; /* between two heaps of requests, and no requests */
+	int64_t pause; /* half the time between two bursts */
 	uint32_t changes_min;
 	uint32_t changes_max;
 };
@@ -139,7 +139,7 @@
 	{"full", 4, 180 * MSEC, 300 * MSEC, 20, 61},
 };
 
-/* Load that comes and goes for a minute does not make many facts. */
+/* Load that varies for a minute causes a limited number of level changes. */
 static void test_unstable_load(const void *data)
 {
 	const struct flap_row *row = data;
@@ -173,7 +173,7 @@
 	return (int64_t)(-log(u) / rate * (double)SEC);
 }
 
-/* The home dies: the next goes on with its share, and lowers it by and by. */
+/* After the home dies, the next one keeps its share and lowers it gradually. */
 static void test_share_kept(void)
 {
 	struct job spec = {.class = CLASS_URGENT};
@@ -203,16 +203,15 @@
 
 struct load_row {
 	const char *name;
-	double load[CENTRES_MAX]; /* as a share of the capacity */
+	double load[CENTRES_MAX]; /* fraction of CAPACITY */
 	int centres;
-	double deferrable; /* share of the requests */
+	double deferrable; /* fraction of the requests */
 	double remote_ms;
-	double gain_min;  /* of urgent requests in time, over staying, at least
-			   */
-	double harm_max;  /* to those of the data centres that are not busy */
-	double moved_max; /* share of all that left */
-	int64_t time;	  /* default a minute */
-	uint32_t changes_max; /* of level or share, at most; 0: not bounded */
+	double gain_min; /* more urgent requests in time than with local_only */
+	double harm_max; /* fewer in time, of each data centre */
+	double moved_max;     /* fraction that left its data centre */
+	int64_t time;	      /* default 60 s */
+	uint32_t changes_max; /* of level or share; 0: no limit */
 };
 
 static const struct load_row load_rows[] = {
@@ -227,7 +226,7 @@
 };
 
 struct measured {
-	double in_time[CENTRES_MAX]; /* of urgent ones, by where they came */
+	double in_time[CENTRES_MAX]; /* of urgent requests, by origin */
 	double all;
 	double moved;
 	uint32_t changes;
--- a/tests/order/test_order.c
+++ b/tests/order/test_order.c
@@ -1,4 +1,4 @@
-/* Orders under a lease, against engines, log and instances that fail. */
+/* Orders under a lease, with faults of engines, log and instances. */
 #include <glib.h>
 #include <string.h>
 
@@ -7,17 +7,17 @@
 #include "world.h"
 
 #define SEC USEC_PER_SEC
-/* From the start to the first order, and a change from there. */
+/* Enough time from the start for the first change. */
 #define FIRST_CHANGE_USEC (2 * ROLE_DWELL_USEC)
 
 struct row {
 	const char *name;
 	bool checks_fencing;
-	void (*fault)(struct order_world *world); /* before it starts */
+	void (*fault)(struct order_world *world); /* set at the start */
 	void (*when_draining)(
-		struct order_world *world); /* when a runner drains */
+		struct order_world *world); /* set during the drain */
 	uint32_t changes;
-	uint32_t orders; /* that each engine obeyed, at least */
+	uint32_t orders; /* accepted by each engine, at least */
 	uint64_t sent;	 /* at least, by the first instance */
 	uint64_t lost;
 	uint64_t fenced;
@@ -80,7 +80,7 @@
 			world->instances[0].withheld[i];
 }
 
-/* All others of the role that gives one go. */
+/* The other runners of the draining role become unreachable. */
 static void drain_last_of_role(struct order_world *world)
 {
 	for (uint32_t i = 0; i < ENGINES; i++)
@@ -120,7 +120,7 @@
 	return world->changes > 0;
 }
 
-/* Prefill is short by two runners of six. */
+/* Needs two prefill runners more than the three there are. */
 static struct order_world *start(bool checks_fencing, const struct row *row)
 {
 	struct order_world *world = order_world_create(1, checks_fencing);
@@ -164,7 +164,7 @@
 	order_world_destroy(world);
 }
 
-/* The mix turns round: a runner comes back, but not within the rest. */
+/* The load reverses: a runner changes back, but not within the dwell time. */
 static void test_reversed_load(void)
 {
 	struct order_world *world = start(true, NULL);
@@ -178,8 +178,8 @@
 	order_world_destroy(world);
 }
 
-/* The holder stands still while it changes a runner; another becomes home and
- * goes on. What the first still does when it wakes has no effect. */
+/* The holder is paused during a change and another instance becomes home and
+ * takes over. What the first does after it resumes has no effect. */
 static void test_paused(gconstpointer data)
 {
 	bool checks_fencing = data != NULL;
@@ -213,8 +213,8 @@
 	       strcmp(status.step, "order") == 0;
 }
 
-/* An order is under way while the lease goes to another at once, since the
- * engines check. The new holder's own order makes them refuse the late one. */
+/* The lease passes on at once, as the engines check fencing numbers, while an
+ * order is under way. The new holder's order makes them refuse the late one. */
 static void test_late_order(void)
 {
 	struct order_world *world = start(true, NULL);
@@ -232,7 +232,7 @@
 	order_world_destroy(world);
 }
 
-/* Where they do not check, the next holder waits for it. */
+/* Engines do not check fencing numbers: the next holder waits for the order. */
 static void test_late_order_unfenced(void)
 {
 	struct order_world *world = start(false, NULL);
@@ -248,8 +248,8 @@
 	order_world_destroy(world);
 }
 
-/* Stopped while the role is read, and another has the lease when it wakes: what
- * it reads then, by an old clock, sends nothing. */
+/* The holder is paused while it reads a role, and another takes the lease. It
+ * resumes with its clock behind and reads the answer, but sends no order. */
 static void test_stale_clock(void)
 {
 	struct order_world *world = start(false, NULL);
@@ -273,7 +273,7 @@
 	order_world_destroy(world);
 }
 
-/* An order whose answer was lost is given again, also when it took effect. */
+/* An order whose answer was lost is repeated, although it took effect. */
 static void test_repeated(void)
 {
 	struct order_world *world = start(true, NULL);
@@ -286,13 +286,13 @@
 	order_world_run(world, 10 * SEC);
 	for (uint32_t i = 0; i < ENGINES; i++)
 		orders += world->engines[i].orders;
-	/* One for each as it is, one lost and one answered. */
+	/* One assertion for each engine, one lost and one answered order. */
 	g_assert_cmpuint(orders, ==, ENGINES + 2);
 	order_world_destroy(world);
 }
 
-/* The list is behind when another takes over: it orders the engine as it is,
- * not as it is listed. */
+/* The list is out of date at a takeover: the new holder asserts the role that
+ * the engine reports, not the one in the list. */
 static void test_takeover_behind(void)
 {
 	struct order_world *world = start(true, NULL);
@@ -311,7 +311,8 @@
 	order_world_destroy(world);
 }
 
-/* It dies; what it had begun is dropped, and the next one goes on. */
+/* The holder dies during a change: the next one drops that change and goes on.
+ */
 static void test_killed(gconstpointer data)
 {
 	struct order_world *world = start(data != NULL, NULL);
@@ -326,7 +327,7 @@
 	order_world_destroy(world);
 }
 
-/* The home moves: the former one stops, and gives the lease back. */
+/* The home moves: the previous home stops and releases the lease. */
 static void test_home_moved(void)
 {
 	struct order_world *world = start(true, NULL);
@@ -352,8 +353,8 @@
 		world->engines[i].busy = busy;
 }
 
-/* The lease runs out while a runner drains: it works again, and is not ordered
- * when it is done. */
+/* The lease expires during a drain: the runner is released, and gets no order
+ * once it is empty. */
 static void test_lease_expired(void)
 {
 	struct order_world *world = start(true, NULL);
@@ -372,8 +373,9 @@
 	order_world_destroy(world);
 }
 
-/* The lease runs out while an order is under way: the runner gets no work until
- * the order has arrived or never will. The lapse comes at some point of it. */
+/* The lease expires while an order is under way: the runner stays withheld
+ * until the order has arrived or has timed out. The log fails at different
+ * points. */
 static void test_lease_expired_during_order(void)
 {
 	uint32_t changes = 0;
@@ -399,7 +401,7 @@
 	g_assert_cmpuint(changes, <, 30);
 }
 
-/* Nothing is begun or sent without a lease. */
+/* No change begins and no order is sent without a lease. */
 static void test_no_log(void)
 {
 	struct order_world *world = start(true, NULL);
@@ -452,7 +454,7 @@
 	}
 }
 
-/* Faults by chance; the promises are checked at each step. */
+/* Random faults; the invariants of world.h are checked at each step. */
 static void test_schedules(gconstpointer data)
 {
 	uint32_t changes = 0;
--- a/tests/order/world.c
+++ b/tests/order/world.c
@@ -53,8 +53,8 @@
 
 	if (engine->ignores_orders || engine->role == role)
 		return;
-	/* The promises: finished first, and never the last. Only where another
-	 * has become home while the order was under way may there be work. */
+	/* The invariants: no work left, and not the last of its role. Work may
+	 * be left if the home moved while the order was under way. */
 	if (from_home) {
 		g_assert_cmpuint(engine->grants, ==, 0);
 		g_assert_cmpint(now, >=, engine->work_until);
@@ -76,7 +76,7 @@
 		engine->refused++;
 		return ORDER_FENCED;
 	}
-	/* One that does not check must never be given an old order. */
+	/* An engine that does not check must not get an old order. */
 	g_assert_cmpuint(order->fence, >=, engine->fence);
 	engine->fence = order->fence;
 	engine->orders++;
@@ -225,7 +225,7 @@
 					 NULL, &ops, instance);
 }
 
-/* As by SIGKILL: nothing more is heard of it. */
+/* As by SIGKILL: the outage keeps it from releasing its lease. */
 void instance_kill(struct instance *instance)
 {
 	struct fake_log *log = instance->world->log;
@@ -296,7 +296,7 @@
 	return count;
 }
 
-/* The home gives each runner that it may use work, a grant at a time. */
+/* Gives each runner that the home does not withhold one grant at a time. */
 static void engine_assign_work(struct order_world *world, uint32_t i)
 {
 	const struct instance *home = &world->instances[world->home];
@@ -314,7 +314,7 @@
 		return;
 	engine->grants = 1;
 	engine->grants_end = now + GRANT_USEC;
-	/* A prefill ends before its grant; a decode may be seen to end after.
+	/* A prefill ends before its grant, a decode may report work after it.
 	 */
 	engine->work_until = engine->role == POOL_PREFILL
 				     ? now + GRANT_USEC / 2
--- a/tests/order/world.h
+++ b/tests/order/world.h
@@ -1,11 +1,11 @@
 /*
- * world.h - two instances that may order, and engines that take orders badly
+ * world.h - two instances that send orders, and engines with faults
  *
  * DESCRIPTION
- *	The instance `home` has the cell; grants go to runners that it does not
- *	withhold. At each step the promises are checked: one runner changes at a
- *	time, only when it has no grant, no role is ever without a runner, and
- *	no engine obeys an order that is out of date.
+ *	The instance `home` is home to the cell. Runners that it does not
+ *	withhold get grants. At each step these invariants are checked: one
+ *	runner changes at a time, only without a grant; no role is without a
+ *	runner; and no engine accepts an out-of-date order.
  */
 #ifndef TESTS_ORDER_WORLD_H
 #define TESTS_ORDER_WORLD_H
@@ -24,14 +24,14 @@
 	int64_t changed_at; /* true time */
 	uint64_t fence;
 	bool unreachable;
-	bool ignores_orders;  /* answers, but keeps its role */
-	bool busy;	      /* its grants never end */
-	uint32_t lose_orders; /* this many never arrive */
+	bool ignores_orders;  /* accepts orders, but keeps its role */
+	bool busy;	      /* its grants do not end */
+	uint32_t lose_orders; /* the next orders that do not arrive */
 	uint32_t lose_answers;
 	uint32_t grants;
 	int64_t grants_end;
-	int64_t work_until; /* what it reports */
-	uint32_t orders;    /* that were obeyed */
+	int64_t work_until; /* as it reports */
+	uint32_t orders;    /* accepted */
 	uint32_t refused;
 };
 
@@ -44,7 +44,7 @@
 	bool withheld[ENGINES];
 	int64_t reported[ENGINES];
 	struct order_runner view[ENGINES];
-	uint64_t last_call; /* the one that is not dropped */
+	uint64_t last_call; /* others were cancelled */
 };
 
 struct order_world {
@@ -56,13 +56,13 @@
 	uint32_t home;
 	bool checks_fencing;
 	bool list_frozen;
-	int64_t order_delay;	   /* most that an order is under way */
-	int64_t first_order_delay; /* exactly, of the first instance's orders */
+	int64_t order_delay;	   /* random, below this */
+	int64_t first_order_delay; /* fixed, of the first instance */
 	double need_prefill;	   /* in runners */
 	double need_decode;
 	uint32_t changes;
 	int64_t last_change;  /* true time */
-	int64_t min_interval; /* time between two changes */
+	int64_t min_interval; /* between two changes */
 };
 
 struct order_world *order_world_create(uint32_t seed, bool checks_fencing);
@@ -70,7 +70,7 @@
 void instance_start(struct instance *instance);
 void instance_kill(struct instance *instance);
 void order_world_run(struct order_world *world, int64_t usec);
-/* Runs until the condition holds; false when it does not within the time. */
+/* Runs until the condition holds; false if that takes longer than usec. */
 bool order_world_until(struct order_world *world, int64_t usec,
 		       bool (*condition)(const struct order_world *world));
 uint32_t engines_of(const struct order_world *world, enum pool_role role);
--- a/tests/role/model.c
+++ b/tests/role/model.c
@@ -13,7 +13,7 @@
 #define SLOTS 20.0
 #define SMOOTH (STEP / 20)
 #define FIRST_TOKEN_SEC 5.0
-/* What a runner needs to finish before it changes. */
+/* Time in which a runner finishes its work before it changes. */
 #define DRAIN_PREFILL_SEC 5
 #define DRAIN_DECODE_SEC 25
 
@@ -57,7 +57,7 @@
 	double left = rate * STEP;
 	double prompts = 0, outputs = 0;
 
-	/* Poisson, by exponential gaps. */
+	/* A Poisson process, by exponential intervals. */
 	while ((left += log(1 - g_rand_double(m->rand))) > 0) {
 		struct job *job = g_new0(struct job, 1);
 
--- a/tests/role/model.h
+++ b/tests/role/model.h
@@ -1,6 +1,6 @@
 /*
- * model.h - a cell as a queue: requests wait for decode memory, then for a
- * prefill runner, then decode
+ * model.h - a queueing model of a cell: requests wait for decode memory, then
+ * for a prefill runner, then decode
  */
 #ifndef TESTS_ROLE_MODEL_H
 #define TESTS_ROLE_MODEL_H
@@ -18,12 +18,12 @@
 struct mix {
 	double prompt; /* mean tokens */
 	double output;
-	double load; /* share of what the best split could serve */
+	double load; /* fraction of the capacity of the best split */
 };
 
 struct scenario {
 	const char *name;
-	/* The mix at a second of the run; seeded ones change with the seed. */
+	/* The mix at a second of the run; may depend on the seed. */
 	struct mix (*mix)(int second, uint32_t seed);
 };
 
@@ -31,10 +31,9 @@
 	uint32_t requests;
 	uint32_t in_time; /* first token within five seconds */
 	uint32_t moves;
-	uint32_t reversals;   /* moves that undo the one before within 180 s */
-	int64_t min_interval; /* the least time between the starts of two moves
-			       */
-	uint32_t min_runners; /* runners that any role ever had */
+	uint32_t reversals;   /* moves back within 180 s */
+	int64_t min_interval; /* between the starts of two moves */
+	uint32_t min_runners; /* of either role */
 };
 
 struct outcome model_run(const struct scenario *scenario,
--- a/tests/role/remember.c
+++ b/tests/role/remember.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 #define PERIOD_USEC (60 * USEC_PER_SEC)
-#define SENSITIVITY 0.55 /* share of the ideal change, as the paper's s */
+#define SENSITIVITY 0.55 /* fraction of the ideal change, s in the paper */
 #define BACKLOG_SEC 3.0
 #define MEMORY_FULL 0.99
 
@@ -20,7 +20,7 @@
 	points_set(r, 0, ELASTIC_POINTS, INFINITY);
 }
 
-/* P1 and P2 for two roles: the one that is congested wants a runner. */
+/* P1 and P2 for two roles: the move that helps the congested role. */
 static enum role_move congested_role(const struct role_load *load)
 {
 	if (load->memory_used >= MEMORY_FULL * load->decode)
@@ -30,7 +30,7 @@
 	return ROLE_STAY;
 }
 
-/* P3 and P4: the load has changed while the point did not. */
+/* P3 and P4: the load has changed at the same point. */
 static bool load_changed(const struct elastic *r, enum role_move pressure,
 			 double throughput)
 {
@@ -50,7 +50,7 @@
 		pressure == ROLE_TO_PREFILL ? r->point + 1 : r->point - 1;
 	bool arrived = r->previous_point != r->point;
 
-	/* P5: congested as before, and nothing gained. */
+	/* P5: the last step left the congestion and gained no throughput. */
 	if (arrived && r->last == pressure &&
 	    throughput <= r->measured[r->previous_point])
 		return pressure == ROLE_TO_PREFILL ? ROLE_TO_DECODE
--- a/tests/role/remember.h
+++ b/tests/role/remember.h
@@ -1,13 +1,13 @@
 /*
- * remember.h - the control ideas of the paper, to be measured against role.h
+ * remember.h - the controller of a paper, for comparison with role.h
  *
  * DESCRIPTION
- *	Gedik and others, "Elastic Scaling for Data Stream Processing", IEEE
- *	TPDS 25(6), 2014, algorithms 2 and 3, made two-sided: the operating
- *	point is the number of prefill runners, congestion of either role asks
- *	for a step towards it, unless that point throughput no more before; a
- *change of congestion or of throughput at a point makes it points_set the
- *points on that side.
+ *	Algorithms 2 and 3 of Gedik and others, "Elastic Scaling for Data Stream
+ *	Processing", IEEE TPDS 25(6), 2014, extended to two roles. The operating
+ *	point is the number of prefill runners. Congestion of a role asks for a
+ *	step that gives it a runner, unless the throughput measured there before
+ *	was no higher. When congestion or throughput changes at a point, all
+ *	measurements are discarded.
  */
 #ifndef TESTS_ROLE_REMEMBER_H
 #define TESTS_ROLE_REMEMBER_H
@@ -17,12 +17,12 @@
 #define ELASTIC_POINTS 64
 
 struct elastic {
-	double throughput; /* answers a second, set before each tick */
-	double measured[ELASTIC_POINTS]; /* last; infinite when not known */
+	double throughput; /* answers per second, set before each tick */
+	double measured[ELASTIC_POINTS]; /* last; INFINITY: unknown */
 	double first_measured[ELASTIC_POINTS];
 	uint32_t point;
 	uint32_t previous_point;
-	enum role_move last_pressure; /* which way congestion pushed last */
+	enum role_move last_pressure; /* move that congestion asked for */
 	enum role_move last;
 	double sum;
 	uint32_t ticks;
--- a/tests/role/test_ledger_roles.c
+++ b/tests/role/test_ledger_roles.c
@@ -1,5 +1,5 @@
-/* What the ledger gives to whoever changes roles: withheld runners, runners
- * that come back in the other pool, and the work that waits and arrives. */
+/* What the ledger offers for role changes: withholding runners, runners that
+ * move to the other pool, and the waiting and arriving work. */
 #include "../ledger/world.h"
 #include "common/log.h"
 
@@ -57,7 +57,7 @@
 	return count;
 }
 
-/* What it has goes on; what comes goes elsewhere, until it is let go. */
+/* A withheld runner finishes its requests and gets no new ones. */
 static void test_withhold(void)
 {
 	struct ledger *ledger;
@@ -82,7 +82,7 @@
 	world_run(world, 500 * MSEC);
 	g_assert_cmpint(first->state, ==, JOB_DONE);
 	g_assert_cmpuint(grants_of(decode), ==, 0);
-	/* What waits because of it starts when it is let go. */
+	/* A request that waits for it starts once it is released. */
 	app_ask(world, 0,
 		&(struct spec){.tokens = 16000, .work = USEC_PER_SEC});
 	world_run(world, 50 * MSEC);
@@ -96,7 +96,7 @@
 	world_end(world);
 }
 
-/* Another home knows nothing of it, nor does the first when it is home again.
+/* A new home does not withhold the runner, nor does the first after it returns.
  */
 static void test_home_moves(void)
 {
@@ -152,7 +152,7 @@
 		ledger_runners(world->instances[i].ledger, list, (size_t)count);
 }
 
-/* It serves in its new role once it has reported there. */
+/* A runner listed in the other pool is usable there after its first report. */
 static void test_repool(void)
 {
 	uint64_t id;
--- a/tests/role/test_role.c
+++ b/tests/role/test_role.c
@@ -1,4 +1,4 @@
-/* When the controller moves a runner, and when it does not. */
+/* When the role controller moves a runner, and when it does not. */
 #include <glib.h>
 #include <math.h>
 
@@ -13,7 +13,7 @@
 	enum role_move move;
 };
 
-/* 8,000 prompt and 800 output tokens a second are one runner's work. */
+/* One runner does 8,000 prompt or 800 output tokens per second. */
 #define LOAD(p, d, need_p, need_d)                                             \
 	.prefill = p, .decode = d, .prompt_tokens_per_s = 8000.0 * (need_p),   \
 	.output_tokens_per_s = 800.0 * (need_d), .prefill_tokens_per_s = 8000, \
@@ -78,7 +78,7 @@
 	g_assert_cmpint(now, >=, ROLE_STABILISATION_USEC);
 }
 
-/* Bursts move nothing, however often they come. */
+/* Bursts shorter than the stabilisation time move no runner. */
 static void test_bursts(void)
 {
 	const struct role_load burst = {LOAD(7, 7, 10, 3)};
@@ -97,7 +97,7 @@
 			ROLE_TO_PREFILL);
 }
 
-/* A process that stood still knows nothing of the time between. */
+/* After a pause of the process the stabilisation time starts again. */
 static void test_gap(void)
 {
 	const struct role_load reason = {LOAD(7, 7, 8, 3)};
@@ -112,7 +112,7 @@
 			ROLE_TO_PREFILL);
 }
 
-/* After a move the cell rests, whatever the load, from the move's end on. */
+/* No move within the dwell time after the end of a move, whatever the load. */
 static void test_dwell(void)
 {
 	const struct role_load up = {LOAD(7, 7, 9, 3)};
@@ -132,7 +132,7 @@
 	g_assert_cmpint(now - end, <=, 2 * ROLE_DWELL_USEC);
 }
 
-/* Under one load, whatever it is, no runner ever comes back. */
+/* Under a constant load no runner moves back. */
 static void test_settles(void)
 {
 	for (int half = 1; half < 28; half++) {
--- a/tests/role/test_role_model.c
+++ b/tests/role/test_role_model.c
@@ -1,12 +1,12 @@
-/* The controller against the paper's, and against a fixed split, on mixes that
- * move; prints the figures of docs/design/roles.md. */
+/* Compares the role controller with the paper's and with a fixed split, on
+ * mixes that change; prints the figures of docs/design/roles.md. */
 #include <glib.h>
 
 #include "model.h"
 
 #define SEEDS 5u
-/* The paper's is no worse than this by chance. */
-#define NEARLY 0.03
+/* Random advantage that the paper's controller may have. */
+#define TOLERANCE 0.03
 
 static const struct mix long_prompts = {6000, 300, 0.85};
 static const struct mix long_answers = {2000, 400, 0.85};
@@ -48,7 +48,7 @@
 	return (struct mix){2000 + at / 255 * 4000, 400 - at / 255 * 100, 0.8};
 }
 
-/* What the controller must reach, over all seeds. */
+/* Bounds for the role controller; counts are over all seeds. */
 struct row {
 	struct scenario scenario;
 	double in_time;
@@ -66,7 +66,7 @@
 };
 
 struct sum {
-	double in_time; /* mean share over the seeds */
+	double in_time; /* mean fraction over the seeds */
 	double worst;
 	uint32_t moves;
 	uint32_t reversals;
@@ -104,7 +104,7 @@
 
 	g_assert_cmpfloat(kept.in_time, >=, row->in_time);
 	g_assert_cmpfloat(kept.in_time, >=, none.in_time);
-	g_assert_cmpfloat(kept.in_time, >=, paper.in_time - NEARLY);
+	g_assert_cmpfloat(kept.in_time, >=, paper.in_time - TOLERANCE);
 	g_assert_cmpuint(kept.reversals, <=, row->reversals);
 	g_assert_cmpuint(kept.moves, >=, row->moves_min);
 	g_assert_cmpuint(kept.moves, <=, row->moves_max);
