--- a/coord/order.c
+++ b/coord/order.c
@@ -12,9 +12,10 @@
 static bool delayed_release_remove(struct orders *orders, uint64_t runner)
 {
 	for (guint i = 0; i < orders->delayed_releases->len; i++) {
-		if (g_array_index(orders->delayed_releases,
-				  struct delayed_release, i)
-			    .runner != runner)
+		const struct delayed_release *release = &g_array_index(
+			orders->delayed_releases, struct delayed_release, i);
+
+		if (release->runner != runner)
 			continue;
 		g_array_remove_index_fast(orders->delayed_releases, i);
 		return true;
@@ -140,8 +141,7 @@
 {
 	struct controller *ctl = controller_find(orders, cell->id);
 
-	/* The lease wait depends on checks_fencing: it is swept and recreated.
-	 */
+	/* Left to the sweep: the lease wait depends on checks_fencing. */
 	if (ctl && ctl->checks_fencing != cell->checks_fencing)
 		return;
 	if (!ctl)
