--- a/tests/data_centres/calls.c
+++ b/tests/data_centres/calls.c
@@ -73,7 +73,7 @@
 	const struct instance *at =
 		&site->instances[job->centre][job->instance];
 	uint64_t key = job->key ? job->key : id_mix(job->request, 1);
-	const char *there;
+	const char *target;
 	uint32_t share;
 
 	ledger_level(at->ledger, site_service()->name, &share);
@@ -81,12 +81,12 @@
 	    (!refused && !cell_load_leaves(share, job->class, key)))
 		return false;
 	if (refused || share >= CELL_LOAD_SHARES)
-		there = cell_load_choose(at->membership, &site->config,
-					 site_service(), CELL_FULL, key);
+		target = cell_load_choose(at->membership, &site->config,
+					  site_service(), CELL_FULL, key);
 	else
-		there = cell_load_spread(at->membership, &site->config,
-					 site_service(), key);
-	return there && job_forward(job, centre_of(there));
+		target = cell_load_spread(at->membership, &site->config,
+					  site_service(), key);
+	return target && job_forward(job, centre_of(target));
 }
 
 static void on_refused(void *ctx, const struct ledger_refusal *refusal)
--- a/tests/order/test_order.c
+++ b/tests/order/test_order.c
@@ -13,9 +13,8 @@
 struct row {
 	const char *name;
 	bool checks_fencing;
-	void (*fault)(struct order_world *world); /* set at the start */
-	void (*when_draining)(
-		struct order_world *world); /* set during the drain */
+	void (*fault)(struct order_world *world);	  /* at start */
+	void (*when_draining)(struct order_world *world); /* in drain */
 	uint32_t changes;
 	uint32_t orders; /* accepted by each engine, at least */
 	uint64_t sent;	 /* at least, by the first instance */
@@ -68,12 +67,12 @@
 	world->log->slow = 500 * USEC_PER_MSEC;
 }
 
-static void fault_answers_of_log(struct order_world *world)
+static void fault_log_loses_answers(struct order_world *world)
 {
 	world->log->lost_percent = 30;
 }
 
-static void drain_unreachable(struct order_world *world)
+static void drain_runner_fails(struct order_world *world)
 {
 	for (uint32_t i = 0; i < ENGINES; i++)
 		world->engines[i].unreachable |=
@@ -81,7 +80,7 @@
 }
 
 /* The other runners of the draining role become unreachable. */
-static void drain_last_of_role(struct order_world *world)
+static void drain_others_fail(struct order_world *world)
 {
 	for (uint32_t i = 0; i < ENGINES; i++)
 		world->engines[i].unreachable |=
@@ -102,12 +101,12 @@
 	{"ignores-orders", true, fault_ignores, NULL, 0, 1, 16, 0, 0, 1},
 	{"never-empty", true, fault_busy, NULL, 0, 1, 6, 0, 0, 1},
 	{"not-in-the-list", true, fault_list_frozen, NULL, 1, 1, 7, 0, 0, 1},
-	{"gone-while-draining", true, NULL, drain_unreachable, 1, 1, 7, 0, 0,
+	{"gone-while-draining", true, NULL, drain_runner_fails, 1, 1, 7, 0, 0,
 	 1},
-	{"last-of-its-role", true, NULL, drain_last_of_role, 0, 1, 6, 0, 0, 1},
+	{"last-of-its-role", true, NULL, drain_others_fail, 0, 1, 6, 0, 0, 1},
 	{"log-slow", true, fault_log_slow, NULL, 2, 1, 8, 0, 0, 0},
-	{"log-loses-answers", true, fault_answers_of_log, NULL, 2, 1, 8, 0, 0,
-	 0},
+	{"log-loses-answers", true, fault_log_loses_answers, NULL, 2, 1, 8, 0,
+	 0, 0},
 };
 
 static bool draining(const struct order_world *world)
--- a/tests/role/model.c
+++ b/tests/role/model.c
@@ -7,11 +7,11 @@
 
 #define SECONDS 4800
 #define STEP_USEC (100 * USEC_PER_MSEC)
-#define STEP 0.1
+#define STEP_SEC 0.1
 #define PREFILL_RATE 8000.0
 #define STREAM_RATE 40.0
 #define SLOTS 20.0
-#define SMOOTH (STEP / 20)
+#define SMOOTHING_WEIGHT (STEP_SEC / 20)
 #define FIRST_TOKEN_SEC 5.0
 /* Time in which a runner finishes its work before it changes. */
 #define DRAIN_PREFILL_SEC 5
@@ -33,12 +33,12 @@
 	GQueue decode;
 	uint32_t runners[2];
 	enum role_move moving;
-	int64_t moved_at;
+	int64_t move_ends_at;
 	int64_t started_at;
 	enum role_move last;
 	double prompt_rate;
 	double output_rate;
-	double answered;
+	double answer_rate;
 	struct role role;
 	struct elastic elastic;
 	struct outcome outcome;
@@ -54,7 +54,7 @@
 	double prefill = mix->prompt / PREFILL_RATE;
 	double decode = (mix->output / STREAM_RATE + prefill) / SLOTS;
 	double rate = mix->load * MODEL_RUNNERS / (prefill + decode);
-	double left = rate * STEP;
+	double left = rate * STEP_SEC;
 	double prompts = 0, outputs = 0;
 
 	/* A Poisson process, by exponential intervals. */
@@ -69,8 +69,10 @@
 		g_queue_push_tail(&m->waiting, job);
 		m->outcome.requests++;
 	}
-	m->prompt_rate += SMOOTH * (prompts / STEP - m->prompt_rate);
-	m->output_rate += SMOOTH * (outputs / STEP - m->output_rate);
+	m->prompt_rate +=
+		SMOOTHING_WEIGHT * (prompts / STEP_SEC - m->prompt_rate);
+	m->output_rate +=
+		SMOOTHING_WEIGHT * (outputs / STEP_SEC - m->output_rate);
 }
 
 static void serve(struct model *m)
@@ -89,7 +91,7 @@
 		g_free(job);
 		g_queue_delete_link(&m->decode, l);
 	}
-	m->answered += SMOOTH * (done / STEP - m->answered);
+	m->answer_rate += SMOOTHING_WEIGHT * (done / STEP_SEC - m->answer_rate);
 	while (m->prefill.length + m->decode.length <
 		       (uint32_t)SLOTS * m->runners[1] &&
 	       m->prefill.length < 2 * m->runners[0] && m->waiting.length)
@@ -99,7 +101,7 @@
 
 		next = l->next;
 		n++;
-		job->left -= PREFILL_RATE * STEP;
+		job->left -= PREFILL_RATE * STEP_SEC;
 		if (job->left > 0)
 			continue;
 		m->outcome.in_time += (double)(m->now - job->arrived) <=
@@ -154,7 +156,7 @@
 	m->runners[to_prefill]--;
 	m->moving = m->last = move;
 	m->started_at = m->now;
-	m->moved_at = m->now + drain * USEC_PER_SEC;
+	m->move_ends_at = m->now + drain * USEC_PER_SEC;
 	m->outcome.min_runners =
 		MIN(m->outcome.min_runners, m->runners[to_prefill]);
 }
@@ -164,12 +166,12 @@
 	enum role_move move = ROLE_STAY;
 	struct role_load load;
 
-	if (m->moving != ROLE_STAY && m->now >= m->moved_at) {
+	if (m->moving != ROLE_STAY && m->now >= m->move_ends_at) {
 		m->runners[m->moving == ROLE_TO_DECODE]++;
 		m->moving = ROLE_STAY;
 	}
 	load = load_of(m);
-	m->elastic.throughput = m->answered;
+	m->elastic.throughput = m->answer_rate;
 	if (controller == CONTROL_THRESHOLD)
 		move = role_tick(&m->role, m->now, &load);
 	else if (controller == CONTROL_ELASTIC)
--- a/tests/role/test_role_model.c
+++ b/tests/role/test_role_model.c
@@ -99,15 +99,15 @@
 {
 	const struct row *row = data;
 	struct sum none = measure(row, CONTROL_NONE);
-	struct sum kept = measure(row, CONTROL_THRESHOLD);
+	struct sum own = measure(row, CONTROL_THRESHOLD);
 	struct sum paper = measure(row, CONTROL_ELASTIC);
 
-	g_assert_cmpfloat(kept.in_time, >=, row->in_time);
-	g_assert_cmpfloat(kept.in_time, >=, none.in_time);
-	g_assert_cmpfloat(kept.in_time, >=, paper.in_time - TOLERANCE);
-	g_assert_cmpuint(kept.reversals, <=, row->reversals);
-	g_assert_cmpuint(kept.moves, >=, row->moves_min);
-	g_assert_cmpuint(kept.moves, <=, row->moves_max);
+	g_assert_cmpfloat(own.in_time, >=, row->in_time);
+	g_assert_cmpfloat(own.in_time, >=, none.in_time);
+	g_assert_cmpfloat(own.in_time, >=, paper.in_time - TOLERANCE);
+	g_assert_cmpuint(own.reversals, <=, row->reversals);
+	g_assert_cmpuint(own.moves, >=, row->moves_min);
+	g_assert_cmpuint(own.moves, <=, row->moves_max);
 }
 
 int main(int argc, char **argv)
