--- a/coord/backpressure.c
+++ b/coord/backpressure.c
@@ -6,14 +6,14 @@
 
 /* Least rate, also for a limit of 0: only an answer can show that the limit has
  * ended. */
-#define LEAST_PER_SEC 0.25
+#define MIN_PER_SEC 0.25
 /* Capacity of the bucket in seconds of the limit; at least one request. */
 #define BURST_SEC 0.5
 /* Longest time until an instance that was denied asks again. */
-#define BOOKED_USEC (1 * USEC_PER_SEC)
+#define RETRY_MAX_USEC (1 * USEC_PER_SEC)
 /* Facts are told for this long after the answer they are from. */
-#define TOLD_USEC (30 * USEC_PER_SEC)
-#define UNLISTED_USEC (60 * USEC_PER_SEC)
+#define EXPORT_USEC (30 * USEC_PER_SEC)
+#define UNKNOWN_SERVER_USEC (60 * USEC_PER_SEC)
 /* named_at while no limit was ever named. */
 #define NEVER (INT64_MIN / 4)
 
@@ -26,16 +26,17 @@
 	int64_t backoff_until;
 	int64_t cold_until;
 	double cold_limit; /* until then */
-	bool counting;	   /* level is valid */
+	bool level_valid;  /* level is valid */
 	double level;	   /* tokens at level_at */
 	int64_t level_at;
-	int64_t booked; /* latest time that an instance was told to ask again */
+	int64_t last_retry_at; /* latest time that an instance was told to ask
+				  again */
 };
 
 struct backpressure {
 	GHashTable *items; /* server to struct item */
 	uint32_t limited;
-	uint32_t turn; /* index of the fact to be told next */
+	uint32_t next_export; /* index of the fact to be told next */
 };
 
 struct backpressure *backpressure_create(void)
@@ -141,10 +142,10 @@
 				 uint64_t server,
 				 const struct backpressure_signals *signals)
 {
-	bool says = signals->limited || signals->leaving ||
-		    signals->backoff_usec > 0;
-	struct item *item =
-		says ? item_get(table, server) : item_find(table, server);
+	bool has_signals = signals->limited || signals->leaving ||
+			   signals->backoff_usec > 0;
+	struct item *item = has_signals ? item_get(table, server)
+					: item_find(table, server);
 	unsigned int changed;
 
 	if (!item)
@@ -160,9 +161,10 @@
 unsigned int backpressure_merge(struct backpressure *table, int64_t now,
 				const struct backpressure_fact *fact)
 {
-	bool says = fact->leaving || fact->limit >= 0.0 || fact->cold_usec > 0;
-	struct item *item = says ? item_get(table, fact->server)
-				 : item_find(table, fact->server);
+	bool has_signals =
+		fact->leaving || fact->limit >= 0.0 || fact->cold_usec > 0;
+	struct item *item = has_signals ? item_get(table, fact->server)
+					: item_find(table, fact->server);
 	int64_t at = now - fact->age_usec;
 	unsigned int changed = 0;
 
@@ -191,10 +193,10 @@
 }
 
 /* Whether other instances may not know it yet. */
-static bool is_told(const struct item *item, int64_t now)
+static bool is_exported(const struct item *item, int64_t now)
 {
-	return now - item->named_at < TOLD_USEC ||
-	       (item->leaving && now - item->leaving_at < TOLD_USEC);
+	return now - item->named_at < EXPORT_USEC ||
+	       (item->leaving && now - item->leaving_at < EXPORT_USEC);
 }
 
 static void fact_fill(const struct item *item, int64_t now,
@@ -209,21 +211,21 @@
 }
 
 uint32_t backpressure_export(struct backpressure *table, int64_t now,
-			     struct backpressure_fact *facts, uint32_t most)
+			     struct backpressure_fact *facts, uint32_t max)
 {
 	uint32_t all = g_hash_table_size(table->items);
-	uint32_t start = all > most ? table->turn % all : 0;
+	uint32_t start = all > max ? table->next_export % all : 0;
 	uint32_t count = 0;
 	uint32_t at = 0;
 	GHashTableIter iter;
 	struct item *item;
 
 	g_hash_table_iter_init(&iter, table->items);
-	while (count < most &&
+	while (count < max &&
 	       g_hash_table_iter_next(&iter, NULL, (gpointer *)&item))
-		if (at++ >= start && is_told(item, now))
+		if (at++ >= start && is_exported(item, now))
 			fact_fill(item, now, &facts[count++]);
-	table->turn = at < all ? at : 0;
+	table->next_export = at < all ? at : 0;
 	return count;
 }
 
@@ -271,33 +273,33 @@
 
 static double rate_of(const struct item *item, int64_t now)
 {
-	return MAX(limit_at(item, now), LEAST_PER_SEC);
+	return MAX(limit_at(item, now), MIN_PER_SEC);
 }
 
 static void level_advance(struct item *item, int64_t now)
 {
 	double sec = (double)(now - item->level_at) / (double)USEC_PER_SEC;
 	double rate = rate_of(item, now);
-	double most = MAX(rate * BURST_SEC, 1.0);
+	double max = MAX(rate * BURST_SEC, 1.0);
 
-	if (item->counting)
-		item->level = MIN(item->level + rate * sec, most);
-	item->counting = true;
+	if (item->level_valid)
+		item->level = MIN(item->level + rate * sec, max);
+	item->level_valid = true;
 	item->level_at = now;
 }
 
 /* Spreads those that were denied at the rate at which the bucket fills. */
-static int64_t book(struct item *item, int64_t now)
+static int64_t retry_reserve(struct item *item, int64_t now)
 {
 	double step = (double)USEC_PER_SEC / rate_of(item, now);
 	int64_t fits = now + (int64_t)((1.0 - item->level) * step) + 1;
 
-	if (item->booked < fits)
-		item->booked = fits;
+	if (item->last_retry_at < fits)
+		item->last_retry_at = fits;
 	else
-		item->booked += (int64_t)step;
-	item->booked = MIN(item->booked, now + BOOKED_USEC);
-	return item->booked - now;
+		item->last_retry_at += (int64_t)step;
+	item->last_retry_at = MIN(item->last_retry_at, now + RETRY_MAX_USEC);
+	return item->last_retry_at - now;
 }
 
 bool backpressure_grant(struct backpressure *table, int64_t now,
@@ -312,34 +314,34 @@
 		item->level -= 1.0;
 		return true;
 	}
-	*retry_usec = book(item, now);
+	*retry_usec = retry_reserve(item, now);
 	return false;
 }
 
 /* Whether no fact about the server is valid any more. */
-static bool is_spent(const struct item *item, int64_t now)
+static bool is_expired(const struct item *item, int64_t now)
 {
 	return !is_limited(item) && !is_cold(item, now) && !item->leaving &&
-	       !is_told(item, now) && now >= item->backoff_until;
+	       !is_exported(item, now) && now >= item->backoff_until;
 }
 
-static bool is_old(const struct item *item, int64_t now)
+static bool is_stale(const struct item *item, int64_t now)
 {
-	return now - item->named_at >= UNLISTED_USEC &&
-	       now - item->leaving_at >= UNLISTED_USEC &&
+	return now - item->named_at >= UNKNOWN_SERVER_USEC &&
+	       now - item->leaving_at >= UNKNOWN_SERVER_USEC &&
 	       now >= item->backoff_until;
 }
 
 void backpressure_prune(struct backpressure *table, int64_t now,
-			backpressure_exists_fn lives, void *ctx)
+			backpressure_exists_fn exists, void *ctx)
 {
 	GHashTableIter iter;
 	struct item *item;
 
 	g_hash_table_iter_init(&iter, table->items);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&item)) {
-		if (!is_spent(item, now) &&
-		    !(is_old(item, now) && !lives(ctx, item->server)))
+		if (!is_expired(item, now) &&
+		    !(is_stale(item, now) && !exists(ctx, item->server)))
 			continue;
 		table->limited -= is_limited(item);
 		g_hash_table_iter_remove(&iter);
--- a/coord/circuit.c
+++ b/coord/circuit.c
@@ -7,7 +7,7 @@
 #define CIRCUIT_BASE_USEC (500 * USEC_PER_MSEC)
 #define CIRCUIT_MAX_USEC (30 * USEC_PER_SEC)
 /* A trial whose end is never told must not close the server for ever. */
-#define CIRCUIT_TRIAL_USEC (60 * USEC_PER_SEC)
+#define CIRCUIT_PROBE_USEC (60 * USEC_PER_SEC)
 
 bool circuit_allow(struct circuit *circuit, int64_t now)
 {
@@ -16,7 +16,7 @@
 	if (now < circuit->until)
 		return false;
 	circuit->state = CIRCUIT_HALF_OPEN;
-	circuit->until = now + CIRCUIT_TRIAL_USEC;
+	circuit->until = now + CIRCUIT_PROBE_USEC;
 	return true;
 }
 
--- a/coord/claim.c
+++ b/coord/claim.c
@@ -7,39 +7,39 @@
 #include "common/log.h"
 
 #define CLAIM_WRITERS 2u
-/* A writer that does not say within this time that it has the claim is passed
- * over for the other one. */
-#define TAKEN_USEC (300 * USEC_PER_MSEC)
-/* One that has it is asked again after this time. */
+/* A claim that its writer has not accepted within this time goes to the other
+ * writer. */
+#define ACCEPT_TIMEOUT_USEC (300 * USEC_PER_MSEC)
+/* A writer that has accepted the claim is polled after this time. */
 #define POLL_USEC (1 * USEC_PER_SEC)
-/* After one that cannot take it, the next is asked. */
-#define ELSEWHERE_USEC (50 * USEC_PER_MSEC)
-/* Writers give up this long before those who ask, so that their answer comes
- * in time; less when the whole time is short. */
-#define MARGIN_USEC (200 * USEC_PER_MSEC)
-/* Writers that one claim can be asked of before their answers are no longer
- * told apart. */
-#define ASKED_MAX 4u
-
-/* The last thing asked of one writer. */
-struct asked {
+/* Delay before the other writer is tried after one has declined the claim. */
+#define DECLINED_DELAY_USEC (50 * USEC_PER_MSEC)
+/* Writers give up this long before the timeout of the claim, so that their
+ * reply arrives in time; at most a quarter of the timeout. */
+#define REPLY_MARGIN_USEC (200 * USEC_PER_MSEC)
+/* Writers whose state is kept for a claim. When more were tried, the last entry
+ * is reused, and a claim with a request of unknown result stays undecided. */
+#define SENT_MAX 4u
+
+/* The last request sent to one writer. */
+struct sent_request {
 	uint64_t writer;
 	uint64_t attempt;
-	bool refused; /* it has answered that it surely appended nothing */
+	bool refused; /* it replied that it certainly appended nothing */
 };
 
-struct ask {
+struct pending_claim {
 	struct claims *claims;
 	struct claim claim;
 	uint64_t attempt;
-	struct asked asked[ASKED_MAX];
-	uint32_t asked_count;
-	bool doubt;    /* a writer is no longer in asked */
-	bool taken;    /* the last writer asked has said that it has it */
-	uint32_t rank; /* of the writer to ask next */
+	struct sent_request sent[SENT_MAX];
+	uint32_t sent_count;
+	bool unresolved; /* a request of unknown result was dropped from sent */
+	bool accepted;	 /* the last writer has accepted the claim */
+	uint32_t rank;	 /* of the next writer to send to */
 	int64_t decide_by;
 	struct timer poll;
-	struct timer end;
+	struct timer timeout;
 };
 
 struct claims {
@@ -51,7 +51,7 @@
 	struct owner self;
 	struct claim_writer *writer;
 	uint64_t writers[CLAIM_WRITERS];
-	GHashTable *asks; /* request to struct ask */
+	GHashTable *pending; /* request to struct pending_claim */
 };
 
 static void claims_send(struct claims *claims, uint64_t to,
@@ -60,148 +60,153 @@
 	msgpack_sbuffer buffer;
 
 	msgpack_sbuffer_init(&buffer);
-	claim_message_pack(&buffer, message);
+	claim_message_encode(&buffer, message);
 	claims->transport.send(claims->transport.ctx, to, CHANNEL_CLAIM,
 			       buffer.data, buffer.size);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-static void ask_free(void *data)
+static void pending_free(void *data)
 {
-	struct ask *ask = data;
+	struct pending_claim *pending = data;
 
-	timer_stop(&ask->poll);
-	timer_stop(&ask->end);
-	g_free(ask);
+	timer_stop(&pending->poll);
+	timer_stop(&pending->timeout);
+	g_free(pending);
 }
 
-static void ask_finish(struct ask *ask, enum result_code code,
-		       const struct owner *winner)
+static void pending_finish(struct pending_claim *pending, enum result_code code,
+			   const struct owner *winner)
 {
-	struct claims *claims = ask->claims;
-	uint64_t request = ask->claim.id.request;
+	struct claims *claims = pending->claims;
+	uint64_t request = pending->claim.id.request;
 
-	g_hash_table_remove(claims->asks, &request);
+	g_hash_table_remove(claims->pending, &request);
 	claims->fn(claims->ctx, request, code, winner);
 }
 
-/* Ends without a decision: no writer asked may have appended the claim, or
- * else its key may be spent. */
-static void ask_give_up(struct ask *ask)
+/* Ends the claim without a decision. Unless every writer refused it, it may
+ * have been appended and its key may be spent. */
+static void pending_give_up(struct pending_claim *pending)
 {
 	const struct owner nobody = {0};
-	bool clean = !ask->doubt;
+	bool clean = !pending->unresolved;
 
-	for (uint32_t i = 0; i < ask->asked_count; i++)
-		clean = clean && ask->asked[i].refused;
-	ask_finish(ask, clean ? RESULT_LOG_DOWN : RESULT_CLAIM_UNDECIDED,
-		   &nobody);
+	for (uint32_t i = 0; i < pending->sent_count; i++)
+		clean = clean && pending->sent[i].refused;
+	pending_finish(pending,
+		       clean ? RESULT_LOG_DOWN : RESULT_CLAIM_UNDECIDED,
+		       &nobody);
 }
 
-static struct asked *ask_find(struct ask *ask, uint64_t writer)
+static struct sent_request *pending_find_sent(struct pending_claim *pending,
+					      uint64_t writer)
 {
-	for (uint32_t i = 0; i < ask->asked_count; i++) {
-		if (ask->asked[i].writer == writer)
-			return &ask->asked[i];
+	for (uint32_t i = 0; i < pending->sent_count; i++) {
+		if (pending->sent[i].writer == writer)
+			return &pending->sent[i];
 	}
 	return NULL;
 }
 
-static struct asked *ask_find_or_add(struct ask *ask, uint64_t writer)
+static struct sent_request *pending_add_sent(struct pending_claim *pending,
+					     uint64_t writer)
 {
-	struct asked *asked = ask_find(ask, writer);
+	struct sent_request *sent = pending_find_sent(pending, writer);
 
-	if (asked)
-		return asked;
-	if (ask->asked_count < ASKED_MAX)
-		asked = &ask->asked[ask->asked_count++];
+	if (sent)
+		return sent;
+	if (pending->sent_count < SENT_MAX)
+		sent = &pending->sent[pending->sent_count++];
 	else
-		asked = &ask->asked[ASKED_MAX - 1];
-	ask->doubt = ask->doubt || (asked->writer && !asked->refused);
-	asked->writer = writer;
-	return asked;
+		sent = &pending->sent[SENT_MAX - 1];
+	pending->unresolved =
+		pending->unresolved || (sent->writer && !sent->refused);
+	sent->writer = writer;
+	return sent;
 }
 
-/* Asks the writer whose turn it is, as long as it has time to decide. */
-static void ask_send(struct ask *ask)
+/* Sends the claim to the next writer, unless no time is left to decide it. */
+static void pending_send(struct pending_claim *pending)
 {
-	struct claims *claims = ask->claims;
-	uint64_t writer = claims->writers[ask->rank % CLAIM_WRITERS];
-	int64_t decide_usec = ask->decide_by - clock_now(claims->clock);
-	struct asked *asked;
+	struct claims *claims = pending->claims;
+	uint64_t writer = claims->writers[pending->rank % CLAIM_WRITERS];
+	int64_t decide_usec = pending->decide_by - clock_now(claims->clock);
+	struct sent_request *sent;
 
 	if (!writer)
 		writer = claims->writers[0];
 	if (decide_usec <= 0)
 		return;
-	timer_start(&ask->poll, TAKEN_USEC);
-	ask->taken = false;
+	timer_start(&pending->poll, ACCEPT_TIMEOUT_USEC);
+	pending->accepted = false;
 	if (!writer)
 		return;
-	asked = ask_find_or_add(ask, writer);
-	asked->attempt = ++ask->attempt;
-	asked->refused = false;
+	sent = pending_add_sent(pending, writer);
+	sent->attempt = ++pending->attempt;
+	sent->refused = false;
 	claims_send(claims, writer,
 		    &(struct claim_message){
-			    .kind = CLAIM_MESSAGE_ASK,
-			    .request = ask->claim.id.request,
-			    .incarnation = ask->claim.id.owner.incarnation,
-			    .attempt = asked->attempt,
-			    .key = ask->claim.key,
+			    .kind = CLAIM_MESSAGE_REQUEST,
+			    .request = pending->claim.id.request,
+			    .incarnation = pending->claim.id.owner.incarnation,
+			    .attempt = sent->attempt,
+			    .key = pending->claim.key,
 			    .decide_usec = (uint64_t)decide_usec,
 		    });
 }
 
-static void ask_poll(struct timer *timer, void *ctx)
+static void pending_poll(struct timer *timer, void *ctx)
 {
-	struct ask *ask = ctx;
+	struct pending_claim *pending = ctx;
 
-	if (!ask->taken)
-		ask->rank++;
-	ask_send(ask);
+	if (!pending->accepted)
+		pending->rank++;
+	pending_send(pending);
 }
 
-static void ask_end(struct timer *timer, void *ctx)
+static void pending_timed_out(struct timer *timer, void *ctx)
 {
-	ask_give_up(ctx);
+	pending_give_up(ctx);
 }
 
-/* Only the answer to the last thing asked of a writer tells what it has not
- * done; a decision stands whenever it comes. */
-static void ask_reply(struct ask *ask, uint64_t from,
-		      const struct claim_message *message)
+/* A refusal is valid only in reply to the last request sent to the writer; a
+ * decision is valid whenever it arrives. */
+static void pending_receive_reply(struct pending_claim *pending, uint64_t from,
+				  const struct claim_message *message)
 {
-	struct asked *asked = ask_find(ask, from);
-	bool current = asked && asked->attempt == message->attempt;
+	struct sent_request *sent = pending_find_sent(pending, from);
+	bool current = sent && sent->attempt == message->attempt;
 
 	switch (message->reply) {
 	case CLAIM_REPLY_WON:
-		ask_finish(ask, RESULT_OK, &message->winner);
+		pending_finish(pending, RESULT_OK, &message->winner);
 		return;
 	case CLAIM_REPLY_LOST:
-		ask_finish(ask, RESULT_ALREADY_CLAIMED, &message->winner);
+		pending_finish(pending, RESULT_ALREADY_CLAIMED,
+			       &message->winner);
 		return;
 	case CLAIM_REPLY_UNDECIDED:
-		ask_give_up(ask);
+		pending_give_up(pending);
 		return;
 	case CLAIM_REPLY_PENDING:
-		if (!current || message->attempt != ask->attempt)
+		if (!current || message->attempt != pending->attempt)
 			return;
-		ask->taken = true;
-		timer_start(&ask->poll, POLL_USEC);
+		pending->accepted = true;
+		timer_start(&pending->poll, POLL_USEC);
 		return;
-	case CLAIM_REPLY_DOWN:
+	case CLAIM_REPLY_NOT_APPENDED:
 		if (!current)
 			return;
-		asked->refused = true;
-		ask_give_up(ask);
+		sent->refused = true;
+		pending_give_up(pending);
 		return;
-	case CLAIM_REPLY_ELSEWHERE:
+	case CLAIM_REPLY_DECLINED:
 		if (!current)
 			return;
-		asked->refused = true;
-		if (message->attempt == ask->attempt)
-			timer_start(&ask->poll, ELSEWHERE_USEC);
+		sent->refused = true;
+		if (message->attempt == pending->attempt)
+			timer_start(&pending->poll, DECLINED_DELAY_USEC);
 		return;
 	case CLAIM_REPLY_COUNT:
 		return;
@@ -211,11 +216,13 @@
 static void receive_reply(struct claims *claims, uint64_t from,
 			  const struct claim_message *message)
 {
-	struct ask *ask = g_hash_table_lookup(claims->asks, &message->request);
+	struct pending_claim *pending =
+		g_hash_table_lookup(claims->pending, &message->request);
 
-	if (!ask || ask->claim.id.owner.incarnation != message->incarnation)
+	if (!pending ||
+	    pending->claim.id.owner.incarnation != message->incarnation)
 		return;
-	ask_reply(ask, from, message);
+	pending_receive_reply(pending, from, message);
 }
 
 static void claims_reply(struct claims *claims, const struct claim_id *id,
@@ -240,8 +247,8 @@
 	claims_reply(ctx, id, attempt, kind, winner);
 }
 
-static void receive_ask(struct claims *claims, uint64_t from,
-			const struct claim_message *message)
+static void receive_request(struct claims *claims, uint64_t from,
+			    const struct claim_message *message)
 {
 	struct owner winner = {0};
 	struct claim claim = {
@@ -251,7 +258,7 @@
 	};
 	int64_t decide_usec = (int64_t)MIN(message->decide_usec,
 					   (uint64_t)CLAIM_TIMEOUT_MAX_USEC);
-	enum claim_reply_kind reply = claim_writer_take(
+	enum claim_reply_kind reply = claim_writer_submit(
 		claims->writer, &claim, message->attempt, decide_usec, &winner);
 
 	claims_reply(claims, &claim.id, message->attempt, reply, &winner);
@@ -274,8 +281,8 @@
 	claims->writer =
 		claim_writer_create(clock, &claims->self, store, CLAIM_KEYS_MAX,
 				    claim_decided, claims);
-	claims->asks = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					     ask_free);
+	claims->pending = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						NULL, pending_free);
 	return claims;
 }
 
@@ -283,7 +290,7 @@
 {
 	if (!claims)
 		return;
-	g_hash_table_destroy(claims->asks);
+	g_hash_table_destroy(claims->pending);
 	claim_writer_destroy(claims->writer);
 	g_free(claims);
 }
@@ -304,7 +311,7 @@
 		own = own || writer == self->id;
 	}
 	if (changed)
-		claim_writer_run(claims->writer, own);
+		claim_writer_set_running(claims->writer, own);
 	return changed;
 }
 
@@ -318,58 +325,61 @@
 {
 	struct claim_message message;
 
-	if (!claim_message_unpack(&message, data, size)) {
+	if (!claim_message_decode(&message, data, size)) {
 		log_event(LOG_WARNING, "claim_message_malformed",
 			  LOG_X("from", from));
 		return;
 	}
-	if (message.kind == CLAIM_MESSAGE_ASK)
-		receive_ask(claims, from, &message);
+	if (message.kind == CLAIM_MESSAGE_REQUEST)
+		receive_request(claims, from, &message);
 	else
 		receive_reply(claims, from, &message);
 }
 
-/* Claims that were asked of one that no longer writes go to one that does. */
-void claims_member(struct claims *claims, const struct member *member)
+/* Sends the pending claims again when the writers have changed. */
+void claims_member_changed(struct claims *claims, const struct member *member)
 {
 	GHashTableIter iter;
 	void *value;
 
 	if (!claims_find_writers(claims))
 		return;
-	g_hash_table_iter_init(&iter, claims->asks);
+	g_hash_table_iter_init(&iter, claims->pending);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct ask *ask = value;
+		struct pending_claim *pending = value;
 
-		ask->rank = 0;
-		ask->taken = true;
-		timer_start(&ask->poll, 0);
+		pending->rank = 0;
+		pending->accepted = true;
+		timer_start(&pending->poll, 0);
 	}
 }
 
-void claims_take(struct claims *claims, uint64_t request, uint64_t key,
-		 int64_t timeout_us)
+void claims_submit(struct claims *claims, uint64_t request, uint64_t key,
+		   int64_t timeout_us)
 {
 	const struct member *self = membership_self(claims->membership);
 	int64_t now = clock_now(claims->clock);
-	struct ask *ask;
+	struct pending_claim *pending;
 
-	if (g_hash_table_contains(claims->asks, &request)) {
+	if (g_hash_table_contains(claims->pending, &request)) {
 		log_event(LOG_ERR, "claim_repeated", LOG_X("request", request));
 		return;
 	}
 	timeout_us = CLAMP(timeout_us, 0, CLAIM_TIMEOUT_MAX_USEC);
-	ask = g_new0(struct ask, 1);
-	ask->claims = claims;
-	ask->claim.key = key;
-	ask->claim.id.owner = (struct owner){self->id, self->incarnation};
-	ask->claim.id.request = request;
-	ask->decide_by = now + timeout_us - MIN(MARGIN_USEC, timeout_us / 4);
-	timer_init(&ask->poll, claims->clock, ask_poll, ask);
-	timer_init(&ask->end, claims->clock, ask_end, ask);
-	/* Fires before an answer is looked at that came while this process
-	 * stood still: what was decided then may be old by now. */
-	timer_start(&ask->end, timeout_us);
-	g_hash_table_insert(claims->asks, &ask->claim.id.request, ask);
-	ask_send(ask);
+	pending = g_new0(struct pending_claim, 1);
+	pending->claims = claims;
+	pending->claim.key = key;
+	pending->claim.id.owner = (struct owner){self->id, self->incarnation};
+	pending->claim.id.request = request;
+	pending->decide_by =
+		now + timeout_us - MIN(REPLY_MARGIN_USEC, timeout_us / 4);
+	timer_init(&pending->poll, claims->clock, pending_poll, pending);
+	timer_init(&pending->timeout, claims->clock, pending_timed_out,
+		   pending);
+	/* After a pause of the process this timer fires before an answer that
+	 * arrived meanwhile is handled: its decision may be too old by then. */
+	timer_start(&pending->timeout, timeout_us);
+	g_hash_table_insert(claims->pending, &pending->claim.id.request,
+			    pending);
+	pending_send(pending);
 }
--- a/coord/claim_codec.c
+++ b/coord/claim_codec.c
@@ -6,7 +6,7 @@
 
 #define RECORD_FIELDS 4
 #define CLAIM_FIELDS 4
-#define ASK_FIELDS 6
+#define REQUEST_FIELDS 6
 #define REPLY_FIELDS 7
 
 guint claim_id_hash(gconstpointer id)
@@ -28,7 +28,8 @@
 	       x->owner.incarnation == y->owner.incarnation;
 }
 
-void claim_record_pack(msgpack_sbuffer *out, const struct claim_record *record)
+void claim_record_encode(msgpack_sbuffer *out,
+			 const struct claim_record *record)
 {
 	msgpack_packer packer;
 
@@ -89,25 +90,25 @@
 	return true;
 }
 
-bool claim_record_unpack(struct claim_record *record, const void *data,
+bool claim_record_decode(struct claim_record *record, const void *data,
 			 size_t size)
 {
 	return codec_read(data, size, record, read_record);
 }
 
-void claim_message_pack(msgpack_sbuffer *out,
-			const struct claim_message *message)
+void claim_message_encode(msgpack_sbuffer *out,
+			  const struct claim_message *message)
 {
-	bool ask = message->kind == CLAIM_MESSAGE_ASK;
+	bool is_request = message->kind == CLAIM_MESSAGE_REQUEST;
 	msgpack_packer packer;
 
 	msgpack_packer_init(&packer, out, msgpack_sbuffer_write);
-	msgpack_pack_array(&packer, ask ? ASK_FIELDS : REPLY_FIELDS);
+	msgpack_pack_array(&packer, is_request ? REQUEST_FIELDS : REPLY_FIELDS);
 	msgpack_pack_int(&packer, (int)message->kind);
 	msgpack_pack_uint64(&packer, message->request);
 	msgpack_pack_uint64(&packer, message->incarnation);
 	msgpack_pack_uint64(&packer, message->attempt);
-	if (ask) {
+	if (is_request) {
 		msgpack_pack_uint64(&packer, message->key);
 		msgpack_pack_uint64(&packer, message->decide_usec);
 		return;
@@ -123,7 +124,7 @@
 	uint64_t values[REPLY_FIELDS] = {0};
 	uint32_t count;
 	const msgpack_object *elements =
-		codec_array(object, ASK_FIELDS, &count);
+		codec_array(object, REQUEST_FIELDS, &count);
 
 	if (!elements ||
 	    !codec_uints(elements, MIN(count, REPLY_FIELDS), values))
@@ -134,7 +135,7 @@
 		.incarnation = values[2],
 		.attempt = values[3],
 	};
-	if (values[0] == CLAIM_MESSAGE_ASK) {
+	if (values[0] == CLAIM_MESSAGE_REQUEST) {
 		message->key = values[4];
 		message->decide_usec = values[5];
 		return true;
@@ -147,7 +148,7 @@
 	return true;
 }
 
-bool claim_message_unpack(struct claim_message *message, const void *data,
+bool claim_message_decode(struct claim_message *message, const void *data,
 			  size_t size)
 {
 	return codec_read(data, size, message, read_message);
--- a/coord/claim_codec.h
+++ b/coord/claim_codec.h
@@ -35,16 +35,16 @@
 enum claim_reply_kind {
 	CLAIM_REPLY_PENDING, /* taken, and not decided yet */
 	CLAIM_REPLY_WON,
-	CLAIM_REPLY_LOST,      /* the winner is in owner */
-	CLAIM_REPLY_DOWN,      /* given up, and surely not appended */
-	CLAIM_REPLY_UNDECIDED, /* given up, and maybe appended */
-	CLAIM_REPLY_ELSEWHERE, /* not taken: ask the other writer */
+	CLAIM_REPLY_LOST,	  /* the winner is in owner */
+	CLAIM_REPLY_NOT_APPENDED, /* given up, and surely not appended */
+	CLAIM_REPLY_UNDECIDED,	  /* given up, and maybe appended */
+	CLAIM_REPLY_DECLINED,	  /* not taken: ask the other writer */
 	CLAIM_REPLY_COUNT,
 };
 
 /* An ask and its reply are told apart by their first element. */
 enum claim_message_kind {
-	CLAIM_MESSAGE_ASK,
+	CLAIM_MESSAGE_REQUEST,
 	CLAIM_MESSAGE_REPLY,
 };
 
@@ -62,14 +62,15 @@
 guint claim_id_hash(gconstpointer id);
 gboolean claim_id_equal(gconstpointer a, gconstpointer b);
 
-void claim_record_pack(msgpack_sbuffer *out, const struct claim_record *record);
+void claim_record_encode(msgpack_sbuffer *out,
+			 const struct claim_record *record);
 /* Fills the record, whose claims array is emptied first; false when malformed.
  */
-bool claim_record_unpack(struct claim_record *record, const void *data,
+bool claim_record_decode(struct claim_record *record, const void *data,
 			 size_t size);
-void claim_message_pack(msgpack_sbuffer *out,
-			const struct claim_message *message);
-bool claim_message_unpack(struct claim_message *message, const void *data,
+void claim_message_encode(msgpack_sbuffer *out,
+			  const struct claim_message *message);
+bool claim_message_decode(struct claim_message *message, const void *data,
 			  size_t size);
 
 #endif
--- a/coord/claim_refusals.c
+++ b/coord/claim_refusals.c
@@ -14,7 +14,7 @@
 struct claim_refusals {
 	GHashTable *newer;
 	GHashTable *older;
-	int64_t since;
+	int64_t newer_since;
 };
 
 static GHashTable *generation_create(void)
@@ -52,18 +52,18 @@
 			const struct claim_id *id, uint64_t attempt,
 			enum claim_reply_kind kind)
 {
-	const struct refusal *former = refusal_find(refusals, id);
+	const struct refusal *previous = refusal_find(refusals, id);
 	struct refusal *refusal;
 
-	if (former && (former->kind == CLAIM_REPLY_UNDECIDED ||
-		       former->attempt >= attempt))
+	if (previous && (previous->kind == CLAIM_REPLY_UNDECIDED ||
+			 previous->attempt >= attempt))
 		return;
-	if (now - refusals->since >= CLAIM_TIMEOUT_MAX_USEC ||
+	if (now - refusals->newer_since >= CLAIM_TIMEOUT_MAX_USEC ||
 	    g_hash_table_size(refusals->newer) >= REFUSALS_MAX) {
 		g_hash_table_destroy(refusals->older);
 		refusals->older = refusals->newer;
 		refusals->newer = generation_create();
-		refusals->since = now;
+		refusals->newer_since = now;
 	}
 	refusal = g_new0(struct refusal, 1);
 	*refusal = (struct refusal){*id, attempt, kind};
--- a/coord/claim_refusals.h
+++ b/coord/claim_refusals.h
@@ -19,8 +19,8 @@
 
 struct claim_refusals *claim_refusals_create(void);
 void claim_refusals_destroy(struct claim_refusals *refusals);
-/* kind is CLAIM_REPLY_DOWN or CLAIM_REPLY_ELSEWHERE, which hold for asks up to
- * attempt, or CLAIM_REPLY_UNDECIDED, which holds for all. */
+/* kind is CLAIM_REPLY_NOT_APPENDED or CLAIM_REPLY_DECLINED, which hold for asks
+ * up to attempt, or CLAIM_REPLY_UNDECIDED, which holds for all. */
 void claim_refusals_add(struct claim_refusals *refusals, int64_t now,
 			const struct claim_id *id, uint64_t attempt,
 			enum claim_reply_kind kind);
--- a/coord/claim_table.c
+++ b/coord/claim_table.c
@@ -14,8 +14,9 @@
 	GHashTable *entries; /* key to struct entry */
 	GQueue order;
 	uint32_t max;
-	int64_t now_us;	  /* the log's time, of the record folded last */
-	int64_t blind_us; /* until then an unknown key may be a forgotten one */
+	int64_t now_us; /* the log's time, of the record folded last */
+	int64_t incomplete_until_us; /* until then an unknown key may be a
+					forgotten one */
 };
 
 struct claim_table *claim_table_create(uint32_t max)
@@ -27,7 +28,7 @@
 	g_queue_init(&table->order);
 	table->max = max;
 	table->now_us = INT64_MIN;
-	table->blind_us = INT64_MIN;
+	table->incomplete_until_us = INT64_MIN;
 	return table;
 }
 
@@ -53,9 +54,9 @@
 	}
 }
 
-static bool table_blind(const struct claim_table *table)
+static bool table_is_incomplete(const struct claim_table *table)
 {
-	return table->now_us < table->blind_us;
+	return table->now_us < table->incomplete_until_us;
 }
 
 static enum claim_verdict entry_verdict(const struct entry *entry,
@@ -75,7 +76,7 @@
 
 	entry->key = claim->key;
 	entry->first = claim->id;
-	entry->unsure = table_blind(table);
+	entry->unsure = table_is_incomplete(table);
 	entry->link.data = entry;
 	g_hash_table_insert(table->entries, &entry->key, entry);
 	g_queue_push_tail_link(&table->order, &entry->link);
@@ -93,7 +94,7 @@
 	table_expire(table);
 	entry = g_hash_table_lookup(table->entries, &claim->key);
 	if (!entry && claim_table_size(table) >= table->max) {
-		table->blind_us = table->now_us + CLAIM_KEEP_USEC;
+		table->incomplete_until_us = table->now_us + CLAIM_KEEP_USEC;
 		return CLAIM_UNSURE;
 	}
 	if (entry) {
@@ -121,7 +122,8 @@
 	return g_hash_table_size(table->entries);
 }
 
-bool claim_table_open(const struct claim_table *table)
+bool claim_table_accepts_new(const struct claim_table *table)
 {
-	return !table_blind(table) && claim_table_size(table) < table->max;
+	return !table_is_incomplete(table) &&
+	       claim_table_size(table) < table->max;
 }
--- a/coord/claim_table.h
+++ b/coord/claim_table.h
@@ -38,6 +38,6 @@
 				    struct owner *winner);
 uint32_t claim_table_size(const struct claim_table *table);
 /* Whether new keys can be remembered, and old ones are all known. */
-bool claim_table_open(const struct claim_table *table);
+bool claim_table_accepts_new(const struct claim_table *table);
 
 #endif
--- a/coord/claim_writer.c
+++ b/coord/claim_writer.c
@@ -9,12 +9,12 @@
 
 #define GROUP_CLAIMS 2048u
 #define GROUPS_MAX 16u
-#define WAITING_MAX 65536u
+#define PENDING_MAX 65536u
 /* How long a record is looked for whose append was not answered. */
-#define LOST_USEC (500 * USEC_PER_MSEC)
+#define READ_BACK_USEC (500 * USEC_PER_MSEC)
 #define BACKOFF_MAX_USEC (2 * USEC_PER_SEC)
 
-struct waiting {
+struct pending_claim {
 	struct claim_writer *writer;
 	struct claim claim;
 	uint64_t serial; /* tells it from a former one of the same claim */
@@ -50,7 +50,7 @@
 	struct claim_table *table;
 	struct claim_refusals *refusals;
 	struct log_tail *tail;
-	GHashTable *waiting; /* claim id to struct waiting */
+	GHashTable *pending; /* claim id to struct waiting */
 	GArray *queue;	     /* struct queued */
 	GPtrArray *groups;   /* struct group, not found yet */
 	struct claim_record record;
@@ -73,62 +73,65 @@
 }
 
 /* Stops reading once no one needs it; what is known is kept. */
-static void writer_rest(struct claim_writer *writer)
+static void writer_stop_if_idle(struct claim_writer *writer)
 {
-	if (writer->running || g_hash_table_size(writer->waiting))
+	if (writer->running || g_hash_table_size(writer->pending))
 		return;
 	log_tail_stop(writer->tail);
 	writer->caught_up = false;
 }
 
-static void waiting_decide(struct waiting *waiting, enum claim_reply_kind kind,
+static void pending_decide(struct pending_claim *pending,
+			   enum claim_reply_kind kind,
 			   const struct owner *winner)
 {
-	struct claim_writer *writer = waiting->writer;
-	struct claim_id id = waiting->claim.id;
-	uint64_t attempt = waiting->attempt;
+	struct claim_writer *writer = pending->writer;
+	struct claim_id id = pending->claim.id;
+	uint64_t attempt = pending->attempt;
 
-	g_hash_table_remove(writer->waiting, &id);
+	g_hash_table_remove(writer->pending, &id);
 	writer->fn(writer->ctx, &id, attempt, kind, winner);
 }
 
-static void waiting_expired(struct timer *timer, void *ctx)
+static void pending_timed_out(struct timer *timer, void *ctx)
 {
-	struct waiting *waiting = ctx;
-	struct claim_writer *writer = waiting->writer;
+	struct pending_claim *pending = ctx;
+	struct claim_writer *writer = pending->writer;
 	const struct owner nobody = {0};
-	enum claim_reply_kind kind =
-		waiting->appends ? CLAIM_REPLY_UNDECIDED : CLAIM_REPLY_DOWN;
+	enum claim_reply_kind kind = pending->appends
+					     ? CLAIM_REPLY_UNDECIDED
+					     : CLAIM_REPLY_NOT_APPENDED;
 
 	claim_refusals_add(writer->refusals, clock_now(writer->clock),
-			   &waiting->claim.id, waiting->attempt, kind);
-	waiting_decide(waiting, kind, &nobody);
-	writer_rest(writer);
+			   &pending->claim.id, pending->attempt, kind);
+	pending_decide(pending, kind, &nobody);
+	writer_stop_if_idle(writer);
 }
 
-static void waiting_free(void *data)
+static void pending_free(void *data)
 {
-	struct waiting *waiting = data;
+	struct pending_claim *pending = data;
 
-	timer_stop(&waiting->timer);
-	g_free(waiting);
+	timer_stop(&pending->timer);
+	g_free(pending);
 }
 
-static struct waiting *waiting_find(const struct claim_writer *writer,
-				    const struct claim *claim)
+static struct pending_claim *pending_find(const struct claim_writer *writer,
+					  const struct claim *claim)
 {
-	struct waiting *waiting =
-		g_hash_table_lookup(writer->waiting, &claim->id);
+	struct pending_claim *pending =
+		g_hash_table_lookup(writer->pending, &claim->id);
 
-	return waiting && waiting->claim.key == claim->key ? waiting : NULL;
+	return pending && pending->claim.key == claim->key ? pending : NULL;
 }
 
-static struct waiting *queued_waiting(const struct claim_writer *writer,
-				      const struct queued *queued)
+static struct pending_claim *
+queued_find_pending(const struct claim_writer *writer,
+		    const struct queued *queued)
 {
-	struct waiting *waiting = waiting_find(writer, &queued->claim);
+	struct pending_claim *pending = pending_find(writer, &queued->claim);
 
-	return waiting && waiting->serial == queued->serial ? waiting : NULL;
+	return pending && pending->serial == queued->serial ? pending : NULL;
 }
 
 static void group_free(struct group *group)
@@ -151,7 +154,7 @@
 }
 
 /* Queues the group's claims that still wait to be appended again. */
-static void group_repeat(struct group *group)
+static void group_requeue(struct group *group)
 {
 	struct claim_writer *writer = group->writer;
 
@@ -159,7 +162,7 @@
 		struct queued *queued =
 			&g_array_index(group->claims, struct queued, i);
 
-		if (queued_waiting(writer, queued))
+		if (queued_find_pending(writer, queued))
 			g_array_append_val(writer->queue, *queued);
 	}
 	group_done(group);
@@ -167,9 +170,9 @@
 
 /* The record was not read back in time. Should it still come, its claims count
  * once, as they are named by owner and request. */
-static void group_lost(struct timer *timer, void *ctx)
+static void group_timed_out(struct timer *timer, void *ctx)
 {
-	group_repeat(ctx);
+	group_requeue(ctx);
 }
 
 /* The log surely has not taken the group. */
@@ -178,14 +181,14 @@
 	struct claim_writer *writer = group->writer;
 
 	for (guint i = 0; i < group->claims->len; i++) {
-		struct waiting *waiting = queued_waiting(
+		struct pending_claim *pending = queued_find_pending(
 			writer,
 			&g_array_index(group->claims, struct queued, i));
 
-		if (waiting)
-			waiting->appends--;
+		if (pending)
+			pending->appends--;
 	}
-	group_repeat(group);
+	group_requeue(group);
 }
 
 static void writer_failed(struct claim_writer *writer, enum result_code code)
@@ -220,7 +223,7 @@
 	if (code == RESULT_LOG_DOWN)
 		group_refused(group);
 	else
-		timer_start(&group->timer, LOST_USEC);
+		timer_start(&group->timer, READ_BACK_USEC);
 	writer_schedule(writer);
 }
 
@@ -233,15 +236,16 @@
 	group->writer = writer;
 	group->sequence = ++writer->sequence;
 	group->claims = g_array_new(FALSE, FALSE, sizeof(struct queued));
-	timer_init(&group->timer, writer->clock, group_lost, group);
+	timer_init(&group->timer, writer->clock, group_timed_out, group);
 	for (guint i = 0; i < count; i++) {
 		struct queued *queued =
 			&g_array_index(writer->queue, struct queued, i);
-		struct waiting *waiting = queued_waiting(writer, queued);
+		struct pending_claim *pending =
+			queued_find_pending(writer, queued);
 
-		if (!waiting)
+		if (!pending)
 			continue;
-		waiting->appends++;
+		pending->appends++;
 		g_array_append_val(group->claims, *queued);
 	}
 	g_array_remove_range(writer->queue, 0, count);
@@ -260,7 +264,7 @@
 		g_array_append_val(
 			record.claims,
 			g_array_index(group->claims, struct queued, i).claim);
-	claim_record_pack(out, &record);
+	claim_record_encode(out, &record);
 	g_array_unref(record.claims);
 }
 
@@ -299,8 +303,8 @@
 	return CLAIM_REPLY_UNDECIDED;
 }
 
-static void writer_find_group(struct claim_writer *writer,
-			      const struct claim_record *record)
+static void writer_complete_group(struct claim_writer *writer,
+				  const struct claim_record *record)
 {
 	if (record->writer.instance != writer->self.instance ||
 	    record->writer.incarnation != writer->self.incarnation)
@@ -320,7 +324,7 @@
 	struct claim_writer *writer = ctx;
 	struct claim_record *record = &writer->record;
 
-	if (!claim_record_unpack(record, log_record->data, log_record->size)) {
+	if (!claim_record_decode(record, log_record->data, log_record->size)) {
 		log_event(LOG_WARNING, "claim_record_malformed",
 			  LOG_D("offset", log_record->offset));
 		return;
@@ -331,13 +335,13 @@
 		struct owner winner = {0};
 		enum claim_verdict verdict = claim_table_fold(
 			writer->table, claim, log_record->unix_us, &winner);
-		struct waiting *waiting = waiting_find(writer, claim);
+		struct pending_claim *pending = pending_find(writer, claim);
 
-		if (waiting)
-			waiting_decide(waiting, verdict_reply(verdict),
+		if (pending)
+			pending_decide(pending, verdict_reply(verdict),
 				       &winner);
 	}
-	writer_find_group(writer, record);
+	writer_complete_group(writer, record);
 }
 
 static void tail_page(void *ctx, const struct log_page *page)
@@ -346,7 +350,7 @@
 
 	if (log_tail_position(writer->tail) == page->next)
 		writer->caught_up = true;
-	writer_rest(writer);
+	writer_stop_if_idle(writer);
 }
 
 static void tail_gap(void *ctx, uint64_t expected, uint64_t first)
@@ -380,8 +384,8 @@
 	writer->refusals = claim_refusals_create();
 	writer->tail = log_tail_create(clock, store, LOG_STREAM_CLAIMS, seed,
 				       &ops, writer);
-	writer->waiting = g_hash_table_new_full(claim_id_hash, claim_id_equal,
-						NULL, waiting_free);
+	writer->pending = g_hash_table_new_full(claim_id_hash, claim_id_equal,
+						NULL, pending_free);
 	writer->queue = g_array_new(FALSE, FALSE, sizeof(struct queued));
 	writer->groups = g_ptr_array_new();
 	writer->record.claims = g_array_new(FALSE, FALSE, sizeof(struct claim));
@@ -404,7 +408,7 @@
 			group_free(group);
 	}
 	g_ptr_array_free(writer->groups, TRUE);
-	g_hash_table_destroy(writer->waiting);
+	g_hash_table_destroy(writer->pending);
 	g_array_unref(writer->queue);
 	g_array_unref(writer->record.claims);
 	claim_table_destroy(writer->table);
@@ -413,18 +417,19 @@
 	g_free(writer);
 }
 
-void claim_writer_run(struct claim_writer *writer, bool run)
+void claim_writer_set_running(struct claim_writer *writer, bool run)
 {
 	writer->running = run;
 	if (run && !log_tail_running(writer->tail))
 		log_tail_start(writer->tail, log_tail_position(writer->tail));
-	writer_rest(writer);
+	writer_stop_if_idle(writer);
 }
 
 /* A claim that need not be appended, as its key is known already. */
-static bool writer_known(const struct claim_writer *writer,
-			 const struct claim *claim,
-			 enum claim_reply_kind *reply, struct owner *winner)
+static bool writer_find_decision(const struct claim_writer *writer,
+				 const struct claim *claim,
+				 enum claim_reply_kind *reply,
+				 struct owner *winner)
 {
 	enum claim_verdict verdict =
 		claim_table_find(writer->table, claim, winner);
@@ -433,57 +438,57 @@
 	return verdict != CLAIM_NEW;
 }
 
-static struct waiting *waiting_add(struct claim_writer *writer,
-				   const struct claim *claim)
+static struct pending_claim *pending_add(struct claim_writer *writer,
+					 const struct claim *claim)
 {
-	struct waiting *waiting = g_new0(struct waiting, 1);
+	struct pending_claim *pending = g_new0(struct pending_claim, 1);
 	struct queued queued = {*claim, ++writer->serials};
 
-	waiting->writer = writer;
-	waiting->claim = *claim;
-	waiting->serial = queued.serial;
-	timer_init(&waiting->timer, writer->clock, waiting_expired, waiting);
-	g_hash_table_insert(writer->waiting, &waiting->claim.id, waiting);
+	pending->writer = writer;
+	pending->claim = *claim;
+	pending->serial = queued.serial;
+	timer_init(&pending->timer, writer->clock, pending_timed_out, pending);
+	g_hash_table_insert(writer->pending, &pending->claim.id, pending);
 	g_array_append_val(writer->queue, queued);
 	writer_schedule(writer);
-	return waiting;
+	return pending;
 }
 
 /* Whether a claim that does not wait yet may be appended. */
-static bool writer_open(const struct claim_writer *writer)
+static bool writer_accepts_new(const struct claim_writer *writer)
 {
 	return writer->running && writer->caught_up &&
-	       claim_table_open(writer->table) &&
-	       g_hash_table_size(writer->waiting) < WAITING_MAX;
+	       claim_table_accepts_new(writer->table) &&
+	       g_hash_table_size(writer->pending) < PENDING_MAX;
 }
 
-enum claim_reply_kind claim_writer_take(struct claim_writer *writer,
-					const struct claim *claim,
-					uint64_t attempt, int64_t patience_us,
-					struct owner *winner)
+enum claim_reply_kind claim_writer_submit(struct claim_writer *writer,
+					  const struct claim *claim,
+					  uint64_t attempt, int64_t decide_usec,
+					  struct owner *winner)
 {
-	struct waiting *waiting = waiting_find(writer, claim);
+	struct pending_claim *pending = pending_find(writer, claim);
 	enum claim_reply_kind reply;
 
-	if (waiting) {
-		if (attempt <= waiting->attempt)
+	if (pending) {
+		if (attempt <= pending->attempt)
 			return CLAIM_REPLY_PENDING;
 	} else {
 		if (writer->caught_up &&
-		    writer_known(writer, claim, &reply, winner))
+		    writer_find_decision(writer, claim, &reply, winner))
 			return reply;
 		if (claim_refusals_find(writer->refusals, &claim->id, attempt,
 					&reply))
 			return reply;
-		if (!writer_open(writer)) {
+		if (!writer_accepts_new(writer)) {
 			claim_refusals_add(writer->refusals,
 					   clock_now(writer->clock), &claim->id,
-					   attempt, CLAIM_REPLY_ELSEWHERE);
-			return CLAIM_REPLY_ELSEWHERE;
+					   attempt, CLAIM_REPLY_DECLINED);
+			return CLAIM_REPLY_DECLINED;
 		}
-		waiting = waiting_add(writer, claim);
+		pending = pending_add(writer, claim);
 	}
-	waiting->attempt = attempt;
-	timer_start(&waiting->timer, patience_us);
+	pending->attempt = attempt;
+	timer_start(&pending->timer, decide_usec);
 	return CLAIM_REPLY_PENDING;
 }
--- a/coord/claim_writer.h
+++ b/coord/claim_writer.h
@@ -33,11 +33,11 @@
 					 void *ctx);
 void claim_writer_destroy(struct claim_writer *writer);
 /* Begins or ends to follow the log; claims that wait are decided first. */
-void claim_writer_run(struct claim_writer *writer, bool run);
+void claim_writer_set_running(struct claim_writer *writer, bool run);
 /* Returns CLAIM_REPLY_PENDING when the claim waits, else its decision. */
-enum claim_reply_kind claim_writer_take(struct claim_writer *writer,
-					const struct claim *claim,
-					uint64_t attempt, int64_t patience_us,
-					struct owner *winner);
+enum claim_reply_kind claim_writer_submit(struct claim_writer *writer,
+					  const struct claim *claim,
+					  uint64_t attempt, int64_t decide_usec,
+					  struct owner *winner);
 
 #endif
--- a/coord/fingerprint.c
+++ b/coord/fingerprint.c
@@ -29,11 +29,11 @@
 uint64_t keyed_hash_of(const struct fingerprint_part *parts, size_t count,
 		       uint64_t secret)
 {
-	uint64_t mark = secret;
+	uint64_t hash = secret;
 
 	for (size_t i = 0; i < count; i++)
-		mark = XXH3_64bits_withSeed(parts[i].data, parts[i].size, mark);
-	return mark;
+		hash = XXH3_64bits_withSeed(parts[i].data, parts[i].size, hash);
+	return hash;
 }
 
 bool fingerprint_same(const struct request_fingerprint *a,
--- a/coord/limit.c
+++ b/coord/limit.c
@@ -8,12 +8,12 @@
 /* Part of the rate that an instance lets through until half a second after the
  * first message of another one, or for three seconds: after a start of all each
  * would let the whole rate through. */
-#define ALONE_PART 0.35
-#define ALONE_USEC (500 * USEC_PER_MSEC)
-#define ALONE_MOST_USEC (3 * USEC_PER_SEC)
+#define START_RATE_PART 0.35
+#define START_AFTER_PEER_USEC (500 * USEC_PER_MSEC)
+#define START_MAX_USEC (3 * USEC_PER_SEC)
 /* Callers are told to come back within this time, however many wait: none of
  * them waits longer. */
-#define BOOKED_USEC (5 * USEC_PER_SEC)
+#define RETRY_MAX_USEC (5 * USEC_PER_SEC)
 
 static const char *const policy_names[LIMIT_POLICY_COUNT] = {
 	[LIMIT_COUNTS] = "counts",
@@ -43,8 +43,8 @@
 
 	limits->policy = settings->policy;
 	limits->created = settings->now;
-	limits->met = LIMIT_NEVER;
-	limits->joins = settings->joins;
+	limits->first_peer_at = LIMIT_NEVER;
+	limits->may_have_peers = settings->may_have_peers;
 	limits->epochs = settings->epoch;
 	limits->accounts_max = settings->accounts_max ? settings->accounts_max
 						      : LIMIT_ACCOUNTS_MAX;
@@ -72,7 +72,7 @@
 	return g_hash_table_size(limits->accounts);
 }
 
-static void oldest_forget(struct limits *limits)
+static void oldest_evict(struct limits *limits)
 {
 	struct limit_account *account = limits->order.head->data;
 
@@ -92,14 +92,14 @@
 		return account;
 	}
 	if (limits_count(limits) >= limits->accounts_max)
-		oldest_forget(limits);
+		oldest_evict(limits);
 	account = g_new0(struct limit_account, 1);
 	account->id = id;
 	account->epoch = ++limits->epochs;
 	account->at = now;
 	account->demand_at = now;
-	account->asked_at = LIMIT_NEVER;
-	account->adopted_at = LIMIT_NEVER;
+	account->requested_at = LIMIT_NEVER;
+	account->level_adopted_at = LIMIT_NEVER;
 	account->link.data = account;
 	g_queue_push_tail_link(&limits->order, &account->link);
 	g_hash_table_insert(limits->accounts, &account->id, account);
@@ -113,82 +113,86 @@
 	if (limits->policy == LIMIT_EQUAL)
 		return 1.0 / MAX(sharers, 1u);
 	if (limits->policy == LIMIT_DEMAND)
-		return account_part(account, now);
+		return account_demand_share(account, now);
 	return 1.0;
 }
 
-bool limits_alone(const struct limits *limits,
-		  const struct limit_account *account, int64_t now)
+bool limits_is_starting(const struct limits *limits,
+			const struct limit_account *account, int64_t now)
 {
-	int64_t until = limits->created + ALONE_MOST_USEC;
+	int64_t until = limits->created + START_MAX_USEC;
 
-	if (limits->met != LIMIT_NEVER)
-		until = MIN(until, limits->met + ALONE_USEC);
-	return limits->joins && limits->policy == LIMIT_COUNTS && now < until &&
-	       account->adopted_at == LIMIT_NEVER;
+	if (limits->first_peer_at != LIMIT_NEVER)
+		until = MIN(until,
+			    limits->first_peer_at + START_AFTER_PEER_USEC);
+	return limits->may_have_peers && limits->policy == LIMIT_COUNTS &&
+	       now < until && account->level_adopted_at == LIMIT_NEVER;
 }
 
-double limits_rise(const struct limits *limits,
-		   const struct limit_account *account, int64_t now)
+double limits_rate_part(const struct limits *limits,
+			const struct limit_account *account, int64_t now)
 {
-	return limits_alone(limits, account, now) ? ALONE_PART : 1.0;
+	return limits_is_starting(limits, account, now) ? START_RATE_PART : 1.0;
 }
 
 void limits_advance(const struct limits *limits, struct limit_account *account,
 		    int64_t now, double share)
 {
-	account_advance(account, now, share, limits_rise(limits, account, now),
+	account_advance(account, now, share,
+			limits_rate_part(limits, account, now),
 			limits->policy == LIMIT_COUNTS);
 }
 
-double limits_first_level(const struct limits *limits,
-			  const struct limit_account *account, int64_t now,
-			  double share)
+double limits_initial_level(const struct limits *limits,
+			    const struct limit_account *account, int64_t now,
+			    double share)
 {
 	double sec = (double)(now - limits->created) / (double)USEC_PER_SEC;
 	double burst = account->allotment.burst;
-	double fill = limits->policy == LIMIT_COUNTS ? ALONE_PART : 1.0;
+	double fill = limits->policy == LIMIT_COUNTS ? START_RATE_PART : 1.0;
 	double part =
 		burst * LIMIT_START_PART + account->allotment.rate * fill * sec;
 
-	if (!limits->joins)
+	if (!limits->may_have_peers)
 		return burst * share;
 	return MIN(part, burst) * share;
 }
 
 static void account_allot(struct limits *limits, struct limit_account *account,
-			  int64_t now, const struct limit_request *ask,
+			  int64_t now, const struct limit_request *request,
 			  double share)
 {
-	account->allotment = ask->allotment;
+	account->allotment = request->allotment;
 	if (!account->level_known)
-		account_begin(account, now,
-			      limits_first_level(limits, account, now, share));
+		account_set_level(
+			account, now,
+			limits_initial_level(limits, account, now, share));
 	account->level = MIN(account->level, account->allotment.burst * share);
 }
 
 /* Callers are told to come back one after the other, as fast as there will be
  * room for them. */
 static void refusal_fill(struct limit_account *account, int64_t now,
-			 double units, double pace,
+			 double units, double fill_rate,
 			 struct limit_refusal *refusal)
 {
-	double sec = MAX(units - account->level, 0.0) / pace;
+	double sec = MAX(units - account->level, 0.0) / fill_rate;
 	int64_t fits = now + (int64_t)(sec * (double)USEC_PER_SEC) + 1;
 
 	*refusal = (struct limit_refusal){
 		.level = account->level,
-		.age_usec = account_age(account, now),
+		.age_usec = account_data_age(account, now),
 	};
 	if (units > account->allotment.burst)
 		return;
-	if (account->booked < fits)
-		account->booked = fits;
+	if (account->last_retry_at < fits)
+		account->last_retry_at = fits;
 	else
-		account->booked +=
-			(int64_t)(units / pace * (double)USEC_PER_SEC);
-	account->booked = MIN(account->booked, now + BOOKED_USEC);
-	refusal->retry_usec = account->booked - now;
+		account->last_retry_at +=
+			(int64_t)(units / fill_rate * (double)USEC_PER_SEC);
+	account->last_retry_at =
+		MIN(account->last_retry_at, now + RETRY_MAX_USEC);
+	refusal->retry_usec = account->last_retry_at - now;
 }
 
 /* A bucket of a part of the allotment may be smaller than one request; it is
@@ -209,46 +213,47 @@
 {
 	account->level -= units;
 	account->used += units;
-	account->untold += units;
-	account->untold_sum += units;
+	account->unexported += units;
+	account->unexported_sum += units;
 	limit_mark_urgent(limits, account);
 }
 
-static void account_wake(struct limits *limits, struct limit_account *account,
-			 int64_t now)
+static void account_touch(struct limits *limits, struct limit_account *account,
+			  int64_t now)
 {
-	if (account->asked_at != LIMIT_NEVER &&
-	    now - account->asked_at >= LIMIT_IDLE_USEC) {
+	if (account->requested_at != LIMIT_NEVER &&
+	    now - account->requested_at >= LIMIT_IDLE_USEC) {
 		account->epoch = ++limits->epochs;
 		account->used = 0.0;
-		account->used_near = 0.0;
+		account->used_local = 0.0;
 	}
-	account->asked_at = now;
+	account->requested_at = now;
 }
 
 bool limit_take(struct limits *limits, int64_t now,
-		const struct limit_request *ask, struct limit_refusal *refusal)
+		const struct limit_request *request,
+		struct limit_refusal *refusal)
 {
 	struct limit_account *account;
 	double share;
-	double pace;
+	double fill_rate;
 
-	if (ask->allotment.rate <= 0.0)
+	if (request->allotment.rate <= 0.0)
 		return true;
-	account = account_get(limits, now, ask->account);
-	account_wake(limits, account, now);
-	account_demand(account, now, ask->units);
-	share = limits_share(limits, account, now, ask->sharers);
-	account_allot(limits, account, now, ask, share);
+	account = account_get(limits, now, request->account);
+	account_touch(limits, account, now);
+	account_add_demand(account, now, request->units);
+	share = limits_share(limits, account, now, request->sharers);
+	account_allot(limits, account, now, request, share);
 	limits_advance(limits, account, now, share);
-	if (account_fits(limits, account, ask->units, share)) {
-		account_use(limits, account, ask->units);
+	if (account_fits(limits, account, request->units, share)) {
+		account_use(limits, account, request->units);
 		return true;
 	}
-	pace = account_pace(account, now,
-			    share * limits_rise(limits, account, now),
-			    limits->policy == LIMIT_COUNTS);
-	refusal_fill(account, now, ask->units, pace, refusal);
+	fill_rate = account_fill_rate(
+		account, now, share * limits_rate_part(limits, account, now),
+		limits->policy == LIMIT_COUNTS);
+	refusal_fill(account, now, request->units, fill_rate, refusal);
 	return false;
 }
 
@@ -261,8 +266,8 @@
 		return;
 	account->level = MIN(account->level + units, account->allotment.burst);
 	account->used -= units;
-	account->untold -= units;
-	account->untold_sum -= units;
+	account->unexported -= units;
+	account->unexported_sum -= units;
 }
 
 double limit_level(struct limits *limits, int64_t now, uint64_t id)
--- a/coord/limit_account.c
+++ b/coord/limit_account.c
@@ -9,15 +9,15 @@
 #define DEMAND_USEC (8 * USEC_PER_SEC)
 /* Part of the allotment that goes to each data centre alike while one is
  * silent, whatever was asked there before: callers may come to it only then. */
-#define ALIKE_PART 0.3
+#define EQUAL_PART 0.3
 /* A single silent instance is taken for gone after this time; a group, which is
  * a data centre, never is. */
-#define GONE_USEC (30 * USEC_PER_SEC)
+#define PEER_EXPIRY_USEC (30 * USEC_PER_SEC)
 /* How far the level may fall below zero, in bursts: what others used unheard
  * of is paid back, but no organisation is kept out for minutes. */
 #define DEBT_BURSTS 1.0
 /* Least pace that a caller is told by, as a part of the rate. */
-#define PACE_LEAST 0.02
+#define FILL_RATE_MIN_PART 0.02
 
 void account_free(gpointer data)
 {
@@ -33,13 +33,14 @@
 	return exp(-(double)usec / (double)DEMAND_USEC);
 }
 
-double account_demand_here(const struct limit_account *account, int64_t now)
+double account_own_demand(const struct limit_account *account, int64_t now)
 {
 	return account->demand * demand_decay(now - account->demand_at) /
 	       ((double)DEMAND_USEC / (double)USEC_PER_SEC);
 }
 
-void account_demand(struct limit_account *account, int64_t now, double units)
+void account_add_demand(struct limit_account *account, int64_t now,
+			double units)
 {
 	account->demand =
 		account->demand * demand_decay(now - account->demand_at) +
@@ -58,40 +59,41 @@
 	return account->peers ? account->peers->len : 0;
 }
 
-static bool peer_gone(const struct limit_peer *peer, int64_t now)
+static bool peer_expired(const struct limit_peer *peer, int64_t now)
 {
-	return !peer->source.group && now - peer->heard >= GONE_USEC;
+	return !peer->source.group && now - peer->last_seen >= PEER_EXPIRY_USEC;
 }
 
-double account_demand_all(const struct limit_account *account, int64_t now)
+double account_total_demand(const struct limit_account *account, int64_t now)
 {
-	double sum = account_demand_here(account, now);
+	double sum = account_own_demand(account, now);
 
 	for (guint i = 0; i < peer_count(account); i++) {
 		const struct limit_peer *peer = peer_at(account, i);
 
-		if (peer->counts && !peer_gone(peer, now))
+		if (peer->is_counted && !peer_expired(peer, now))
 			sum += peer->demand;
 	}
 	return sum;
 }
 
-double account_part(const struct limit_account *account, int64_t now)
+double account_demand_share(const struct limit_account *account, int64_t now)
 {
-	double all = account_demand_all(account, now);
+	double all = account_total_demand(account, now);
 
-	return all > 0.0 ? account_demand_here(account, now) / all : 1.0;
+	return all > 0.0 ? account_own_demand(account, now) / all : 1.0;
 }
 
-static double demand_part(const struct limit_peer *peer, double all)
+static double demand_share(const struct limit_peer *peer, double all)
 {
 	return all > 0.0 ? peer->demand / all : 0.0;
 }
 
-void account_note_part(const struct limit_account *account,
-		       struct limit_peer *peer, int64_t now)
+void account_update_fair_share(const struct limit_account *account,
+			       struct limit_peer *peer, int64_t now)
 {
-	peer->fair = demand_part(peer, account_demand_all(account, now));
+	peer->fair_share =
+		demand_share(peer, account_total_demand(account, now));
 }
 
 static guint groups_count(const struct limit_account *account)
@@ -99,63 +101,63 @@
 	guint count = 1;
 
 	for (guint i = 0; i < peer_count(account); i++)
-		count += peer_at(account, i)->counts &&
+		count += peer_at(account, i)->is_counted &&
 			 peer_at(account, i)->source.group;
 	return count;
 }
 
 /* What a peer is presumed to use, units a second. */
-static double peer_pace(const struct limit_account *account,
+static double peer_rate(const struct limit_account *account,
 			const struct limit_peer *peer, int64_t now, double all)
 {
-	double fair = demand_part(peer, all);
+	double fair_share = demand_share(peer, all);
 
-	if (!peer->counts || peer_gone(peer, now))
+	if (!peer->is_counted || peer_expired(peer, now))
 		return 0.0;
-	if (now - peer->heard < LIMIT_SILENT_USEC)
-		return MIN(peer->demand, account->allotment.rate * fair);
+	if (now - peer->last_seen < LIMIT_SILENT_USEC)
+		return MIN(peer->demand, account->allotment.rate * fair_share);
 	/* As it was before: what is asked for here since, the other side of a
 	 * cut may be asked for too. */
-	fair = peer->fair;
+	fair_share = peer->fair_share;
 	if (peer->source.group)
-		fair = fair * (1.0 - ALIKE_PART) +
-		       ALIKE_PART / (double)groups_count(account);
-	return account->allotment.rate * fair;
+		fair_share = fair_share * (1.0 - EQUAL_PART) +
+			     EQUAL_PART / (double)groups_count(account);
+	return account->allotment.rate * fair_share;
 }
 
-static double peers_pace(const struct limit_account *account, int64_t now)
+static double peers_rate(const struct limit_account *account, int64_t now)
 {
-	double all = account_demand_all(account, now);
+	double all = account_total_demand(account, now);
 	double sum = 0.0;
 
 	for (guint i = 0; i < peer_count(account); i++)
-		sum += peer_pace(account, peer_at(account, i), now, all);
+		sum += peer_rate(account, peer_at(account, i), now, all);
 	return sum;
 }
 
-double account_pace(const struct limit_account *account, int64_t now,
-		    double share, bool counts)
+double account_fill_rate(const struct limit_account *account, int64_t now,
+			 double share, bool subtract_peers)
 {
-	double pace = account->allotment.rate * share;
+	double fill_rate = account->allotment.rate * share;
 
-	if (counts)
-		pace -= peers_pace(account, now);
-	return MAX(pace, account->allotment.rate * PACE_LEAST);
+	if (subtract_peers)
+		fill_rate -= peers_rate(account, now);
+	return MAX(fill_rate, account->allotment.rate * FILL_RATE_MIN_PART);
 }
 
-static double peers_presume(struct limit_account *account, int64_t now,
-			    double sec)
+static double peers_estimate(struct limit_account *account, int64_t now,
+			     double sec)
 {
-	double all = account_demand_all(account, now);
+	double all = account_total_demand(account, now);
 	double sum = 0.0;
 
 	for (guint i = 0; i < peer_count(account); i++) {
 		struct limit_peer *peer =
 			&g_array_index(account->peers, struct limit_peer, i);
-		double units = peer_pace(account, peer, now, all) * sec;
+		double units = peer_rate(account, peer, now, all) * sec;
 
-		peer->presumed += units;
-		peer->to_give_back += units;
+		peer->estimated += units;
+		peer->refundable += units;
 		sum += units;
 	}
 	return sum;
@@ -167,40 +169,40 @@
 	if (account->level > account->allotment.burst * share)
 		for (guint i = 0; i < peer_count(account); i++)
 			g_array_index(account->peers, struct limit_peer, i)
-				.to_give_back = 0.0;
+				.refundable = 0.0;
 	account->level =
 		CLAMP(account->level, -account->allotment.burst * DEBT_BURSTS,
 		      account->allotment.burst * share);
 }
 
 void account_advance(struct limit_account *account, int64_t now, double share,
-		     double rise, bool counts)
+		     double rate_part, bool subtract_peers)
 {
 	double sec = (double)(now - account->at) / (double)USEC_PER_SEC;
 
 	if (!account->level_known || sec <= 0.0)
 		return;
 	account->at = now;
-	account->level += account->allotment.rate * share * rise * sec;
-	if (counts)
-		account->level -= peers_presume(account, now, sec);
+	account->level += account->allotment.rate * share * rate_part * sec;
+	if (subtract_peers)
+		account->level -= peers_estimate(account, now, sec);
 	level_bound(account, share);
 }
 
-int64_t account_age(const struct limit_account *account, int64_t now)
+int64_t account_data_age(const struct limit_account *account, int64_t now)
 {
 	int64_t age = -1;
 
 	for (guint i = 0; i < peer_count(account); i++) {
 		const struct limit_peer *peer = peer_at(account, i);
 
-		if (peer->counts && !peer_gone(peer, now))
-			age = MAX(age, now - peer->heard);
+		if (peer->is_counted && !peer_expired(peer, now))
+			age = MAX(age, now - peer->last_seen);
 	}
 	return age;
 }
 
-void account_begin(struct limit_account *account, int64_t now, double level)
+void account_set_level(struct limit_account *account, int64_t now, double level)
 {
 	account->level = level;
 	account->level_known = true;
--- a/coord/limit_account.h
+++ b/coord/limit_account.h
@@ -21,67 +21,71 @@
 	int64_t used; /* as told last */
 	int64_t base; /* up to where it is counted */
 	double demand;
-	double fair;	     /* its part of all demand when it was heard last */
-	double presumed;     /* taken off since it told last */
-	double to_give_back; /* of that, since the bucket was full last */
-	int64_t heard;
-	bool counts; /* of its group, it is the one that counts */
+	double fair_share; /* its part of all demand when it was heard last */
+	double estimated;  /* taken off since it told last */
+	double refundable; /* of that, since the bucket was full last */
+	int64_t last_seen;
+	bool is_counted; /* of its group, it is the one that counts */
 };
 
 struct limit_account {
 	uint64_t id;
 	GList link; /* of the table, longest unused first */
-	int64_t asked_at;
+	int64_t requested_at;
 	struct limit_allotment allotment;
 	double level;
 	bool level_known;
-	int64_t adopted_at; /* when the level of another one was taken over */
-	int64_t at;	    /* up to when the level holds */
+	int64_t level_adopted_at; /* when the level of another one was taken
+				     over */
+	int64_t at;		  /* up to when the level holds */
 	uint32_t epoch;
-	double used;	  /* here */
-	double used_near; /* by peers of the data centre, as told */
-	double demand;	  /* here, decayed up to demand_at */
+	double used;	   /* here */
+	double used_local; /* by peers of the data centre, as told */
+	double demand;	   /* here, decayed up to demand_at */
 	int64_t demand_at;
-	int64_t booked; /* up to when callers were told to come back */
-	double untold;	/* used here since the last telling */
-	double untold_sum;
+	int64_t last_retry_at; /* up to when callers were told to come back */
+	double unexported;     /* used here since the last telling */
+	double unexported_sum;
 	GArray *peers; /* struct limit_peer; NULL: none */
 };
 
 /* Brings the level up to now. share is the part of the allotment that the
  * bucket is of, 1 for the whole, and rise the part of that one's rate. */
 void account_advance(struct limit_account *account, int64_t now, double share,
-		     double rise, bool counts);
+		     double rate_part, bool subtract_peers);
 /* Notes that units were asked for. */
-void account_demand(struct limit_account *account, int64_t now, double units);
+void account_add_demand(struct limit_account *account, int64_t now,
+			double units);
 /* Units a second asked for here lately. */
-double account_demand_here(const struct limit_account *account, int64_t now);
+double account_own_demand(const struct limit_account *account, int64_t now);
 /* The same of all that tell, and here. */
-double account_demand_all(const struct limit_account *account, int64_t now);
+double account_total_demand(const struct limit_account *account, int64_t now);
 /* Notes the part of that which a peer has just told of. */
-void account_note_part(const struct limit_account *account,
-		       struct limit_peer *peer, int64_t now);
+void account_update_fair_share(const struct limit_account *account,
+			       struct limit_peer *peer, int64_t now);
 /* The part of that which came here; 0 to 1. */
-double account_part(const struct limit_account *account, int64_t now);
+double account_demand_share(const struct limit_account *account, int64_t now);
 /* How fast the level rises now, units a second; over 0. */
-double account_pace(const struct limit_account *account, int64_t now,
-		    double share, bool counts);
+double account_fill_rate(const struct limit_account *account, int64_t now,
+			 double share, bool subtract_peers);
 /* Age of the oldest word counted on; -1: none. */
-int64_t account_age(const struct limit_account *account, int64_t now);
+int64_t account_data_age(const struct limit_account *account, int64_t now);
 /* Sets the level of a bucket that is not known yet. */
-void account_begin(struct limit_account *account, int64_t now, double level);
+void account_set_level(struct limit_account *account, int64_t now,
+		       double level);
 void account_free(gpointer data);
 
 struct limits {
 	enum limit_policy policy;
 	uint32_t accounts_max;
 	int64_t created;
-	int64_t met; /* when another instance was heard first; or LIMIT_NEVER */
-	bool joins;
+	int64_t first_peer_at; /* when another instance was heard first; or
+				  LIMIT_NEVER */
+	bool may_have_peers;
 	GHashTable *accounts; /* id to struct limit_account */
 	GQueue order;	      /* the same, longest unused first */
 	uint32_t epochs;
-	uint32_t turn[2]; /* which account is told next: own, sums */
+	uint32_t next_export[2]; /* which account is told next: own, sums */
 	bool urgent[2];
 };
 
@@ -91,14 +95,14 @@
 
 /* Whether others may use it that could not tell yet, and the part of the rate
  * that its level rises by. */
-bool limits_alone(const struct limits *limits,
-		  const struct limit_account *account, int64_t now);
-double limits_rise(const struct limits *limits,
-		   const struct limit_account *account, int64_t now);
+bool limits_is_starting(const struct limits *limits,
+			const struct limit_account *account, int64_t now);
+double limits_rate_part(const struct limits *limits,
+			const struct limit_account *account, int64_t now);
 /* What an account holds that nobody told of. */
-double limits_first_level(const struct limits *limits,
-			  const struct limit_account *account, int64_t now,
-			  double share);
+double limits_initial_level(const struct limits *limits,
+			    const struct limit_account *account, int64_t now,
+			    double share);
 /* Brings an account's level up to now. */
 void limits_advance(const struct limits *limits, struct limit_account *account,
 		    int64_t now, double share);
--- a/coord/limit_exchange.c
+++ b/coord/limit_exchange.c
@@ -17,7 +17,7 @@
  * account. */
 #define ADOPTED_USEC (3 * USEC_PER_SEC)
 /* A source that does not count is forgotten after this time. */
-#define FORGET_USEC (30 * USEC_PER_SEC)
+#define PEER_FORGET_USEC (30 * USEC_PER_SEC)
 
 void limit_mark_urgent(struct limits *limits,
 		       const struct limit_account *account)
@@ -26,9 +26,9 @@
 
 	if (account->level > account->allotment.burst * URGENT_LEVEL)
 		return;
-	if (account->untold >= part)
+	if (account->unexported >= part)
 		limits->urgent[false] = true;
-	if (account->untold_sum >= part)
+	if (account->unexported_sum >= part)
 		limits->urgent[true] = true;
 }
 
@@ -47,7 +47,7 @@
 
 /* ---- telling ---- */
 
-static double demand_near(const struct limit_account *account, int64_t now)
+static double demand_local(const struct limit_account *account, int64_t now)
 {
 	double sum = 0.0;
 
@@ -56,7 +56,7 @@
 			&g_array_index(account->peers, struct limit_peer, i);
 
 		if (!peer->source.group &&
-		    now - peer->heard < LIMIT_SILENT_USEC)
+		    now - peer->last_seen < LIMIT_SILENT_USEC)
 			sum += peer->demand;
 	}
 	return sum;
@@ -65,18 +65,18 @@
 static void entry_fill(struct limits *limits, struct limit_account *account,
 		       int64_t now, bool sums, struct limit_entry *entry)
 {
-	double demand = account_demand_here(account, now);
+	double demand = account_own_demand(account, now);
 
 	if (sums)
-		demand += demand_near(account, now);
+		demand += demand_local(account, now);
 	level_advance(limits, account, now);
 	*entry = (struct limit_entry){
 		.account = account->id,
 		.epoch = account->epoch,
 		.used = (int64_t)(account->used +
-				  (sums ? account->used_near : 0.0)),
+				  (sums ? account->used_local : 0.0)),
 		.demand = (uint32_t)MIN(demand, (double)UINT32_MAX),
-		.level = limits_alone(limits, account, now)
+		.level = limits_is_starting(limits, account, now)
 				 ? LIMIT_LEVEL_UNKNOWN
 				 : (int64_t)account->level,
 	};
@@ -84,44 +84,46 @@
 
 /* Whether anybody needs to hear of it: used here lately, or near when sums are
  * told. */
-static bool is_told(const struct limit_account *account, int64_t now, bool sums)
+static bool is_exported(const struct limit_account *account, int64_t now,
+			bool sums)
 {
 	if (!account->level_known)
 		return false;
-	if (account->asked_at != LIMIT_NEVER &&
-	    now - account->asked_at < LIMIT_IDLE_USEC)
+	if (account->requested_at != LIMIT_NEVER &&
+	    now - account->requested_at < LIMIT_IDLE_USEC)
 		return true;
 	for (guint i = 0; sums && account->peers && i < account->peers->len;
 	     i++) {
 		const struct limit_peer *peer =
 			&g_array_index(account->peers, struct limit_peer, i);
 
-		if (!peer->source.group && now - peer->heard < LIMIT_IDLE_USEC)
+		if (!peer->source.group &&
+		    now - peer->last_seen < LIMIT_IDLE_USEC)
 			return true;
 	}
 	return false;
 }
 
 uint32_t limit_export(struct limits *limits, int64_t now, bool sums,
-		      struct limit_entry *entries, uint32_t most)
+		      struct limit_entry *entries, uint32_t max)
 {
 	uint32_t all = limits->order.length;
-	uint32_t start = all > most ? limits->turn[sums] % all : 0;
+	uint32_t start = all > max ? limits->next_export[sums] % all : 0;
 	GList *link = g_queue_peek_nth_link(&limits->order, start);
 	uint32_t count = 0;
 	uint32_t seen;
 
 	if (limits->policy == LIMIT_EQUAL)
 		return 0;
-	for (seen = 0; seen < all && count < most; seen++) {
+	for (seen = 0; seen < all && count < max; seen++) {
 		struct limit_account *account = link->data;
 
 		link = link->next ? link->next : limits->order.head;
-		if (is_told(account, now, sums))
+		if (is_exported(account, now, sums))
 			entry_fill(limits, account, now, sums,
 				   &entries[count++]);
 	}
-	limits->turn[sums] = start + seen;
+	limits->next_export[sums] = start + seen;
 	return count;
 }
 
@@ -132,8 +134,8 @@
 	for (GList *link = limits->order.head; link; link = link->next) {
 		struct limit_account *account = link->data;
 
-		account->untold = 0.0;
-		account->untold_sum = 0.0;
+		account->unexported = 0.0;
+		account->unexported_sum = 0.0;
 	}
 }
 
@@ -162,9 +164,9 @@
 	for (guint i = account->peers->len; i-- > 0;) {
 		const struct limit_peer *peer =
 			&g_array_index(account->peers, struct limit_peer, i);
-		bool leads = peer->source.group && peer->counts;
+		bool is_leader = peer->source.group && peer->is_counted;
 
-		if (!leads && now - peer->heard >= FORGET_USEC)
+		if (!is_leader && now - peer->last_seen >= PEER_FORGET_USEC)
 			g_array_remove_index_fast(account->peers, i);
 	}
 }
@@ -173,7 +175,7 @@
 				   const struct limit_source *source,
 				   int64_t now)
 {
-	struct limit_peer peer = {.source = *source, .heard = now};
+	struct limit_peer peer = {.source = *source, .last_seen = now};
 
 	peers_forget(account, now);
 	g_array_append_val(account->peers, peer);
@@ -188,7 +190,7 @@
 		struct limit_peer *peer =
 			&g_array_index(account->peers, struct limit_peer, i);
 
-		if (peer->source.group == group && peer->counts)
+		if (peer->source.group == group && peer->is_counted)
 			return peer;
 	}
 	return NULL;
@@ -202,20 +204,20 @@
 {
 	struct limit_peer *leader;
 
-	if (peer->counts)
+	if (peer->is_counted)
 		return;
 	leader = peer->source.group ? group_leader(account, peer->source.group)
 				    : NULL;
-	if (leader && now - leader->heard < LIMIT_SILENT_USEC)
+	if (leader && now - leader->last_seen < LIMIT_SILENT_USEC)
 		return;
-	peer->counts = true;
+	peer->is_counted = true;
 	if (!leader)
 		return;
-	leader->counts = false;
-	peer->presumed = leader->presumed;
-	peer->to_give_back = leader->to_give_back;
-	leader->presumed = 0.0;
-	leader->to_give_back = 0.0;
+	leader->is_counted = false;
+	peer->estimated = leader->estimated;
+	peer->refundable = leader->refundable;
+	leader->estimated = 0.0;
+	leader->refundable = 0.0;
 }
 
 /* The others of its group go on from here if it falls silent. */
@@ -232,31 +234,32 @@
 	}
 }
 
-static void used_count(struct limits *limits, struct limit_account *account,
-		       struct limit_peer *peer)
+static void peer_count_usage(struct limits *limits,
+			     struct limit_account *account,
+			     struct limit_peer *peer)
 {
 	double units = (double)(peer->used - peer->base);
-	double spare = MIN(peer->presumed - units, peer->to_give_back);
+	double spare = MIN(peer->estimated - units, peer->refundable);
 
 	peer->base = peer->used;
 	if (limits->policy == LIMIT_COUNTS)
 		account->level =
 			MIN(account->level + spare, account->allotment.burst);
-	peer->presumed = 0.0;
-	peer->to_give_back = 0.0;
+	peer->estimated = 0.0;
+	peer->refundable = 0.0;
 	if (!peer->source.group) {
-		account->used_near += units;
-		account->untold_sum += units;
+		account->used_local += units;
+		account->unexported_sum += units;
 		limit_mark_urgent(limits, account);
 	}
 	group_align(account, peer);
 }
 
-static void peer_tell(struct limit_peer *peer, const struct limit_entry *entry,
-		      bool past)
+static void peer_update(struct limit_peer *peer,
+			const struct limit_entry *entry, bool already_counted)
 {
 	if (peer->epoch != entry->epoch)
-		peer->base = past ? entry->used : 0;
+		peer->base = already_counted ? entry->used : 0;
 	peer->epoch = entry->epoch;
 	peer->used = entry->used;
 	peer->demand = entry->demand;
@@ -264,20 +267,20 @@
 
 /* Whether what a source tells first was counted already: with the level that
  * was taken over, or by another one that tells of the same data centre. */
-static bool is_past(struct limit_account *account,
-		    const struct limit_peer *peer,
-		    const struct limit_entry *entry, int64_t now)
+static bool is_already_counted(struct limit_account *account,
+			       const struct limit_peer *peer,
+			       const struct limit_entry *entry, int64_t now)
 {
 	const struct limit_peer *leader;
 
 	if (entry->level != LIMIT_LEVEL_UNKNOWN && peer->epoch == 0 &&
-	    account->adopted_at != LIMIT_NEVER &&
-	    now - account->adopted_at < ADOPTED_USEC)
+	    account->level_adopted_at != LIMIT_NEVER &&
+	    now - account->level_adopted_at < ADOPTED_USEC)
 		return true;
-	if (!peer->source.group || peer->counts)
+	if (!peer->source.group || peer->is_counted)
 		return false;
 	leader = group_leader(account, peer->source.group);
-	return leader && now - leader->heard < LIMIT_SILENT_USEC;
+	return leader && now - leader->last_seen < LIMIT_SILENT_USEC;
 }
 
 /* The level of a source goes before one that was only assumed, less what was
@@ -286,20 +289,22 @@
 static void level_adopt(struct limits *limits, struct limit_account *account,
 			const struct limit_entry *entry, int64_t now)
 {
-	bool assumed = limits->joins && now - limits->created < ADOPTED_USEC &&
-		       account->adopted_at == LIMIT_NEVER;
+	bool assumed = limits->may_have_peers &&
+		       now - limits->created < ADOPTED_USEC &&
+		       account->level_adopted_at == LIMIT_NEVER;
 
 	if (entry->level == LIMIT_LEVEL_UNKNOWN) {
 		if (!account->level_known)
-			account_begin(
-				account, now,
-				limits_first_level(limits, account, now, 1.0));
+			account_set_level(account, now,
+					  limits_initial_level(limits, account,
+							       now, 1.0));
 		return;
 	}
 	if (account->level_known && !assumed)
 		return;
-	account_begin(account, now, (double)entry->level - account->untold);
-	account->adopted_at = now;
+	account_set_level(account, now,
+			  (double)entry->level - account->unexported);
+	account->level_adopted_at = now;
 }
 
 void limit_merge(struct limits *limits, int64_t now,
@@ -311,18 +316,18 @@
 		account_get(limits, now, entry->account);
 	struct limit_peer *peer = peer_find(account, source);
 
-	if (limits->met == LIMIT_NEVER)
-		limits->met = now;
+	if (limits->first_peer_at == LIMIT_NEVER)
+		limits->first_peer_at = now;
 	if (!peer)
 		peer = peer_add(account, source, now);
 	account->allotment = *allotment;
 	if (limits->policy == LIMIT_COUNTS)
 		level_adopt(limits, account, entry, now);
 	level_advance(limits, account, now);
-	peer_tell(peer, entry, is_past(account, peer, entry, now));
+	peer_update(peer, entry, is_already_counted(account, peer, entry, now));
 	leader_choose(account, peer, now);
-	account_note_part(account, peer, now);
-	peer->heard = now;
-	if (peer->counts)
-		used_count(limits, account, peer);
+	account_update_fair_share(account, peer, now);
+	peer->last_seen = now;
+	if (peer->is_counted)
+		peer_count_usage(limits, account, peer);
 }
--- a/coord/quarantine.c
+++ b/coord/quarantine.c
@@ -6,13 +6,13 @@
 
 /* Works that ran to their end lately: slots for marks, each taken over by the
  * next one that falls on it. */
-#define PROOFS 4096u
+#define SUCCESS_SLOTS 4096u
 /* What ran to its end so long ago says nothing any more: the site may run other
  * software by now. */
-#define PROOF_USEC (60 * USEC_PER_SEC)
+#define SUCCESS_VALID_USEC (60 * USEC_PER_SEC)
 
-struct proof {
-	uint64_t mark;
+struct recent_success {
+	uint64_t hash;
 	int64_t at;
 	bool used;
 };
@@ -28,8 +28,8 @@
 	GHashTable *items; /* request_fingerprint to struct item */
 	GQueue held;	   /* oldest first */
 	GQueue suspects;
-	struct proof proofs[PROOFS];
-	uint64_t turn; /* entries handed out so far */
+	struct recent_success successes[SUCCESS_SLOTS];
+	uint64_t exported; /* entries handed out so far */
 };
 
 struct quarantine *quarantine_create(const struct quarantine_settings *settings)
@@ -50,9 +50,10 @@
 	g_free(quarantine);
 }
 
-void quarantine_configure(struct quarantine *quarantine, uint32_t ends)
+void quarantine_configure(struct quarantine *quarantine,
+			  uint32_t crash_threshold)
 {
-	quarantine->settings.ends = ends;
+	quarantine->settings.crash_threshold = crash_threshold;
 }
 
 bool quarantine_empty(const struct quarantine *quarantine)
@@ -61,24 +62,24 @@
 }
 
 static struct item *item_find(const struct quarantine *quarantine,
-			      const struct request_fingerprint *work)
+			      const struct request_fingerprint *fingerprint)
 {
-	return g_hash_table_lookup(quarantine->items, work);
+	return g_hash_table_lookup(quarantine->items, fingerprint);
 }
 
 bool quarantine_holds(const struct quarantine *quarantine,
-		      const struct request_fingerprint *work)
+		      const struct request_fingerprint *fingerprint)
 {
-	const struct item *item = item_find(quarantine, work);
+	const struct item *item = item_find(quarantine, fingerprint);
 
 	return item && item->held;
 }
 
 const struct quarantine_entry *
 quarantine_find(const struct quarantine *quarantine,
-		const struct request_fingerprint *work)
+		const struct request_fingerprint *fingerprint)
 {
-	const struct item *item = item_find(quarantine, work);
+	const struct item *item = item_find(quarantine, fingerprint);
 
 	return item ? &item->entry : NULL;
 }
@@ -102,41 +103,41 @@
 static void item_drop(struct quarantine *quarantine, struct item *item)
 {
 	g_queue_unlink(item_queue(quarantine, item), &item->link);
-	g_hash_table_remove(quarantine->items, &item->entry.work);
+	g_hash_table_remove(quarantine->items, &item->entry.fingerprint);
 }
 
-static void oldest_drop(struct quarantine *quarantine, GQueue *queue,
-			uint32_t most)
+static void queue_trim(struct quarantine *quarantine, GQueue *queue,
+		       uint32_t max)
 {
-	while (queue->length > most)
+	while (queue->length > max)
 		item_drop(quarantine, queue->head->data);
 }
 
 static struct item *item_get(struct quarantine *quarantine,
-			     const struct request_fingerprint *work)
+			     const struct request_fingerprint *fingerprint)
 {
-	struct item *item = item_find(quarantine, work);
+	struct item *item = item_find(quarantine, fingerprint);
 
 	if (item)
 		return item;
 	item = g_new0(struct item, 1);
-	item->entry.work = *work;
+	item->entry.fingerprint = *fingerprint;
 	item->link.data = item;
 	g_queue_push_tail_link(&quarantine->suspects, &item->link);
-	g_hash_table_insert(quarantine->items, &item->entry.work, item);
+	g_hash_table_insert(quarantine->items, &item->entry.fingerprint, item);
 	return item;
 }
 
 /* Puts it at the young end of the queue where it belongs now. */
-static void item_settle(struct quarantine *quarantine, struct item *item)
+static void item_requeue(struct quarantine *quarantine, struct item *item)
 {
 	const struct quarantine_settings *settings = &quarantine->settings;
 
 	g_queue_unlink(item_queue(quarantine, item), &item->link);
-	item->held = item->entry.count >= settings->ends;
+	item->held = item->entry.count >= settings->crash_threshold;
 	g_queue_push_tail_link(item_queue(quarantine, item), &item->link);
-	oldest_drop(quarantine, &quarantine->suspects, settings->suspects_max);
-	oldest_drop(quarantine, &quarantine->held, settings->held_max);
+	queue_trim(quarantine, &quarantine->suspects, settings->suspects_max);
+	queue_trim(quarantine, &quarantine->held, settings->held_max);
 }
 
 /* Keeps the servers ascending, so that equal entries look alike. */
@@ -156,57 +157,59 @@
 	return true;
 }
 
-void quarantine_record_success(struct quarantine *quarantine, uint64_t mark,
+void quarantine_record_success(struct quarantine *quarantine, uint64_t hash,
 			       int64_t now)
 {
-	quarantine->proofs[mark % PROOFS] = (struct proof){mark, now, true};
+	quarantine->successes[hash % SUCCESS_SLOTS] =
+		(struct recent_success){hash, now, true};
 }
 
 bool quarantine_has_succeeded(const struct quarantine *quarantine,
-			      uint64_t mark, int64_t now)
+			      uint64_t hash, int64_t now)
 {
-	const struct proof *proof = &quarantine->proofs[mark % PROOFS];
+	const struct recent_success *success =
+		&quarantine->successes[hash % SUCCESS_SLOTS];
 
-	return proof->used && proof->mark == mark &&
-	       now - proof->at < PROOF_USEC;
+	return success->used && success->hash == hash &&
+	       now - success->at < SUCCESS_VALID_USEC;
 }
 
 bool quarantine_record_crash(struct quarantine *quarantine,
-			     const struct request_fingerprint *work,
-			     uint64_t mark, uint64_t server, int64_t now)
+			     const struct request_fingerprint *fingerprint,
+			     uint64_t hash, uint64_t server, int64_t now)
 {
 	struct item *item;
 
-	if (quarantine_has_succeeded(quarantine, mark, now))
+	if (quarantine_has_succeeded(quarantine, hash, now))
 		return false;
-	item = item_get(quarantine, work);
+	item = item_get(quarantine, fingerprint);
 	if (!server_add(&item->entry, server))
 		return false;
-	item_settle(quarantine, item);
+	item_requeue(quarantine, item);
 	return true;
 }
 
 bool quarantine_clear(struct quarantine *quarantine,
-		      const struct request_fingerprint *work)
+		      const struct request_fingerprint *fingerprint)
 {
-	struct item *item = item_find(quarantine, work);
+	struct item *item = item_find(quarantine, fingerprint);
 
 	if (!item || item->entry.count == 0)
 		return false;
 	item->entry.epoch++;
 	item->entry.count = 0;
-	item_settle(quarantine, item);
+	item_requeue(quarantine, item);
 	return true;
 }
 
-static bool is_sound(const struct quarantine_entry *entry)
+static bool is_valid(const struct quarantine_entry *entry)
 {
 	return entry->count <= QUARANTINE_CRASHES_MAX &&
 	       (entry->count > 0 || entry->epoch > 0);
 }
 
 /* What was said in an earlier epoch was cleared. */
-static bool epoch_follow(struct quarantine_entry *known, uint32_t epoch)
+static bool epoch_advance(struct quarantine_entry *known, uint32_t epoch)
 {
 	if (epoch <= known->epoch)
 		return false;
@@ -219,28 +222,29 @@
 		      const struct quarantine_entry *entry)
 {
 	struct item *item;
-	bool news;
+	bool changed;
 
-	if (!is_sound(entry))
+	if (!is_valid(entry))
 		return false;
-	item = item_get(quarantine, &entry->work);
-	news = epoch_follow(&item->entry, entry->epoch);
+	item = item_get(quarantine, &entry->fingerprint);
+	changed = epoch_advance(&item->entry, entry->epoch);
 	if (entry->epoch == item->entry.epoch)
 		for (uint32_t i = 0; i < entry->count; i++)
-			news |= server_add(&item->entry, entry->servers[i]);
+			changed |= server_add(&item->entry, entry->servers[i]);
 	/* One that was dropped where it lasted is not to be dropped again. */
 	item->entry.stored |=
-		entry->stored && entry->count >= quarantine->settings.ends;
-	if (news)
-		item_settle(quarantine, item);
-	return news;
+		entry->stored &&
+		entry->count >= quarantine->settings.crash_threshold;
+	if (changed)
+		item_requeue(quarantine, item);
+	return changed;
 }
 
 uint32_t quarantine_next(struct quarantine *quarantine,
-			 struct quarantine_entry *entries, uint32_t most)
+			 struct quarantine_entry *entries, uint32_t max)
 {
 	uint32_t size = g_hash_table_size(quarantine->items);
-	uint32_t count = MIN(size, most);
+	uint32_t count = MIN(size, max);
 	GHashTableIter iter;
 	struct item *item;
 	uint64_t at = 0;
@@ -248,14 +252,14 @@
 
 	if (count == 0)
 		return 0;
-	from = quarantine->turn % size;
-	quarantine->turn += count;
+	from = quarantine->exported % size;
+	quarantine->exported += count;
 	g_hash_table_iter_init(&iter, quarantine->items);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&item)) {
-		uint64_t place = (at++ + size - from) % size;
+		uint64_t position = (at++ + size - from) % size;
 
-		if (place < count)
-			entries[place] = item->entry;
+		if (position < count)
+			entries[position] = item->entry;
 	}
 	return count;
 }
@@ -286,9 +290,10 @@
 }
 
 void quarantine_stored(struct quarantine *quarantine,
-		       const struct request_fingerprint *work, bool stored)
+		       const struct request_fingerprint *fingerprint,
+		       bool stored)
 {
-	struct item *item = item_find(quarantine, work);
+	struct item *item = item_find(quarantine, fingerprint);
 
 	if (item)
 		item->entry.stored = stored;
--- a/entry/component_link.c
+++ b/entry/component_link.c
@@ -127,7 +127,7 @@
 	if (entry->fold)
 		fold_member(entry->fold, member);
 	if (entry->claims)
-		claims_member(entry->claims, member);
+		claims_member_changed(entry->claims, member);
 	if (entry->ledger)
 		ledger_member(entry->ledger, member);
 	if (entry->poller)
--- a/entry/request_start.c
+++ b/entry/request_start.c
@@ -146,8 +146,8 @@
 void request_claim(struct request *request)
 {
 	request->state = REQUEST_CLAIMING;
-	claims_take(request->entry->claims, request->id, request->key,
-		    CLAIM_TIMEOUT_USEC);
+	claims_submit(request->entry->claims, request->id, request->key,
+		      CLAIM_TIMEOUT_USEC);
 }
 
 /* Plain services claim later, when a place at a server is held. */
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -79,7 +79,7 @@
 	struct instance *instance = ctx;
 
 	if (instance->claims)
-		claims_member(instance->claims, member);
+		claims_member_changed(instance->claims, member);
 }
 
 static void claim_answered(void *ctx, uint64_t request, enum result_code code,
@@ -170,9 +170,9 @@
 	}
 	run(RUN_USEC);
 
-	claims_take(instances[0].claims, 1, BOOKING, USEC_PER_SEC);
+	claims_submit(instances[0].claims, 1, BOOKING, USEC_PER_SEC);
 	run(RUN_USEC);
-	claims_take(instances[1].claims, 2, BOOKING, USEC_PER_SEC);
+	claims_submit(instances[1].claims, 2, BOOKING, USEC_PER_SEC);
 	lease_want(instances[0].leases, LOAD_MODEL);
 	run(RUN_USEC);
 	lease_want(instances[1].leases, LOAD_MODEL);
--- a/forward/gossip_codec.c
+++ b/forward/gossip_codec.c
@@ -67,8 +67,8 @@
 		      const struct quarantine_entry *entry)
 {
 	msgpack_pack_array(packer, WORK_FIELDS);
-	msgpack_pack_uint64(packer, entry->work.high);
-	msgpack_pack_uint64(packer, entry->work.low);
+	msgpack_pack_uint64(packer, entry->fingerprint.high);
+	msgpack_pack_uint64(packer, entry->fingerprint.low);
 	msgpack_pack_uint32(packer, entry->epoch);
 	msgpack_pack_uint8(packer, entry->stored);
 	msgpack_pack_array(packer, entry->count);
--- a/forward/gossip_decode.c
+++ b/forward/gossip_decode.c
@@ -97,8 +97,8 @@
 	if (!is_tuple(object, WORK_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_read(&fields[0], UINT64_MAX, &entry->work.high) ||
-	    !number_read(&fields[1], UINT64_MAX, &entry->work.low) ||
+	if (!number_read(&fields[0], UINT64_MAX, &entry->fingerprint.high) ||
+	    !number_read(&fields[1], UINT64_MAX, &entry->fingerprint.low) ||
 	    !number_read(&fields[2], UINT32_MAX, &epoch) ||
 	    !number_read(&fields[3], 1, &stored))
 		return false;
--- a/forward/node_limits.c
+++ b/forward/node_limits.c
@@ -11,7 +11,7 @@
 		.policy = node->settings.limit_policy,
 		.now = clock_now(node->clock),
 		.epoch = (uint32_t)node->boot,
-		.joins = true,
+		.may_have_peers = true,
 	};
 
 	return limits_create(&settings);
--- a/forward/node_quarantine.c
+++ b/forward/node_quarantine.c
@@ -35,7 +35,7 @@
 struct quarantine *node_quarantine_create(const struct node *node)
 {
 	const struct quarantine_settings settings = {
-		.ends = node->settings.quarantine_crashes,
+		.crash_threshold = node->settings.quarantine_crashes,
 		.held_max = HELD_MAX,
 		.suspects_max = SUSPECTS_MAX,
 	};
@@ -71,7 +71,7 @@
 
 	if (!quarantine_merge(node->quarantine, entry))
 		return false;
-	heard_log(node, "peer", &entry->work);
+	heard_log(node, "peer", &entry->fingerprint);
 	return true;
 }
 
@@ -138,12 +138,13 @@
 
 	if (!g_str_has_prefix(record->key, KEY_PREFIX))
 		return false;
-	if (!key_read(record->key, &entry.work) || !value_read(record, &entry))
+	if (!key_read(record->key, &entry.fingerprint) ||
+	    !value_read(record, &entry))
 		log_event(LOG_WARNING, "work_malformed",
 			  LOG_S("key", record->key),
 			  LOG_D("offset", record->offset));
 	else if (quarantine_merge(node->quarantine, &entry))
-		heard_log(node, "store", &entry.work);
+		heard_log(node, "store", &entry.fingerprint);
 	return true;
 }
 
@@ -154,12 +155,12 @@
 
 	storing->under_way = false;
 	if (code == RESULT_OK)
-		quarantine_stored(node->quarantine, &storing->work,
+		quarantine_stored(node->quarantine, &storing->fingerprint,
 				  storing->held);
 	else
 		storing->again_at = clock_now(node->clock) + STORE_RETRY_USEC;
 	log_event(code == RESULT_OK ? LOG_NOTICE : LOG_WARNING, "work_stored",
-		  LOG_X("work", storing->work.high),
+		  LOG_X("work", storing->fingerprint.high),
 		  LOG_D("held", storing->held),
 		  LOG_S("result", result_label(code)));
 }
@@ -176,9 +177,9 @@
 	    !node_decides(node))
 		return;
 	storing->under_way = true;
-	storing->work = entry.work;
-	storing->held = quarantine_holds(node->quarantine, &entry.work);
-	key_print(&entry.work, key);
+	storing->fingerprint = entry.fingerprint;
+	storing->held = quarantine_holds(node->quarantine, &entry.fingerprint);
+	key_print(&entry.fingerprint, key);
 	value = value_print(&entry);
 	node->interface.put(node->interface.ctx, PEER_STREAM, key,
 			    storing->held ? value : NULL, on_stored, node);
--- a/include/coord/backpressure.h
+++ b/include/coord/backpressure.h
@@ -95,7 +95,7 @@
 /* Fills in facts that other instances may not know, a further part at each call
  * when there are more than most; returns how many. */
 uint32_t backpressure_export(struct backpressure *table, int64_t now,
-			     struct backpressure_fact *facts, uint32_t most);
+			     struct backpressure_fact *facts, uint32_t max);
 /* What is known of a server, also that it is cold; false when nothing is. */
 bool backpressure_find(const struct backpressure *table, int64_t now,
 		       uint64_t server, struct backpressure_fact *fact);
@@ -115,6 +115,6 @@
  * lives() does not know, after a minute without news. */
 typedef bool (*backpressure_exists_fn)(void *ctx, uint64_t server);
 void backpressure_prune(struct backpressure *table, int64_t now,
-			backpressure_exists_fn lives, void *ctx);
+			backpressure_exists_fn exists, void *ctx);
 
 #endif
--- a/include/coord/claim.h
+++ b/include/coord/claim.h
@@ -60,11 +60,11 @@
 void claims_start(struct claims *claims);
 void claims_receive(struct claims *claims, uint64_t from, const void *data,
 		    size_t size);
-void claims_member(struct claims *claims, const struct member *member);
+void claims_member_changed(struct claims *claims, const struct member *member);
 /* Answers exactly once through fn, by the time timeout_us has passed, and not
  * from within the call; never after claims_destroy(). A request that is being
  * claimed already is dropped with a line in the log. */
-void claims_take(struct claims *claims, uint64_t request, uint64_t key,
-		 int64_t timeout_us);
+void claims_submit(struct claims *claims, uint64_t request, uint64_t key,
+		   int64_t timeout_us);
 
 #endif
--- a/include/coord/limit.h
+++ b/include/coord/limit.h
@@ -75,7 +75,7 @@
 	uint32_t epoch; /* rises with each start of the process */
 	/* The process starts anew while others may have used allotments; else
 	 * buckets are full at first. */
-	bool joins;
+	bool may_have_peers;
 };
 
 struct limit_allotment {
@@ -121,7 +121,8 @@
 void limits_set_policy(struct limits *limits, enum limit_policy policy);
 
 bool limit_take(struct limits *limits, int64_t now,
-		const struct limit_request *ask, struct limit_refusal *refusal);
+		const struct limit_request *request,
+		struct limit_refusal *refusal);
 /* Gives back units that were taken for work that surely did not run. */
 void limit_return(struct limits *limits, int64_t now, uint64_t account,
 		  double units);
@@ -129,7 +130,7 @@
 /* Fills entries, in turn when there are more than most: own use, or with sums
  * that of the data centre. Returns how many. */
 uint32_t limit_export(struct limits *limits, int64_t now, bool sums,
-		      struct limit_entry *entries, uint32_t most);
+		      struct limit_entry *entries, uint32_t max);
 void limit_merge(struct limits *limits, int64_t now,
 		 const struct limit_source *source,
 		 const struct limit_entry *entry,
--- a/include/coord/quarantine.h
+++ b/include/coord/quarantine.h
@@ -52,14 +52,14 @@
 struct quarantine;
 
 struct quarantine_settings {
-	uint32_t ends;	       /* of servers, from which on a work is held */
-	uint32_t held_max;     /* works */
-	uint32_t suspects_max; /* works */
+	uint32_t crash_threshold; /* of servers, from which on a work is held */
+	uint32_t held_max;	  /* works */
+	uint32_t suspects_max;	  /* works */
 };
 
 /* What is known of a work. */
 struct quarantine_entry {
-	struct request_fingerprint work;
+	struct request_fingerprint fingerprint;
 	uint32_t epoch;				  /* rises when it is cleared */
 	uint32_t count;				  /* of servers */
 	uint64_t servers[QUARANTINE_CRASHES_MAX]; /* lives that ended, ascending
@@ -71,35 +71,36 @@
 quarantine_create(const struct quarantine_settings *settings);
 void quarantine_destroy(struct quarantine *quarantine);
 /* From the next call on; what is held already stays so. */
-void quarantine_configure(struct quarantine *quarantine, uint32_t ends);
+void quarantine_configure(struct quarantine *quarantine,
+			  uint32_t crash_threshold);
 
 /* Whether nothing is suspected or held: no work need be looked up. */
 bool quarantine_empty(const struct quarantine *quarantine);
 /* Whether it is to be refused. */
 bool quarantine_holds(const struct quarantine *quarantine,
-		      const struct request_fingerprint *work);
+		      const struct request_fingerprint *fingerprint);
 /* What is known of it, or NULL. */
 const struct quarantine_entry *
 quarantine_find(const struct quarantine *quarantine,
-		const struct request_fingerprint *work);
+		const struct request_fingerprint *fingerprint);
 uint32_t quarantine_held(const struct quarantine *quarantine);
 uint32_t quarantine_suspects(const struct quarantine *quarantine);
 
 /* A life of a server ended while it ran the work. True when that is news. */
 bool quarantine_record_crash(struct quarantine *quarantine,
-			     const struct request_fingerprint *work,
-			     uint64_t mark, uint64_t server, int64_t now);
+			     const struct request_fingerprint *fingerprint,
+			     uint64_t hash, uint64_t server, int64_t now);
 /* The server that ran the work has outlived it. */
-void quarantine_record_success(struct quarantine *quarantine, uint64_t mark,
+void quarantine_record_success(struct quarantine *quarantine, uint64_t hash,
 			       int64_t now);
 /* Whether it did so within the last minute, here. */
 bool quarantine_has_succeeded(const struct quarantine *quarantine,
-			      uint64_t mark, int64_t now);
+			      uint64_t hash, int64_t now);
 /* The same where the work may be suspected: true when it was, and is cleared.
  * A run that began before it was held clears it too: it does not end servers.
  */
 bool quarantine_clear(struct quarantine *quarantine,
-		      const struct request_fingerprint *work);
+		      const struct request_fingerprint *fingerprint);
 
 /* Takes in what another instance told, or what was stored. True when it is
  * news. An entry with too many servers, or that says nothing, is dropped. */
@@ -108,13 +109,14 @@
 /* Copies the next entries, at most so many, beginning where the last call
  * ended; returns how many. */
 uint32_t quarantine_next(struct quarantine *quarantine,
-			 struct quarantine_entry *entries, uint32_t most);
+			 struct quarantine_entry *entries, uint32_t max);
 /* A work that is held and not stored yet, or the other way round; false when
  * there is none. */
 bool quarantine_unstored(const struct quarantine *quarantine,
 			 struct quarantine_entry *entry);
 /* It has been written, or dropped. */
 void quarantine_stored(struct quarantine *quarantine,
-		       const struct request_fingerprint *work, bool stored);
+		       const struct request_fingerprint *fingerprint,
+		       bool stored);
 
 #endif
--- a/tests/coord/claim_fleet.c
+++ b/tests/coord/claim_fleet.c
@@ -74,7 +74,8 @@
 	if (!news->to->claims)
 		return;
 	news->to->membership.alive[news->about] = news->alive;
-	claims_member(news->to->claims, &news->to->fleet->members[news->about]);
+	claims_member_changed(news->to->claims,
+			      &news->to->fleet->members[news->about]);
 }
 
 static void fleet_tell(struct fleet *fleet, uint32_t about, bool alive)
@@ -179,7 +180,7 @@
 				     instance->membership.self.incarnation};
 	take->deadline = clock_now(instance->node->clock) + timeout;
 	g_ptr_array_add(fleet->takes, take);
-	claims_take(instance->claims, fleet->takes->len, key, timeout);
+	claims_submit(instance->claims, fleet->takes->len, key, timeout);
 	return take;
 }
 
@@ -220,7 +221,7 @@
 		const struct log_record *raw = records->pdata[i];
 
 		g_assert_true(
-			claim_record_unpack(&record, raw->data, raw->size));
+			claim_record_decode(&record, raw->data, raw->size));
 		for (guint j = 0; j < record.claims->len; j++) {
 			struct claim *claim = g_memdup2(
 				&g_array_index(record.claims, struct claim, j),
--- a/tests/coord/claim_fleet.h
+++ b/tests/coord/claim_fleet.h
@@ -20,7 +20,7 @@
 	struct claims *claims; /* NULL while down */
 };
 
-/* One call of claims_take(); its request is its index plus one. */
+/* One call of claims_submit(); its request is its index plus one. */
 struct take {
 	uint32_t instance;
 	uint64_t epoch; /* of its node: another means that it was killed */
--- a/tests/coord/test_backpressure.c
+++ b/tests/coord/test_backpressure.c
@@ -117,7 +117,7 @@
 	backpressure_destroy(table);
 }
 
-static bool lives(void *ctx, uint64_t server)
+static bool exists(void *ctx, uint64_t server)
 {
 	return server == *(uint64_t *)ctx;
 }
@@ -134,13 +134,13 @@
 	backpressure_merge(table, 0, &other);
 	/* Nobody need be told of what all have heard. */
 	g_assert_cmpuint(backpressure_export(table, now, facts, 4), ==, 0);
-	backpressure_prune(table, USEC_PER_SEC, lives, &listed);
+	backpressure_prune(table, USEC_PER_SEC, exists, &listed);
 	g_assert_cmpuint(backpressure_limited(table), ==, 2);
-	backpressure_prune(table, now, lives, &listed);
+	backpressure_prune(table, now, exists, &listed);
 	g_assert_cmpfloat(backpressure_limit(table, OTHER), <, 0.0);
 	g_assert_cmpfloat(backpressure_limit(table, SERVER), ==, 5.0);
 	backpressure_answer(table, now, SERVER, &none);
-	backpressure_prune(table, now + 30 * USEC_PER_SEC, lives, &listed);
+	backpressure_prune(table, now + 30 * USEC_PER_SEC, exists, &listed);
 	g_assert_false(backpressure_find(table, now, SERVER, facts));
 	backpressure_destroy(table);
 }
@@ -249,7 +249,7 @@
 	backpressure_merge(home, now, &fact);
 	now = 2 * USEC_PER_SEC;
 	g_assert_cmpuint(granted(home, &now, USEC_PER_SEC), ==, 200);
-	backpressure_prune(home, now, lives, &(uint64_t){SERVER});
+	backpressure_prune(home, now, exists, &(uint64_t){SERVER});
 	g_assert_false(backpressure_find(home, now, SERVER, &fact));
 	backpressure_destroy(here);
 	backpressure_destroy(home);
--- a/tests/coord/test_claim.c
+++ b/tests/coord/test_claim.c
@@ -204,13 +204,13 @@
 {
 	struct fleet *fleet = fleet_ready(2);
 	uint32_t asker = fleet_asker(fleet);
-	uint64_t former = fleet->log->appends;
+	uint64_t previous = fleet->log->appends;
 
 	for (uint64_t key = 1; key <= 1000; key++)
 		fleet_take(fleet, asker, key, TIMEOUT);
 	fleet_run(fleet, TIMEOUT);
 	g_assert_cmpint(fleet_check(fleet), ==, 1000);
-	g_assert_cmpuint(fleet->log->appends - former, <=, 2);
+	g_assert_cmpuint(fleet->log->appends - previous, <=, 2);
 	fleet_destroy(fleet);
 }
 
@@ -219,7 +219,7 @@
 {
 	struct fleet *fleet = fleet_ready(3);
 	uint32_t asker = fleet_asker(fleet);
-	uint64_t former = fleet->log->appends;
+	uint64_t previous = fleet->log->appends;
 
 	for (uint64_t key = 1; key <= 1000; key++) {
 		fleet_take(fleet, asker, key, TIMEOUT);
@@ -227,7 +227,7 @@
 	}
 	fleet_run(fleet, TIMEOUT);
 	g_assert_cmpint(fleet_check(fleet), ==, 1000);
-	g_assert_cmpuint(fleet->log->appends - former, <=, 105);
+	g_assert_cmpuint(fleet->log->appends - previous, <=, 105);
 	fleet_destroy(fleet);
 }
 
@@ -283,7 +283,7 @@
 static void ask_deliver(struct fleet *fleet, uint32_t writer, uint64_t attempt)
 {
 	struct claim_message message = {
-		.kind = CLAIM_MESSAGE_ASK,
+		.kind = CLAIM_MESSAGE_REQUEST,
 		.request = 9,
 		.incarnation = 1,
 		.attempt = attempt,
@@ -293,7 +293,7 @@
 	msgpack_sbuffer buffer;
 
 	msgpack_sbuffer_init(&buffer);
-	claim_message_pack(&buffer, &message);
+	claim_message_encode(&buffer, &message);
 	claims_receive(fleet->instances[writer].claims, fleet->members[4].id,
 		       buffer.data, buffer.size);
 	msgpack_sbuffer_destroy(&buffer);
@@ -328,7 +328,7 @@
 	struct fleet *fleet = fleet_ready(6);
 	struct take *take = fleet_take(fleet, 0, KEY, TIMEOUT);
 
-	claims_take(fleet->instances[0].claims, 1, KEY, TIMEOUT);
+	claims_submit(fleet->instances[0].claims, 1, KEY, TIMEOUT);
 	fleet_run(fleet, TIMEOUT);
 	g_assert_cmpint(take->answers, ==, 1);
 	take = fleet_take(fleet, 0, KEY + 1, -5);
--- a/tests/coord/test_quarantine.c
+++ b/tests/coord/test_quarantine.c
@@ -9,7 +9,7 @@
 #define INSTANCES 6
 
 static const struct quarantine_settings small = {
-	.ends = 3,
+	.crash_threshold = 3,
 	.held_max = 4,
 	.suspects_max = 8,
 };
@@ -127,7 +127,7 @@
 static void test_malformed(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
-	struct quarantine_entry entry = {.work = work(1)};
+	struct quarantine_entry entry = {.fingerprint = work(1)};
 
 	g_assert_false(quarantine_merge(quarantine, &entry));
 	entry.count = QUARANTINE_CRASHES_MAX + 1;
@@ -147,7 +147,7 @@
 	g_assert_false(quarantine_unstored(quarantine, &entry));
 	end_servers(quarantine, 1, 3);
 	g_assert_true(quarantine_unstored(quarantine, &entry));
-	g_assert_true(fingerprint_same(&entry.work, &id));
+	g_assert_true(fingerprint_same(&entry.fingerprint, &id));
 	quarantine_stored(quarantine, &id, true);
 	g_assert_false(quarantine_unstored(quarantine, &entry));
 	/* More servers say nothing that matters. */
@@ -180,7 +180,7 @@
 		g_assert_cmpuint(quarantine_next(quarantine, entries, 4), ==,
 				 4);
 		for (int k = 0; k < 4; k++)
-			seen[entries[k].work.low] = true;
+			seen[entries[k].fingerprint.low] = true;
 	}
 	for (int n = 1; n <= 20; n++)
 		g_assert_true(seen[n]);
--- a/tests/forward/paths_world.c
+++ b/tests/forward/paths_world.c
@@ -434,7 +434,7 @@
 		.window_usec = 10 * USEC_PER_SEC,
 	};
 	const struct quarantine_settings quarantine = {
-		.ends = 3,
+		.crash_threshold = 3,
 		.held_max = 8,
 		.suspects_max = 8,
 	};
--- a/tests/limit/limit_world.c
+++ b/tests/limit/limit_world.c
@@ -36,13 +36,13 @@
 					WORLD_BURST * world->rate_part};
 }
 
-static void instance_start(struct world *world, uint32_t i, bool joins)
+static void instance_start(struct world *world, uint32_t i, bool may_have_peers)
 {
 	const struct limit_settings settings = {
 		.policy = world->policy,
 		.now = world->now,
 		.epoch = ++world->starts * 1000,
-		.joins = joins,
+		.may_have_peers = may_have_peers,
 	};
 
 	world->limits[i] = limits_create(&settings);
@@ -174,19 +174,19 @@
 static void request_come(struct world *world, uint32_t i)
 {
 	struct limit_refusal refusal;
-	struct limit_request ask = {
+	struct limit_request request = {
 		.account = ACCOUNT,
 		.allotment = allotment(world),
 		.units = g_rand_int_range(world->rand, UNITS_LEAST, UNITS_MOST),
 		.sharers = world->count,
 	};
-	struct world_use use = {world->now, ask.units};
+	struct world_use use = {world->now, request.units};
 
-	world->asked += ask.units;
+	world->asked += request.units;
 	if (!is_up(world, i) ||
-	    !limit_take(world->limits[i], world->now, &ask, &refusal))
+	    !limit_take(world->limits[i], world->now, &request, &refusal))
 		return;
-	world->admitted += ask.units;
+	world->admitted += request.units;
 	g_array_append_val(world->uses, use);
 }
 
--- a/tests/limit/test_limit.c
+++ b/tests/limit/test_limit.c
@@ -20,7 +20,7 @@
 static bool rate_take(struct limits *limits, int64_t now, uint64_t account,
 		      double rate, uint32_t instances, int64_t *retry_after)
 {
-	const struct limit_request ask = {
+	const struct limit_request request = {
 		.account = account,
 		.allotment = {rate, MAX(rate * 2.0, 1.0)},
 		.units = 1.0,
@@ -28,7 +28,7 @@
 	};
 	struct limit_refusal refusal;
 
-	if (limit_take(limits, now, &ask, &refusal))
+	if (limit_take(limits, now, &request, &refusal))
 		return true;
 	*retry_after = refusal.retry_usec;
 	return false;
@@ -125,16 +125,16 @@
 static bool units_take(struct limits *limits, int64_t now, double units,
 		       struct limit_refusal *refusal)
 {
-	const struct limit_request ask = {
+	const struct limit_request request = {
 		.account = 1, .allotment = {RATE, BURST}, .units = units};
 
-	return limit_take(limits, now, &ask, refusal);
+	return limit_take(limits, now, &request, refusal);
 }
 
-static struct limits *counts_open(bool joins)
+static struct limits *counts_open(bool may_have_peers)
 {
-	const struct limit_settings settings = {.policy = LIMIT_COUNTS,
-						.joins = joins};
+	const struct limit_settings settings = {
+		.policy = LIMIT_COUNTS, .may_have_peers = may_have_peers};
 
 	return limits_create(&settings);
 }
@@ -213,8 +213,8 @@
 	return limits;
 }
 
-static void hear(struct limits *limits, int64_t now, uint64_t id,
-		 uint64_t group, uint32_t epoch, int64_t used, int64_t level)
+static void merge(struct limits *limits, int64_t now, uint64_t id,
+		  uint64_t group, uint32_t epoch, int64_t used, int64_t level)
 {
 	const struct limit_allotment allotment = {RATE, BURST};
 	const struct limit_source source = {id, group};
@@ -230,20 +230,20 @@
 {
 	struct limits *limits = counts_used_one();
 
-	hear(limits, 0, 7, 0, 1, 100, 0);
-	hear(limits, 0, 7, 0, 1, 100, 0);
+	merge(limits, 0, 7, 0, 1, 100, 0);
+	merge(limits, 0, 7, 0, 1, 100, 0);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, BURST - 101);
-	hear(limits, 0, 8, 99, 1, 200, 0);
-	hear(limits, 0, 9, 99, 1, 200, 0);
+	merge(limits, 0, 8, 99, 1, 200, 0);
+	merge(limits, 0, 9, 99, 1, 200, 0);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, BURST - 301);
-	hear(limits, 0, 9, 99, 1, 250, 0);
+	merge(limits, 0, 9, 99, 1, 250, 0);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, BURST - 301);
 	/* Full again meanwhile. What was used since is within the part that
 	 * was presumed for the one that fell silent; more is taken off. */
 	limit_level(limits, 2 * USEC_PER_SEC, 1);
-	hear(limits, 2 * USEC_PER_SEC, 9, 99, 1, 260, 0);
+	merge(limits, 2 * USEC_PER_SEC, 9, 99, 1, 260, 0);
 	g_assert_cmpfloat(limit_level(limits, 2 * USEC_PER_SEC, 1), ==, BURST);
-	hear(limits, 2 * USEC_PER_SEC, 9, 99, 1, 760, 0);
+	merge(limits, 2 * USEC_PER_SEC, 9, 99, 1, 760, 0);
 	g_assert_cmpfloat(limit_level(limits, 2 * USEC_PER_SEC, 1), ==,
 			  BURST - 500);
 	limits_destroy(limits);
@@ -254,8 +254,8 @@
 {
 	struct limits *limits = counts_used_one();
 
-	hear(limits, 0, 7, 0, 1, 500, 0);
-	hear(limits, 0, 7, 0, 2, 100, 0);
+	merge(limits, 0, 7, 0, 1, 500, 0);
+	merge(limits, 0, 7, 0, 2, 100, 0);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, BURST - 601);
 	limits_destroy(limits);
 }
@@ -269,11 +269,11 @@
 	struct limit_refusal refusal;
 
 	g_assert_true(units_take(limits, 0, 10, &refusal));
-	hear(limits, 0, 7, 0, 1, 30, LIMIT_LEVEL_UNKNOWN);
+	merge(limits, 0, 7, 0, 1, 30, LIMIT_LEVEL_UNKNOWN);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, BURST / 16 - 40);
-	hear(limits, 0, 8, 0, 1, 123456, 300);
+	merge(limits, 0, 8, 0, 1, 123456, 300);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, 290);
-	hear(limits, 0, 8, 0, 1, 123466, 290);
+	merge(limits, 0, 8, 0, 1, 123466, 290);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, 280);
 	limits_destroy(limits);
 }
@@ -282,7 +282,7 @@
 static void test_equal_starts(void)
 {
 	const struct limit_settings settings = {.policy = LIMIT_EQUAL,
-						.joins = true};
+						.may_have_peers = true};
 	struct limits *limits = limits_create(&settings);
 	struct limit_refusal refusal;
 
@@ -297,10 +297,10 @@
 {
 	struct limits *limits = counts_open(true);
 
-	hear(limits, 0, 7, 0, 1, 123456, 300);
-	hear(limits, 0, 8, 0, 1, 55555, 310);
+	merge(limits, 0, 7, 0, 1, 123456, 300);
+	merge(limits, 0, 8, 0, 1, 55555, 310);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, 300);
-	hear(limits, 0, 8, 0, 1, 55600, 200);
+	merge(limits, 0, 8, 0, 1, 55600, 200);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, 255);
 	limits_destroy(limits);
 }
@@ -331,13 +331,14 @@
 	struct limit_refusal refusal;
 	int64_t began;
 	double tell;
-	double hear;
+	double merge;
 	uint32_t told = 0;
 
 	for (uint32_t i = 0; i < count; i++) {
-		const struct limit_request ask = {i + 1, allotment, 10.0, 1};
+		const struct limit_request request = {i + 1, allotment, 10.0,
+						      1};
 
-		g_assert_true(limit_take(limits, 1, &ask, &refusal));
+		g_assert_true(limit_take(limits, 1, &request, &refusal));
 	}
 	began = g_get_monotonic_time();
 	for (int i = 0; i < TICKS; i++) {
@@ -350,10 +351,10 @@
 		for (uint32_t k = 0; k < told; k++)
 			limit_merge(limits, 2 + i, &source, &entries[k],
 				    &allotment);
-	hear = (double)(g_get_monotonic_time() - began) / TICKS;
+	merge = (double)(g_get_monotonic_time() - began) / TICKS;
 	g_test_message("%u organisations: %u told in a word, all in %u words; "
 		       "to tell one %.1f us, to hear one %.1f us",
-		       count, told, (count + told - 1) / told, tell, hear);
+		       count, told, (count + told - 1) / told, tell, merge);
 	g_assert_cmpuint(told, ==, MIN(count, TOLD_MOST));
 	g_assert_cmpuint(limits_count(limits), ==, count);
 	limits_destroy(limits);
--- a/tests/requests/fakes.c
+++ b/tests/requests/fakes.c
@@ -347,8 +347,8 @@
 	fakes.attempt++;
 }
 
-void claims_take(struct claims *claims, uint64_t request, uint64_t key,
-		 int64_t timeout_us)
+void claims_submit(struct claims *claims, uint64_t request, uint64_t key,
+		   int64_t timeout_us)
 {
 	fakes_note("claim");
 	fakes.asked = request;
