--- a/coord/backpressure.c
+++ b/coord/backpressure.c
@@ -4,39 +4,38 @@
 
 #include "common/clock.h"
 
-/* Least rate, also for a limit of 0: only an answer can show that the limit has
- * ended. */
+/* Lowest rate, also for a limit of 0: only the answer to a request can show
+ * that the limit has been lifted. */
 #define MIN_PER_SEC 0.25
 /* Capacity of the bucket in seconds of the limit; at least one request. */
 #define BURST_SEC 0.5
-/* Longest time until an instance that was denied asks again. */
+/* Longest delay until an instance that was denied retries. */
 #define RETRY_MAX_USEC (1 * USEC_PER_SEC)
-/* Facts are told for this long after the answer they are from. */
+/* Facts are exported for this long after the answer that they come from. */
 #define EXPORT_USEC (30 * USEC_PER_SEC)
 #define UNKNOWN_SERVER_USEC (60 * USEC_PER_SEC)
-/* named_at while no limit was ever named. */
+/* Value of signalled_at while no limit has been signalled. */
 #define NEVER (INT64_MIN / 4)
 
 struct item {
 	uint64_t server;
 	double limit;
-	int64_t named_at; /* when the answer that says so came; or NEVER */
+	int64_t signalled_at; /* when its answer arrived; or NEVER */
 	bool leaving;
-	int64_t leaving_at; /* when it said so last */
+	int64_t leaving_at; /* when it last signalled leaving */
 	int64_t backoff_until;
 	int64_t cold_until;
-	double cold_limit; /* until then */
-	bool level_valid;  /* level is valid */
-	double level;	   /* tokens at level_at */
+	double cold_limit; /* until cold_until */
+	bool level_valid;
+	double level; /* tokens at level_at */
 	int64_t level_at;
-	int64_t last_retry_at; /* latest time that an instance was told to ask
-				  again */
+	int64_t last_retry_at; /* latest time given to a denied instance */
 };
 
 struct backpressure {
 	GHashTable *items; /* server to struct item */
 	uint32_t limited;
-	uint32_t next_export; /* index of the fact to be told next */
+	uint32_t next_export; /* index of the next fact to export */
 };
 
 struct backpressure *backpressure_create(void)
@@ -71,7 +70,7 @@
 	item = g_new0(struct item, 1);
 	item->server = server;
 	item->limit = BACKPRESSURE_UNLIMITED;
-	item->named_at = NEVER;
+	item->signalled_at = NEVER;
 	g_hash_table_insert(table->items, &item->server, item);
 	return item;
 }
@@ -86,7 +85,7 @@
 	return now < item->cold_until;
 }
 
-/* The one that is enforced. */
+/* The limit that is enforced now. */
 static double limit_at(const struct item *item, int64_t now)
 {
 	if (!is_cold(item, now))
@@ -102,7 +101,7 @@
 
 	table->limited -= is_limited(item);
 	item->limit = limit;
-	item->named_at = at;
+	item->signalled_at = at;
 	table->limited += is_limited(item);
 	return changed;
 }
@@ -116,7 +115,7 @@
 	if (signals->limited)
 		changed = item_set(table, item, signals->limit, now);
 	else if (signals->of_request && is_limited(item) &&
-		 now - item->named_at >= BACKPRESSURE_SETTLE_USEC)
+		 now - item->signalled_at >= BACKPRESSURE_SETTLE_USEC)
 		changed = item_set(table, item, BACKPRESSURE_UNLIMITED, now);
 	return changed ? BACKPRESSURE_LIMIT : 0;
 }
@@ -176,7 +175,7 @@
 	}
 	if (fact->leaving && !item->leaving)
 		changed |= leaving_set(item, now);
-	if (at > item->named_at && item_set(table, item, fact->limit, at))
+	if (at > item->signalled_at && item_set(table, item, fact->limit, at))
 		changed |= BACKPRESSURE_LIMIT;
 	return changed;
 }
@@ -192,10 +191,10 @@
 	item->cold_limit = limit;
 }
 
-/* Whether other instances may not know it yet. */
+/* Whether other instances may not know the facts yet. */
 static bool is_exported(const struct item *item, int64_t now)
 {
-	return now - item->named_at < EXPORT_USEC ||
+	return now - item->signalled_at < EXPORT_USEC ||
 	       (item->leaving && now - item->leaving_at < EXPORT_USEC);
 }
 
@@ -205,7 +204,7 @@
 	*fact = (struct backpressure_fact){
 		.server = item->server,
 		.limit = item->limit,
-		.age_usec = MAX(now - item->named_at, 0),
+		.age_usec = MAX(now - item->signalled_at, 0),
 		.leaving = item->leaving,
 	};
 }
@@ -288,7 +287,7 @@
 	item->level_at = now;
 }
 
-/* Spreads those that were denied at the rate at which the bucket fills. */
+/* Spreads the retries of denied instances at the fill rate of the bucket. */
 static int64_t retry_reserve(struct item *item, int64_t now)
 {
 	double step = (double)USEC_PER_SEC / rate_of(item, now);
@@ -318,7 +317,7 @@
 	return false;
 }
 
-/* Whether no fact about the server is valid any more. */
+/* Whether all facts about the server have expired. */
 static bool is_expired(const struct item *item, int64_t now)
 {
 	return !is_limited(item) && !is_cold(item, now) && !item->leaving &&
@@ -327,7 +326,7 @@
 
 static bool is_stale(const struct item *item, int64_t now)
 {
-	return now - item->named_at >= UNKNOWN_SERVER_USEC &&
+	return now - item->signalled_at >= UNKNOWN_SERVER_USEC &&
 	       now - item->leaving_at >= UNKNOWN_SERVER_USEC &&
 	       now >= item->backoff_until;
 }
--- a/coord/circuit.c
+++ b/coord/circuit.c
@@ -1,12 +1,13 @@
 #include "common/clock.h"
 #include "coord/retry.h"
 
-/* Three failures in a row happen by chance once in a thousand calls to a
- * server that fails a tenth of them. */
+/* A server that fails a tenth of its calls fails three in a row once in a
+ * thousand calls. */
 #define CIRCUIT_FAILURES 3
 #define CIRCUIT_BASE_USEC (500 * USEC_PER_MSEC)
 #define CIRCUIT_MAX_USEC (30 * USEC_PER_SEC)
-/* A trial whose end is never told must not close the server for ever. */
+/* A probe whose result is never reported must not keep the circuit open for
+ * ever. */
 #define CIRCUIT_PROBE_USEC (60 * USEC_PER_SEC)
 
 bool circuit_allow(struct circuit *circuit, int64_t now)
@@ -35,8 +36,8 @@
 		circuit->opened++;
 }
 
-/* While open, calls that began before it opened still end; they do not make
- * the backoff longer. */
+/* Failures of calls that began before the circuit opened do not extend the
+ * backoff. */
 void circuit_failure(struct circuit *circuit, GRand *rand, int64_t now)
 {
 	if (circuit->state == CIRCUIT_OPEN)
--- a/coord/claim_codec.h
+++ b/coord/claim_codec.h
@@ -1,6 +1,6 @@
 /*
- * claim_codec.h - the records of the stream "claims", and the messages between
- *		   those who ask for claims and the claim writers
+ * claim_codec.h - encoding of the records of the stream "claims", and of the
+ *		   messages between instances and their claim writers
  */
 #ifndef COORD_CLAIM_CODEC_H
 #define COORD_CLAIM_CODEC_H
@@ -13,7 +13,7 @@
 
 #include "common/id.h"
 
-/* What names a claim: appended twice, it is still the same. */
+/* Identity of a claim; a repeated append has the same one. */
 struct claim_id {
 	struct owner owner;
 	uint64_t request;
@@ -33,16 +33,16 @@
 };
 
 enum claim_reply_kind {
-	CLAIM_REPLY_PENDING, /* taken, and not decided yet */
+	CLAIM_REPLY_PENDING, /* accepted, and not decided yet */
 	CLAIM_REPLY_WON,
-	CLAIM_REPLY_LOST,	  /* the winner is in owner */
-	CLAIM_REPLY_NOT_APPENDED, /* given up, and surely not appended */
-	CLAIM_REPLY_UNDECIDED,	  /* given up, and maybe appended */
-	CLAIM_REPLY_DECLINED,	  /* not taken: ask the other writer */
+	CLAIM_REPLY_LOST,	  /* winner has the key */
+	CLAIM_REPLY_NOT_APPENDED, /* given up, certainly not appended */
+	CLAIM_REPLY_UNDECIDED,	  /* given up, possibly appended */
+	CLAIM_REPLY_DECLINED,	  /* not accepted: try the other writer */
 	CLAIM_REPLY_COUNT,
 };
 
-/* An ask and its reply are told apart by their first element. */
+/* The first element of a message. */
 enum claim_message_kind {
 	CLAIM_MESSAGE_REQUEST,
 	CLAIM_MESSAGE_REPLY,
@@ -51,10 +51,10 @@
 struct claim_message {
 	enum claim_message_kind kind;
 	uint64_t request;
-	uint64_t incarnation; /* of the instance that asks */
-	uint64_t attempt;     /* counts the asks; echoed in the reply */
-	uint64_t key;	      /* ask only */
-	uint64_t decide_usec; /* ask only: microseconds to decide within */
+	uint64_t incarnation; /* of the requesting instance */
+	uint64_t attempt;     /* counts requests; echoed in the reply */
+	uint64_t key;	      /* request only */
+	uint64_t decide_usec; /* request only: time left to decide */
 	enum claim_reply_kind reply;
 	struct owner winner; /* reply only */
 };
@@ -64,8 +64,8 @@
 
 void claim_record_encode(msgpack_sbuffer *out,
 			 const struct claim_record *record);
-/* Fills the record, whose claims array is emptied first; false when malformed.
- */
+/* Replaces the content of the record and of its claims array; returns false
+ * when the data is malformed. */
 bool claim_record_decode(struct claim_record *record, const void *data,
 			 size_t size);
 void claim_message_encode(msgpack_sbuffer *out,
--- a/coord/claim_refusals.c
+++ b/coord/claim_refusals.c
@@ -10,7 +10,8 @@
 	enum claim_reply_kind kind;
 };
 
-/* Two generations: the older one is dropped when the newer is old or full. */
+/* Two generations: the older one is dropped when the newer one has expired or
+ * is full. */
 struct claim_refusals {
 	GHashTable *newer;
 	GHashTable *older;
--- a/coord/claim_table.c
+++ b/coord/claim_table.c
@@ -6,7 +6,7 @@
 	uint64_t key;
 	struct claim_id first;
 	int64_t last_us; /* log's time of the last claim of the key */
-	bool unsure;	 /* another claim may have come before the first */
+	bool unsure;	 /* a claim before the first may be missing */
 	GList link;	 /* in order of the last claim */
 };
 
@@ -14,9 +14,10 @@
 	GHashTable *entries; /* key to struct entry */
 	GQueue order;
 	uint32_t max;
-	int64_t now_us; /* the log's time, of the record folded last */
-	int64_t incomplete_until_us; /* until then an unknown key may be a
-					forgotten one */
+	int64_t now_us; /* highest log time of a folded record */
+	/* Until then an unknown key may have been claimed already: its claim
+	 * was dropped while the table was full. */
+	int64_t incomplete_until_us;
 };
 
 struct claim_table *claim_table_create(uint32_t max)
@@ -89,7 +90,7 @@
 {
 	struct entry *entry;
 
-	/* The log's clock may be set back; a key is then kept the longer. */
+	/* The log's clock may be set back; keys are then kept longer. */
 	table->now_us = MAX(table->now_us, MAX(unix_us, 0));
 	table_expire(table);
 	entry = g_hash_table_lookup(table->entries, &claim->key);
--- a/coord/claim_writer.c
+++ b/coord/claim_writer.c
@@ -10,34 +10,35 @@
 #define GROUP_CLAIMS 2048u
 #define GROUPS_MAX 16u
 #define PENDING_MAX 65536u
-/* How long a record is looked for whose append was not answered. */
+/* Time to read back a record when the answer to its append was lost. */
 #define READ_BACK_USEC (500 * USEC_PER_MSEC)
 #define BACKOFF_MAX_USEC (2 * USEC_PER_SEC)
 
 struct pending_claim {
 	struct claim_writer *writer;
 	struct claim claim;
-	uint64_t serial; /* tells it from a former one of the same claim */
+	uint64_t
+		serial; /* distinguishes it from an earlier one of this claim */
 	uint64_t attempt;
-	struct timer timer; /* its patience */
-	/* Appends that carried it and were not surely refused. */
+	struct timer timer; /* decide_usec */
+	/* Appends that contain it and were not certainly refused. */
 	uint32_t appends;
 };
 
-/* A claim to be appended, for as long as the waiting it is for exists. */
+/* A claim to be appended, unless its pending claim has ended. */
 struct queued {
 	struct claim claim;
 	uint64_t serial;
 };
 
-/* An append that was called and not yet found in the log. */
+/* An append that was not read back yet. */
 struct group {
-	struct claim_writer *writer; /* NULL once the writer is gone */
+	struct claim_writer *writer; /* NULL once the writer was destroyed */
 	uint64_t sequence;
 	GArray *claims;	    /* struct queued */
-	struct timer timer; /* runs when the answer was lost */
+	struct timer timer; /* runs once the answer was lost */
 	bool answered;
-	bool done; /* read back, refused, or given up */
+	bool done; /* read back, refused, or queued again */
 };
 
 struct claim_writer {
@@ -50,9 +51,9 @@
 	struct claim_table *table;
 	struct claim_refusals *refusals;
 	struct log_tail *tail;
-	GHashTable *pending; /* claim id to struct waiting */
+	GHashTable *pending; /* claim id to struct pending_claim */
 	GArray *queue;	     /* struct queued */
-	GPtrArray *groups;   /* struct group, not found yet */
+	GPtrArray *groups;   /* struct group, not read back yet */
 	struct claim_record record;
 	struct timer timer; /* the next append */
 	int64_t next_append;
@@ -72,7 +73,8 @@
 		    writer->next_append - clock_now(writer->clock));
 }
 
-/* Stops reading once no one needs it; what is known is kept. */
+/* Stops reading the log when this instance is no writer and no claim is
+ * pending; keeps the table. */
 static void writer_stop_if_idle(struct claim_writer *writer)
 {
 	if (writer->running || g_hash_table_size(writer->pending))
@@ -140,7 +142,7 @@
 	g_free(group);
 }
 
-/* Takes the group off the list; it lives on until the append is answered. */
+/* Removes the group from the list. It is freed once its append is answered. */
 static void group_done(struct group *group)
 {
 	struct claim_writer *writer = group->writer;
@@ -153,7 +155,7 @@
 	writer_schedule(writer);
 }
 
-/* Queues the group's claims that still wait to be appended again. */
+/* Queues the claims of the group that are still pending for another append. */
 static void group_requeue(struct group *group)
 {
 	struct claim_writer *writer = group->writer;
@@ -168,14 +170,14 @@
 	group_done(group);
 }
 
-/* The record was not read back in time. Should it still come, its claims count
- * once, as they are named by owner and request. */
+/* The record was not read back in time. If it appears later, its claims still
+ * count once, as they are identified by owner and request. */
 static void group_timed_out(struct timer *timer, void *ctx)
 {
 	group_requeue(ctx);
 }
 
-/* The log surely has not taken the group. */
+/* The log certainly has not appended the group. */
 static void group_refused(struct group *group)
 {
 	struct claim_writer *writer = group->writer;
@@ -227,7 +229,7 @@
 	writer_schedule(writer);
 }
 
-/* Moves the claims that still wait from the queue into a group. */
+/* Moves the claims that are still pending from the queue into a group. */
 static struct group *group_create(struct claim_writer *writer)
 {
 	struct group *group = g_new0(struct group, 1);
@@ -425,7 +427,7 @@
 	writer_stop_if_idle(writer);
 }
 
-/* A claim that need not be appended, as its key is known already. */
+/* Finds the decision on a claim whose key is in the table already. */
 static bool writer_find_decision(const struct claim_writer *writer,
 				 const struct claim *claim,
 				 enum claim_reply_kind *reply,
@@ -454,7 +456,7 @@
 	return pending;
 }
 
-/* Whether a claim that does not wait yet may be appended. */
+/* Whether another claim can be accepted. */
 static bool writer_accepts_new(const struct claim_writer *writer)
 {
 	return writer->running && writer->caught_up &&
--- a/coord/claim_writer.h
+++ b/coord/claim_writer.h
@@ -1,13 +1,14 @@
 /*
- * claim_writer.h - appends claims to the log in groups, and decides them by
- *		    what it reads back
+ * claim_writer.h - appends claims to the log in groups and decides them from
+ *		    the records that it reads back
  *
  * DESCRIPTION
- *	A claim that is taken waits until its record was read, or until its
- *	patience ends. Each record read is folded, whoever wrote it, and decides
- *	every claim in it that waits here. An append that was surely refused is
- *	repeated after a backoff; one whose answer was lost is looked for by its
- *	sequence, and repeated when it is not read back soon.
+ *	An accepted claim is pending until its record is read, or until its
+ *	decide_usec have passed. Each record of any writer is folded, and
+ *	decides every claim in it that is pending here. An append that was
+ *	certainly refused is repeated after a backoff. When the answer to an
+ *	append is lost, its record is recognised by its sequence, and appended
+ *	again if it is not read back soon.
  */
 #ifndef COORD_CLAIM_WRITER_H
 #define COORD_CLAIM_WRITER_H
@@ -32,9 +33,10 @@
 					 uint32_t keys_max, claim_decided_fn fn,
 					 void *ctx);
 void claim_writer_destroy(struct claim_writer *writer);
-/* Begins or ends to follow the log; claims that wait are decided first. */
+/* Starts or stops following the log. It stops only when no claim is pending. */
 void claim_writer_set_running(struct claim_writer *writer, bool run);
-/* Returns CLAIM_REPLY_PENDING when the claim waits, else its decision. */
+/* Returns CLAIM_REPLY_PENDING when the claim is pending, otherwise the reply to
+ * it. */
 enum claim_reply_kind claim_writer_submit(struct claim_writer *writer,
 					  const struct claim *claim,
 					  uint64_t attempt, int64_t decide_usec,
--- a/coord/limit.c
+++ b/coord/limit.c
@@ -5,14 +5,13 @@
 #include "common/clock.h"
 #include "limit_account.h"
 
-/* Part of the rate that an instance lets through until half a second after the
- * first message of another one, or for three seconds: after a start of all each
- * would let the whole rate through. */
+/* Part of the rate that a starting instance admits until half a second after
+ * the first message of a peer, and for at most three seconds. After a start of
+ * all instances at once each of them would admit the whole rate. */
 #define START_RATE_PART 0.35
 #define START_AFTER_PEER_USEC (500 * USEC_PER_MSEC)
 #define START_MAX_USEC (3 * USEC_PER_SEC)
-/* Callers are told to come back within this time, however many wait: none of
- * them waits longer. */
+/* Longest retry delay given to a caller, however many are waiting. */
 #define RETRY_MAX_USEC (5 * USEC_PER_SEC)
 
 static const char *const policy_names[LIMIT_POLICY_COUNT] = {
@@ -170,8 +169,7 @@
 	account->level = MIN(account->level, account->allotment.burst * share);
 }
 
-/* Callers are told to come back one after the other, as fast as there will be
- * room for them. */
+/* Spreads the retries of refused callers at the fill rate of the bucket. */
 static void refusal_fill(struct limit_account *account, int64_t now,
 			 double units, double fill_rate,
 			 struct limit_refusal *refusal)
@@ -195,8 +193,8 @@
 	refusal->retry_usec = account->last_retry_at - now;
 }
 
-/* A bucket of a part of the allotment may be smaller than one request; it is
- * then taken from a full one. */
+/* A bucket with a share of the allotment may be smaller than one request; such
+ * a request needs a full bucket. */
 static bool account_fits(const struct limits *limits,
 			 const struct limit_account *account, double units,
 			 double share)
--- a/coord/limit_account.c
+++ b/coord/limit_account.c
@@ -4,19 +4,20 @@
 
 #include "common/clock.h"
 
-/* What was asked for is averaged over this time: long enough not to follow
- * single requests. */
+/* Time constant of the demand average: long enough not to follow single
+ * requests. */
 #define DEMAND_USEC (8 * USEC_PER_SEC)
-/* Part of the allotment that goes to each data centre alike while one is
- * silent, whatever was asked there before: callers may come to it only then. */
+/* Part of the allotment that is split equally among the data centres while one
+ * is silent, whatever the demand there was before: callers may move to it after
+ * it fell silent. */
 #define EQUAL_PART 0.3
-/* A single silent instance is taken for gone after this time; a group, which is
- * a data centre, never is. */
+/* A silent instance is ignored after this time; a group, which is a data
+ * centre, never is. */
 #define PEER_EXPIRY_USEC (30 * USEC_PER_SEC)
-/* How far the level may fall below zero, in bursts: what others used unheard
- * of is paid back, but no organisation is kept out for minutes. */
+/* How far the level may fall below zero, in bursts: use by others that arrives
+ * late is paid back, but no organisation is refused for minutes. */
 #define DEBT_BURSTS 1.0
-/* Least pace that a caller is told by, as a part of the rate. */
+/* Lowest fill rate for retry delays, as a part of the rate. */
 #define FILL_RATE_MIN_PART 0.02
 
 void account_free(gpointer data)
@@ -106,7 +107,7 @@
 	return count;
 }
 
-/* What a peer is presumed to use, units a second. */
+/* The estimated use by a peer, in units a second. */
 static double peer_rate(const struct limit_account *account,
 			const struct limit_peer *peer, int64_t now, double all)
 {
@@ -116,8 +117,8 @@
 		return 0.0;
 	if (now - peer->last_seen < LIMIT_SILENT_USEC)
 		return MIN(peer->demand, account->allotment.rate * fair_share);
-	/* As it was before: what is asked for here since, the other side of a
-	 * cut may be asked for too. */
+	/* The share before it fell silent: demand that has arrived here since
+	 * may have arrived on the other side of a partition as well. */
 	fair_share = peer->fair_share;
 	if (peer->source.group)
 		fair_share = fair_share * (1.0 - EQUAL_PART) +
@@ -165,7 +166,8 @@
 
 static void level_bound(struct limit_account *account, double share)
 {
-	/* Full in spite of what was presumed. */
+	/* The bucket is full in spite of the estimates, so nothing is left to
+	 * refund. */
 	if (account->level > account->allotment.burst * share)
 		for (guint i = 0; i < peer_count(account); i++)
 			g_array_index(account->peers, struct limit_peer, i)
--- a/coord/limit_account.h
+++ b/coord/limit_account.h
@@ -1,5 +1,5 @@
 /*
- * limit_account.h - one allotment, as an instance believes it
+ * limit_account.h - the state of one allotment at an instance
  */
 #ifndef COORD_LIMIT_ACCOUNT_H
 #define COORD_LIMIT_ACCOUNT_H
@@ -9,68 +9,68 @@
 #include "coord/limit.h"
 
 #define LIMIT_NEVER INT64_MIN
-/* An account that was not asked for here or told of for so long is told no
- * more: what it used is in no window any longer. Asked for again, it counts
- * from 0, since others may have forgotten where it was. */
+/* An account that was neither requested nor received for this time is not
+ * exported: its use is outside every window. On its next request its use
+ * restarts from 0 in a new epoch, as others may have dropped its last count. */
 #define LIMIT_IDLE_USEC (16 * USEC_PER_SEC)
 
-/* Somebody else's use of an account. */
+/* The use of an account by another source. */
 struct limit_peer {
 	struct limit_source source;
 	uint32_t epoch;
-	int64_t used; /* as told last */
-	int64_t base; /* up to where it is counted */
+	int64_t used; /* as last received */
+	int64_t base; /* the part of it that is counted already */
 	double demand;
-	double fair_share; /* its part of all demand when it was heard last */
-	double estimated;  /* taken off since it told last */
-	double refundable; /* of that, since the bucket was full last */
+	double fair_share; /* share of the total demand at last_seen */
+	double estimated;  /* estimated use since last_seen */
+	double refundable; /* the part of it since the bucket was last full */
 	int64_t last_seen;
-	bool is_counted; /* of its group, it is the one that counts */
+	bool is_counted; /* false: another source of its group is counted */
 };
 
 struct limit_account {
 	uint64_t id;
-	GList link; /* of the table, longest unused first */
-	int64_t requested_at;
+	GList link;	      /* in limits.order */
+	int64_t requested_at; /* last request here */
 	struct limit_allotment allotment;
 	double level;
 	bool level_known;
-	int64_t level_adopted_at; /* when the level of another one was taken
-				     over */
-	int64_t at;		  /* up to when the level holds */
+	int64_t level_adopted_at; /* when a peer's level replaced its own */
+	int64_t at;		  /* time as of which level holds */
 	uint32_t epoch;
-	double used;	   /* here */
-	double used_local; /* by peers of the data centre, as told */
+	double used;	   /* here, in this epoch */
+	double used_local; /* by peers of the data centre, as received */
 	double demand;	   /* here, decayed up to demand_at */
 	int64_t demand_at;
-	int64_t last_retry_at; /* up to when callers were told to come back */
-	double unexported;     /* used here since the last telling */
-	double unexported_sum;
-	GArray *peers; /* struct limit_peer; NULL: none */
+	int64_t last_retry_at; /* latest time given to a refused caller */
+	double unexported;     /* used here since the last export */
+	double unexported_sum; /* the same, with the data centre's peers */
+	GArray *peers;	       /* struct limit_peer; NULL: none */
 };
 
-/* Brings the level up to now. share is the part of the allotment that the
- * bucket is of, 1 for the whole, and rise the part of that one's rate. */
+/* Advances the level to now. share is the part of the allotment that the bucket
+ * holds, rate_part the part of the bucket's rate at which it fills. With
+ * subtract_peers the estimated use of peers is subtracted. */
 void account_advance(struct limit_account *account, int64_t now, double share,
 		     double rate_part, bool subtract_peers);
-/* Notes that units were asked for. */
+/* Adds requested units to the demand of this instance. */
 void account_add_demand(struct limit_account *account, int64_t now,
 			double units);
-/* Units a second asked for here lately. */
+/* Units a second requested here recently. */
 double account_own_demand(const struct limit_account *account, int64_t now);
-/* The same of all that tell, and here. */
+/* The same, of this instance and all counted peers. */
 double account_total_demand(const struct limit_account *account, int64_t now);
-/* Notes the part of that which a peer has just told of. */
+/* Stores the share of the total demand that a peer has now. */
 void account_update_fair_share(const struct limit_account *account,
 			       struct limit_peer *peer, int64_t now);
-/* The part of that which came here; 0 to 1. */
+/* The share of the total demand that this instance has, 0 to 1. */
 double account_demand_share(const struct limit_account *account, int64_t now);
-/* How fast the level rises now, units a second; over 0. */
+/* The rate at which the level rises now, in units a second; always over 0. */
 double account_fill_rate(const struct limit_account *account, int64_t now,
 			 double share, bool subtract_peers);
-/* Age of the oldest word counted on; -1: none. */
+/* Age of the oldest entry of a counted peer; -1: none. */
 int64_t account_data_age(const struct limit_account *account, int64_t now);
-/* Sets the level of a bucket that is not known yet. */
+/* Sets the level as of now. */
 void account_set_level(struct limit_account *account, int64_t now,
 		       double level);
 void account_free(gpointer data);
@@ -79,34 +79,34 @@
 	enum limit_policy policy;
 	uint32_t accounts_max;
 	int64_t created;
-	int64_t first_peer_at; /* when another instance was heard first; or
-				  LIMIT_NEVER */
+	int64_t first_peer_at; /* first entry from a peer; or LIMIT_NEVER */
 	bool may_have_peers;
-	GHashTable *accounts; /* id to struct limit_account */
-	GQueue order;	      /* the same, longest unused first */
-	uint32_t epochs;
-	uint32_t next_export[2]; /* which account is told next: own, sums */
-	bool urgent[2];
+	GHashTable *accounts;	 /* id to struct limit_account */
+	GQueue order;		 /* the same, least recently used first */
+	uint32_t epochs;	 /* last epoch assigned */
+	uint32_t next_export[2]; /* index into order: own use, sums */
+	bool urgent[2];		 /* the same */
 };
 
-/* Of limit_export.c: after units were used, here or near. */
+/* In limit_exchange.c. To be called after units were used, here or by a local
+ * peer. */
 void limit_mark_urgent(struct limits *limits,
 		       const struct limit_account *account);
 
-/* Whether others may use it that could not tell yet, and the part of the rate
- * that its level rises by. */
+/* Whether peers may use the account that have not sent their use yet, and the
+ * part of the rate at which its level rises meanwhile. */
 bool limits_is_starting(const struct limits *limits,
 			const struct limit_account *account, int64_t now);
 double limits_rate_part(const struct limits *limits,
 			const struct limit_account *account, int64_t now);
-/* What an account holds that nobody told of. */
+/* The level of an account for which none was received. */
 double limits_initial_level(const struct limits *limits,
 			    const struct limit_account *account, int64_t now,
 			    double share);
-/* Brings an account's level up to now. */
+/* Advances an account's level to now. */
 void limits_advance(const struct limits *limits, struct limit_account *account,
 		    int64_t now, double share);
-/* The part of the allotment that this instance's bucket is of. */
+/* The part of the allotment that this instance's bucket holds. */
 double limits_share(const struct limits *limits,
 		    const struct limit_account *account, int64_t now,
 		    uint32_t sharers);
--- a/coord/limit_exchange.c
+++ b/coord/limit_exchange.c
@@ -1,22 +1,23 @@
 /*
- * limit_export.c - what instances tell each other of the use of allotments
+ * limit_exchange.c - exchange of the use of allotments between instances
  */
 #include "common/clock.h"
 #include "limit_account.h"
 
-/* Used since the last telling, as a part of the burst, that others hear of at
- * once. At eight times the allotment from one instance to the next 100 ms that
- * is passed in 8 ms, so what is used unheard of stays near one telling. */
+/* Use since the last export, as a part of the burst, from which an export is
+ * urgent. Urgent exports are at least 100 ms apart; at eight times the
+ * allotment this part is used in 8 ms, so the unexported use stays close to
+ * that of one interval. */
 #define URGENT_PART 0.0625
-/* As long as more than this part of the burst is left nothing is urgent: under
- * ordinary load the bucket is nearly full, and words every few hundred
- * milliseconds do. */
+/* While more than this part of the burst is left nothing is urgent: under
+ * normal load the bucket is nearly full, and a message every few hundred
+ * milliseconds is enough. */
 #define URGENT_LEVEL 0.75
-/* For so long after a level was taken over, what a source tells first is the
- * past, which that level holds already; later it has just begun to use the
+/* For this time after a level was adopted, the first entry of a source is
+ * already part of that level. Later, the source has just begun to use the
  * account. */
 #define ADOPTED_USEC (3 * USEC_PER_SEC)
-/* A source that does not count is forgotten after this time. */
+/* A source that is not counted is dropped after this time. */
 #define PEER_FORGET_USEC (30 * USEC_PER_SEC)
 
 void limit_mark_urgent(struct limits *limits,
@@ -45,7 +46,7 @@
 		       limits_share(limits, account, now, 1));
 }
 
-/* ---- telling ---- */
+/* ---- export ---- */
 
 static double demand_local(const struct limit_account *account, int64_t now)
 {
@@ -82,8 +83,8 @@
 	};
 }
 
-/* Whether anybody needs to hear of it: used here lately, or near when sums are
- * told. */
+/* Whether the account is exported: it was requested here recently, or with sums
+ * at a local peer. */
 static bool is_exported(const struct limit_account *account, int64_t now,
 			bool sums)
 {
@@ -139,7 +140,7 @@
 	}
 }
 
-/* ---- hearing ---- */
+/* ---- merge ---- */
 
 static struct limit_peer *peer_find(struct limit_account *account,
 				    const struct limit_source *source)
@@ -158,7 +159,7 @@
 	return NULL;
 }
 
-/* A data centre's leader is kept however long it is silent. */
+/* Keeps the counted source of a data centre however long it is silent. */
 static void peers_forget(struct limit_account *account, int64_t now)
 {
 	for (guint i = account->peers->len; i-- > 0;) {
@@ -196,9 +197,9 @@
 	return NULL;
 }
 
-/* Of those who tell of one data centre the first one counts, until it has been
- * silent: then another one goes on from where it was when that one told last.
- */
+/* The first source of a data centre is counted until it falls silent. Then
+ * another one continues from its own use at the time of the last entry of the
+ * former. */
 static void leader_choose(struct limit_account *account,
 			  struct limit_peer *peer, int64_t now)
 {
@@ -220,7 +221,8 @@
 	leader->refundable = 0.0;
 }
 
-/* The others of its group go on from here if it falls silent. */
+/* Sets from where the other sources of the group continue if this one falls
+ * silent. */
 static void group_align(struct limit_account *account,
 			const struct limit_peer *leader)
 {
@@ -265,8 +267,8 @@
 	peer->demand = entry->demand;
 }
 
-/* Whether what a source tells first was counted already: with the level that
- * was taken over, or by another one that tells of the same data centre. */
+/* Whether the use in the first entry of a source was counted already: in an
+ * adopted level, or from another source of the same data centre. */
 static bool is_already_counted(struct limit_account *account,
 			       const struct limit_peer *peer,
 			       const struct limit_entry *entry, int64_t now)
@@ -283,9 +285,9 @@
 	return leader && now - leader->last_seen < LIMIT_SILENT_USEC;
 }
 
-/* The level of a source goes before one that was only assumed, less what was
- * used here that the source has not heard of. One that has just started too
- * tells no level: all that it used since counts. */
+/* The level of a source, less the use here that it has not received yet,
+ * replaces one that was only assumed. A source that has just started sends no
+ * level: all of its use is counted. */
 static void level_adopt(struct limits *limits, struct limit_account *account,
 			const struct limit_entry *entry, int64_t now)
 {
--- a/coord/quarantine.c
+++ b/coord/quarantine.c
@@ -4,11 +4,10 @@
 
 #include "common/clock.h"
 
-/* Works that ran to their end lately: slots for marks, each taken over by the
- * next one that falls on it. */
+/* Requests that succeeded recently, in slots by keyed hash. A new one replaces
+ * the previous one in its slot. */
 #define SUCCESS_SLOTS 4096u
-/* What ran to its end so long ago says nothing any more: the site may run other
- * software by now. */
+/* Older successes are ignored: the servers may run other software by now. */
 #define SUCCESS_VALID_USEC (60 * USEC_PER_SEC)
 
 struct recent_success {
@@ -29,7 +28,7 @@
 	GQueue held;	   /* oldest first */
 	GQueue suspects;
 	struct recent_success successes[SUCCESS_SLOTS];
-	uint64_t exported; /* entries handed out so far */
+	uint64_t exported; /* entries returned by quarantine_next() so far */
 };
 
 struct quarantine *quarantine_create(const struct quarantine_settings *settings)
@@ -128,7 +127,7 @@
 	return item;
 }
 
-/* Puts it at the young end of the queue where it belongs now. */
+/* Moves it to the tail of the queue that matches its crash count. */
 static void item_requeue(struct quarantine *quarantine, struct item *item)
 {
 	const struct quarantine_settings *settings = &quarantine->settings;
@@ -140,7 +139,7 @@
 	queue_trim(quarantine, &quarantine->held, settings->held_max);
 }
 
-/* Keeps the servers ascending, so that equal entries look alike. */
+/* Keeps the servers ascending, so that equal entries have equal bytes. */
 static bool server_add(struct quarantine_entry *entry, uint64_t server)
 {
 	uint32_t at = 0;
@@ -208,7 +207,7 @@
 	       (entry->count > 0 || entry->epoch > 0);
 }
 
-/* What was said in an earlier epoch was cleared. */
+/* A later epoch discards the crashes of earlier ones. */
 static bool epoch_advance(struct quarantine_entry *known, uint32_t epoch)
 {
 	if (epoch <= known->epoch)
@@ -231,7 +230,8 @@
 	if (entry->epoch == item->entry.epoch)
 		for (uint32_t i = 0; i < entry->count; i++)
 			changed |= server_add(&item->entry, entry->servers[i]);
-	/* One that was dropped where it lasted is not to be dropped again. */
+	/* An entry of a cleared request must not cause a second delete from the
+	 * store. */
 	item->entry.stored |=
 		entry->stored &&
 		entry->count >= quarantine->settings.crash_threshold;
@@ -264,7 +264,7 @@
 	return count;
 }
 
-/* The oldest one of the queue whose mark is not as it should be. */
+/* The oldest item of the queue whose stored flag is not the given one. */
 static const struct item *unstored_find(const GQueue *queue, bool stored)
 {
 	for (const GList *link = queue->head; link; link = link->next) {
--- a/coord/retry.c
+++ b/coord/retry.c
@@ -5,7 +5,7 @@
 {
 	budget->per_request = (double)MIN(percent, 100) / 100.0;
 	budget->max = MAX(max, 0.0);
-	/* A service that has just started may retry at once. */
+	/* The bucket starts full, so retries are possible from the start. */
 	budget->tokens = percent ? budget->max : 0.0;
 }
 
--- a/include/coord/fingerprint.h
+++ b/include/coord/fingerprint.h
@@ -1,17 +1,17 @@
 /*
- * fingerprint.h - which requests are the same work
+ * fingerprint.h - recognises repeats of the same request
  *
  * DESCRIPTION
- *	A caller that repeats a request gives it a new id, so the id cannot tell
- *	that it is the same work. Its content can: the method, the host, path
- *	and query, who calls, and the body. These are hashed to 128 bits of
- *	SHA-256, each with its length before it, so that nobody can make a
- *	request that is taken for another one's work.
+ *	A caller that repeats a request gives it a new id, so requests are
+ *	compared by content: method, host, path and query, caller, and body. The
+ *	fingerprint is 128 bits of SHA-256 over these parts, each preceded by
+ *	its length, so no caller can forge a request that has the fingerprint of
+ *	another one.
  *
- *	Cost: some 5 ns a byte, so it is only worked out where it is needed: for
- *	a request whose server was lost, and while any work is held against. The
- *	mark is cheaper by far, some 0.1 ns a byte, and is worked out for each
- *	request; it is keyed by a number that no caller knows.
+ *	Cost: about 5 ns a byte, so a fingerprint is computed only for a request
+ *	whose server crashed, and while the quarantine is not empty. The keyed
+ *	hash costs about 0.1 ns a byte and is computed for each request. Its key
+ *	is a secret of the process, so callers cannot construct collisions.
  */
 #ifndef COORD_FINGERPRINT_H
 #define COORD_FINGERPRINT_H
@@ -32,6 +32,7 @@
 
 struct request_fingerprint fingerprint_of(const struct fingerprint_part *parts,
 					  size_t count);
+/* secret: the key, random per process. */
 uint64_t keyed_hash_of(const struct fingerprint_part *parts, size_t count,
 		       uint64_t secret);
 bool fingerprint_same(const struct request_fingerprint *a,
--- a/include/coord/quarantine.h
+++ b/include/coord/quarantine.h
@@ -1,42 +1,46 @@
 /*
- * quarantine.h - keeps requests from servers that would end under them
+ * quarantine.h - refuses requests that crash the servers that run them
  *
  * DESCRIPTION
- *	A request may end each server that begins to run it, with all that runs
- *	beside it, and its caller sends it again. A quarantine remembers, for
- *	each work (coord/fingerprint.h), which lives of servers ended while they
- *ran it. From quarantine_settings.ends different ones on the work is held: it
- *is to be refused before it reaches another server.
+ *	A request may crash each server that begins to run it, together with all
+ *	requests that run beside it, and its caller sends it again. For each
+ *	request, identified by its fingerprint (coord/fingerprint.h), a
+ *	quarantine remembers which server processes crashed while they ran it.
+ *	From quarantine_settings.crash_threshold different ones on, the request
+ *	is held: it is to be refused before it reaches another server. With
+ *	fewer it is a suspect.
  *
- *	Load that it answers: one such work, repeated about once a second at
- *	instances anywhere, ended 16 to 18 of 14 servers and their successors
- *	in 15 s, and cut off some three streams with each.
+ *	Why: one such request, repeated about once a second at any instances,
+ *	crashed 16 to 18 of 14 servers and their restarted processes in 15 s,
+ *	and cut off some three streams with each.
  *
- *	Who is to blame. Up to 64 requests run beside each other at an engine
- *	and all of them are lost with it, so one end proves nothing. A caller
- *	that does as it is told sends a request twice at most, so an innocent
- *	one is lost twice at most; three is the least number that refuses none.
- *	What may be asked for by many at once, say a status page, could be lost
- *	at several servers in one moment; so a work that ran to its end lately
- *	is not blamed, and one that is suspected is cleared when it does, or
- *	when it comes again to an instance where it did: those that have just
- *	started do not know that it did, and blame it.
+ *	The threshold. Up to 64 requests run in an engine and
+ *	all of them are lost with it, so one crash proves nothing. A caller that
+ *	follows the retry rules sends a request at most twice, so an innocent
+ *	request is lost at most twice; three is the least threshold that refuses
+ *	none. A request that many callers send at once, such as a status page,
+ *	could be lost at several servers in one moment. So no crash is recorded
+ *	for a request that succeeded recently, and a suspect is cleared when it
+ *	succeeds, or when it arrives again at an instance where it did: an
+ *	instance that has just started does not know of the success and records
+ *	the crash.
  *
- *	Time alone releases nothing that is held: the next repeat would end the
- *	next server. Suspects and held works are bounded apart, the oldest of
- *	each go first, so a flood of suspects drops nothing that is held.
+ *	A held request is not released by time: its next repeat would crash the
+ *	next server. Suspects and held requests have separate bounds, and the
+ *	oldest of each are evicted first, so a flood of suspects evicts no held
+ *	request.
  *
- *	Instances tell each other their entries (quarantine_next(),
- *	quarantine_merge()); in whatever order and however often they do, they
- *	come to hold the same works: a later epoch goes before an earlier one,
- *	within one the servers add up, and a work that ran to its end begins a
- *	new one with none. What is held is to be written where it lasts, and
- *	dropped there when it is cleared (quarantine_unstored()).
+ *	Instances exchange their entries (quarantine_next(),
+ *	quarantine_merge()). In whatever order and however often they do, they
+ *	converge to the same entries: a later epoch replaces an earlier one,
+ *	within one epoch the servers are united, and a success begins a new
+ *epoch without servers. Held requests are to be written to a store, and deleted
+ *	there when they are cleared (quarantine_unstored()).
  *
- *	No network and no clock of its own; all times are in microseconds of the
- *	caller's. Cost: one look-up a request while anything is suspected or
- *	held, nothing but the mark otherwise; 112 bytes an entry and those of
- *	GLib's tables, 96 KiB for what ran lately.
+ *	The module has no network and no clock; all times are in microseconds of
+ *	the caller's clock. Cost: one lookup a request while anything is suspect
+ *	or held, otherwise only the keyed hash; 112 bytes an entry plus the
+ *	overhead of GLib's tables, and 96 KiB for recent successes.
  */
 #ifndef COORD_QUARANTINE_H
 #define COORD_QUARANTINE_H
@@ -46,75 +50,76 @@
 
 #include "coord/fingerprint.h"
 
-/* Ends that an entry can name. */
+/* Most servers in an entry. */
 #define QUARANTINE_CRASHES_MAX 8u
 
 struct quarantine;
 
 struct quarantine_settings {
-	uint32_t crash_threshold; /* of servers, from which on a work is held */
-	uint32_t held_max;	  /* works */
-	uint32_t suspects_max;	  /* works */
+	uint32_t crash_threshold; /* crashed servers from which it is held */
+	uint32_t held_max;	  /* requests */
+	uint32_t suspects_max;	  /* requests */
 };
 
-/* What is known of a work. */
 struct quarantine_entry {
 	struct request_fingerprint fingerprint;
-	uint32_t epoch;				  /* rises when it is cleared */
-	uint32_t count;				  /* of servers */
-	uint64_t servers[QUARANTINE_CRASHES_MAX]; /* lives that ended, ascending
-						   */
-	bool stored; /* it is written where it lasts */
+	uint32_t epoch; /* rises when it is cleared */
+	uint32_t count; /* of servers */
+	/* Processes that crashed, ascending. A restarted server counts as
+	 * another one. */
+	uint64_t servers[QUARANTINE_CRASHES_MAX];
+	bool stored; /* it is in the store */
 };
 
 struct quarantine *
 quarantine_create(const struct quarantine_settings *settings);
 void quarantine_destroy(struct quarantine *quarantine);
-/* From the next call on; what is held already stays so. */
+/* Applies to later crashes; requests that are held stay held. */
 void quarantine_configure(struct quarantine *quarantine,
 			  uint32_t crash_threshold);
 
-/* Whether nothing is suspected or held: no work need be looked up. */
+/* When true there are no entries, so no fingerprint needs to be looked up. */
 bool quarantine_empty(const struct quarantine *quarantine);
-/* Whether it is to be refused. */
+/* Whether the request is to be refused. */
 bool quarantine_holds(const struct quarantine *quarantine,
 		      const struct request_fingerprint *fingerprint);
-/* What is known of it, or NULL. */
+/* NULL when there is no entry. */
 const struct quarantine_entry *
 quarantine_find(const struct quarantine *quarantine,
 		const struct request_fingerprint *fingerprint);
 uint32_t quarantine_held(const struct quarantine *quarantine);
 uint32_t quarantine_suspects(const struct quarantine *quarantine);
 
-/* A life of a server ended while it ran the work. True when that is news. */
+/* A server process crashed while it ran the request; hash is the keyed hash of
+ * the request. Returns whether the entry has changed. */
 bool quarantine_record_crash(struct quarantine *quarantine,
 			     const struct request_fingerprint *fingerprint,
 			     uint64_t hash, uint64_t server, int64_t now);
-/* The server that ran the work has outlived it. */
+/* The request ended and its server is still alive. */
 void quarantine_record_success(struct quarantine *quarantine, uint64_t hash,
 			       int64_t now);
-/* Whether it did so within the last minute, here. */
+/* Whether a success was recorded here within the last minute. */
 bool quarantine_has_succeeded(const struct quarantine *quarantine,
 			      uint64_t hash, int64_t now);
-/* The same where the work may be suspected: true when it was, and is cleared.
- * A run that began before it was held clears it too: it does not end servers.
- */
+/* Clears a request that has succeeded; returns whether it was suspect or held.
+ * A run that began before the request was held clears it too. */
 bool quarantine_clear(struct quarantine *quarantine,
 		      const struct request_fingerprint *fingerprint);
 
-/* Takes in what another instance told, or what was stored. True when it is
- * news. An entry with too many servers, or that says nothing, is dropped. */
+/* Merges an entry of another instance or of the store; returns whether anything
+ * has changed. Drops an entry with too many servers, or with neither servers
+ * nor an epoch. */
 bool quarantine_merge(struct quarantine *quarantine,
 		      const struct quarantine_entry *entry);
-/* Copies the next entries, at most so many, beginning where the last call
- * ended; returns how many. */
+/* Copies at most max entries, from where the last call stopped; returns how
+ * many. */
 uint32_t quarantine_next(struct quarantine *quarantine,
 			 struct quarantine_entry *entries, uint32_t max);
-/* A work that is held and not stored yet, or the other way round; false when
- * there is none. */
+/* Finds a held request that is not in the store yet, or one in the store that
+ * is no longer held; returns false when there is none. */
 bool quarantine_unstored(const struct quarantine *quarantine,
 			 struct quarantine_entry *entry);
-/* It has been written, or dropped. */
+/* Records that the entry was written to the store, or deleted there. */
 void quarantine_stored(struct quarantine *quarantine,
 		       const struct request_fingerprint *fingerprint,
 		       bool stored);
--- a/include/coord/retry.h
+++ b/include/coord/retry.h
@@ -1,11 +1,11 @@
 /*
- * retry.h - retry budgets, backoff with jitter, and circuits
+ * retry.h - retry budgets, backoff with jitter, and circuit breakers
  *
  * DESCRIPTION
- *	A budget allows retries as a share of requests (a token bucket that each
- *	request fills a little), so an outage cannot double the load. A circuit
- *opens after consecutive failures, then lets one trial through after a backoff
- *that doubles, with jitter.
+ *	A budget allows retries in proportion to requests (a token bucket that
+ *	each request fills by a fraction), so an outage cannot double the load.
+ *	A circuit breaker opens after consecutive failures, and lets one probe
+ *	through after a backoff that doubles, with jitter.
  */
 #ifndef COORD_RETRY_H
 #define COORD_RETRY_H
@@ -26,7 +26,8 @@
 /* Takes one retry; false when the budget is spent. */
 bool retry_budget_take(struct retry_budget *budget);
 
-/* Full jitter between half of and all of base * 2^attempt, at most max. */
+/* A delay drawn uniformly between half of and all of base * 2^attempt, which is
+ * capped at max. */
 int64_t retry_backoff(GRand *rand, uint32_t attempt, int64_t base_us,
 		      int64_t max_us);
 
@@ -39,11 +40,12 @@
 struct circuit {
 	enum circuit_state state;
 	uint32_t failures;
-	uint32_t opened; /* times in a row, for the backoff */
-	int64_t until;
+	uint32_t opened; /* consecutive times, for the backoff */
+	int64_t until;	 /* when the next probe is allowed */
 };
 
-/* Whether a call may be made now; takes the one trial when it is due. */
+/* Whether a call may be made now. An open circuit becomes half-open when its
+ * probe is due, and the call is that probe. */
 bool circuit_allow(struct circuit *circuit, int64_t now);
 void circuit_success(struct circuit *circuit);
 void circuit_failure(struct circuit *circuit, GRand *rand, int64_t now);
