--- a/tests/coord/claim_fleet.c
+++ b/tests/coord/claim_fleet.c
@@ -3,13 +3,13 @@
 #include "claim_codec.h"
 #include "letter.h"
 
-struct news {
+struct view_update {
 	struct instance *to;
 	uint32_t about;
 	bool alive;
 };
 
-static void letter_arrived(void *data)
+static void message_arrived(void *data)
 {
 	const struct letter *letter = data;
 	const struct instance *from = letter->from;
@@ -20,13 +20,13 @@
 			       letter->data, letter->size);
 }
 
-static void letter_send(struct instance *from, struct instance *to,
-			const void *payload, size_t size)
+static void message_send(struct instance *from, struct instance *to,
+			 const void *payload, size_t size)
 {
 	struct fleet *fleet = from->fleet;
 
 	world_post(to->node, world_draw(fleet->world, fleet->link_delay),
-		   letter_arrived,
+		   message_arrived,
 		   letter_create(from, to, CHANNEL_CLAIM, payload, size),
 		   g_free, false);
 }
@@ -45,48 +45,52 @@
 			to = &fleet->instances[i];
 	}
 	g_assert_nonnull(to);
-	if (to != from && (fleet->cut & (ends | 1u << to->index)))
+	if (to != from && (fleet->isolated & (ends | 1u << to->index)))
 		return;
 	if (to != from && world_chance(fleet->world, fleet->drop_percent))
 		return;
-	letter_send(from, to, payload, size);
-	if (world_chance(fleet->world, fleet->double_percent))
-		letter_send(from, to, payload, size);
+	message_send(from, to, payload, size);
+	if (world_chance(fleet->world, fleet->duplicate_percent))
+		message_send(from, to, payload, size);
 }
 
-static void fleet_answered(void *ctx, uint64_t request, enum result_code code,
-			   const struct owner *winner)
+static void fleet_claim_ended(void *ctx, uint64_t request,
+			      enum result_code code, const struct owner *winner)
 {
 	struct instance *instance = ctx;
-	struct take *take =
-		g_ptr_array_index(instance->fleet->takes, request - 1);
-
-	take->answers++;
-	take->code = code;
-	take->winner = *winner;
-	take->late = clock_now(instance->node->clock) >= take->deadline;
+	struct submission *submission =
+		g_ptr_array_index(instance->fleet->submissions, request - 1);
+
+	submission->answers++;
+	submission->code = code;
+	submission->winner = *winner;
+	submission->late =
+		clock_now(instance->node->clock) >= submission->deadline;
 }
 
-static void news_arrived(void *data)
+static void view_update_arrived(void *data)
 {
-	struct news *news = data;
+	struct view_update *view_update = data;
 
-	if (!news->to->claims)
+	if (!view_update->to->claims)
 		return;
-	news->to->membership.alive[news->about] = news->alive;
-	claims_member_changed(news->to->claims,
-			      &news->to->fleet->members[news->about]);
+	view_update->to->membership.alive[view_update->about] =
+		view_update->alive;
+	claims_member_changed(
+		view_update->to->claims,
+		&view_update->to->fleet->members[view_update->about]);
 }
 
-static void fleet_tell(struct fleet *fleet, uint32_t about, bool alive)
+static void fleet_update_views(struct fleet *fleet, uint32_t about, bool alive)
 {
 	for (uint32_t i = 0; i < FAKE_MEMBERS; i++) {
-		struct news *news = g_new0(struct news, 1);
+		struct view_update *view_update = g_new0(struct view_update, 1);
 
-		*news = (struct news){&fleet->instances[i], about, alive};
+		*view_update = (struct view_update){&fleet->instances[i], about,
+						    alive};
 		world_post(fleet->instances[i].node,
 			   world_draw(fleet->world, fleet->view_lag),
-			   news_arrived, news, g_free, false);
+			   view_update_arrived, view_update, g_free, false);
 	}
 }
 
@@ -105,9 +109,9 @@
 	node_start(instance->node);
 	instance->claims =
 		claims_create(instance->node->clock, &instance->membership,
-			      &store, &transport, fleet_answered, instance);
+			      &store, &transport, fleet_claim_ended, instance);
 	claims_start(instance->claims);
-	fleet_tell(fleet, i, true);
+	fleet_update_views(fleet, i, true);
 }
 
 void fleet_kill(struct fleet *fleet, uint32_t i)
@@ -117,7 +121,7 @@
 	claims_destroy(instance->claims);
 	instance->claims = NULL;
 	node_stop(instance->node);
-	fleet_tell(fleet, i, false);
+	fleet_update_views(fleet, i, false);
 }
 
 struct fleet *fleet_create(uint32_t seed)
@@ -127,7 +131,7 @@
 	fleet->world = world_create(seed);
 	fleet->log = fake_log_create(fleet->world->clock, fleet->world->later,
 				     fleet->world->rand);
-	fleet->takes = g_ptr_array_new_with_free_func(g_free);
+	fleet->submissions = g_ptr_array_new_with_free_func(g_free);
 	fleet->link_delay = 2 * USEC_PER_MSEC;
 	fleet->view_lag = 1;
 	for (uint32_t i = 0; i < FAKE_MEMBERS; i++) {
@@ -155,7 +159,7 @@
 		fleet->instances[i].claims = NULL;
 	world_destroy(fleet->world);
 	fake_log_destroy(fleet->log);
-	g_ptr_array_free(fleet->takes, TRUE);
+	g_ptr_array_free(fleet->submissions, TRUE);
 	g_free(fleet);
 }
 
@@ -167,21 +171,22 @@
 		world_step(fleet->world);
 }
 
-struct take *fleet_take(struct fleet *fleet, uint32_t i, uint64_t key,
-			int64_t timeout)
+struct submission *fleet_submit(struct fleet *fleet, uint32_t i, uint64_t key,
+				int64_t timeout)
 {
 	struct instance *instance = &fleet->instances[i];
-	struct take *take = g_new0(struct take, 1);
-
-	take->instance = i;
-	take->epoch = instance->node->epoch;
-	take->key = key;
-	take->owner = (struct owner){instance->membership.self.id,
-				     instance->membership.self.incarnation};
-	take->deadline = clock_now(instance->node->clock) + timeout;
-	g_ptr_array_add(fleet->takes, take);
-	claims_submit(instance->claims, fleet->takes->len, key, timeout);
-	return take;
+	struct submission *submission = g_new0(struct submission, 1);
+
+	submission->instance = i;
+	submission->epoch = instance->node->epoch;
+	submission->key = key;
+	submission->owner =
+		(struct owner){instance->membership.self.id,
+			       instance->membership.self.incarnation};
+	submission->deadline = clock_now(instance->node->clock) + timeout;
+	g_ptr_array_add(fleet->submissions, submission);
+	claims_submit(instance->claims, fleet->submissions->len, key, timeout);
+	return submission;
 }
 
 uint32_t fleet_writer(const struct fleet *fleet, uint32_t i, uint32_t rank)
@@ -198,17 +203,17 @@
 	return index;
 }
 
-/* The claims of the log by key: for each the first, and all requests seen. */
-struct truth {
+/* The claims in the log: the first of each key, and all requests. */
+struct log_content {
 	GHashTable *first;    /* key to struct claim */
 	GHashTable *requests; /* set of requests */
 };
 
-static struct truth truth_read(const struct fleet *fleet)
+static struct log_content log_content_read(const struct fleet *fleet)
 {
 	const GPtrArray *records =
 		fake_log_records(fleet->log, LOG_STREAM_CLAIMS);
-	struct truth truth = {
+	struct log_content log_content = {
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 				      g_free),
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
@@ -227,72 +232,75 @@
 				&g_array_index(record.claims, struct claim, j),
 				sizeof(*claim));
 
-			g_hash_table_add(truth.requests,
+			g_hash_table_add(log_content.requests,
 					 g_memdup2(&claim->id.request, 8));
-			if (g_hash_table_contains(truth.first, &claim->key))
+			if (g_hash_table_contains(log_content.first,
+						  &claim->key))
 				g_free(claim);
 			else
-				g_hash_table_insert(truth.first, &claim->key,
-						    claim);
+				g_hash_table_insert(log_content.first,
+						    &claim->key, claim);
 		}
 	}
 	g_array_unref(record.claims);
-	return truth;
+	return log_content;
 }
 
-static void take_check(const struct fleet *fleet, const struct truth *truth,
-		       uint64_t request)
+static void submission_check(const struct fleet *fleet,
+			     const struct log_content *log_content,
+			     uint64_t request)
 {
-	const struct take *take = fleet->takes->pdata[request - 1];
+	const struct submission *submission =
+		fleet->submissions->pdata[request - 1];
 	const struct claim *first =
-		g_hash_table_lookup(truth->first, &take->key);
-	bool killed =
-		fleet->instances[take->instance].node->epoch != take->epoch;
+		g_hash_table_lookup(log_content->first, &submission->key);
+	bool killed = fleet->instances[submission->instance].node->epoch !=
+		      submission->epoch;
 
-	g_assert_cmpint(take->answers, <=, 1);
-	g_assert_true(take->answers == 1 || killed);
-	if (!take->answers)
+	g_assert_cmpint(submission->answers, <=, 1);
+	g_assert_true(submission->answers == 1 || killed);
+	if (!submission->answers)
 		return;
-	switch (take->code) {
+	switch (submission->code) {
 	case RESULT_OK:
 		g_assert_nonnull(first);
 		g_assert_cmpuint(first->id.request, ==, request);
-		g_assert_false(take->late);
+		g_assert_false(submission->late);
 		break;
 	case RESULT_ALREADY_CLAIMED:
 		g_assert_nonnull(first);
 		g_assert_cmpuint(first->id.request, !=, request);
 		g_assert_cmpuint(first->id.owner.instance, ==,
-				 take->winner.instance);
+				 submission->winner.instance);
 		g_assert_cmpuint(first->id.owner.incarnation, ==,
-				 take->winner.incarnation);
+				 submission->winner.incarnation);
 		break;
 	case RESULT_LOG_DOWN:
 		g_assert_false(
-			g_hash_table_contains(truth->requests, &request));
+			g_hash_table_contains(log_content->requests, &request));
 		break;
 	default:
-		g_assert_cmpint(take->code, ==, RESULT_CLAIM_UNDECIDED);
+		g_assert_cmpint(submission->code, ==, RESULT_CLAIM_UNDECIDED);
 		break;
 	}
 }
 
 int fleet_check(const struct fleet *fleet)
 {
-	struct truth truth = truth_read(fleet);
+	struct log_content log_content = log_content_read(fleet);
 	GHashTable *won = g_hash_table_new(g_int64_hash, g_int64_equal);
 	int winners;
 
-	for (guint i = 0; i < fleet->takes->len; i++) {
-		struct take *take = fleet->takes->pdata[i];
+	for (guint i = 0; i < fleet->submissions->len; i++) {
+		struct submission *submission = fleet->submissions->pdata[i];
 
-		if (take->answers && take->code == RESULT_OK)
-			g_assert_true(g_hash_table_add(won, &take->key));
-		take_check(fleet, &truth, i + 1);
+		if (submission->answers && submission->code == RESULT_OK)
+			g_assert_true(g_hash_table_add(won, &submission->key));
+		submission_check(fleet, &log_content, i + 1);
 	}
 	winners = (int)g_hash_table_size(won);
 	g_hash_table_destroy(won);
-	g_hash_table_destroy(truth.first);
-	g_hash_table_destroy(truth.requests);
+	g_hash_table_destroy(log_content.first);
+	g_hash_table_destroy(log_content.requests);
 	return winners;
 }
--- a/tests/coord/fake_member.h
+++ b/tests/coord/fake_member.h
@@ -1,9 +1,9 @@
 /*
- * fake_member.h - who lives, as a test says, in place of the real membership
+ * fake_member.h - a membership whose live members are set by the test
  *
  * DESCRIPTION
- *	Defines what claims need of coord/member.h. Each instance has a view
- *	of its own, which the test may let lag.
+ *	Defines the functions of coord/member.h that claims use. Each instance
+ *	has its own view, which the test may update late.
  */
 #ifndef TESTS_FAKE_MEMBER_H
 #define TESTS_FAKE_MEMBER_H
--- a/tests/coord/test_backpressure.c
+++ b/tests/coord/test_backpressure.c
@@ -1,4 +1,4 @@
-/* What servers ask for: whose word holds, and what a home grants. */
+/* Signals of servers: which of them apply, and what a home grants. */
 #include <glib.h>
 
 #include "common/clock.h"
@@ -7,9 +7,10 @@
 #define SERVER 7
 #define OTHER 8
 
-static const struct backpressure_signals none = {.of_request = true};
+static const struct backpressure_signals no_signals = {.of_request = true};
 
-static void named(struct backpressure *table, int64_t now, double limit)
+static void limit_signalled(struct backpressure *table, int64_t now,
+			    double limit)
 {
 	const struct backpressure_signals signals = {
 		.limited = true, .limit = limit, .of_request = true};
@@ -22,34 +23,36 @@
 	struct backpressure *table = backpressure_create();
 	const struct backpressure_signals call = {.of_request = false};
 
-	named(table, 0, 5.0);
+	limit_signalled(table, 0, 5.0);
 	g_assert_cmpfloat(backpressure_limit(table, SERVER), ==, 5.0);
 	g_assert_cmpuint(backpressure_limited(table), ==, 1);
-	/* One that overtook another ends nothing, nor does a reservation. */
+	/* An answer that overtook another one does not remove the limit, nor
+	 * does an answer that is not to a request. */
 	g_assert_cmpuint(0, ==,
 			 backpressure_answer(table,
 					     BACKPRESSURE_SETTLE_USEC - 1,
-					     SERVER, &none));
+					     SERVER, &no_signals));
 	g_assert_cmpuint(
 		0, ==, backpressure_answer(table, USEC_PER_SEC, SERVER, &call));
 	g_assert_cmpuint(
-		0, ==, backpressure_answer(table, USEC_PER_SEC, OTHER, &none));
+		0, ==,
+		backpressure_answer(table, USEC_PER_SEC, OTHER, &no_signals));
 	g_assert_cmpuint(
 		BACKPRESSURE_LIMIT, ==,
-		backpressure_answer(table, USEC_PER_SEC, SERVER, &none));
+		backpressure_answer(table, USEC_PER_SEC, SERVER, &no_signals));
 	g_assert_cmpfloat(backpressure_limit(table, SERVER), <, 0.0);
 	g_assert_cmpuint(backpressure_limited(table), ==, 0);
 	backpressure_destroy(table);
 }
 
-static void test_younger_goes_first(void)
+static void test_newer_wins(void)
 {
 	struct backpressure *table = backpressure_create();
 	struct backpressure_fact fact = {
 		.server = SERVER, .limit = 3.0, .age_usec = USEC_PER_SEC};
 	struct backpressure_fact known;
 
-	named(table, 10 * USEC_PER_SEC, 5.0);
+	limit_signalled(table, 10 * USEC_PER_SEC, 5.0);
 	g_assert_cmpuint(0, ==,
 			 backpressure_merge(table, 10 * USEC_PER_SEC, &fact));
 	fact.age_usec = 1000;
@@ -60,8 +63,8 @@
 	fact.age_usec = 0;
 	g_assert_cmpuint(BACKPRESSURE_LIMIT, ==,
 			 backpressure_merge(table, 12 * USEC_PER_SEC, &fact));
-	/* That it ended is told too, or an older message would bring it back.
-	 */
+	/* The removal is exported too, or an older message would restore the
+	 * limit. */
 	g_assert_cmpuint(
 		backpressure_export(table, 12 * USEC_PER_SEC, &known, 1), ==,
 		1);
@@ -72,7 +75,8 @@
 	backpressure_destroy(table);
 }
 
-static guint granted(struct backpressure *table, int64_t *now, int64_t usec)
+static guint count_granted(struct backpressure *table, int64_t *now,
+			   int64_t usec)
 {
 	int64_t end = *now + usec;
 	guint count = 0;
@@ -90,30 +94,30 @@
 	int64_t retry;
 
 	g_assert_true(backpressure_grant(table, now, SERVER, &retry));
-	named(table, now, 4.7);
-	/* Who begins to count grants nothing at once. */
+	limit_signalled(table, now, 4.7);
+	/* The bucket starts empty. */
 	g_assert_false(backpressure_grant(table, now, SERVER, &retry));
 	g_assert_cmpint(retry, ==, (int64_t)(USEC_PER_SEC / 4.7) + 1);
 	g_assert_false(backpressure_grant(table, now, SERVER, &retry));
 	g_assert_cmpint(retry, >, (int64_t)(USEC_PER_SEC / 4.7) + 1);
-	g_assert_cmpuint(granted(table, &now, 10 * USEC_PER_SEC), ==, 46);
-	/* A pause is made up for by half a second's at the most. */
+	g_assert_cmpuint(count_granted(table, &now, 10 * USEC_PER_SEC), ==, 46);
+	/* After a pause the burst is half a second of the limit. */
 	now += 60 * USEC_PER_SEC;
-	g_assert_cmpuint(granted(table, &now, USEC_PER_SEC), <=, 7);
-	/* Each that is denied is told a later time, up to a second. */
+	g_assert_cmpuint(count_granted(table, &now, USEC_PER_SEC), <=, 7);
+	/* The retry delay grows with each denial, up to a second. */
 	for (int i = 0; i < 100; i++)
 		backpressure_grant(table, now, SERVER, &retry);
 	g_assert_cmpint(retry, ==, USEC_PER_SEC);
 	backpressure_destroy(table);
 }
 
-static void test_takes_nothing(void)
+static void test_limit_of_zero(void)
 {
 	struct backpressure *table = backpressure_create();
 	int64_t now = 0;
 
-	named(table, now, 0.0);
-	g_assert_cmpuint(granted(table, &now, 20 * USEC_PER_SEC), ==, 4);
+	limit_signalled(table, now, 0.0);
+	g_assert_cmpuint(count_granted(table, &now, 20 * USEC_PER_SEC), ==, 4);
 	backpressure_destroy(table);
 }
 
@@ -122,7 +126,7 @@
 	return server == *(uint64_t *)ctx;
 }
 
-static void test_forgets(void)
+static void test_prunes(void)
 {
 	struct backpressure *table = backpressure_create();
 	const struct backpressure_fact other = {.server = OTHER, .limit = 2.0};
@@ -130,65 +134,68 @@
 	uint64_t listed = SERVER;
 	int64_t now = 61 * USEC_PER_SEC;
 
-	named(table, 0, 5.0);
+	limit_signalled(table, 0, 5.0);
 	backpressure_merge(table, 0, &other);
-	/* Nobody need be told of what all have heard. */
+	/* Old facts are not exported. */
 	g_assert_cmpuint(backpressure_export(table, now, facts, 4), ==, 0);
 	backpressure_prune(table, USEC_PER_SEC, exists, &listed);
 	g_assert_cmpuint(backpressure_limited(table), ==, 2);
 	backpressure_prune(table, now, exists, &listed);
 	g_assert_cmpfloat(backpressure_limit(table, OTHER), <, 0.0);
 	g_assert_cmpfloat(backpressure_limit(table, SERVER), ==, 5.0);
-	backpressure_answer(table, now, SERVER, &none);
+	backpressure_answer(table, now, SERVER, &no_signals);
 	backpressure_prune(table, now + 30 * USEC_PER_SEC, exists, &listed);
 	g_assert_false(backpressure_find(table, now, SERVER, facts));
 	backpressure_destroy(table);
 }
 
-static void test_leaving_is_for_good(void)
+static void test_leaving_is_final(void)
 {
-	struct backpressure *here = backpressure_create();
-	struct backpressure *there = backpressure_create();
+	struct backpressure *local = backpressure_create();
+	struct backpressure *remote = backpressure_create();
 	const struct backpressure_signals leaves = {.leaving = true};
 	struct backpressure_fact fact;
 
-	g_assert_cmpuint(backpressure_answer(here, 1, SERVER, &leaves), ==,
+	g_assert_cmpuint(backpressure_answer(local, 1, SERVER, &leaves), ==,
 			 BACKPRESSURE_LEAVING);
-	g_assert_cmpuint(backpressure_answer(here, 2, SERVER, &leaves), ==, 0);
-	g_assert_cmpuint(backpressure_answer(here, USEC_PER_SEC, SERVER, &none),
-			 ==, 0);
-	g_assert_true(backpressure_leaving(here, SERVER));
-	g_assert_false(backpressure_leaving(here, OTHER));
-	/* Others hear of it, which says nothing of its limit. */
-	g_assert_cmpuint(backpressure_export(here, 3, &fact, 1), ==, 1);
-	named(there, 1, 5.0);
-	g_assert_cmpuint(backpressure_merge(there, 4, &fact), ==,
+	g_assert_cmpuint(backpressure_answer(local, 2, SERVER, &leaves), ==, 0);
+	g_assert_cmpuint(
+		backpressure_answer(local, USEC_PER_SEC, SERVER, &no_signals),
+		==, 0);
+	g_assert_true(backpressure_leaving(local, SERVER));
+	g_assert_false(backpressure_leaving(local, OTHER));
+	/* Leaving is exported, and does not change the limit elsewhere. */
+	g_assert_cmpuint(backpressure_export(local, 3, &fact, 1), ==, 1);
+	limit_signalled(remote, 1, 5.0);
+	g_assert_cmpuint(backpressure_merge(remote, 4, &fact), ==,
 			 BACKPRESSURE_LEAVING);
-	g_assert_true(backpressure_leaving(there, SERVER));
-	g_assert_cmpfloat(backpressure_limit(there, SERVER), ==, 5.0);
-	backpressure_destroy(here);
-	backpressure_destroy(there);
+	g_assert_true(backpressure_leaving(remote, SERVER));
+	g_assert_cmpfloat(backpressure_limit(remote, SERVER), ==, 5.0);
+	backpressure_destroy(local);
+	backpressure_destroy(remote);
 }
 
-static void test_longest_rest_holds(void)
+static void test_longest_backoff_applies(void)
 {
 	struct backpressure *table = backpressure_create();
-	struct backpressure_signals rest = {.backoff_usec = 3 * USEC_PER_SEC};
+	struct backpressure_signals backoff = {.backoff_usec =
+						       3 * USEC_PER_SEC};
 	struct backpressure_fact fact;
 
 	g_assert_cmpint(backpressure_backoff(table, SERVER), ==, 0);
-	g_assert_cmpuint(backpressure_answer(table, 10, SERVER, &rest), ==,
+	g_assert_cmpuint(backpressure_answer(table, 10, SERVER, &backoff), ==,
 			 BACKPRESSURE_BACKOFF);
-	rest.backoff_usec = USEC_PER_SEC;
-	g_assert_cmpuint(backpressure_answer(table, 20, SERVER, &rest), ==, 0);
+	backoff.backoff_usec = USEC_PER_SEC;
+	g_assert_cmpuint(backpressure_answer(table, 20, SERVER, &backoff), ==,
+			 0);
 	g_assert_cmpint(backpressure_backoff(table, SERVER), ==,
 			10 + 3 * USEC_PER_SEC);
-	/* It is between the two alone. */
+	/* A backoff is not exported. */
 	g_assert_cmpuint(backpressure_export(table, 20, &fact, 1), ==, 0);
 	backpressure_destroy(table);
 }
 
-static void test_tells_in_turn(void)
+static void test_exports_all(void)
 {
 	struct backpressure *table = backpressure_create();
 	struct backpressure_fact facts[16];
@@ -217,41 +224,41 @@
 	int64_t now = 0;
 
 	backpressure_cold(table, 3 * USEC_PER_SEC, SERVER, 10.0);
-	g_assert_cmpuint(granted(table, &now, USEC_PER_SEC), <=, 10);
-	g_assert_cmpuint(granted(table, &now, USEC_PER_SEC), ==, 10);
-	/* What was said before ends no sooner by a shorter time. */
+	g_assert_cmpuint(count_granted(table, &now, USEC_PER_SEC), <=, 10);
+	g_assert_cmpuint(count_granted(table, &now, USEC_PER_SEC), ==, 10);
+	/* A shorter time does not replace a longer one. */
 	backpressure_cold(table, now + 1, SERVER, 1.0);
-	g_assert_cmpuint(granted(table, &now, USEC_PER_SEC), ==, 10);
-	g_assert_cmpuint(granted(table, &now, USEC_PER_SEC), ==, 200);
-	/* The lower limit counts, and what it has named is still known. */
-	named(table, now, 4.0);
+	g_assert_cmpuint(count_granted(table, &now, USEC_PER_SEC), ==, 10);
+	g_assert_cmpuint(count_granted(table, &now, USEC_PER_SEC), ==, 200);
+	/* The lower limit is enforced, and the signalled one is still known. */
+	limit_signalled(table, now, 4.0);
 	backpressure_cold(table, now + 30 * USEC_PER_SEC, SERVER, 10.0);
 	g_assert_cmpfloat(backpressure_limit(table, SERVER), ==, 4.0);
-	g_assert_cmpuint(granted(table, &now, 10 * USEC_PER_SEC), <=, 42);
+	g_assert_cmpuint(count_granted(table, &now, 10 * USEC_PER_SEC), <=, 42);
 	backpressure_destroy(table);
 }
 
-/* The home of a server hears that it is cold from who asks for a permit. */
-static void test_cold_is_asked_with(void)
+/* A request for a permit tells the home that the server is cold. */
+static void test_cold_with_permit_request(void)
 {
-	struct backpressure *here = backpressure_create();
+	struct backpressure *local = backpressure_create();
 	struct backpressure *home = backpressure_create();
 	struct backpressure_fact fact;
 	int64_t now = 0;
 
-	backpressure_cold(here, 3 * USEC_PER_SEC, SERVER, 10.0);
-	g_assert_cmpuint(backpressure_export(here, 0, &fact, 1), ==, 0);
-	g_assert_true(backpressure_find(here, USEC_PER_SEC, SERVER, &fact));
+	backpressure_cold(local, 3 * USEC_PER_SEC, SERVER, 10.0);
+	g_assert_cmpuint(backpressure_export(local, 0, &fact, 1), ==, 0);
+	g_assert_true(backpressure_find(local, USEC_PER_SEC, SERVER, &fact));
 	g_assert_cmpint(fact.cold_usec, ==, 2 * USEC_PER_SEC);
 	backpressure_merge(home, 0, &fact);
-	g_assert_cmpuint(granted(home, &now, USEC_PER_SEC), <=, 10);
-	/* Heard again it lasts no longer, or it would never end. */
+	g_assert_cmpuint(count_granted(home, &now, USEC_PER_SEC), <=, 10);
+	/* Merging the fact again does not extend it, or it would never end. */
 	backpressure_merge(home, now, &fact);
 	now = 2 * USEC_PER_SEC;
-	g_assert_cmpuint(granted(home, &now, USEC_PER_SEC), ==, 200);
+	g_assert_cmpuint(count_granted(home, &now, USEC_PER_SEC), ==, 200);
 	backpressure_prune(home, now, exists, &(uint64_t){SERVER});
 	g_assert_false(backpressure_find(home, now, SERVER, &fact));
-	backpressure_destroy(here);
+	backpressure_destroy(local);
 	backpressure_destroy(home);
 }
 
@@ -261,21 +268,20 @@
 	g_test_add_func("/coord/backpressure/ends-with-an-answer-without-it",
 			test_ends_with_an_answer_without_it);
 	g_test_add_func("/coord/backpressure/younger-goes-first",
-			test_younger_goes_first);
+			test_newer_wins);
 	g_test_add_func("/coord/backpressure/grants-at-the-limit",
 			test_grants_at_the_limit);
 	g_test_add_func("/coord/backpressure/takes-nothing",
-			test_takes_nothing);
-	g_test_add_func("/coord/backpressure/forgets", test_forgets);
+			test_limit_of_zero);
+	g_test_add_func("/coord/backpressure/forgets", test_prunes);
 	g_test_add_func("/coord/backpressure/leaving-is-for-good",
-			test_leaving_is_for_good);
+			test_leaving_is_final);
 	g_test_add_func("/coord/backpressure/longest-rest-holds",
-			test_longest_rest_holds);
+			test_longest_backoff_applies);
 	g_test_add_func("/coord/backpressure/cold-is-a-limit",
 			test_cold_is_a_limit);
 	g_test_add_func("/coord/backpressure/cold-is-asked-with",
-			test_cold_is_asked_with);
-	g_test_add_func("/coord/backpressure/tells-in-turn",
-			test_tells_in_turn);
+			test_cold_with_permit_request);
+	g_test_add_func("/coord/backpressure/tells-in-turn", test_exports_all);
 	return g_test_run();
 }
--- a/tests/coord/test_claim.c
+++ b/tests/coord/test_claim.c
@@ -1,5 +1,6 @@
-/* Claims, fault by fault: what the one who asks is told, and what is then in
- * the log. Instances 0 to 2 are in one data centre, 3 to 5 in the other. */
+/* Claims under single faults: the result that the caller receives, and the
+ * records that are then in the log. Instances 0 to 2 are in one data centre, 3
+ * to 5 in the other. */
 #include <string.h>
 
 #include "claim_codec.h"
@@ -19,8 +20,8 @@
 	return fleet;
 }
 
-/* An instance of the first data centre that is no claim writer. */
-static uint32_t fleet_asker(const struct fleet *fleet)
+/* The instance of the first data centre that is not a claim writer. */
+static uint32_t fleet_requester(const struct fleet *fleet)
 {
 	uint32_t i = 0;
 
@@ -45,13 +46,13 @@
 	fleet->instances[i].node->paused = true;
 }
 
-/* When a fault strikes: before the claim is asked for, when it is on its way to
- * the writer, when the writer has called the log, or when its record is in the
- * log and not read back. */
+/* When a fault begins: before the claim is submitted, while the request is in
+ * flight to the writer, while the writer's append is in flight, or when the
+ * record is in the log and not read back yet. */
 enum point {
 	POINT_BEFORE,
-	POINT_ASKED,
-	POINT_CALLED,
+	POINT_SENT,
+	POINT_APPENDING,
 	POINT_APPENDED,
 	POINT_COUNT,
 };
@@ -62,33 +63,34 @@
 	FAULT_KILL_WRITERS,
 	FAULT_PAUSE_WRITER,
 	FAULT_PAUSE_WRITERS,
-	FAULT_PAUSE_ASKER,
-	FAULT_CUT_ASKER,
+	FAULT_PAUSE_REQUESTER,
+	FAULT_ISOLATE_REQUESTER,
 	FAULT_LOST_ANSWERS,
 	FAULT_SLOW_LOG,
 	FAULT_OUTAGE,
-	FAULT_DOUBLED,
+	FAULT_DUPLICATES,
 	FAULT_COUNT,
 };
 
-static void fault_strike(struct fleet *fleet, uint32_t asker, enum fault fault)
+static void fault_inject(struct fleet *fleet, uint32_t requester,
+			 enum fault fault)
 {
 	switch (fault) {
 	case FAULT_KILL_WRITER:
 	case FAULT_KILL_WRITERS:
-		writers_do(fleet, asker, fault == FAULT_KILL_WRITERS,
+		writers_do(fleet, requester, fault == FAULT_KILL_WRITERS,
 			   fleet_kill);
 		break;
 	case FAULT_PAUSE_WRITER:
 	case FAULT_PAUSE_WRITERS:
-		writers_do(fleet, asker, fault == FAULT_PAUSE_WRITERS,
+		writers_do(fleet, requester, fault == FAULT_PAUSE_WRITERS,
 			   instance_pause);
 		break;
-	case FAULT_PAUSE_ASKER:
-		instance_pause(fleet, asker);
+	case FAULT_PAUSE_REQUESTER:
+		instance_pause(fleet, requester);
 		break;
-	case FAULT_CUT_ASKER:
-		fleet->cut |= 1u << asker;
+	case FAULT_ISOLATE_REQUESTER:
+		fleet->isolated |= 1u << requester;
 		break;
 	case FAULT_LOST_ANSWERS:
 		fleet->log->lost_percent = 100;
@@ -99,8 +101,8 @@
 	case FAULT_OUTAGE:
 		fleet->log->outage = true;
 		break;
-	case FAULT_DOUBLED:
-		fleet->double_percent = 100;
+	case FAULT_DUPLICATES:
+		fleet->duplicate_percent = 100;
 		break;
 	case FAULT_NONE:
 	case FAULT_COUNT:
@@ -112,8 +114,8 @@
 #define DOWN RESULT_LOG_DOWN
 #define UNDECIDED RESULT_CLAIM_UNDECIDED
 
-/* The answer by fault and point. Where the log may not have taken the claim
- * by chance of the lost answers, repeated appends make it certain. */
+/* The result by fault and point. When answers of the log are lost, repeated
+ * appends ensure that the claim is appended. */
 static const struct {
 	const char *name;
 	enum result_code codes[POINT_COUNT];
@@ -123,19 +125,22 @@
 	/* The third instance becomes the writer. */
 	[FAULT_KILL_WRITERS] = {"kill both writers", {WON, WON, WON, WON}},
 	[FAULT_PAUSE_WRITER] = {"pause the writer", {WON, WON, WON, WON}},
-	/* Asked, and no word from either: it may yet be appended. */
+	/* The request was sent and neither writer replied, so the claim may
+	 * still be appended. */
 	[FAULT_PAUSE_WRITERS] = {"pause both writers",
 				 {UNDECIDED, UNDECIDED, UNDECIDED, UNDECIDED}},
-	[FAULT_PAUSE_ASKER] = {"pause the asker past its time",
-			       {UNDECIDED, UNDECIDED, UNDECIDED, UNDECIDED}},
-	[FAULT_CUT_ASKER] = {"cut the asker off",
-			     {UNDECIDED, UNDECIDED, UNDECIDED, UNDECIDED}},
+	[FAULT_PAUSE_REQUESTER] = {"pause the requester past its timeout",
+				   {UNDECIDED, UNDECIDED, UNDECIDED,
+				    UNDECIDED}},
+	[FAULT_ISOLATE_REQUESTER] = {"isolate the requester",
+				     {UNDECIDED, UNDECIDED, UNDECIDED,
+				      UNDECIDED}},
 	[FAULT_LOST_ANSWERS] = {"lose the log's answers", {WON, WON, WON, WON}},
 	[FAULT_SLOW_LOG] = {"slow log",
 			    {UNDECIDED, UNDECIDED, UNDECIDED, UNDECIDED}},
-	/* Appended before the outage, but not to be read back in it. */
+	/* Appended before the outage, but not readable during it. */
 	[FAULT_OUTAGE] = {"log outage", {DOWN, DOWN, UNDECIDED, UNDECIDED}},
-	[FAULT_DOUBLED] = {"double every message", {WON, WON, WON, WON}},
+	[FAULT_DUPLICATES] = {"duplicate every message", {WON, WON, WON, WON}},
 };
 
 static void run_until_appended(struct fleet *fleet)
@@ -151,38 +156,39 @@
 static void case_run(enum fault fault, enum point point)
 {
 	struct fleet *fleet = fleet_ready(1);
-	uint32_t asker = fleet_asker(fleet);
-	struct take *take, *rival;
+	uint32_t requester = fleet_requester(fleet);
+	struct submission *submission, *rival;
 
-	/* A read in flight must not bring the record within the same step. */
+	/* A read in flight must not return the record within the same step. */
 	fleet->log->delay = 30 * USEC_PER_MSEC;
 	if (point == POINT_BEFORE)
-		fault_strike(fleet, asker, fault);
-	take = fleet_take(fleet, asker, KEY, TIMEOUT);
-	if (point == POINT_CALLED)
+		fault_inject(fleet, requester, fault);
+	submission = fleet_submit(fleet, requester, KEY, TIMEOUT);
+	if (point == POINT_APPENDING)
 		world_step(fleet->world);
 	if (point == POINT_APPENDED)
 		run_until_appended(fleet);
 	if (point != POINT_BEFORE)
-		fault_strike(fleet, asker, fault);
+		fault_inject(fleet, requester, fault);
 	fleet_run(fleet, TIMEOUT + USEC_PER_SEC);
 	for (uint32_t i = 0; i < FAKE_MEMBERS; i++)
 		fleet->instances[i].node->paused = false;
 	fleet_run(fleet, USEC_PER_SEC);
-	g_assert_cmpint(take->answers, ==, 1);
-	g_assert_cmpint(take->code, ==, expected[fault].codes[point]);
+	g_assert_cmpint(submission->answers, ==, 1);
+	g_assert_cmpint(submission->code, ==, expected[fault].codes[point]);
 
-	/* Afterwards the other data centre finds the key as the log has it. */
+	/* Afterwards the other data centre finds the state of the key that is
+	 * in the log. */
 	fleet->log->outage = false;
 	fleet->log->lost_percent = 0;
 	fleet->log->slow = 0;
 	fleet_run(fleet, 25 * USEC_PER_SEC);
-	rival = fleet_take(fleet, 4, KEY, TIMEOUT);
+	rival = fleet_submit(fleet, 4, KEY, TIMEOUT);
 	fleet_run(fleet, TIMEOUT + USEC_PER_SEC);
 	g_assert_cmpint(rival->answers, ==, 1);
-	if (take->code == RESULT_OK)
+	if (submission->code == RESULT_OK)
 		g_assert_cmpint(rival->code, ==, RESULT_ALREADY_CLAIMED);
-	if (take->code == RESULT_LOG_DOWN)
+	if (submission->code == RESULT_LOG_DOWN)
 		g_assert_cmpint(rival->code, ==, RESULT_OK);
 	fleet_check(fleet);
 	fleet_destroy(fleet);
@@ -199,30 +205,30 @@
 	}
 }
 
-/* Claims that come together share one append. */
+/* Claims submitted at the same time share an append. */
 static void test_grouped(void)
 {
 	struct fleet *fleet = fleet_ready(2);
-	uint32_t asker = fleet_asker(fleet);
+	uint32_t requester = fleet_requester(fleet);
 	uint64_t previous = fleet->log->appends;
 
 	for (uint64_t key = 1; key <= 1000; key++)
-		fleet_take(fleet, asker, key, TIMEOUT);
+		fleet_submit(fleet, requester, key, TIMEOUT);
 	fleet_run(fleet, TIMEOUT);
 	g_assert_cmpint(fleet_check(fleet), ==, 1000);
 	g_assert_cmpuint(fleet->log->appends - previous, <=, 2);
 	fleet_destroy(fleet);
 }
 
-/* Every group of writers appends 20 times a second at most. */
+/* The writers append at most 20 times a second. */
 static void test_append_rate(void)
 {
 	struct fleet *fleet = fleet_ready(3);
-	uint32_t asker = fleet_asker(fleet);
+	uint32_t requester = fleet_requester(fleet);
 	uint64_t previous = fleet->log->appends;
 
 	for (uint64_t key = 1; key <= 1000; key++) {
-		fleet_take(fleet, asker, key, TIMEOUT);
+		fleet_submit(fleet, requester, key, TIMEOUT);
 		world_step(fleet->world);
 	}
 	fleet_run(fleet, TIMEOUT);
@@ -231,14 +237,15 @@
 	fleet_destroy(fleet);
 }
 
-/* A writer that starts knows what the log keeps; what retention has dropped
- * before that is forgotten. */
+/* A writer that starts knows the keys in the log, and no keys whose records
+ * were dropped by retention before. */
 static void test_late_writers(void)
 {
 	for (int forget = 0; forget < 2; forget++) {
 		struct fleet *fleet = fleet_ready(4);
-		uint32_t asker = fleet_asker(fleet);
-		struct take *take = fleet_take(fleet, asker, KEY, TIMEOUT);
+		uint32_t requester = fleet_requester(fleet);
+		struct submission *submission =
+			fleet_submit(fleet, requester, KEY, TIMEOUT);
 
 		fleet_run(fleet, USEC_PER_SEC);
 		for (uint32_t i = 0; i < FAKE_MEMBERS; i++)
@@ -249,38 +256,39 @@
 		for (uint32_t i = 0; i < FAKE_MEMBERS; i++)
 			fleet_start(fleet, i);
 		fleet_run(fleet, USEC_PER_SEC);
-		g_assert_cmpint(take->code, ==, RESULT_OK);
-		take = fleet_take(fleet, asker, KEY, TIMEOUT);
+		g_assert_cmpint(submission->code, ==, RESULT_OK);
+		submission = fleet_submit(fleet, requester, KEY, TIMEOUT);
 		fleet_run(fleet, TIMEOUT);
-		g_assert_cmpint(take->code, ==,
+		g_assert_cmpint(submission->code, ==,
 				forget ? RESULT_OK : RESULT_ALREADY_CLAIMED);
 		fleet_destroy(fleet);
 	}
 }
 
-/* A writer whose reading lags says nothing until it has read all. */
+/* A writer does not accept claims until it has read the whole log. */
 static void test_behind(void)
 {
 	struct fleet *fleet = fleet_create(5);
-	struct take *take;
+	struct submission *submission;
 
 	fleet->log->outage = true;
 	for (uint32_t i = 0; i < FAKE_MEMBERS; i++)
 		fleet_start(fleet, i);
-	take = fleet_take(fleet, 0, KEY, TIMEOUT);
+	submission = fleet_submit(fleet, 0, KEY, TIMEOUT);
 	fleet_run(fleet, TIMEOUT);
-	g_assert_cmpint(take->code, ==, RESULT_LOG_DOWN);
+	g_assert_cmpint(submission->code, ==, RESULT_LOG_DOWN);
 	g_assert_cmpuint(fleet->log->appends, ==, 0);
 	fleet->log->outage = false;
 	fleet_run(fleet, 10 * USEC_PER_SEC);
-	take = fleet_take(fleet, 0, KEY, TIMEOUT);
+	submission = fleet_submit(fleet, 0, KEY, TIMEOUT);
 	fleet_run(fleet, TIMEOUT);
-	g_assert_cmpint(take->code, ==, RESULT_OK);
+	g_assert_cmpint(submission->code, ==, RESULT_OK);
 	fleet_check(fleet);
 	fleet_destroy(fleet);
 }
 
-static void ask_deliver(struct fleet *fleet, uint32_t writer, uint64_t attempt)
+static void request_deliver(struct fleet *fleet, uint32_t writer,
+			    uint64_t attempt)
 {
 	struct claim_message message = {
 		.kind = CLAIM_MESSAGE_REQUEST,
@@ -299,8 +307,8 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* When a writer has said that nothing was appended, a late copy of the same
- * ask must not make it untrue; a new ask is another matter. */
+/* After a writer has replied that nothing was appended, it must not append a
+ * late copy of the same request; a new attempt may be appended. */
 static void test_late_copies(void)
 {
 	struct fleet *fleet = fleet_ready(8);
@@ -309,43 +317,44 @@
 	uint32_t writer = fleet_writer(fleet, 0, 0);
 
 	fleet->log->outage = true;
-	ask_deliver(fleet, writer, 1);
+	request_deliver(fleet, writer, 1);
 	fleet_run(fleet, USEC_PER_SEC);
 	fleet->log->outage = false;
 	fleet_run(fleet, 10 * USEC_PER_SEC);
-	ask_deliver(fleet, writer, 1);
+	request_deliver(fleet, writer, 1);
 	fleet_run(fleet, USEC_PER_SEC);
 	g_assert_cmpuint(records->len, ==, 0);
-	ask_deliver(fleet, writer, 2);
+	request_deliver(fleet, writer, 2);
 	fleet_run(fleet, USEC_PER_SEC);
 	g_assert_cmpuint(records->len, ==, 1);
 	fleet_destroy(fleet);
 }
 
-/* A request given twice is answered once; one with no time at all, soon. */
+/* A request submitted twice is answered once; one with a negative timeout is
+ * answered at once, but not from within the call. */
 static void test_bad_calls(void)
 {
 	struct fleet *fleet = fleet_ready(6);
-	struct take *take = fleet_take(fleet, 0, KEY, TIMEOUT);
+	struct submission *submission = fleet_submit(fleet, 0, KEY, TIMEOUT);
 
 	claims_submit(fleet->instances[0].claims, 1, KEY, TIMEOUT);
 	fleet_run(fleet, TIMEOUT);
-	g_assert_cmpint(take->answers, ==, 1);
-	take = fleet_take(fleet, 0, KEY + 1, -5);
-	g_assert_cmpint(take->answers, ==, 0);
+	g_assert_cmpint(submission->answers, ==, 1);
+	submission = fleet_submit(fleet, 0, KEY + 1, -5);
+	g_assert_cmpint(submission->answers, ==, 0);
 	fleet_run(fleet, USEC_PER_SEC);
-	g_assert_cmpint(take->answers, ==, 1);
-	g_assert_cmpint(take->code, ==, RESULT_LOG_DOWN);
+	g_assert_cmpint(submission->answers, ==, 1);
+	g_assert_cmpint(submission->code, ==, RESULT_LOG_DOWN);
 	fleet_check(fleet);
 	fleet_destroy(fleet);
 }
 
-/* Random bytes from peers and in the log neither crash nor decide. */
+/* Random bytes from peers and in the log are ignored. */
 static void test_garbage(void)
 {
 	struct fleet *fleet = fleet_ready(7);
 	struct claims *claims = fleet->instances[0].claims;
-	struct take *take;
+	struct submission *submission;
 	uint8_t bytes[24];
 
 	for (int i = 0; i < 20000; i++) {
@@ -354,15 +363,15 @@
 		for (size_t j = 0; j < size; j++)
 			bytes[j] = (uint8_t)g_test_rand_int_range(0, 256);
 		if (size && i % 2)
-			bytes[0] = 0x96 + (i / 2) % 2; /* ask or reply */
+			bytes[0] = 0x96 + (i / 2) % 2; /* request or reply */
 		claims_receive(claims, fleet->members[1].id, bytes, size);
 		if (i % 100 == 0)
 			fake_log_put(fleet->log, LOG_STREAM_CLAIMS, bytes,
 				     size);
 	}
-	take = fleet_take(fleet, 0, KEY, TIMEOUT);
+	submission = fleet_submit(fleet, 0, KEY, TIMEOUT);
 	fleet_run(fleet, TIMEOUT);
-	g_assert_cmpint(take->code, ==, RESULT_OK);
+	g_assert_cmpint(submission->code, ==, RESULT_OK);
 	fleet_destroy(fleet);
 }
 
--- a/tests/coord/test_claim_schedules.c
+++ b/tests/coord/test_claim_schedules.c
@@ -1,6 +1,6 @@
 /*
- * Random schedules of claims under faults: per key at most one claim is won,
- * in two data centres with two claim writers each, and every answer is true.
+ * Random schedules of claims under faults: per key at most one claim wins, in
+ * two data centres with two claim writers each, and every answer is correct.
  * CLAIM_SEED runs one schedule, CLAIM_COUNT another number than 1,000.
  */
 #include "claim_fleet.h"
@@ -11,7 +11,7 @@
 #define STEPS 1200
 #define TIMEOUT (3 * USEC_PER_SEC)
 
-/* Faults a thousand steps. */
+/* Faults per thousand steps. */
 struct faults {
 	int kills;
 	int pauses;
@@ -30,7 +30,7 @@
 	fleet->link_delay = 1 + world_draw(world, 40 * USEC_PER_MSEC);
 	fleet->view_lag = 1 + world_draw(world, 3 * USEC_PER_SEC);
 	fleet->drop_percent = (int)world_draw(world, 20);
-	fleet->double_percent = (int)world_draw(world, 20);
+	fleet->duplicate_percent = (int)world_draw(world, 20);
 	fleet->log->lost_percent = (int)world_draw(world, 60);
 	fleet->log->hole_percent = (int)world_draw(world, 20);
 	world->stale_percent = 50;
@@ -41,7 +41,7 @@
 	return faults;
 }
 
-static bool strikes(struct world *world, int per_thousand)
+static bool occurs(struct world *world, int per_thousand)
 {
 	return g_rand_int_range(world->rand, 0, 1000) < per_thousand;
 }
@@ -52,37 +52,37 @@
 	uint32_t i = (uint32_t)world_draw(world, FAKE_MEMBERS);
 	struct instance *instance = &fleet->instances[i];
 
-	if (strikes(world, faults->kills) && instance->claims)
+	if (occurs(world, faults->kills) && instance->claims)
 		fleet_kill(fleet, i);
-	else if (strikes(world, 10) && !instance->claims)
+	else if (occurs(world, 10) && !instance->claims)
 		fleet_start(fleet, i);
-	if (strikes(world, faults->pauses) && instance->claims)
+	if (occurs(world, faults->pauses) && instance->claims)
 		instance->node->paused = true;
-	else if (strikes(world, 10))
+	else if (occurs(world, 10))
 		instance->node->paused = false;
-	if (strikes(world, faults->outages))
+	if (occurs(world, faults->outages))
 		fleet->log->outage = true;
-	else if (strikes(world, 10))
+	else if (occurs(world, 10))
 		fleet->log->outage = false;
-	if (strikes(world, faults->cuts))
-		fleet->cut |= 1u << i;
-	else if (strikes(world, 10))
-		fleet->cut = 0;
-	if (strikes(world, faults->cuts))
+	if (occurs(world, faults->cuts))
+		fleet->isolated |= 1u << i;
+	else if (occurs(world, 10))
+		fleet->isolated = 0;
+	if (occurs(world, faults->cuts))
 		instance->client.cut = true;
-	else if (strikes(world, 10))
+	else if (occurs(world, 10))
 		instance->client.cut = false;
 }
 
-static void step_takes(struct fleet *fleet)
+static void step_submit(struct fleet *fleet)
 {
 	struct world *world = fleet->world;
 	uint32_t i = (uint32_t)world_draw(world, FAKE_MEMBERS);
 	struct instance *instance = &fleet->instances[i];
 	uint64_t key = 1 + (uint64_t)world_draw(world, KEYS);
 
-	if (strikes(world, 60) && instance->claims && !instance->node->paused)
-		fleet_take(fleet, i, key, TIMEOUT);
+	if (occurs(world, 60) && instance->claims && !instance->node->paused)
+		fleet_submit(fleet, i, key, TIMEOUT);
 }
 
 static void fleet_heal(struct fleet *fleet)
@@ -91,7 +91,7 @@
 	fleet->log->lost_percent = 0;
 	fleet->log->hole_percent = 0;
 	fleet->log->outage = false;
-	fleet->cut = 0;
+	fleet->isolated = 0;
 	for (uint32_t i = 0; i < FAKE_MEMBERS; i++) {
 		fleet->instances[i].node->paused = false;
 		fleet->instances[i].client.cut = false;
@@ -103,11 +103,12 @@
 /* In a schedule without faults nothing may stay undecided. */
 static void check_decided(const struct fleet *fleet)
 {
-	for (guint i = 0; i < fleet->takes->len; i++) {
-		const struct take *take = fleet->takes->pdata[i];
+	for (guint i = 0; i < fleet->submissions->len; i++) {
+		const struct submission *submission =
+			fleet->submissions->pdata[i];
 
-		g_assert_true(take->code == RESULT_OK ||
-			      take->code == RESULT_ALREADY_CLAIMED);
+		g_assert_true(submission->code == RESULT_OK ||
+			      submission->code == RESULT_ALREADY_CLAIMED);
 	}
 }
 
@@ -121,7 +122,7 @@
 		fleet_start(fleet, i);
 	for (int step = 0; step < STEPS; step++) {
 		step_faults(fleet, &faults);
-		step_takes(fleet);
+		step_submit(fleet);
 		world_step(fleet->world);
 	}
 	fleet_heal(fleet);
@@ -149,7 +150,7 @@
 	}
 	g_test_message("%u schedules, %d claims won, none won in %d",
 		       seeds.count, winners, silent);
-	/* The faults must not be such that nothing is ever claimed. */
+	/* The faults must leave some claims possible in most schedules. */
 	g_assert_cmpint(silent, <=, (int)seeds.count / 20);
 }
 
--- a/tests/coord/test_claim_table.c
+++ b/tests/coord/test_claim_table.c
@@ -1,4 +1,4 @@
-/* Verdicts of the table of claims, record by record. */
+/* Verdicts of the claim table after each record. */
 #include <glib.h>
 
 #include "claim_table.h"
@@ -97,8 +97,8 @@
 	}
 }
 
-/* A reader that lacks the oldest records comes to the same verdicts on the
- * rest, but where they depended on a dropped record of the same key. */
+/* A reader that lacks the oldest records reaches the same verdicts on the rest,
+ * except where they depend on a missing record of the same key. */
 static void test_late_reader(void)
 {
 	struct claim_table *early = claim_table_create(1000);
@@ -117,7 +117,7 @@
 			enum claim_verdict other =
 				claim_table_fold(late, &claim, time, &b);
 
-			/* What neither knows is new to both. */
+			/* A key that neither knows is new to both. */
 			if (last[key] > 100 * HOUR || verdict == CLAIM_WON)
 				g_assert_cmpint(other, ==, verdict);
 		}
--- a/tests/coord/test_embed.c
+++ b/tests/coord/test_embed.c
@@ -1,4 +1,4 @@
-/* The worked example prints what its golden file says. */
+/* The output of the example program equals its golden file. */
 #include <glib.h>
 
 #include "golden.h"
--- a/tests/coord/test_quarantine.c
+++ b/tests/coord/test_quarantine.c
@@ -1,4 +1,4 @@
-/* Works under which servers ended: who is held, cleared, let go, and told. */
+/* Requests that crash servers: held, cleared, evicted, and merged. */
 #include <glib.h>
 #include <string.h>
 
@@ -14,15 +14,15 @@
 	.suspects_max = 8,
 };
 
-static struct request_fingerprint work(uint64_t n)
+static struct request_fingerprint fingerprint_make(uint64_t n)
 {
 	return (struct request_fingerprint){n, n};
 }
 
-/* Servers of a work that ended one after the other, seen by one instance. */
-static void end_servers(struct quarantine *quarantine, uint64_t n, int count)
+/* Records crashes of count different servers that ran request n. */
+static void crash_servers(struct quarantine *quarantine, uint64_t n, int count)
 {
-	struct request_fingerprint id = work(n);
+	struct request_fingerprint id = fingerprint_make(n);
 
 	for (int i = 0; i < count; i++)
 		quarantine_record_crash(quarantine, &id, n, 1000 + (uint64_t)i,
@@ -31,16 +31,16 @@
 
 static bool holds(const struct quarantine *quarantine, uint64_t n)
 {
-	struct request_fingerprint id = work(n);
+	struct request_fingerprint id = fingerprint_make(n);
 
 	return quarantine_holds(quarantine, &id);
 }
 
-/* Held from the third server on, each counted once however many say so. */
+/* A request is held from the third server on; each server counts once. */
 static void test_third(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
-	struct request_fingerprint id = work(1);
+	struct request_fingerprint id = fingerprint_make(1);
 
 	g_assert_true(quarantine_empty(quarantine));
 	g_assert_true(quarantine_record_crash(quarantine, &id, 1, 5, NOW));
@@ -52,7 +52,7 @@
 	g_assert_true(holds(quarantine, 1));
 	g_assert_cmpuint(quarantine_held(quarantine), ==, 1);
 	g_assert_cmpuint(quarantine_suspects(quarantine), ==, 0);
-	/* Nor does time release it. */
+	/* Time does not release it. */
 	g_assert_false(
 		quarantine_record_crash(quarantine, &id, 1, 6, NOW * 1000000));
 	g_assert_true(holds(quarantine, 1));
@@ -60,74 +60,75 @@
 	quarantine_destroy(quarantine);
 }
 
-/* What ran to its end lately is not blamed: many ask for it, so several servers
- * that end in one moment are running it. A minute later it may be. */
-static void test_proved(void)
+/* Crashes are not recorded for a request that succeeded within the last minute:
+ * a popular request may run on several servers that crash at the same time. */
+static void test_succeeded(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
-	struct request_fingerprint id = work(1);
+	struct request_fingerprint id = fingerprint_make(1);
 
 	quarantine_record_success(quarantine, 1, NOW);
-	end_servers(quarantine, 1, 3);
+	crash_servers(quarantine, 1, 3);
 	g_assert_true(quarantine_empty(quarantine));
 	g_assert_true(quarantine_has_succeeded(quarantine, 1, NOW));
 	g_assert_false(quarantine_has_succeeded(quarantine, 1,
 						NOW + 61 * USEC_PER_SEC));
 	g_assert_true(quarantine_record_crash(quarantine, &id, 1, 5,
 					      NOW + 61 * USEC_PER_SEC));
-	/* Another one is blamed although its mark falls on the same slot. */
+	/* A crash of another request in the same slot is recorded. */
 	quarantine_record_success(quarantine, 2, NOW);
-	end_servers(quarantine, 2 + 4096, 3);
+	crash_servers(quarantine, 2 + 4096, 3);
 	g_assert_true(holds(quarantine, 2 + 4096));
 	quarantine_destroy(quarantine);
 }
 
-/* A work that ran to its end is no more suspected, nor held if it was; what was
- * said of it before counts no more, whoever says it again. */
+/* A request that succeeded is neither suspect nor held, and entries from before
+ * it was cleared are ignored when they are merged again. */
 static void test_cleared(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
-	struct request_fingerprint id = work(1);
+	struct request_fingerprint id = fingerprint_make(1);
 	struct quarantine_entry early;
 
 	g_assert_false(quarantine_clear(quarantine, &id));
-	end_servers(quarantine, 1, 2);
+	crash_servers(quarantine, 1, 2);
 	early = *quarantine_find(quarantine, &id);
 	g_assert_true(quarantine_clear(quarantine, &id));
 	g_assert_false(quarantine_clear(quarantine, &id));
 	g_assert_false(quarantine_merge(quarantine, &early));
-	end_servers(quarantine, 1, 2);
+	crash_servers(quarantine, 1, 2);
 	g_assert_false(holds(quarantine, 1));
-	end_servers(quarantine, 1, 3);
+	crash_servers(quarantine, 1, 3);
 	g_assert_true(holds(quarantine, 1));
 	g_assert_true(quarantine_clear(quarantine, &id));
 	g_assert_false(holds(quarantine, 1));
 	quarantine_destroy(quarantine);
 }
 
-/* A flood of suspects drops nothing that is held; of each the oldest go. */
+/* A flood of suspects evicts no held request; the oldest of each are evicted
+ * first. */
 static void test_bounds(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
 
-	end_servers(quarantine, 1, 3);
+	crash_servers(quarantine, 1, 3);
 	for (uint64_t n = 100; n < 1100; n++)
-		end_servers(quarantine, n, 2);
+		crash_servers(quarantine, n, 2);
 	g_assert_true(holds(quarantine, 1));
 	g_assert_cmpuint(quarantine_suspects(quarantine), ==, 8);
 	for (uint64_t n = 2; n < 6; n++)
-		end_servers(quarantine, n, 3);
+		crash_servers(quarantine, n, 3);
 	g_assert_cmpuint(quarantine_held(quarantine), ==, 4);
 	g_assert_false(holds(quarantine, 1));
 	g_assert_true(holds(quarantine, 5));
 	quarantine_destroy(quarantine);
 }
 
-/* Entries that no instance writes. */
+/* Invalid entries are dropped. */
 static void test_malformed(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
-	struct quarantine_entry entry = {.fingerprint = work(1)};
+	struct quarantine_entry entry = {.fingerprint = fingerprint_make(1)};
 
 	g_assert_false(quarantine_merge(quarantine, &entry));
 	entry.count = QUARANTINE_CRASHES_MAX + 1;
@@ -136,36 +137,37 @@
 	quarantine_destroy(quarantine);
 }
 
-/* What is held is to be written once, and dropped once it is cleared. */
+/* A held request is written to the store once, and deleted once cleared. */
 static void test_stored(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
 	struct quarantine_entry entry;
-	struct request_fingerprint id = work(1);
+	struct request_fingerprint id = fingerprint_make(1);
 
-	end_servers(quarantine, 1, 2);
+	crash_servers(quarantine, 1, 2);
 	g_assert_false(quarantine_unstored(quarantine, &entry));
-	end_servers(quarantine, 1, 3);
+	crash_servers(quarantine, 1, 3);
 	g_assert_true(quarantine_unstored(quarantine, &entry));
 	g_assert_true(fingerprint_same(&entry.fingerprint, &id));
 	quarantine_stored(quarantine, &id, true);
 	g_assert_false(quarantine_unstored(quarantine, &entry));
-	/* More servers say nothing that matters. */
-	end_servers(quarantine, 1, 5);
+	/* Further crashes need no further write. */
+	crash_servers(quarantine, 1, 5);
 	g_assert_false(quarantine_unstored(quarantine, &entry));
 	entry = *quarantine_find(quarantine, &id);
 	g_assert_true(quarantine_clear(quarantine, &id));
 	g_assert_true(quarantine_unstored(quarantine, &entry));
 	quarantine_stored(quarantine, &id, false);
 	g_assert_false(quarantine_unstored(quarantine, &entry));
-	/* Somebody who does not know that yet. */
+	/* An outdated entry from an instance that does not know of the clear.
+	 */
 	entry.stored = true;
 	quarantine_merge(quarantine, &entry);
 	g_assert_false(quarantine_unstored(quarantine, &entry));
 	quarantine_destroy(quarantine);
 }
 
-/* All entries are handed out in turn, a few at a time. */
+/* Successive calls return all entries, a few at a time. */
 static void test_next(void)
 {
 	const struct quarantine_settings large = {3, 64, 64};
@@ -175,7 +177,7 @@
 
 	g_assert_cmpuint(quarantine_next(quarantine, entries, 4), ==, 0);
 	for (uint64_t n = 1; n <= 20; n++)
-		end_servers(quarantine, n, 1);
+		crash_servers(quarantine, n, 1);
 	for (int i = 0; i < 5; i++) {
 		g_assert_cmpuint(quarantine_next(quarantine, entries, 4), ==,
 				 4);
@@ -187,8 +189,8 @@
 	quarantine_destroy(quarantine);
 }
 
-/* Whatever instances find, and in whatever order they tell each other and how
- * often, they come to hold the same works. */
+/* Instances converge to the same held requests whatever each one records, and
+ * in whatever order and however often they exchange entries. */
 static void test_converges(void)
 {
 	const struct quarantine_settings large = {3, 64, 64};
@@ -201,8 +203,8 @@
 			all[g_test_rand_int_range(0, INSTANCES)];
 		struct quarantine *other =
 			all[g_test_rand_int_range(0, INSTANCES)];
-		struct request_fingerprint id =
-			work((uint64_t)g_test_rand_int_range(1, 20));
+		struct request_fingerprint id = fingerprint_make(
+			(uint64_t)g_test_rand_int_range(1, 20));
 		const struct quarantine_entry *entry =
 			quarantine_find(one, &id);
 		int what = g_test_rand_int_range(0, 20);
@@ -232,7 +234,7 @@
 		quarantine_destroy(all[i]);
 }
 
-/* The same bytes parted otherwise, or of another caller, are other work. */
+/* The same bytes split into other parts give another fingerprint. */
 static void test_identity(void)
 {
 	const struct fingerprint_part one[] = {
@@ -259,7 +261,7 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/quarantine/third", test_third);
-	g_test_add_func("/quarantine/proved", test_proved);
+	g_test_add_func("/quarantine/proved", test_succeeded);
 	g_test_add_func("/quarantine/cleared", test_cleared);
 	g_test_add_func("/quarantine/bounds", test_bounds);
 	g_test_add_func("/quarantine/malformed", test_malformed);
--- a/tests/coord/test_retry.c
+++ b/tests/coord/test_retry.c
@@ -1,4 +1,4 @@
-/* Budgets, backoff and circuits. */
+/* Retry budgets, backoff and circuit breakers. */
 #include <glib.h>
 
 #include "common/clock.h"
@@ -8,9 +8,9 @@
 	const char *name;
 	uint32_t percent;
 	double max;
-	int first;    /* retries taken at once */
-	int requests; /* then */
-	int more;     /* retries taken after these requests */
+	int first;    /* retries available at the start */
+	int requests; /* made after that */
+	int more;     /* retries available after these requests */
 } budgets[] = {
 	{"a tenth", 10, 3.0, 3, 20, 2},
 	{"never above the most", 10, 3.0, 3, 1000, 3},
@@ -42,8 +42,8 @@
 	}
 }
 
-/* In an outage every request fails and would be retried: the calls made stay
- * near 110 in 100. */
+/* In an outage every request fails and is retried while the budget allows it:
+ * there are about 110 calls for 100 requests. */
 static void test_storm(void)
 {
 	struct retry_budget budget;
@@ -63,7 +63,7 @@
 static const struct {
 	uint32_t attempt;
 	int64_t base, max;
-	int64_t most; /* and at least half of it */
+	int64_t longest; /* the shortest is at least half of it */
 } backoffs[] = {
 	{0, 100, 5000, 100},
 	{1, 100, 5000, 200},
@@ -81,21 +81,21 @@
 	GRand *rand = g_rand_new_with_seed(g_test_rand_int() | 1u);
 
 	for (size_t i = 0; i < G_N_ELEMENTS(backoffs); i++) {
-		int64_t least = INT64_MAX, most = 0;
+		int64_t shortest = INT64_MAX, longest = 0;
 
 		for (int j = 0; j < 2000; j++) {
 			int64_t delay = retry_backoff(rand, backoffs[i].attempt,
 						      backoffs[i].base,
 						      backoffs[i].max);
-			least = MIN(least, delay);
-			most = MAX(most, delay);
+			shortest = MIN(shortest, delay);
+			longest = MAX(longest, delay);
 		}
-		g_assert_cmpint(least, >=, backoffs[i].most / 2);
-		g_assert_cmpint(most, <=, backoffs[i].most);
-		/* The jitter spreads over the whole of its range. */
-		if (backoffs[i].most >= 100)
-			g_assert_cmpint(most - least, >=,
-					backoffs[i].most / 5 * 2);
+		g_assert_cmpint(shortest, >=, backoffs[i].longest / 2);
+		g_assert_cmpint(longest, <=, backoffs[i].longest);
+		/* The jitter covers most of its range. */
+		if (backoffs[i].longest >= 100)
+			g_assert_cmpint(longest - shortest, >=,
+					backoffs[i].longest / 5 * 2);
 	}
 	g_rand_free(rand);
 }
@@ -112,7 +112,7 @@
 {
 	GRand *rand = g_rand_new_with_seed(7);
 	struct circuit circuit = {0};
-	int64_t former;
+	int64_t open_until;
 
 	circuit_failure(&circuit, rand, 0);
 	circuit_failure(&circuit, rand, 0);
@@ -120,15 +120,15 @@
 	circuit_trip(&circuit, rand, 1000);
 	g_assert_cmpint(circuit.state, ==, CIRCUIT_OPEN);
 	g_assert_false(circuit_allow(&circuit, 1000));
-	former = circuit.until;
+	open_until = circuit.until;
 	circuit_failure(&circuit, rand, 2000); /* a call from before */
-	g_assert_cmpint(circuit.until, ==, former);
-	g_assert_cmpint(former - 1000, >=, 250 * USEC_PER_MSEC);
-	g_assert_false(circuit_allow(&circuit, former - 1));
-	g_assert_true(circuit_allow(&circuit, former));
-	g_assert_false(circuit_allow(&circuit, former)); /* one trial */
-	circuit_failure(&circuit, rand, former);
-	g_assert_cmpint(circuit.until - former, >=, 500 * USEC_PER_MSEC);
+	g_assert_cmpint(circuit.until, ==, open_until);
+	g_assert_cmpint(open_until - 1000, >=, 250 * USEC_PER_MSEC);
+	g_assert_false(circuit_allow(&circuit, open_until - 1));
+	g_assert_true(circuit_allow(&circuit, open_until));
+	g_assert_false(circuit_allow(&circuit, open_until)); /* one probe */
+	circuit_failure(&circuit, rand, open_until);
+	g_assert_cmpint(circuit.until - open_until, >=, 500 * USEC_PER_MSEC);
 	g_assert_true(circuit_allow(&circuit, circuit.until));
 	circuit_success(&circuit);
 	g_assert_true(circuit_allow(&circuit, circuit.until));
@@ -136,8 +136,8 @@
 	g_rand_free(rand);
 }
 
-/* A trial that is never told to have ended does not close the way for ever. */
-static void test_trial_lost(void)
+/* A probe whose result is never reported does not block calls for ever. */
+static void test_probe_lost(void)
 {
 	GRand *rand = g_rand_new_with_seed(7);
 	struct circuit circuit = {0};
@@ -158,6 +158,6 @@
 	g_test_add_func("/retry/storm", test_storm);
 	g_test_add_func("/retry/backoff", test_backoff);
 	g_test_add_func("/circuit/states", test_circuit);
-	g_test_add_func("/circuit/trial_lost", test_trial_lost);
+	g_test_add_func("/circuit/trial_lost", test_probe_lost);
 	return g_test_run();
 }
--- a/tests/limit/limit_world.c
+++ b/tests/limit/limit_world.c
@@ -1,26 +1,26 @@
 #include "limit_world.h"
 
 #define STEP_USEC (5 * USEC_PER_MSEC)
-#define TELL_USEC (400 * USEC_PER_MSEC)
+#define SEND_USEC (400 * USEC_PER_MSEC)
 #define URGENT_USEC (100 * USEC_PER_MSEC)
-#define NEAR_USEC (5 * USEC_PER_MSEC)
-#define FAR_USEC (10 * USEC_PER_MSEC)
-#define TELLERS 2
+#define LOCAL_DELAY_USEC (5 * USEC_PER_MSEC)
+#define REMOTE_DELAY_USEC (10 * USEC_PER_MSEC)
+#define SENDERS_PER_CENTRE 2
 #define ACCOUNT 1
-/* A request's tokens are between these. */
-#define UNITS_LEAST 2000
-#define UNITS_MOST 11000
-/* An entry in a datagram, and the datagram's own share. */
+/* Range of a request's tokens. */
+#define UNITS_MIN 2000
+#define UNITS_MAX 11000
+/* Size of an entry in a datagram, with its part of the datagram's header. */
 #define ENTRY_BYTES 45
 
-struct world_letter {
+struct world_message {
 	int64_t at;
 	uint32_t to;
 	struct limit_source source;
 	struct limit_entry entry;
 };
 
-struct world_use {
+struct admitted_request {
 	int64_t at;
 	double units;
 };
@@ -46,8 +46,8 @@
 	};
 
 	world->limits[i] = limits_create(&settings);
-	world->told_at[i] =
-		world->now - g_rand_int_range(world->rand, 0, TELL_USEC);
+	world->sent_at[i] =
+		world->now - g_rand_int_range(world->rand, 0, SEND_USEC);
 }
 
 struct world *world_open(enum limit_policy policy, uint32_t count,
@@ -59,12 +59,14 @@
 	world->policy = policy;
 	world->count = count;
 	world->callers = MIN(count, 5);
-	world->asked_part = 1.0 / 1.8;
+	world->requested_part = 1.0 / 1.8;
 	world->rate_part = 1.0;
-	world->centre_cut = -1;
+	world->centre_partitioned = -1;
 	world->now = 60 * USEC_PER_SEC;
-	world->letters = g_array_new(FALSE, FALSE, sizeof(struct world_letter));
-	world->uses = g_array_new(FALSE, FALSE, sizeof(struct world_use));
+	world->messages =
+		g_array_new(FALSE, FALSE, sizeof(struct world_message));
+	world->admitted_requests =
+		g_array_new(FALSE, FALSE, sizeof(struct admitted_request));
 	for (uint32_t i = 0; i < count; i++)
 		instance_start(world, i, false);
 	return world;
@@ -74,141 +76,145 @@
 {
 	for (uint32_t i = 0; i < world->count; i++)
 		limits_destroy(world->limits[i]);
-	g_array_unref(world->letters);
-	g_array_unref(world->uses);
+	g_array_unref(world->messages);
+	g_array_unref(world->admitted_requests);
 	g_rand_free(world->rand);
 	g_free(world);
 }
 
-/* What was on its way to a process is lost with it. */
-static void letters_lose(struct world *world, uint32_t from, uint32_t to)
+/* Drops the messages in flight to processes that stop. */
+static void messages_drop(struct world *world, uint32_t from, uint32_t to)
 {
-	for (guint i = world->letters->len; i-- > 0;) {
-		const struct world_letter *letter =
-			&g_array_index(world->letters, struct world_letter, i);
+	for (guint i = world->messages->len; i-- > 0;) {
+		const struct world_message *message = &g_array_index(
+			world->messages, struct world_message, i);
 
-		if (letter->to >= from && letter->to < to)
-			g_array_remove_index(world->letters, i);
+		if (message->to >= from && message->to < to)
+			g_array_remove_index(world->messages, i);
 	}
 }
 
 void world_restart(struct world *world, uint32_t from, uint32_t to)
 {
-	letters_lose(world, from, to);
+	messages_drop(world, from, to);
 	for (uint32_t i = from; i < to; i++) {
 		limits_destroy(world->limits[i]);
 		instance_start(world, i, true);
-		world->alone_until[i] = world->now + world->alone_usec;
+		world->isolated_until[i] = world->now + world->isolated_usec;
 	}
 }
 
 static bool is_up(const struct world *world, uint32_t i)
 {
-	return world->now >= world->still_until[i];
+	return world->now >= world->paused_until[i];
 }
 
 static bool reaches(const struct world *world, uint32_t from, uint32_t to)
 {
-	bool cut = centre_of(from) == world->centre_cut;
+	bool partitioned = centre_of(from) == world->centre_partitioned;
 
-	if (world->now < MAX(world->alone_until[from], world->alone_until[to]))
+	if (world->now <
+	    MAX(world->isolated_until[from], world->isolated_until[to]))
 		return false;
-	return cut == (centre_of(to) == world->centre_cut);
+	return partitioned == (centre_of(to) == world->centre_partitioned);
 }
 
-static void letters_send(struct world *world, uint32_t from, bool sums)
+static void messages_send(struct world *world, uint32_t from, bool sums)
 {
-	uint32_t each = MAX(world->count / WORLD_CENTRES, 1u);
+	uint32_t instances_per_centre = MAX(world->count / WORLD_CENTRES, 1u);
 	struct limit_entry entry;
-	struct world_letter letter = {
+	struct world_message message = {
 		.source = {from + 1, sums ? (uint64_t)centre_of(from) + 1 : 0},
 	};
 
 	if (limit_export(world->limits[from], world->now, sums, &entry, 1) == 0)
 		return;
-	letter.entry = entry;
-	letter.at = world->now + (sums ? FAR_USEC : NEAR_USEC);
+	message.entry = entry;
+	message.at = world->now + (sums ? REMOTE_DELAY_USEC : LOCAL_DELAY_USEC);
 	for (uint32_t to = 0; to < world->count; to++) {
-		bool near = centre_of(to) == centre_of(from);
+		bool is_local = centre_of(to) == centre_of(from);
 
-		if (to == from || near == sums || !reaches(world, from, to))
+		if (to == from || is_local == sums || !reaches(world, from, to))
 			continue;
-		/* Of each data centre two tell an instance elsewhere. */
-		if (sums && (from / WORLD_CENTRES + to) % each >= TELLERS)
+		/* Two instances of each data centre send to an instance of
+		 * another one. */
+		if (sums &&
+		    (from / WORLD_CENTRES + to) % instances_per_centre >=
+			    SENDERS_PER_CENTRE)
 			continue;
-		letter.to = to;
-		g_array_append_val(world->letters, letter);
+		message.to = to;
+		g_array_append_val(world->messages, message);
 		world->bytes += ENTRY_BYTES;
 	}
 }
 
-static void instance_tell(struct world *world, uint32_t i)
+static void instance_send(struct world *world, uint32_t i)
 {
 	bool urgent = limit_urgent(world->limits[i]);
-	int64_t since = world->now - world->told_at[i];
+	int64_t since = world->now - world->sent_at[i];
 
-	if (since < TELL_USEC && !(urgent && since >= URGENT_USEC))
+	if (since < SEND_USEC && !(urgent && since >= URGENT_USEC))
 		return;
-	world->told_at[i] = world->now;
-	letters_send(world, i, false);
-	letters_send(world, i, true);
+	world->sent_at[i] = world->now;
+	messages_send(world, i, false);
+	messages_send(world, i, true);
 	limit_exported(world->limits[i]);
 }
 
-static void letters_deliver(struct world *world)
+static void messages_deliver(struct world *world)
 {
-	const struct limit_allotment in_force = allotment(world);
+	const struct limit_allotment current = allotment(world);
 
-	for (guint i = world->letters->len; i-- > 0;) {
-		struct world_letter letter =
-			g_array_index(world->letters, struct world_letter, i);
+	for (guint i = world->messages->len; i-- > 0;) {
+		struct world_message message =
+			g_array_index(world->messages, struct world_message, i);
 
-		if (letter.at > world->now || !is_up(world, letter.to))
+		if (message.at > world->now || !is_up(world, message.to))
 			continue;
-		limit_merge(world->limits[letter.to], world->now,
-			    &letter.source, &letter.entry, &in_force);
-		g_array_remove_index(world->letters, i);
+		limit_merge(world->limits[message.to], world->now,
+			    &message.source, &message.entry, &current);
+		g_array_remove_index(world->messages, i);
 	}
 }
 
-static void request_come(struct world *world, uint32_t i)
+static void request_arrive(struct world *world, uint32_t i)
 {
 	struct limit_refusal refusal;
 	struct limit_request request = {
 		.account = ACCOUNT,
 		.allotment = allotment(world),
-		.units = g_rand_int_range(world->rand, UNITS_LEAST, UNITS_MOST),
+		.units = g_rand_int_range(world->rand, UNITS_MIN, UNITS_MAX),
 		.sharers = world->count,
 	};
-	struct world_use use = {world->now, request.units};
+	struct admitted_request use = {world->now, request.units};
 
-	world->asked += request.units;
+	world->requested += request.units;
 	if (!is_up(world, i) ||
 	    !limit_take(world->limits[i], world->now, &request, &refusal))
 		return;
 	world->admitted += request.units;
-	g_array_append_val(world->uses, use);
+	g_array_append_val(world->admitted_requests, use);
 }
 
-static void requests_come_to(struct world *world, uint32_t i, double expected)
+static void requests_arrive_at(struct world *world, uint32_t i, double expected)
 {
 	while (expected > 0.0) {
 		if (g_rand_double(world->rand) < expected)
-			request_come(world, i);
+			request_arrive(world, i);
 		expected -= 1.0;
 	}
 }
 
-/* Callers ask at random, all alike on average. */
-static void requests_come(struct world *world)
+/* Callers send requests at random times, at equal average rates. */
+static void requests_arrive(struct world *world)
 {
-	double units = (UNITS_LEAST + UNITS_MOST) / 2.0;
-	double expected = world->asked_part * WORLD_RATE / units *
+	double units = (UNITS_MIN + UNITS_MAX) / 2.0;
+	double expected = world->requested_part * WORLD_RATE / units *
 			  ((double)STEP_USEC / (double)USEC_PER_SEC) /
 			  world->callers;
 
 	for (uint32_t i = 0; i < world->callers; i++)
-		requests_come_to(world, i, expected);
+		requests_arrive_at(world, i, expected);
 }
 
 void world_run(struct world *world, int64_t msec)
@@ -217,40 +223,40 @@
 
 	while (world->now < end) {
 		world->now += STEP_USEC;
-		letters_deliver(world);
-		requests_come(world);
+		messages_deliver(world);
+		requests_arrive(world);
 		for (uint32_t i = 0; i < world->count; i++)
 			if (is_up(world, i))
-				instance_tell(world, i);
+				instance_send(world, i);
 	}
 }
 
-double world_most(const struct world *world)
+double world_max_admitted(const struct world *world)
 {
-	double most = 0.0;
+	double max = 0.0;
 	double sum = 0.0;
 	guint from = 0;
 
-	for (guint to = 0; to < world->uses->len; to++) {
-		const struct world_use *last =
-			&g_array_index(world->uses, struct world_use, to);
+	for (guint to = 0; to < world->admitted_requests->len; to++) {
+		const struct admitted_request *last = &g_array_index(
+			world->admitted_requests, struct admitted_request, to);
 
 		sum += last->units;
-		while (last->at - g_array_index(world->uses, struct world_use,
-						from)
+		while (last->at - g_array_index(world->admitted_requests,
+						struct admitted_request, from)
 					  .at >
 		       WORLD_WINDOW_SEC * USEC_PER_SEC)
-			sum -= g_array_index(world->uses, struct world_use,
-					     from++)
+			sum -= g_array_index(world->admitted_requests,
+					     struct admitted_request, from++)
 				       .units;
-		most = MAX(most, sum);
+		max = MAX(max, sum);
 	}
-	return most;
+	return max;
 }
 
 double world_allowed(const struct world *world)
 {
-	const struct limit_allotment in_force = allotment(world);
+	const struct limit_allotment current = allotment(world);
 
-	return in_force.rate * WORLD_WINDOW_SEC + in_force.burst;
+	return current.rate * WORLD_WINDOW_SEC + current.burst;
 }
--- a/tests/limit/test_cell_load.c
+++ b/tests/limit/test_cell_load.c
@@ -1,4 +1,4 @@
-/* Which data centre a request is sent to when the own cell is busy. */
+/* The data centre that a request is sent to when the local cell is busy. */
 #include <glib.h>
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #define NONE NULL
 
 #define MEMBERS 3
-#define TURNS 100
+#define STEPS 100
 
 static const char *const names[MEMBERS] = {"a1", "b1", "c1"};
 static const char *const places[MEMBERS] = {"a", "b", "c"};
@@ -71,7 +71,7 @@
 	return member;
 }
 
-static void letters_deliver(struct membership *const *members)
+static void messages_deliver(struct membership *const *members)
 {
 	struct letter *letter;
 
@@ -103,9 +103,9 @@
 
 		membership_hint(members[i / MEMBERS], &peer);
 	}
-	for (int turn = 0; turn < TURNS; turn++) {
+	for (int step = 0; step < STEPS; step++) {
 		clock_advance(clock, clock_now(clock) + 100 * USEC_PER_MSEC);
-		letters_deliver(members);
+		messages_deliver(members);
 	}
 }
 
@@ -120,18 +120,18 @@
 {
 	struct clock *clock = clock_create(0);
 	struct membership *members[MEMBERS];
-	const char *there;
+	const char *target;
 
 	members_make(clock, members);
 	cell_load_set(members[0], cell_id(&service, "b"), row->b, 0, 1);
 	cell_load_set(members[0], cell_id(&service, "c"), row->c, 0, 1);
-	there = cell_load_choose(members[0], &config, &service, row->own, 7);
+	target = cell_load_choose(members[0], &config, &service, row->own, 7);
 	if (row->chosen && strcmp(row->chosen, "*") == 0) {
-		g_assert_nonnull(there);
-		g_assert_true(strcmp(there, "b") == 0 ||
-			      strcmp(there, "c") == 0);
+		g_assert_nonnull(target);
+		g_assert_true(strcmp(target, "b") == 0 ||
+			      strcmp(target, "c") == 0);
 	} else {
-		g_assert_cmpstr(there, ==, row->chosen);
+		g_assert_cmpstr(target, ==, row->chosen);
 	}
 	members_free(clock, members);
 }
@@ -144,7 +144,7 @@
 	}
 }
 
-/* What the home in b says is known in a, and an older word undoes nothing. */
+/* The level set at the home in b reaches a, and an older one is ignored. */
 static void test_newest(void)
 {
 	struct clock *clock = clock_create(0);
@@ -155,9 +155,9 @@
 	g_assert_cmpint(cell_load_get(members[0], cell), ==, CELL_FREE);
 	cell_load_set(members[1], cell, CELL_FULL, 3, 5);
 	cell_load_set(members[1], cell, CELL_BUSY, 2, 4);
-	for (int turn = 0; turn < TURNS; turn++) {
+	for (int step = 0; step < STEPS; step++) {
 		clock_advance(clock, clock_now(clock) + 100 * USEC_PER_MSEC);
-		letters_deliver(members);
+		messages_deliver(members);
 	}
 	g_assert_cmpint(cell_load_get(members[0], cell), ==, CELL_FULL);
 	g_assert_cmpuint(cell_load_share(members[0], cell), ==, 3);
@@ -166,7 +166,8 @@
 	members_free(clock, members);
 }
 
-/* Of a thousand requests, the share leaves, and the same ones at any time. */
+/* The given share of a thousand requests is redirected, and a higher share
+ * redirects no fewer. */
 static void test_leaves(void)
 {
 	uint32_t before = 0;
@@ -188,8 +189,9 @@
 	}
 }
 
-/* A data centre that is farther away than a busy cell makes wait is no help. */
-static void test_far(void)
+/* A data centre is not chosen when its latency exceeds the wait at a busy local
+ * cell. */
+static void test_remote(void)
 {
 	const struct config_link links[] = {
 		{.from = "a", .to = "b", .latency_ms = 60},
@@ -203,10 +205,10 @@
 	far.link_count = G_N_ELEMENTS(links);
 	members_make(clock, members);
 	for (uint64_t key = 0; key < 100; key++) {
-		const char *near =
+		const char *nearest =
 			cell_load_spread(members[0], &config, &service, key);
 
-		g_assert_nonnull(near);
+		g_assert_nonnull(nearest);
 		g_assert_cmpstr(
 			cell_load_spread(members[0], &far, &service, key), ==,
 			"c");
@@ -216,7 +218,8 @@
 	members_free(clock, members);
 }
 
-/* What falls to a cell that is not free stays; the rest goes its way. */
+/* Requests whose cell is not free stay local; the others go to the same cell as
+ * before. */
 static void test_spread(void)
 {
 	struct clock *clock = clock_create(0);
@@ -249,7 +252,7 @@
 	g_test_add_func("/cell_load/choose", test_choose);
 	g_test_add_func("/cell_load/newest", test_newest);
 	g_test_add_func("/cell_load/leaves", test_leaves);
-	g_test_add_func("/cell_load/far", test_far);
+	g_test_add_func("/cell_load/far", test_remote);
 	g_test_add_func("/cell_load/spread", test_spread);
 	return g_test_run();
 }
--- a/tests/limit/test_limit.c
+++ b/tests/limit/test_limit.c
@@ -1,11 +1,12 @@
-/* Rates per organisation and service: shares, bursts, bounded state. */
+/* Rate limits per account: shares, bursts, bounded state, and the merge of the
+ * entries of other instances. */
 #include <glib.h>
 
 #include "common/clock.h"
 #include "coord/limit.h"
 
-/* Entries in a word between instances. */
-#define TOLD_MOST 48u
+/* Entries in a message between instances. */
+#define EXPORT_MAX 48u
 #define TICKS 1000
 
 static struct limits *limits_open(uint32_t accounts_max)
@@ -16,7 +17,7 @@
 	return limits_create(&settings);
 }
 
-/* One request of a rate whose burst is two seconds of it. */
+/* Takes one unit of an allotment whose burst is two seconds of its rate. */
 static bool rate_take(struct limits *limits, int64_t now, uint64_t account,
 		      double rate, uint32_t instances, int64_t *retry_after)
 {
@@ -38,7 +39,7 @@
 	const char *name;
 	double rate;
 	uint32_t instances;
-	int64_t span; /* requests come evenly over it */
+	int64_t span; /* requests arrive at even intervals in it */
 	uint32_t requests;
 	uint32_t allowed_min;
 	uint32_t allowed_max;
@@ -96,8 +97,8 @@
 	limits_destroy(limits);
 }
 
-/* One organisation's overload takes nothing from another's rate. */
-static void test_apart(void)
+/* Overload by one organisation does not reduce the rate of another. */
+static void test_separate_accounts(void)
 {
 	struct limits *limits = limits_open(4);
 	int64_t after = 0;
@@ -170,7 +171,7 @@
 	limits_destroy(limits);
 }
 
-/* What is given back may be used again, up to the burst. */
+/* Returned units may be used again, up to the burst. */
 static void test_return(void)
 {
 	struct limits *limits = counts_open(false);
@@ -186,8 +187,8 @@
 	limits_destroy(limits);
 }
 
-/* Where all were stopped at once the use before is forgotten; a burst is not
- * given out once more. */
+/* After a restart of all instances at once their earlier use is unknown; a
+ * whole burst must not be granted again. */
 static void test_starts_low(void)
 {
 	struct limits *limits = counts_open(true);
@@ -195,7 +196,7 @@
 
 	g_assert_true(units_take(limits, 0, BURST / 16, &refusal));
 	g_assert_false(units_take(limits, 0, BURST / 16, &refusal));
-	/* Others that have started too may let as much through. */
+	/* Other starting instances may admit as much. */
 	g_assert_true(units_take(limits, USEC_PER_SEC, RATE * 0.35, &refusal));
 	g_assert_false(units_take(limits, USEC_PER_SEC, RATE * 0.1, &refusal));
 	g_assert_true(
@@ -224,9 +225,9 @@
 	limit_merge(limits, now, &source, &entry, &allotment);
 }
 
-/* A word that comes twice counts once; of two that tell of one data centre one
- * counts, and the other goes on when it falls silent. */
-static void test_heard_once(void)
+/* A repeated entry counts once. Of two sources of one data centre one is
+ * counted, and the other one replaces it when it falls silent. */
+static void test_merged_once(void)
 {
 	struct limits *limits = counts_used_one();
 
@@ -238,8 +239,8 @@
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, BURST - 301);
 	merge(limits, 0, 9, 99, 1, 250, 0);
 	g_assert_cmpfloat(limit_level(limits, 0, 1), ==, BURST - 301);
-	/* Full again meanwhile. What was used since is within the part that
-	 * was presumed for the one that fell silent; more is taken off. */
+	/* The bucket is full again. Use within the estimate for the silent
+	 * source costs nothing more; use above it is subtracted. */
 	limit_level(limits, 2 * USEC_PER_SEC, 1);
 	merge(limits, 2 * USEC_PER_SEC, 9, 99, 1, 260, 0);
 	g_assert_cmpfloat(limit_level(limits, 2 * USEC_PER_SEC, 1), ==, BURST);
@@ -249,8 +250,8 @@
 	limits_destroy(limits);
 }
 
-/* A source that started again counts from nought. */
-static void test_heard_restarted(void)
+/* A source that restarted counts from zero. */
+static void test_merge_restarted(void)
 {
 	struct limits *limits = counts_used_one();
 
@@ -260,9 +261,8 @@
 	limits_destroy(limits);
 }
 
-/* What others that have just started used counts; the level of one that was
- * there before is taken over all the same, and all that it ever used does not
- * count. */
+/* The use of peers that have just started is counted. The level of a peer that
+ * ran before is still adopted, and its total use is not counted. */
 static void test_starts_together(void)
 {
 	struct limits *limits = counts_open(true);
@@ -278,7 +278,8 @@
 	limits_destroy(limits);
 }
 
-/* Equal shares add up to the allotment whoever has started. */
+/* Equal shares add up to the allotment, also for an instance that has just
+ * started. */
 static void test_equal_starts(void)
 {
 	const struct limit_settings settings = {.policy = LIMIT_EQUAL,
@@ -292,8 +293,9 @@
 	limits_destroy(limits);
 }
 
-/* One that starts takes over what it is told, not what was used before. */
-static void test_takes_over(void)
+/* A starting instance adopts the first level that it receives, and does not
+ * count the use before it. */
+static void test_adopts_level(void)
 {
 	struct limits *limits = counts_open(true);
 
@@ -317,22 +319,21 @@
 	g_assert_false(limit_policy_find("none", &policy));
 }
 
-/* What a tick costs an instance whose site has so many organisations, all
- * asking: its turn of telling, and that of each instance it hears. Each word
- * holds some of them and the rest take turns, so this bounds how old what is
- * known of one may be. */
+/* Measures the cost of one export and one merge with count active
+ * organisations. Each message has room for EXPORT_MAX of them and successive
+ * messages take turns, so this bounds the age of an organisation's data. */
 static void cost_measure(uint32_t count)
 {
 	const struct limit_allotment allotment = {1000.0, 1000.0};
 	const struct limit_settings settings = {.policy = LIMIT_COUNTS};
 	const struct limit_source source = {.id = 7};
 	struct limits *limits = limits_create(&settings);
-	struct limit_entry entries[TOLD_MOST];
+	struct limit_entry entries[EXPORT_MAX];
 	struct limit_refusal refusal;
 	int64_t began;
-	double tell;
+	double export_usec;
 	double merge;
-	uint32_t told = 0;
+	uint32_t exported = 0;
 
 	for (uint32_t i = 0; i < count; i++) {
 		const struct limit_request request = {i + 1, allotment, 10.0,
@@ -342,20 +343,22 @@
 	}
 	began = g_get_monotonic_time();
 	for (int i = 0; i < TICKS; i++) {
-		told = limit_export(limits, 1 + i, false, entries, TOLD_MOST);
+		exported =
+			limit_export(limits, 1 + i, false, entries, EXPORT_MAX);
 		limit_exported(limits);
 	}
-	tell = (double)(g_get_monotonic_time() - began) / TICKS;
+	export_usec = (double)(g_get_monotonic_time() - began) / TICKS;
 	began = g_get_monotonic_time();
 	for (int i = 0; i < TICKS; i++)
-		for (uint32_t k = 0; k < told; k++)
+		for (uint32_t k = 0; k < exported; k++)
 			limit_merge(limits, 2 + i, &source, &entries[k],
 				    &allotment);
 	merge = (double)(g_get_monotonic_time() - began) / TICKS;
-	g_test_message("%u organisations: %u told in a word, all in %u words; "
-		       "to tell one %.1f us, to hear one %.1f us",
-		       count, told, (count + told - 1) / told, tell, merge);
-	g_assert_cmpuint(told, ==, MIN(count, TOLD_MOST));
+	g_test_message("%u organisations: %u in a message, all in %u messages; "
+		       "export of one message %.1f us, merge %.1f us",
+		       count, exported, (count + exported - 1) / exported,
+		       export_usec, merge);
+	g_assert_cmpuint(exported, ==, MIN(count, EXPORT_MAX));
 	g_assert_cmpuint(limits_count(limits), ==, count);
 	limits_destroy(limits);
 }
@@ -372,15 +375,15 @@
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/limit/rates", test_rates);
 	g_test_add_func("/limit/retry_after", test_retry_after);
-	g_test_add_func("/limit/apart", test_apart);
+	g_test_add_func("/limit/apart", test_separate_accounts);
 	g_test_add_func("/limit/bounded", test_bounded);
 	g_test_add_func("/limit/too-large", test_too_large);
 	g_test_add_func("/limit/in-order", test_in_order);
 	g_test_add_func("/limit/return", test_return);
 	g_test_add_func("/limit/starts-low", test_starts_low);
-	g_test_add_func("/limit/heard-once", test_heard_once);
-	g_test_add_func("/limit/heard-restarted", test_heard_restarted);
-	g_test_add_func("/limit/takes-over", test_takes_over);
+	g_test_add_func("/limit/heard-once", test_merged_once);
+	g_test_add_func("/limit/heard-restarted", test_merge_restarted);
+	g_test_add_func("/limit/takes-over", test_adopts_level);
 	g_test_add_func("/limit/policies", test_policies);
 	g_test_add_func("/limit/cost", test_cost);
 	g_test_add_func("/limit/starts-together", test_starts_together);
--- a/tests/limit/test_limit_world.c
+++ b/tests/limit/test_limit_world.c
@@ -1,171 +1,186 @@
 /*
- * One organisation at 7, 73 and 300 instances: what is admitted in any window
- * against its allotment, and what is refused although it is below. Each row is
- * played with each way to share; only the one in force has bounds.
+ * One organisation at 7, 73 and 300 instances: the units admitted in any window
+ * against its allotment, and the units refused although the load is below it.
+ * Each scenario runs with each policy; only LIMIT_COUNTS, the one in use, has
+ * bounds.
  *
- * The bounds are those of the users' sheet: a window may hold a tenth more than
- * the allotment, and what one instance after the other cannot know yet, here
- * 0.9 bursts; under the allotment next to nothing is refused. Beyond it nine
- * tenths are used. More than the allotment is asked for during a whole window:
- * with seven of its eight seconds, one bucket that knows all and is asked by
- * all admitted 0.904 to 0.988 of the allotment, and 5 of 2,000 seeds were below
- * nine tenths for want of requests; with nine seconds it admits 0.985 or more.
+ * The bounds are those promised to users: a window may admit a tenth more than
+ * the allotment, plus 0.9 bursts for use that other instances have not received
+ * yet. Below the allotment next to nothing is refused; above it nine tenths are
+ * used. The overload lasts longer than a window of eight seconds: with seven
+ * seconds, a single bucket for all instances admitted 0.904 to 0.988 of the
+ * allotment, and 5 of 2,000 seeds were below nine tenths for lack of requests;
+ * with nine seconds it admits 0.985 or more.
  */
 #include <glib.h>
 
 #include "limit_world.h"
 
-#define OVER 1.1
+#define OVER_MAX 1.1
 #define SLACK (0.9 * WORLD_BURST)
 
-enum story {
-	STORY_CALM,
-	STORY_HOT,	 /* eight times the usual for nine seconds */
-	STORY_CUT_HOT,	 /* the same, one data centre cut off meanwhile */
-	STORY_CUT,	 /* usual load, one data centre cut off for a minute */
-	STORY_ALL_DIE,	 /* hot, and all are stopped at once in the middle */
-	STORY_DIE_OFTEN, /* the same eight times, and they meet after a while */
-	STORY_ONE_DIES,	 /* hot, one after the other is stopped */
-	STORY_FREEZE,	 /* hot, a third stands still for three seconds */
-	STORY_MOVED,	 /* the callers come to other instances */
-	STORY_COUNT,
+/* Overload is eight times the normal load. */
+enum scenario {
+	SCENARIO_NORMAL,
+	SCENARIO_OVERLOAD,	     /* for nine seconds */
+	SCENARIO_PARTITION_OVERLOAD, /* the same, with a partition */
+	SCENARIO_PARTITION,	     /* normal load, for a minute */
+	SCENARIO_RESTART_ALL,	     /* overload; all at once, in the middle */
+	SCENARIO_RESTART_OFTEN,	  /* the same eight times, isolated each time */
+	SCENARIO_RESTART_ROLLING, /* overload; one after the other */
+	SCENARIO_PAUSE,		  /* overload; a third, for three seconds */
+	SCENARIO_CALLERS_MOVE,	  /* to other instances */
+	SCENARIO_COUNT,
 };
 
-static const char *const story_names[STORY_COUNT] = {
-	[STORY_CALM] = "calm",		 [STORY_HOT] = "hot",
-	[STORY_CUT_HOT] = "hot and cut", [STORY_CUT] = "cut",
-	[STORY_ALL_DIE] = "all die",	 [STORY_DIE_OFTEN] = "all die often",
-	[STORY_ONE_DIES] = "one dies",	 [STORY_FREEZE] = "frozen",
-	[STORY_MOVED] = "callers move",
+static const char *const scenario_names[SCENARIO_COUNT] = {
+	[SCENARIO_NORMAL] = "normal load",
+	[SCENARIO_OVERLOAD] = "overload",
+	[SCENARIO_PARTITION_OVERLOAD] = "overload and partition",
+	[SCENARIO_PARTITION] = "partition",
+	[SCENARIO_RESTART_ALL] = "restart of all",
+	[SCENARIO_RESTART_OFTEN] = "repeated restarts of all",
+	[SCENARIO_RESTART_ROLLING] = "rolling restart",
+	[SCENARIO_PAUSE] = "pause",
+	[SCENARIO_CALLERS_MOVE] = "callers move",
 };
 
-/* Until the list of instances was read, and from one end of all to the next. */
-#define ALONE_MSEC 500
-#define LIFE_MSEC 1200
-/* Those that have just met hear each other's use within this time. */
-#define HEAR_MSEC 500
-/* Of the rate, what an instance that knows no other lets through. */
-#define ALONE_PART 0.35
+/* Time until a restarted instance has read the list of instances, and between
+ * two restarts of all. */
+#define ISOLATED_MSEC 500
+#define RESTART_INTERVAL_MSEC 1200
+/* Connected instances have received each other's use within this time. */
+#define EXCHANGE_MSEC 500
+/* Part of the rate that an instance without peers admits. */
+#define START_RATE_PART 0.35
 
-#define USUAL (1.0 / 1.8)
-#define HOT (8.0 / 1.8)
+#define NORMAL_LOAD (1.0 / 1.8)
+#define OVERLOAD (8.0 / 1.8)
 
-static void story_play(struct world *world, enum story story)
+static void scenario_play(struct world *world, enum scenario scenario)
 {
 	world_run(world, 10000);
-	world->asked = 0;
+	world->requested = 0;
 	world->admitted = 0;
 	world->bytes = 0;
-	world->asked_part = story == STORY_CALM || story == STORY_CUT ||
-					    story == STORY_MOVED
-				    ? USUAL
-				    : HOT;
-	if (story == STORY_CUT || story == STORY_CUT_HOT)
-		world->centre_cut = 1;
-	if (story == STORY_MOVED)
+	world->requested_part =
+		scenario == SCENARIO_NORMAL || scenario == SCENARIO_PARTITION ||
+				scenario == SCENARIO_CALLERS_MOVE
+			? NORMAL_LOAD
+			: OVERLOAD;
+	if (scenario == SCENARIO_PARTITION ||
+	    scenario == SCENARIO_PARTITION_OVERLOAD)
+		world->centre_partitioned = 1;
+	if (scenario == SCENARIO_CALLERS_MOVE)
 		world->callers = MIN(world->count, 9);
 	world_run(world, 3000);
-	if (story == STORY_DIE_OFTEN)
-		world->alone_usec = ALONE_MSEC * USEC_PER_MSEC;
-	if (story == STORY_ALL_DIE)
+	if (scenario == SCENARIO_RESTART_OFTEN)
+		world->isolated_usec = ISOLATED_MSEC * USEC_PER_MSEC;
+	if (scenario == SCENARIO_RESTART_ALL)
 		world_restart(world, 0, world->count);
-	for (uint32_t i = 0; story == STORY_DIE_OFTEN && i < 8; i++) {
+	for (uint32_t i = 0; scenario == SCENARIO_RESTART_OFTEN && i < 8; i++) {
 		world_restart(world, 0, world->count);
-		world_run(world, LIFE_MSEC);
+		world_run(world, RESTART_INTERVAL_MSEC);
 	}
-	for (uint32_t i = 0; story == STORY_ONE_DIES && i < 4; i++) {
+	for (uint32_t i = 0; scenario == SCENARIO_RESTART_ROLLING && i < 4;
+	     i++) {
 		world_restart(world, i, i + 1);
 		world_run(world, 500);
 	}
-	for (uint32_t i = 0; story == STORY_FREEZE && i < world->count; i += 3)
-		world->still_until[i] = world->now + 3 * USEC_PER_SEC;
-	world_run(world, story == STORY_CUT ? 57000 : 5000);
-	world->centre_cut = -1;
+	for (uint32_t i = 0; scenario == SCENARIO_PAUSE && i < world->count;
+	     i += 3)
+		world->paused_until[i] = world->now + 3 * USEC_PER_SEC;
+	world_run(world, scenario == SCENARIO_PARTITION ? 57000 : 5000);
+	world->centre_partitioned = -1;
 	world_run(world, 1000);
-	world->asked_part = USUAL;
+	world->requested_part = NORMAL_LOAD;
 }
 
 struct outcome {
-	double over;	/* most in a window, against the allotment */
-	double refused; /* part of what was asked */
-	double kbytes;	/* told by an instance in a second */
+	double over;	/* most admitted in a window, as a part of the allotment
+			 */
+	double refused; /* part of the requested units */
+	double kbytes;	/* sent a second by an instance */
 };
 
-static struct outcome story_run(enum limit_policy policy, uint32_t count,
-				enum story story, uint32_t seed)
+static struct outcome scenario_run(enum limit_policy policy, uint32_t count,
+				   enum scenario scenario, uint32_t seed)
 {
 	struct world *world = world_open(policy, count, seed);
 	int64_t from = world->now;
 	struct outcome outcome;
 
-	story_play(world, story);
+	scenario_play(world, scenario);
 	from += 10 * USEC_PER_SEC;
 	outcome = (struct outcome){
-		.over = world_most(world) / world_allowed(world),
-		.refused = 1.0 - world->admitted / world->asked,
+		.over = world_max_admitted(world) / world_allowed(world),
+		.refused = 1.0 - world->admitted / world->requested,
 		.kbytes = (double)world->bytes / 1000.0 / count /
 			  ((double)(world->now - from) / USEC_PER_SEC),
 	};
 	world_run(world, 10000);
-	outcome.over =
-		MAX(outcome.over, world_most(world) / world_allowed(world));
+	outcome.over = MAX(outcome.over,
+			   world_max_admitted(world) / world_allowed(world));
 	world_close(world);
 	return outcome;
 }
 
-static bool is_below(enum story story)
+static bool is_below_allotment(enum scenario scenario)
 {
-	return story == STORY_CALM || story == STORY_CUT ||
-	       story == STORY_MOVED;
+	return scenario == SCENARIO_NORMAL || scenario == SCENARIO_PARTITION ||
+	       scenario == SCENARIO_CALLERS_MOVE;
 }
 
-/* Part of the allotment that is to be used where more is asked for. What
- * instances that stand still may be using, for all that others know, is not:
- * two of five callers', for three of eight seconds. Nor is what others may let
- * through that have started too and were not met or heard yet. */
-static double least_used(enum story story)
+/* Lowest part of the allotment to be used under overload. The estimated use of
+ * paused instances is not available: that of two of five callers, for three of
+ * eight seconds. Neither is the part kept for starting peers whose use was not
+ * received yet. */
+static double least_used(enum scenario scenario)
 {
 	double window = WORLD_WINDOW_SEC * 1000.0;
-	double alone = 0.0;
+	double isolated = 0.0;
 
-	if (story == STORY_FREEZE)
+	if (scenario == SCENARIO_PAUSE)
 		return 0.9 * (1.0 - 0.4 * 3000.0 / window);
-	if (story == STORY_ALL_DIE)
-		alone = HEAR_MSEC / window;
-	if (story == STORY_DIE_OFTEN)
-		alone = (double)(ALONE_MSEC + HEAR_MSEC) / LIFE_MSEC;
-	return 0.9 * (1.0 - (1.0 - ALONE_PART) * alone);
+	if (scenario == SCENARIO_RESTART_ALL)
+		isolated = EXCHANGE_MSEC / window;
+	if (scenario == SCENARIO_RESTART_OFTEN)
+		isolated = (double)(ISOLATED_MSEC + EXCHANGE_MSEC) /
+			   RESTART_INTERVAL_MSEC;
+	return 0.9 * (1.0 - (1.0 - START_RATE_PART) * isolated);
 }
 
-static void outcome_check(enum story story, const struct outcome *outcome)
+static void outcome_check(enum scenario scenario, const struct outcome *outcome)
 {
 	double allowed = WORLD_RATE * WORLD_WINDOW_SEC + WORLD_BURST;
 
-	g_assert_cmpfloat(outcome->over, <=, OVER + SLACK / allowed);
-	if (is_below(story))
+	g_assert_cmpfloat(outcome->over, <=, OVER_MAX + SLACK / allowed);
+	if (is_below_allotment(scenario))
 		g_assert_cmpfloat(outcome->refused, <, 0.02);
 	else
-		/* And what is within the allotment is served. */
-		g_assert_cmpfloat(outcome->over, >=, least_used(story));
+		/* The allotment is used. */
+		g_assert_cmpfloat(outcome->over, >=, least_used(scenario));
 }
 
 static void count_play(uint32_t count)
 {
 	for (int policy = 0; policy < LIMIT_POLICY_COUNT; policy++)
-		for (int story = 0; story < STORY_COUNT; story++) {
-			struct outcome outcome = story_run(
-				(enum limit_policy)policy, count,
-				(enum story)story, (uint32_t)g_test_rand_int());
+		for (int scenario = 0; scenario < SCENARIO_COUNT; scenario++) {
+			struct outcome outcome =
+				scenario_run((enum limit_policy)policy, count,
+					     (enum scenario)scenario,
+					     (uint32_t)g_test_rand_int());
 
 			g_test_message(
 				"%u instances, %s, %s: %.2f of the allotment, "
 				"%.3f refused, %.2f kB/s",
 				count,
 				limit_policy_name((enum limit_policy)policy),
-				story_names[story], outcome.over,
+				scenario_names[scenario], outcome.over,
 				outcome.refused, outcome.kbytes);
 			if (policy == LIMIT_COUNTS)
-				outcome_check((enum story)story, &outcome);
+				outcome_check((enum scenario)scenario,
+					      &outcome);
 		}
 }
 
@@ -184,22 +199,22 @@
 	count_play(300);
 }
 
-/* From the version on that lowers it, the lower allotment binds; what was
- * admitted before is in no later window. */
+/* A lowered allotment applies at once. Use from before is cleared, so that it
+ * is in no later window. */
 static void test_lowered(void)
 {
 	struct world *world = world_open(LIMIT_COUNTS, 73, 1);
 
-	world->asked_part = HOT;
+	world->requested_part = OVERLOAD;
 	world_run(world, 10000);
 	world->rate_part = 0.25;
 	world_run(world, 1000);
-	g_array_set_size(world->uses, 0);
+	g_array_set_size(world->admitted_requests, 0);
 	world_run(world, 15000);
 	g_test_message("%.2f of the lower allotment",
-		       world_most(world) / world_allowed(world));
-	g_assert_cmpfloat(world_most(world), <=,
-			  world_allowed(world) * OVER + SLACK * 0.25);
+		       world_max_admitted(world) / world_allowed(world));
+	g_assert_cmpfloat(world_max_admitted(world), <=,
+			  world_allowed(world) * OVER_MAX + SLACK * 0.25);
 	world_close(world);
 }
 
