--- a/forward/node.h
+++ b/forward/node.h
@@ -36,7 +36,7 @@
 
 /* The work that is being written to the store, one at a time. */
 struct node_storing {
-	struct request_fingerprint work;
+	struct request_fingerprint fingerprint;
 	bool held; /* written, or else dropped */
 	bool under_way;
 	int64_t again_at; /* when a write that failed is repeated */
@@ -116,7 +116,8 @@
 /* Of node_quarantine.c: works under which servers ended, to and from the other
  * instances and the store. */
 struct quarantine *node_quarantine_create(const struct node *node);
-void node_quarantine_changed(void *ctx, const struct request_fingerprint *work);
+void node_quarantine_changed(void *ctx,
+			     const struct request_fingerprint *fingerprint);
 bool node_quarantine_received(void *ctx, const struct quarantine_entry *entry);
 uint32_t node_quarantine_next(void *ctx, struct quarantine_entry *entries,
 			      uint32_t most);
--- a/forward/node_quarantine.c
+++ b/forward/node_quarantine.c
@@ -43,26 +43,28 @@
 	return quarantine_create(&settings);
 }
 
-void node_quarantine_changed(void *ctx, const struct request_fingerprint *work)
+void node_quarantine_changed(void *ctx,
+			     const struct request_fingerprint *fingerprint)
 {
 	struct node *node = ctx;
 	const struct quarantine_entry *entry =
-		quarantine_find(node->quarantine, work);
+		quarantine_find(node->quarantine, fingerprint);
 
 	if (entry)
 		gossip_quarantine_changed(node->gossip, entry);
 }
 
 static void heard_log(const struct node *node, const char *from,
-		      const struct request_fingerprint *work)
+		      const struct request_fingerprint *fingerprint)
 {
 	const struct quarantine_entry *entry =
-		quarantine_find(node->quarantine, work);
+		quarantine_find(node->quarantine, fingerprint);
 
-	log_event(LOG_INFO, "work_heard", LOG_X("work", work->high),
-		  LOG_S("from", from), LOG_D("servers", entry->count),
-		  LOG_D("epoch", entry->epoch),
-		  LOG_D("held", quarantine_holds(node->quarantine, work)));
+	log_event(
+		LOG_INFO, "work_heard", LOG_X("work", fingerprint->high),
+		LOG_S("from", from), LOG_D("servers", entry->count),
+		LOG_D("epoch", entry->epoch),
+		LOG_D("held", quarantine_holds(node->quarantine, fingerprint)));
 }
 
 bool node_quarantine_received(void *ctx, const struct quarantine_entry *entry)
@@ -85,18 +87,18 @@
 
 /* ---- the store ---- */
 
-static void key_print(const struct request_fingerprint *work,
+static void key_print(const struct request_fingerprint *fingerprint,
 		      char key[KEY_SIZE])
 {
 	(void)snprintf(key, KEY_SIZE, KEY_PREFIX "%016" PRIx64 "%016" PRIx64,
-		       work->high, work->low);
+		       fingerprint->high, fingerprint->low);
 }
 
-static bool key_read(const char *key, struct request_fingerprint *work)
+static bool key_read(const char *key, struct request_fingerprint *fingerprint)
 {
 	return strlen(key) == KEY_SIZE - 1 &&
-	       sscanf(key, KEY_PREFIX "%16" SCNx64 "%16" SCNx64, &work->high,
-		      &work->low) == 2;
+	       sscanf(key, KEY_PREFIX "%16" SCNx64 "%16" SCNx64,
+		      &fingerprint->high, &fingerprint->low) == 2;
 }
 
 /* The epoch and the servers, in hexadecimal. */
