--- a/include/policy/policy.h
+++ b/include/policy/policy.h
@@ -3,16 +3,15 @@
  *
  * DESCRIPTION
  *	A policy decides for one cell (the runners of one service's prefill and
- *	decode pools in one data centre), at the instance that is home to the
- *	cell. It is called with the requests that wait, in the order that its
- *	own rank() gives, and answers for each: start now on these runners,
- *	wait, or refuse. It does no I/O and knows no time but view->now. It
- *	holds only state that may be lost. The home alone changes the tables in
- *	the view.
+ *	decode pools in one data centre), at the instance that is the cell's
+ *	home. It is called for the waiting requests in the order of its rank(),
+ *	and decides for each: start now on the given runners, wait, or refuse.
+ *	It does no I/O and uses no clock but view->now. It holds only state that
+ *	may be lost. Only the home changes the tables in the view.
  *
- *	Policies are found by name in the sorted table of policy/table.c. A swap
- *	creates the new one and destroys the old one; waiting requests stay in
- *	the queue and running ones keep their grants.
+ *	Policies are found by name in the sorted table of policy/table.c. A
+ *	change of policy creates the new one and destroys the old one; waiting
+ *	requests stay in the queue and running ones keep their grants.
  *
  *	docs/POLICY-GUIDE.md shows how to write one.
  */
@@ -36,24 +35,24 @@
 	enum pool_role role;
 	bool usable; /* live, not leaving, circuit closed */
 	bool held;   /* a request ahead in the queue waits for its memory */
-	/* What the runner last reported, and when (clock time of arrival). */
+	/* The last report of the runner, and when it arrived. */
 	int64_t reported_at;
 	uint32_t reported_pieces;	/* decode: pieces in use */
 	uint32_t reported_running;	/* requests on it */
 	uint32_t reported_waiting;	/* requests queued inside it */
 	uint64_t reported_queue_tokens; /* prefill: tokens not yet computed */
-	/* What the home has granted and not yet seen released. */
+	/* Granted by the home and not known to be released. */
 	uint32_t granted_pieces;
 	uint32_t granted_running;
 	uint32_t pieces; /* total */
 	uint32_t slots;	 /* total */
-	/* Prefill: when the work granted so far is expected to be done. */
+	/* Prefill: when the granted prefills are expected to be done. */
 	int64_t busy_until;
-	/* Link: when the transfers granted so far are expected to be done. */
+	/* Link: when the granted transfers are expected to be done. */
 	int64_t link_until;
-	/* Link: when they would be done had each begun when it was granted or
-	 * when the one before ended. The link stands idle while prompts are
-	 * computed, so this is sooner. */
+	/* Link: when they would be done if each had begun at its grant, or when
+	 * the previous one ended. This is earlier, as the link is idle while
+	 * prompts are computed. */
 	int64_t link_free;
 	double prefill_tokens_per_s; /* as observed, else as configured */
 	double decode_tokens_per_s;
@@ -82,13 +81,13 @@
 	const struct config_pool *decode_pool;
 	const struct policy_runner *runners; /* both roles */
 	uint32_t runner_count;
-	uint32_t waiting; /* requests in the queue, this one included */
-	/* Blocks of the request that the runner is believed to have cached. */
+	uint32_t waiting; /* requests in the queue, including this one */
+	/* Estimated number of the request's blocks in the runner's cache. */
 	uint32_t (*cached_blocks)(void *ctx, uint32_t runner,
 				  const struct policy_request *request);
-	/* Mean output length seen of late for a class, in tokens. */
+	/* Mean recent output length of a class, in tokens. */
 	double (*output_tokens)(void *ctx, enum request_class class);
-	/* When the n-th piece from now on decode runner is expected free. */
+	/* When so many pieces of the decode runner are expected to be free. */
 	int64_t (*pieces_free_at)(void *ctx, uint32_t runner, uint32_t pieces);
 	void *ctx;
 };
@@ -102,22 +101,22 @@
 struct placement {
 	uint32_t prefill; /* index into view->runners */
 	uint32_t decode;
-	int64_t again_at;      /* VERDICT_WAIT: ask again then, or CLOCK_NEVER:
-				  when something is released */
+	int64_t again_at;      /* VERDICT_WAIT: when to decide again, or
+				  CLOCK_NEVER: when something is released */
 	int64_t retry_after;   /* VERDICT_REFUSE: microseconds */
 	enum result_code code; /* VERDICT_REFUSE: a code that means not run */
-	bool reserve; /* count the pieces in the ledger and never overfill */
-	/* VERDICT_WAIT: the decode runner, as an index, that requests behind
-	 * this one leave alone in this pass, or RUNNER_NONE. */
+	bool reserve; /* the ledger counts the pieces and never exceeds them */
+	/* VERDICT_WAIT: index of the decode runner that later requests do not
+	 * use in this pass, or RUNNER_NONE. */
 	uint32_t hold;
 };
 
-/* A parameter that a policy knows; both ends of the range are allowed. */
+/* A parameter of a policy; min and max are allowed values. */
 struct policy_param {
 	const char *name;
 	double min;
 	double max;
-	double fallback; /* when the file does not give it */
+	double fallback; /* the default */
 	const char *help;
 };
 
@@ -129,9 +128,9 @@
 	void *(*create)(const struct config_policy *settings,
 			struct error *err);
 	void (*destroy)(void *state);
-	/* Lower goes first. It is asked for again whenever the request is
-	 * looked at: within a class it may rise with time, not fall; the heads
-	 * of the classes are compared anew at each decision. */
+	/* Lower goes first. It is called whenever the request is considered,
+	 * and the heads of the classes are compared at each decision. Within a
+	 * class a rank may rise with time but not fall. */
 	int64_t (*rank)(void *state, const struct policy_view *view,
 			const struct policy_request *request);
 	enum verdict (*place)(void *state, const struct policy_view *view,
@@ -143,11 +142,11 @@
 const struct policy_ops *policy_find(const char *name, struct error *err);
 /* All policies, sorted by name. */
 const struct policy_ops *const *policy_all(size_t *count);
-/* Whether the policy is known and takes all the parameters that are given, each
- * within its range; the error names the field of the file. */
+/* Whether the policy exists and has all the given parameters, with each value
+ * in its range. The error names the field of the file. */
 bool policy_check(const struct config_policy *settings, struct error *err);
-/* The value of one of the policy's parameters, or its default when the file
- * does not give it. */
+/* The value of a parameter of the policy, or its default when the settings do
+ * not contain it. */
 double policy_value(const struct policy_ops *ops,
 		    const struct config_policy *settings, const char *name);
 
--- a/policy/least_load.c
+++ b/policy/least_load.c
@@ -1,4 +1,4 @@
-/* The runner that last reported the least load; equal ones in turn. */
+/* Chooses the runner with the lowest reported load; ties rotate. */
 #include <glib.h>
 
 #include "place.h"
--- a/policy/prefix.c
+++ b/policy/prefix.c
@@ -1,6 +1,6 @@
-/* Prefix affinity alone: the prefill runner with the longest cached prefix, and
- * for a new prefix the one with the highest rendezvous weight, so that its next
- * requests meet it there. Decode goes by reported load. */
+/* Prefix affinity: chooses the prefill runner with the longest cached prefix.
+ * For a new prefix it is the one with the highest rendezvous weight, so that
+ * later requests find the prefix there. Decode is chosen by reported load. */
 #include <glib.h>
 
 #include "common/id.h"
--- a/policy/reserve.c
+++ b/policy/reserve.c
@@ -1,5 +1,5 @@
-/* Reserves decode memory before prefill starts, and lets a prefill start only
- * when it would run soon. docs/design/ledger.md gives the reasons. */
+/* Reserves decode memory before prefill starts, and starts a prefill only when
+ * its runner is free soon. docs/design/ledger.md gives the reasons. */
 #include <glib.h>
 #include <math.h>
 
@@ -24,10 +24,10 @@
 	{"credit_pieces", 1, 1e6, 32, "pieces of memory owed at most"},
 };
 
-/* Requests that hold a runner at once: the heads of the queues. */
+/* Requests that may hold a runner at the same time: the heads of the queues. */
 #define HOLDS_MAX 2u
 
-/* Ranks: one band after the other, by time within each. */
+/* Ranks are ordered by band, and by time within a band. */
 #define BAND ((int64_t)1 << 60)
 #define BAND_OWED (-2 * BAND)
 #define BAND_URGENT (-BAND)
@@ -35,13 +35,15 @@
 #define BAND_DEFERRABLE BAND
 
 struct reserve {
-	int64_t ahead;	/* how long before a prefill runner is free */
-	int64_t ageing; /* after this wait a deferrable may be owed memory */
-	int64_t hold;	/* after this wait a request holds a runner */
-	int64_t late;	/* a late deferrable ranks as if it came so later */
-	double share;	/* of urgent pieces that deferrable work is owed */
+	int64_t ahead;	/* a prefill starts this long before its runner is free
+			 */
+	int64_t ageing; /* wait after which a deferrable request may be owed
+			   memory */
+	int64_t hold;	/* wait after which a request holds a runner */
+	int64_t late;	/* added to the arrival of a late deferrable request */
+	double share;	/* of urgent pieces, owed to deferrable requests */
 	double credit_max;
-	double credit; /* pieces owed to deferrable work */
+	double credit; /* pieces owed to deferrable requests */
 };
 
 static int64_t ms(const struct config_policy *settings, const char *name)
@@ -106,25 +108,25 @@
 	return (int64_t)((double)bytes / (double)rate * (double)USEC_PER_SEC);
 }
 
-/* A bound from below: the whole prompt may be cached, not yet transferred. */
-static int64_t least_time(const struct policy_view *view,
-			  const struct policy_request *request)
+/* Lower bound: the whole prompt may be cached, but must be transferred. */
+static int64_t min_time(const struct policy_view *view,
+			const struct policy_request *request)
 {
 	return transfer_time(view, request);
 }
 
-static bool owed(const struct reserve *rs, const struct policy_view *view,
-		 const struct policy_request *request)
+static bool is_owed(const struct reserve *rs, const struct policy_view *view,
+		    const struct policy_request *request)
 {
 	double need = fmin(request->pieces, rs->credit_max);
 
 	return view->now - request->arrived >= rs->ageing && rs->credit >= need;
 }
 
-/* What a request takes when a prefill runner is first busy with another one
- * like it, and nothing of the prompt is cached. */
-static int64_t likely_time(const struct policy_view *view,
-			   const struct policy_request *request)
+/* Estimate for a request that waits for another one of its size at the prefill
+ * runner, and has nothing cached. */
+static int64_t expected_time(const struct policy_view *view,
+			     const struct policy_request *request)
 {
 	double rate = view->prefill_pool->prefill_tokens_per_s;
 	double prefill = rate > 0 ? request->prompt_tokens / rate : 0;
@@ -133,17 +135,17 @@
 	       transfer_time(view, request);
 }
 
-/* Under a lasting overload a queue in order of arrival serves each request too
- * late; those that can still be in time go first. */
+/* In a long overload a queue in order of arrival serves every request too late,
+ * so those that can still meet their target go first. */
 static int64_t deferrable_rank(const struct reserve *rs,
 			       const struct policy_view *view,
 			       const struct policy_request *request)
 {
 	int64_t by = request->first_token_by;
 
-	if (owed(rs, view, request))
+	if (is_owed(rs, view, request))
 		return BAND_OWED + request->arrived;
-	if (by != CLOCK_NEVER && view->now + likely_time(view, request) > by)
+	if (by != CLOCK_NEVER && view->now + expected_time(view, request) > by)
 		return BAND_DEFERRABLE + request->arrived + rs->late;
 	return BAND_DEFERRABLE + request->arrived;
 }
@@ -160,14 +162,14 @@
 		by = request->deadline;
 	if (by == CLOCK_NEVER)
 		return BAND_URGENT + request->arrived;
-	if (view->now + least_time(view, request) > by)
+	if (view->now + min_time(view, request) > by)
 		return BAND_LATE + by;
 	return BAND_URGENT + by;
 }
 
-/* Among the prefill runners that are free soon, the one that would end first:
- * a cached prefix counts as the time that it saves. When none is free soon,
- * *free_at says when the first will be. */
+/* Chooses, of the prefill runners that are free soon, the one that would finish
+ * first; a cached prefix saves its prefill time. *free_at is when the first
+ * runner is free. */
 static uint32_t choose_prefill(const struct reserve *rs,
 			       const struct policy_view *view,
 			       const struct policy_request *request,
@@ -205,8 +207,8 @@
 	return r->slots == 0 || r->granted_running < r->slots;
 }
 
-/* The decode runner with most memory left; of equals the one whose link is free
- * first. */
+/* Chooses the decode runner with the most free memory; of equal ones the one
+ * whose link is free first. */
 static uint32_t choose_decode(const struct policy_view *view,
 			      const struct policy_request *request)
 {
@@ -243,8 +245,8 @@
 	return count;
 }
 
-/* The decode runner whose memory is expected to be free first. */
-static uint32_t choose_hold(const struct policy_view *view,
+/* Chooses the decode runner whose memory is expected to be free first. */
+static uint32_t choose_held(const struct policy_view *view,
 			    const struct policy_request *request)
 {
 	uint32_t best = RUNNER_NONE;
@@ -266,12 +268,13 @@
 	return best;
 }
 
-/* How long a prefill has to wait so that its result, of whose keeping time half
- * is left for what the estimates miss, is still held when the links are free.
+/* Delay of a prefill so that its result is still kept when the links are free.
+ * Half of the time for which it is kept is reserved for errors of the
+ * estimates.
  */
-static int64_t link_wait(const struct policy_view *view,
-			 const struct policy_request *request,
-			 const struct placement *placement)
+static int64_t link_delay(const struct policy_view *view,
+			  const struct policy_request *request,
+			  const struct placement *placement)
 {
 	const struct policy_runner *p = &view->runners[placement->prefill];
 	const struct policy_runner *d = &view->runners[placement->decode];
@@ -307,18 +310,18 @@
 	}
 	if (count_held(view) >= HOLDS_MAX)
 		return VERDICT_WAIT;
-	placement->hold = choose_hold(view, request);
+	placement->hold = choose_held(view, request);
 	if (placement->hold == RUNNER_NONE)
 		placement->again_at = view->now + PLACE_RETRY_USEC;
 	return VERDICT_WAIT;
 }
 
-static void account(struct reserve *rs, const struct policy_view *view,
-		    const struct policy_request *request)
+static void credit_update(struct reserve *rs, const struct policy_view *view,
+			  const struct policy_request *request)
 {
 	if (request->class == CLASS_URGENT)
 		rs->credit += rs->share * request->pieces;
-	else if (owed(rs, view, request))
+	else if (is_owed(rs, view, request))
 		rs->credit -= request->pieces;
 	rs->credit = CLAMP(rs->credit, 0, rs->credit_max);
 }
@@ -332,20 +335,20 @@
 
 	placement->reserve = true;
 	placement->hold = RUNNER_NONE;
-	if (view->now + least_time(view, request) > request->deadline)
+	if (view->now + min_time(view, request) > request->deadline)
 		return refuse(placement, RESULT_DEADLINE, USEC_PER_SEC);
 	placement->decode = choose_decode(view, request);
 	if (placement->decode == RUNNER_NONE)
 		return wait_for_memory(rs, view, request, placement);
 	placement->prefill = choose_prefill(rs, view, request, &free_at);
 	if (placement->prefill != RUNNER_NONE) {
-		int64_t wait = link_wait(view, request, placement);
+		int64_t wait = link_delay(view, request, placement);
 
 		if (wait > 0) {
 			placement->again_at = view->now + wait;
 			return VERDICT_WAIT;
 		}
-		account(rs, view, request);
+		credit_update(rs, view, request);
 		return VERDICT_START;
 	}
 	placement->again_at = free_at == CLOCK_NEVER
--- a/policy/round_robin.c
+++ b/policy/round_robin.c
@@ -1,4 +1,4 @@
-/* Each role's runners in turn, whatever their load. */
+/* Rotates through the runners of each role, regardless of load. */
 #include <glib.h>
 
 #include "place.h"
@@ -14,8 +14,8 @@
 	return g_new0(struct round_robin, 1);
 }
 
-static uint32_t take_next(struct round_robin *rr,
-			  const struct policy_view *view, enum pool_role role)
+static uint32_t next_runner(struct round_robin *rr,
+			    const struct policy_view *view, enum pool_role role)
 {
 	uint32_t *next = &rr->next[role == POOL_DECODE];
 
@@ -35,8 +35,8 @@
 				      const struct policy_request *request,
 				      struct placement *placement)
 {
-	uint32_t prefill = take_next(state, view, POOL_PREFILL);
-	uint32_t decode = take_next(state, view, POOL_DECODE);
+	uint32_t prefill = next_runner(state, view, POOL_PREFILL);
+	uint32_t decode = next_runner(state, view, POOL_DECODE);
 
 	return place_reported(view, request, prefill, decode, placement);
 }
--- a/policy/table.c
+++ b/policy/table.c
@@ -4,7 +4,7 @@
 
 #include "policies.h"
 
-/* Sorted by name: policy_find() searches it by halves. */
+/* Sorted by name for the binary search of policy_find(). */
 static const struct policy_ops *const policies[] = {
 	&policy_least_load,  &policy_prefix,	  &policy_reserve,
 	&policy_round_robin, &policy_two_choices,
--- a/policy/two_choices.c
+++ b/policy/two_choices.c
@@ -1,4 +1,4 @@
-/* The less loaded, by report, of two runners drawn at random (Mitzenmacher,
+/* Chooses the less loaded, by report, of two random runners (Mitzenmacher,
  * "The power of two choices in randomized load balancing", IEEE TPDS 2001). */
 #include <glib.h>
 
@@ -35,8 +35,8 @@
 	g_free(tc);
 }
 
-static uint32_t nth_usable(const struct policy_view *view, enum pool_role role,
-			   uint32_t n)
+static uint32_t usable_runner(const struct policy_view *view,
+			      enum pool_role role, uint32_t n)
 {
 	for (uint32_t i = 0; i < view->runner_count; i++) {
 		if (runner_takes(&view->runners[i], role) && n-- == 0)
@@ -45,8 +45,9 @@
 	return RUNNER_NONE;
 }
 
-static uint32_t draw(struct two_choices *tc, const struct policy_view *view,
-		     enum pool_role role)
+static uint32_t choose_of_two(struct two_choices *tc,
+			      const struct policy_view *view,
+			      enum pool_role role)
 {
 	uint32_t count = 0;
 	uint32_t a, b;
@@ -54,13 +55,13 @@
 	for (uint32_t i = 0; i < view->runner_count; i++)
 		count += runner_takes(&view->runners[i], role);
 	if (count <= 1)
-		return nth_usable(view, role, 0);
+		return usable_runner(view, role, 0);
 	a = (uint32_t)g_rand_int_range(tc->rand, 0, (gint32)count);
 	b = (uint32_t)g_rand_int_range(tc->rand, 0, (gint32)count - 1);
 	if (b >= a)
 		b++;
-	a = nth_usable(view, role, a);
-	b = nth_usable(view, role, b);
+	a = usable_runner(view, role, a);
+	b = usable_runner(view, role, b);
 	return runner_reported_load(view, b, NULL) <
 			       runner_reported_load(view, a, NULL)
 		       ? b
@@ -72,8 +73,8 @@
 				      const struct policy_request *request,
 				      struct placement *placement)
 {
-	uint32_t prefill = draw(state, view, POOL_PREFILL);
-	uint32_t decode = draw(state, view, POOL_DECODE);
+	uint32_t prefill = choose_of_two(state, view, POOL_PREFILL);
+	uint32_t decode = choose_of_two(state, view, POOL_DECODE);
 
 	return place_reported(view, request, prefill, decode, placement);
 }
--- a/tests/policy/test_policy.c
+++ b/tests/policy/test_policy.c
@@ -1,4 +1,4 @@
-/* Each policy on small views: which runners it takes, and when it waits. */
+/* Each policy on small views: the chosen runners, and when it waits. */
 #include <glib.h>
 #include <string.h>
 
@@ -116,8 +116,8 @@
 	g_assert_null(policy_find(NULL, NULL));
 }
 
-/* What holds for every policy: only usable runners, waiting when there are
- * none, and a refusal past the deadline. */
+/* Every policy uses only usable runners, waits when there are none, and refuses
+ * a request past its deadline. */
 static void test_common(const void *name)
 {
 	begin(name, NULL);
@@ -157,7 +157,7 @@
 	runners[0].reported_queue_tokens = 50;
 	runners[2].reported_pieces = 3;
 	runners[3].reported_pieces = 2;
-	runners[3].granted_pieces = 8; /* not reported yet: not seen */
+	runners[3].granted_pieces = 8; /* not reported yet, so ignored */
 	for (int i = 0; i < 4; i++) {
 		g_assert_cmpint(place(), ==, VERDICT_START);
 		g_assert_cmpuint(placement.prefill, ==, 1);
@@ -254,13 +254,13 @@
 	end();
 }
 
-/* A result is kept for 400 ms: with half of that to spare, the prefill of 200
- * ms ends when the link is free. */
+/* A result is kept for 400 ms, half of it in reserve: the prefill of 200 ms is
+ * to end at most 200 ms before the link is free. */
 static void test_reserve_link(void)
 {
 	begin("reserve", NULL);
 	prefill_pool.hold_ms = 400;
-	/* Transfers that wait for their prompts leave the link free. */
+	/* Transfers that wait for their prompts do not occupy the link. */
 	runners[2].link_until = NOW + 500 * MSEC;
 	runners[2].link_free = NOW + 300 * MSEC;
 	runners[3].usable = false;
@@ -273,7 +273,8 @@
 	end();
 }
 
-/* The transfer of 2,000,000 bytes takes 20 ms: sooner is certainly missed. */
+/* The transfer of 2,000,000 bytes takes 20 ms: an earlier deadline is certainly
+ * missed. */
 static void test_reserve_deadline(void)
 {
 	begin("reserve", NULL);
@@ -312,7 +313,7 @@
 	g_assert_cmpint(aged, <, deferrable);
 	for (int i = 0; i < 11; i++)
 		g_assert_cmpint(place(), ==, VERDICT_START);
-	/* 22 pieces of urgent work: 2.2 are owed, and 2 are needed. */
+	/* 22 pieces went to urgent requests: 2.2 are owed, and 2 are needed. */
 	aged = rank_of(CLASS_DEFERRABLE, NOW - 10 * SEC, CLOCK_NEVER);
 	g_assert_cmpint(aged, <, sooner);
 	request.class = CLASS_DEFERRABLE;
@@ -323,8 +324,8 @@
 	end();
 }
 
-/* Prefill takes 200 ms, after another one, and the transfer 20: a target that
- * is nearer is likely to be missed. */
+/* The expected time is 420 ms: two prefills of 200 ms and a transfer of 20 ms.
+ * An earlier target is expected to be missed. */
 static void test_reserve_late(void)
 {
 	int64_t in_time, late, never, next;
@@ -337,7 +338,7 @@
 	g_assert_cmpint(in_time, ==, never);
 	g_assert_cmpint(in_time, <, next);
 	g_assert_cmpint(late, >, next);
-	/* Only behind those of the next ten minutes. */
+	/* It goes only behind the requests of the next ten minutes. */
 	g_assert_cmpint(
 		late, <,
 		rank_of(CLASS_DEFERRABLE, NOW + 600 * SEC, CLOCK_NEVER));
