--- a/include/coord/limit.h
+++ b/include/coord/limit.h
@@ -19,8 +19,8 @@
  *	source sends again, its actual use replaces the estimate.
  *
  *	LIMIT_DEMAND: each instance has its own bucket, with a share of the rate
- *	and burst in proportion to its share of the recent demand. No use is
- *	exchanged.
+ *	and burst in proportion to its share of the recent demand. The use of
+ *	others is not counted.
  *
  *	LIMIT_EQUAL: as LIMIT_DEMAND, with equal shares for all instances.
  *
--- a/include/coord/quarantine.h
+++ b/include/coord/quarantine.h
@@ -14,13 +14,13 @@
  *	crashed 16 to 18 of 14 servers and their restarted processes in 15 s,
  *	and cut off some three streams with each.
  *
- *	The threshold. Up to 64 requests run in an engine and
- *	all of them are lost with it, so one crash proves nothing. A caller that
- *	follows the retry rules sends a request at most twice, so an innocent
- *	request is lost at most twice; three is the least threshold that refuses
- *	none. A request that many callers send at once, such as a status page,
- *	could be lost at several servers in one moment. So no crash is recorded
- *	for a request that succeeded recently, and a suspect is cleared when it
+ *	The threshold. Up to 64 requests run in an engine and all of them are
+ *	lost with it, so one crash proves nothing. A caller that follows the
+ *	retry rules sends a request at most twice, so an innocent request is
+ *	lost at most twice; three is the least threshold that refuses none. A
+ *	request that many callers send at once, such as a status page, could be
+ *	lost at several servers in one moment. So no crash is recorded for a
+ *	request that succeeded recently, and a suspect is cleared when it
  *	succeeds, or when it arrives again at an instance where it did: an
  *	instance that has just started does not know of the success and records
  *	the crash.
@@ -34,8 +34,8 @@
  *	quarantine_merge()). In whatever order and however often they do, they
  *	converge to the same entries: a later epoch replaces an earlier one,
  *	within one epoch the servers are united, and a success begins a new
- *epoch without servers. Held requests are to be written to a store, and deleted
- *	there when they are cleared (quarantine_unstored()).
+ *	epoch without servers. Held requests are to be written to a store, and
+ *	deleted there when they are cleared (quarantine_unstored()).
  *
  *	The module has no network and no clock; all times are in microseconds of
  *	the caller's clock. Cost: one lookup a request while anything is suspect
--- a/tests/limit/limit_world.h
+++ b/tests/limit/limit_world.h
@@ -6,8 +6,8 @@
  *	URGENT_USEC while that is urgent, it sends its use to the instances of
  *	its data centre, and two of each data centre send its sum to each remote
  *	instance, as the gossip does. Messages arrive after a short delay, or
- *not at all across a partition. There are few callers, and they stay at their
- *	instances. The test checks what was admitted in sliding windows.
+ *	not at all across a partition. There are few callers, and they stay at
+ *	their instances. The test checks what was admitted in sliding windows.
  */
 #ifndef TESTS_LIMIT_WORLD_H
 #define TESTS_LIMIT_WORLD_H
--- a/tests/limit/test_limit.c
+++ b/tests/limit/test_limit.c
@@ -151,7 +151,7 @@
 	limits_destroy(limits);
 }
 
-/* Those who wait are told to come back one after the other. */
+/* Refused requests get successive retry delays, up to a maximum. */
 static void test_in_order(void)
 {
 	struct limits *limits = counts_open(false);
