--- a/coord/claim_writer.c
+++ b/coord/claim_writer.c
@@ -17,8 +17,7 @@
 struct pending_claim {
 	struct claim_writer *writer;
 	struct claim claim;
-	uint64_t
-		serial; /* distinguishes it from an earlier one of this claim */
+	uint64_t serial; /* differs for a later one of the same claim */
 	uint64_t attempt;
 	struct timer timer; /* decide_usec */
 	/* Appends that contain it and were not certainly refused. */
@@ -55,7 +54,7 @@
 	GArray *queue;	     /* struct queued */
 	GPtrArray *groups;   /* struct group, not read back yet */
 	struct claim_record record;
-	struct timer timer; /* the next append */
+	struct timer timer; /* fires at next_append */
 	int64_t next_append;
 	uint64_t sequence;
 	uint64_t serials;
--- a/tests/coord/claim_fleet.c
+++ b/tests/coord/claim_fleet.c
@@ -70,27 +70,25 @@
 
 static void view_update_arrived(void *data)
 {
-	struct view_update *view_update = data;
+	struct view_update *update = data;
 
-	if (!view_update->to->claims)
+	if (!update->to->claims)
 		return;
-	view_update->to->membership.alive[view_update->about] =
-		view_update->alive;
-	claims_member_changed(
-		view_update->to->claims,
-		&view_update->to->fleet->members[view_update->about]);
+	update->to->membership.alive[update->about] = update->alive;
+	claims_member_changed(update->to->claims,
+			      &update->to->fleet->members[update->about]);
 }
 
 static void fleet_update_views(struct fleet *fleet, uint32_t about, bool alive)
 {
 	for (uint32_t i = 0; i < FAKE_MEMBERS; i++) {
-		struct view_update *view_update = g_new0(struct view_update, 1);
+		struct view_update *update = g_new0(struct view_update, 1);
 
-		*view_update = (struct view_update){&fleet->instances[i], about,
-						    alive};
+		*update = (struct view_update){&fleet->instances[i], about,
+					       alive};
 		world_post(fleet->instances[i].node,
 			   world_draw(fleet->world, fleet->view_lag),
-			   view_update_arrived, view_update, g_free, false);
+			   view_update_arrived, update, g_free, false);
 	}
 }
 
