--- a/tests/forward/fuzz_gossip.c
+++ b/tests/forward/fuzz_gossip.c
@@ -96,7 +96,7 @@
 	}
 	for (int k = g_test_rand_int_range(0, 4); k > 0; k--) {
 		struct quarantine_entry entry = {
-			.work = {(uint64_t)k, 7},
+			.fingerprint = {(uint64_t)k, 7},
 			.epoch = 1,
 			.count = 3,
 			.servers = {5, 6, UINT64_MAX},
--- a/tests/forward/paths_world.c
+++ b/tests/forward/paths_world.c
@@ -603,7 +603,7 @@
 	const struct fingerprint_part parts[] = {
 		{"POST", 4}, {NULL, 0}, {NULL, 0}, {NULL, 0}, {NULL, 0}};
 	const struct quarantine_entry entry = {
-		.work = fingerprint_of(parts, G_N_ELEMENTS(parts)),
+		.fingerprint = fingerprint_of(parts, G_N_ELEMENTS(parts)),
 		.epoch = ++world.holds,
 		.count = 3,
 		.servers = {1, 2, 3},
