--- a/tests/forward/gossip_world.c
+++ b/tests/forward/gossip_world.c
@@ -200,7 +200,8 @@
 		entry.stored = true;
 		g_assert_cmpuint(site->stored_count, <, STORED_MOST);
 		site->stored[site->stored_count++] = entry;
-		quarantine_stored(instance->quarantine, &entry.fingerprint, true);
+		quarantine_stored(instance->quarantine, &entry.fingerprint,
+				  true);
 	}
 }
 
