--- a/coord/backpressure.c
+++ b/coord/backpressure.c
@@ -4,38 +4,38 @@
 
 #include "common/clock.h"
 
-/* Least rate, also for a limit of 0: only an answer can show that the limit has
- * ended. */
-#define LEAST_PER_SEC 0.25
+/* Lowest rate, also for a limit of 0: only the answer to a request can show
+ * that the limit has been lifted. */
+#define MIN_PER_SEC 0.25
 /* Capacity of the bucket in seconds of the limit; at least one request. */
 #define BURST_SEC 0.5
-/* Longest time until an instance that was denied asks again. */
-#define BOOKED_USEC (1 * USEC_PER_SEC)
-/* Facts are told for this long after the answer they are from. */
-#define TOLD_USEC (30 * USEC_PER_SEC)
-#define UNLISTED_USEC (60 * USEC_PER_SEC)
-/* named_at while no limit was ever named. */
+/* Longest delay until an instance that was denied retries. */
+#define RETRY_MAX_USEC (1 * USEC_PER_SEC)
+/* Facts are exported for this long after the answer that they come from. */
+#define EXPORT_USEC (30 * USEC_PER_SEC)
+#define UNKNOWN_SERVER_USEC (60 * USEC_PER_SEC)
+/* Value of signalled_at while no limit has been signalled. */
 #define NEVER (INT64_MIN / 4)
 
 struct item {
 	uint64_t server;
 	double limit;
-	int64_t named_at; /* when the answer that says so came; or NEVER */
+	int64_t signalled_at; /* when its answer arrived; or NEVER */
 	bool leaving;
-	int64_t leaving_at; /* when it said so last */
+	int64_t leaving_at; /* when it last signalled leaving */
 	int64_t backoff_until;
 	int64_t cold_until;
-	double cold_limit; /* until then */
-	bool counting;	   /* level is valid */
-	double level;	   /* tokens at level_at */
+	double cold_limit; /* until cold_until */
+	bool level_valid;
+	double level; /* tokens at level_at */
 	int64_t level_at;
-	int64_t booked; /* latest time that an instance was told to ask again */
+	int64_t last_retry_at; /* latest time given to a denied instance */
 };
 
 struct backpressure {
 	GHashTable *items; /* server to struct item */
 	uint32_t limited;
-	uint32_t turn; /* index of the fact to be told next */
+	uint32_t next_export; /* index of the next fact to export */
 };
 
 struct backpressure *backpressure_create(void)
@@ -70,7 +70,7 @@
 	item = g_new0(struct item, 1);
 	item->server = server;
 	item->limit = BACKPRESSURE_UNLIMITED;
-	item->named_at = NEVER;
+	item->signalled_at = NEVER;
 	g_hash_table_insert(table->items, &item->server, item);
 	return item;
 }
@@ -85,7 +85,7 @@
 	return now < item->cold_until;
 }
 
-/* The one that is enforced. */
+/* The limit that is enforced now. */
 static double limit_at(const struct item *item, int64_t now)
 {
 	if (!is_cold(item, now))
@@ -101,7 +101,7 @@
 
 	table->limited -= is_limited(item);
 	item->limit = limit;
-	item->named_at = at;
+	item->signalled_at = at;
 	table->limited += is_limited(item);
 	return changed;
 }
@@ -115,7 +115,7 @@
 	if (signals->limited)
 		changed = item_set(table, item, signals->limit, now);
 	else if (signals->of_request && is_limited(item) &&
-		 now - item->named_at >= BACKPRESSURE_SETTLE_USEC)
+		 now - item->signalled_at >= BACKPRESSURE_SETTLE_USEC)
 		changed = item_set(table, item, BACKPRESSURE_UNLIMITED, now);
 	return changed ? BACKPRESSURE_LIMIT : 0;
 }
@@ -141,10 +141,10 @@
 				 uint64_t server,
 				 const struct backpressure_signals *signals)
 {
-	bool says = signals->limited || signals->leaving ||
-		    signals->backoff_usec > 0;
-	struct item *item =
-		says ? item_get(table, server) : item_find(table, server);
+	bool has_signals = signals->limited || signals->leaving ||
+			   signals->backoff_usec > 0;
+	struct item *item = has_signals ? item_get(table, server)
+					: item_find(table, server);
 	unsigned int changed;
 
 	if (!item)
@@ -160,9 +160,10 @@
 unsigned int backpressure_merge(struct backpressure *table, int64_t now,
 				const struct backpressure_fact *fact)
 {
-	bool says = fact->leaving || fact->limit >= 0.0 || fact->cold_usec > 0;
-	struct item *item = says ? item_get(table, fact->server)
-				 : item_find(table, fact->server);
+	bool has_signals =
+		fact->leaving || fact->limit >= 0.0 || fact->cold_usec > 0;
+	struct item *item = has_signals ? item_get(table, fact->server)
+					: item_find(table, fact->server);
 	int64_t at = now - fact->age_usec;
 	unsigned int changed = 0;
 
@@ -174,7 +175,7 @@
 	}
 	if (fact->leaving && !item->leaving)
 		changed |= leaving_set(item, now);
-	if (at > item->named_at && item_set(table, item, fact->limit, at))
+	if (at > item->signalled_at && item_set(table, item, fact->limit, at))
 		changed |= BACKPRESSURE_LIMIT;
 	return changed;
 }
@@ -190,11 +191,11 @@
 	item->cold_limit = limit;
 }
 
-/* Whether other instances may not know it yet. */
-static bool is_told(const struct item *item, int64_t now)
+/* Whether other instances may not know the facts yet. */
+static bool is_exported(const struct item *item, int64_t now)
 {
-	return now - item->named_at < TOLD_USEC ||
-	       (item->leaving && now - item->leaving_at < TOLD_USEC);
+	return now - item->signalled_at < EXPORT_USEC ||
+	       (item->leaving && now - item->leaving_at < EXPORT_USEC);
 }
 
 static void fact_fill(const struct item *item, int64_t now,
@@ -203,27 +204,27 @@
 	*fact = (struct backpressure_fact){
 		.server = item->server,
 		.limit = item->limit,
-		.age_usec = MAX(now - item->named_at, 0),
+		.age_usec = MAX(now - item->signalled_at, 0),
 		.leaving = item->leaving,
 	};
 }
 
 uint32_t backpressure_export(struct backpressure *table, int64_t now,
-			     struct backpressure_fact *facts, uint32_t most)
+			     struct backpressure_fact *facts, uint32_t max)
 {
 	uint32_t all = g_hash_table_size(table->items);
-	uint32_t start = all > most ? table->turn % all : 0;
+	uint32_t start = all > max ? table->next_export % all : 0;
 	uint32_t count = 0;
 	uint32_t at = 0;
 	GHashTableIter iter;
 	struct item *item;
 
 	g_hash_table_iter_init(&iter, table->items);
-	while (count < most &&
+	while (count < max &&
 	       g_hash_table_iter_next(&iter, NULL, (gpointer *)&item))
-		if (at++ >= start && is_told(item, now))
+		if (at++ >= start && is_exported(item, now))
 			fact_fill(item, now, &facts[count++]);
-	table->turn = at < all ? at : 0;
+	table->next_export = at < all ? at : 0;
 	return count;
 }
 
@@ -271,33 +272,33 @@
 
 static double rate_of(const struct item *item, int64_t now)
 {
-	return MAX(limit_at(item, now), LEAST_PER_SEC);
+	return MAX(limit_at(item, now), MIN_PER_SEC);
 }
 
 static void level_advance(struct item *item, int64_t now)
 {
 	double sec = (double)(now - item->level_at) / (double)USEC_PER_SEC;
 	double rate = rate_of(item, now);
-	double most = MAX(rate * BURST_SEC, 1.0);
+	double max = MAX(rate * BURST_SEC, 1.0);
 
-	if (item->counting)
-		item->level = MIN(item->level + rate * sec, most);
-	item->counting = true;
+	if (item->level_valid)
+		item->level = MIN(item->level + rate * sec, max);
+	item->level_valid = true;
 	item->level_at = now;
 }
 
-/* Spreads those that were denied at the rate at which the bucket fills. */
-static int64_t book(struct item *item, int64_t now)
+/* Spreads the retries of denied instances at the fill rate of the bucket. */
+static int64_t retry_reserve(struct item *item, int64_t now)
 {
 	double step = (double)USEC_PER_SEC / rate_of(item, now);
 	int64_t fits = now + (int64_t)((1.0 - item->level) * step) + 1;
 
-	if (item->booked < fits)
-		item->booked = fits;
+	if (item->last_retry_at < fits)
+		item->last_retry_at = fits;
 	else
-		item->booked += (int64_t)step;
-	item->booked = MIN(item->booked, now + BOOKED_USEC);
-	return item->booked - now;
+		item->last_retry_at += (int64_t)step;
+	item->last_retry_at = MIN(item->last_retry_at, now + RETRY_MAX_USEC);
+	return item->last_retry_at - now;
 }
 
 bool backpressure_grant(struct backpressure *table, int64_t now,
@@ -312,34 +313,34 @@
 		item->level -= 1.0;
 		return true;
 	}
-	*retry_usec = book(item, now);
+	*retry_usec = retry_reserve(item, now);
 	return false;
 }
 
-/* Whether no fact about the server is valid any more. */
-static bool is_spent(const struct item *item, int64_t now)
+/* Whether all facts about the server have expired. */
+static bool is_expired(const struct item *item, int64_t now)
 {
 	return !is_limited(item) && !is_cold(item, now) && !item->leaving &&
-	       !is_told(item, now) && now >= item->backoff_until;
+	       !is_exported(item, now) && now >= item->backoff_until;
 }
 
-static bool is_old(const struct item *item, int64_t now)
+static bool is_stale(const struct item *item, int64_t now)
 {
-	return now - item->named_at >= UNLISTED_USEC &&
-	       now - item->leaving_at >= UNLISTED_USEC &&
+	return now - item->signalled_at >= UNKNOWN_SERVER_USEC &&
+	       now - item->leaving_at >= UNKNOWN_SERVER_USEC &&
 	       now >= item->backoff_until;
 }
 
 void backpressure_prune(struct backpressure *table, int64_t now,
-			backpressure_exists_fn lives, void *ctx)
+			backpressure_exists_fn exists, void *ctx)
 {
 	GHashTableIter iter;
 	struct item *item;
 
 	g_hash_table_iter_init(&iter, table->items);
 	while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&item)) {
-		if (!is_spent(item, now) &&
-		    !(is_old(item, now) && !lives(ctx, item->server)))
+		if (!is_expired(item, now) &&
+		    !(is_stale(item, now) && !exists(ctx, item->server)))
 			continue;
 		table->limited -= is_limited(item);
 		g_hash_table_iter_remove(&iter);
--- a/forward/gossip_decode.c
+++ b/forward/gossip_decode.c
@@ -98,8 +98,8 @@
 	if (!is_tuple(object, QUARANTINE_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!unsigned_read(&fields[0], UINT64_MAX, &entry->work.high) ||
-	    !unsigned_read(&fields[1], UINT64_MAX, &entry->work.low) ||
+	if (!unsigned_read(&fields[0], UINT64_MAX, &entry->fingerprint.high) ||
+	    !unsigned_read(&fields[1], UINT64_MAX, &entry->fingerprint.low) ||
 	    !unsigned_read(&fields[2], UINT32_MAX, &epoch) ||
 	    !unsigned_read(&fields[3], 1, &stored))
 		return false;
--- a/forward/node_quarantine.c
+++ b/forward/node_quarantine.c
@@ -37,7 +37,7 @@
 struct quarantine *node_quarantine_create(const struct node *node)
 {
 	const struct quarantine_settings settings = {
-		.ends = node->settings.quarantine_crashes,
+		.crash_threshold = node->settings.quarantine_crashes,
 		.held_max = HELD_MAX,
 		.suspects_max = SUSPECTS_MAX,
 	};
@@ -75,7 +75,7 @@
 
 	if (!quarantine_merge(node->quarantine, entry))
 		return false;
-	received_log(node, "peer", &entry->work);
+	received_log(node, "peer", &entry->fingerprint);
 	return true;
 }
 
@@ -142,12 +142,13 @@
 
 	if (!g_str_has_prefix(record->key, KEY_PREFIX))
 		return false;
-	if (!key_read(record->key, &entry.work) || !value_read(record, &entry))
+	if (!key_read(record->key, &entry.fingerprint) ||
+	    !value_read(record, &entry))
 		log_event(LOG_WARNING, "work_malformed",
 			  LOG_S("key", record->key),
 			  LOG_D("offset", record->offset));
 	else if (quarantine_merge(node->quarantine, &entry))
-		received_log(node, "store", &entry.work);
+		received_log(node, "store", &entry.fingerprint);
 	return true;
 }
 
@@ -180,9 +181,9 @@
 	    !node_decides(node))
 		return;
 	write->in_progress = true;
-	write->fingerprint = entry.work;
-	write->held = quarantine_holds(node->quarantine, &entry.work);
-	key_print(&entry.work, key);
+	write->fingerprint = entry.fingerprint;
+	write->held = quarantine_holds(node->quarantine, &entry.fingerprint);
+	key_print(&entry.fingerprint, key);
 	value = value_print(&entry);
 	node->interface.put(node->interface.ctx, PEER_STREAM, key,
 			    write->held ? value : NULL, on_written, node);
--- a/tests/forward/gossip_world.c
+++ b/tests/forward/gossip_world.c
@@ -199,7 +199,8 @@
 		entry.stored = true;
 		g_assert_cmpuint(site->stored_count, <, STORED_MAX);
 		site->stored[site->stored_count++] = entry;
-		quarantine_stored(instance->quarantine, &entry.work, true);
+		quarantine_stored(instance->quarantine, &entry.fingerprint,
+				  true);
 	}
 }
 
--- a/tests/forward/paths_world.c
+++ b/tests/forward/paths_world.c
@@ -435,7 +435,7 @@
 		.window_usec = 10 * USEC_PER_SEC,
 	};
 	const struct quarantine_settings quarantine = {
-		.ends = 3,
+		.crash_threshold = 3,
 		.held_max = 8,
 		.suspects_max = 8,
 	};
@@ -604,7 +604,7 @@
 	const struct fingerprint_part parts[] = {
 		{"POST", 4}, {NULL, 0}, {NULL, 0}, {NULL, 0}, {NULL, 0}};
 	const struct quarantine_entry entry = {
-		.work = fingerprint_of(parts, G_N_ELEMENTS(parts)),
+		.fingerprint = fingerprint_of(parts, G_N_ELEMENTS(parts)),
 		.epoch = ++world.holds,
 		.count = 3,
 		.servers = {1, 2, 3},
