--- a/coord/order_site.c
+++ b/coord/order_site.c
@@ -234,14 +234,14 @@
 
 	if (!runner || (waited > REPORT_TIMEOUT_USEC &&
 			now(ctl) - runner->reported_at > REPORT_TIMEOUT_USEC))
-		change_fail(ctl, "runner is unreachable");
+		change_fail(ctl, "gone");
 	else if (!has_other_usable(ctl, cell, runner->role))
-		change_fail(ctl, "last usable runner of its role");
+		change_fail(ctl, "the last of its role");
 	else if (runner->grants == 0 && runner->empty &&
 		 runner->reported_at > ctl->step_at + REPORT_LAG_USEC)
 		step_enter(ctl, STEP_ORDER);
 	else if (waited > ORDER_DRAIN_USEC)
-		change_fail(ctl, "work not finished in time");
+		change_fail(ctl, "still busy");
 }
 
 static void order_tick(struct controller *ctl)
@@ -249,7 +249,7 @@
 	if (ctl->call != CALL_NONE)
 		return;
 	if (ctl->failures >= ATTEMPTS_MAX)
-		change_fail(ctl, "engine does not answer");
+		change_fail(ctl, "no answer");
 	else
 		read_start(ctl);
 }
@@ -295,7 +295,7 @@
 		log_event(LOG_WARNING, "role_change_failed",
 			  LOG_X("cell", ctl->cell), LOG_S("runner", ctl->name),
 			  LOG_S("role", role_label(ctl->target_role)),
-			  LOG_S("reason", "runner is unreachable"));
+			  LOG_S("reason", "gone"));
 		list_end(ctl);
 	} else if (runner->role == ctl->target_role) {
 		ctl->orders->stats.changes += !ctl->asserting;
@@ -347,7 +347,7 @@
 		   now(ctl) - ctl->sent_at < REPORT_LAG_USEC) {
 		return;
 	} else if (ctl->order_attempts >= ATTEMPTS_MAX) {
-		change_fail(ctl, "engine keeps its role");
+		change_fail(ctl, "keeps its role");
 		return;
 	}
 	ctl->call = CALL_SEND_NEXT;
--- a/include/coord/ledger_level.h
+++ b/include/coord/ledger_level.h
@@ -5,8 +5,8 @@
  *	ledger_level() returns the load level of the service's cell in this data
  *	centre and sets the share of urgent requests that should leave, as last
  *	announced by the cell's home. The level is CELL_FULL with the whole
- *share if the platform's list has no runner of a role, whether or not there is
- *a home. Plain and unknown services are CELL_FREE.
+ *	share if the platform's list has no runner of a role, whether or not
+ *	there is a home. Plain and unknown services are CELL_FREE.
  */
 #ifndef COORD_LEDGER_LEVEL_H
 #define COORD_LEDGER_LEVEL_H
--- a/tests/forward/gossip_world.h
+++ b/tests/forward/gossip_world.h
@@ -1,6 +1,5 @@
 /*
- * gossip_world.h - hundreds of instances that exchange gossip, on a paused
- *clock
+ * gossip_world.h - hundreds of instances that gossip on a paused clock
  *
  * DESCRIPTION
  *	Each data centre has its own event loop, so that one can be paused. Each
