--- a/include/platform/runner.h
+++ b/include/platform/runner.h
@@ -1,11 +1,11 @@
 /*
- * runner.h - calls to backend servers as the platform's servers take them
+ * runner.h - client of the platform's backend servers
  *
  * DESCRIPTION
- *	Each call has a connection of its own, which it closes: nothing of one
- *	answer can then be taken for another's, and no call meets a connection
- *	that the server was about to close. A connection takes 1 ms; at 80 calls
- *	a second that is a thousandth of the servers' time.
+ *	Each call opens a new connection and closes it afterwards, so that the
+ *	bytes of one answer cannot be read as another's, and no call uses a
+ *	connection that the server is about to close. Connecting takes 1 ms; at
+ *	80 calls per second that is a thousandth of the servers' time.
  */
 #ifndef PLATFORM_RUNNER_H
 #define PLATFORM_RUNNER_H
@@ -14,14 +14,16 @@
 
 struct runners;
 
-/* client and clock must outlive it. */
+/* client and clock must outlive the object. */
 struct runners *runners_create(struct web_client *client,
 			       const struct clock *clock);
-/* Calls under way must have been cancelled, but for those nobody waits for. */
+/* Calls in progress must have been cancelled, except those without a callback
+ * (unreserve, free_result). */
 void runners_destroy(struct runners *runners);
 struct backend_ops runners_ops(struct runners *runners);
 
-/* "3fa09c41b7d5" out of {"handle":"3fa09c41b7d5",...}; exposed for tests. */
+/* Copies a string member of a JSON object, as "3fa09c41b7d5" from
+ * {"handle":"3fa09c41b7d5",...}. Exposed for tests. */
 bool runner_text_read(const void *body, size_t size, const char *name,
 		      char *text, size_t text_size);
 
--- a/include/platform/signals.h
+++ b/include/platform/signals.h
@@ -1,11 +1,12 @@
 /*
- * signals.h - what an answer says of the server itself, by its headers
+ * signals.h - backpressure signals in the headers of answers
  *
  * DESCRIPTION
- *	A limit is a decimal number of requests a second. Retry-After of a 503
- *	asks for a backoff, in seconds, also fractions, or as a date (RFC 9110,
- *	10.2.3), of SIGNALS_BACKOFF_MAX_USEC at most; with any other status it
- *	is for callers. Malformed values are logged and ignored.
+ *	A limit is a decimal number of requests per second. Retry-After with 503
+ *	requests a backoff, in seconds with an optional fraction or as a date
+ *	(RFC 9110, 10.2.3), capped at SIGNALS_BACKOFF_MAX_USEC; with any other
+ *	status it is meant for the caller. Malformed values are logged and
+ *	ignored.
  */
 #ifndef PLATFORM_SIGNALS_H
 #define PLATFORM_SIGNALS_H
@@ -17,14 +18,14 @@
 
 struct signals_answer {
 	int status;
-	int64_t unix_usec; /* when it came */
+	int64_t unix_usec; /* when the answer arrived */
 	const struct web_header *headers;
 	size_t count;
 };
 
 void platform_signals_read(const struct signals_answer *answer,
 			   struct backpressure_signals *signals);
-/* "8.9": a decimal number, at least 0; exposed for tests. */
+/* Reads a non-negative decimal number as "8.9"; exposed for tests. */
 bool platform_decimal_read(struct web_text text, double *number);
 
 #endif
--- a/include/platform/store.h
+++ b/include/platform/store.h
@@ -1,12 +1,11 @@
 /*
- * store.h - the platform's store: calls and records as bytes
+ * store.h - client of the platform's store
  *
  * DESCRIPTION
- *	The one client for the store. It offers the tables that the product's
- *	parts ask for: keyed streams for feeds (forward/feed.h) and the log of
- *	the coordination library (coord/log_store.h). A stream called X is the
- *	store's topic "keyed.X" for the former, "X" for the latter; all have one
- *	partition, 0. It keeps no state and repeats nothing.
+ *	Implements keyed streams for feeds (forward/feed.h) and the log of the
+ *	coordination library (coord/log_store.h). Stream X is the store's topic
+ *	"keyed.X" for the former and "X" for the latter; each topic has one
+ *	partition, 0. The client keeps no data and never retries a call.
  */
 #ifndef PLATFORM_STORE_H
 #define PLATFORM_STORE_H
@@ -17,22 +16,22 @@
 
 struct store;
 
-/* client and address must outlive it. */
+/* client and address must outlive the store. */
 struct store *store_create(struct web_client *client, const char *address);
 void store_destroy(struct store *store);
 struct feed_store store_feeds(struct store *store);
 struct log_store store_log(struct store *store);
-/* Sets or, with value NULL, drops a key of a keyed stream. */
+/* Sets a key of a keyed stream; value NULL deletes it. */
 typedef void (*store_put_fn)(void *ctx, enum result_code code);
 void store_put(struct store *store, const char *stream, const char *key,
 	       const char *value, store_put_fn fn, void *ctx);
 
-/* Records of a read's answer; exposed for tests. page->records is an array to
- * be freed with g_free(), keys are copied into it. */
+/* Decodes the answer to a read; exposed for tests. page->records also holds
+ * copies of the keys and is freed with g_free(). */
 bool store_read_keyed(const void *data, size_t size, uint64_t from,
 		      struct feed_page *page, struct error *err);
-/* Calls fn with a page of a snapshot, without the items that are none; false,
- * and fn is not called, when the answer is no page. Exposed for tests. */
+/* Calls fn with a page of a snapshot, leaving out malformed items. Returns
+ * false without calling fn if the answer is not a page. Exposed for tests. */
 bool store_read_snapshot(const void *data, size_t size, feed_page_fn fn,
 			 void *ctx);
 
--- a/tests/platform/fuzz_records.c
+++ b/tests/platform/fuzz_records.c
@@ -1,9 +1,8 @@
 /*
- * Reads bytes as each thing that the platform hands over: an entry of a server,
- * a configuration, records and a snapshot of the store. Whatever is taken for
- * an entry must be one that may be used. With clang's -fsanitize=fuzzer and
- * -DFUZZ_ENGINE this is a fuzz target; as a test it runs seeded mutations of
- * sound bytes.
+ * Decodes bytes as each kind of document of the platform: a server's entry, a
+ * configuration, and records and a snapshot of the store. An accepted entry
+ * must be usable. With clang's -fsanitize=fuzzer and -DFUZZ_ENGINE this is a
+ * fuzz target; as a test it runs seeded mutations of valid documents.
  */
 #include <glib.h>
 #include <stdint.h>
@@ -105,7 +104,7 @@
 	int status;
 
 	g_test_init(&argc, &argv, NULL);
-	/* What is malformed is logged; here it always is. */
+	/* Most input is malformed, so its warnings are not logged. */
 	log_setup(clock, "fuzz", LOG_ERR);
 	g_test_add_func("/fuzz/records", test_mutations);
 	status = g_test_run();
--- a/tests/platform/test_decode.c
+++ b/tests/platform/test_decode.c
@@ -1,4 +1,4 @@
-/* What the platform says, decoded: tables of what is taken and what refused. */
+/* Decoders of the platform's documents: tables of valid and refused input. */
 #include <glib.h>
 #include <string.h>
 
@@ -16,7 +16,7 @@
 	"{\"name\":\"r\",\"host\":\"A.example\",\"path_prefix\":\"/p/\","      \
 	"\"route_type\":\"streaming\",\"service\":\"s\"}"
 #define SERVICE "{\"name\":\"s\"}"
-/* A version with this list of organisations. */
+/* A configuration with this list of organisations. */
 #define TENANTS(list)                                                          \
 	"{\"version\":7,\"routes\":[" ROUTE "],\"services\":[" SERVICE         \
 	"],\"tenants\":" list "}"
@@ -26,7 +26,7 @@
 struct refused {
 	const char *name;
 	const char *text;
-	const char *reason; /* that the error has in it */
+	const char *reason; /* part of the error's text */
 };
 
 static const struct refused configs[] = {
@@ -62,16 +62,16 @@
 		"\"route_type\":\"idempotent\",\"service\":\"s\","
 		"\"allowed_regions\":\"north\"}",
 		SERVICE),
-	 "routes[0].allowed_regions: no list"},
+	 "routes[0].allowed_regions: not a list"},
 	{"region that is no text",
 	 CONFIG("{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/\","
 		"\"route_type\":\"idempotent\",\"service\":\"s\","
 		"\"allowed_regions\":[\"north\",7]}",
 		SERVICE),
-	 "routes[0].allowed_regions[1]: no text"},
+	 "routes[0].allowed_regions[1]: not a non-empty string"},
 	{"organisation's regions that are no list",
 	 TENANTS("[{\"name\":\"a\",\"allowed_regions\":{}}]"),
-	 "tenants[0].allowed_regions: no list"},
+	 "tenants[0].allowed_regions: not a list"},
 	{"empty split",
 	 CONFIG("{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/\","
 		"\"route_type\":\"idempotent\",\"traffic_split\":[]}",
@@ -90,32 +90,32 @@
 		SERVICE),
 	 "routes[0].max_attempts"},
 	{"service without name", CONFIG(ROUTE, "{}"), "services[0].name"},
-	{"organisations, no list", TENANTS("{}"), "tenants: no list"},
+	{"organisations, no list", TENANTS("{}"), "tenants: not a list"},
 	{"organisation without name", TENANTS("[{\"api_keys\":[\"k\"]}]"),
 	 "tenants[0].name"},
 	{"organisation twice", TENANTS("[{\"name\":\"a\"},{\"name\":\"a\"}]"),
-	 "tenants[1].name: stands twice"},
+	 "tenants[1].name: duplicate name"},
 	{"name that no header holds", TENANTS("[{\"name\":\"a\\r\\nb: c\"}]"),
 	 "tenants[0].name"},
 	{"keys, no list", TENANTS("[{\"name\":\"a\",\"api_keys\":\"k\"}]"),
-	 "tenants[0].api_keys: no list"},
+	 "tenants[0].api_keys: not a list"},
 	{"key, no text", TENANTS("[{\"name\":\"a\",\"api_keys\":[\"k\",7]}]"),
-	 "tenants[0].api_keys[1]: no text"},
+	 "tenants[0].api_keys[1]: not a non-empty string"},
 	{"key, empty", TENANTS("[{\"name\":\"a\",\"api_keys\":[\"\"]}]"),
-	 "tenants[0].api_keys[0]: no text"},
+	 "tenants[0].api_keys[0]: not a non-empty string"},
 	{"key twice, one organisation",
 	 TENANTS("[{\"name\":\"a\",\"api_keys\":[\"k\",\"k\"]}]"),
-	 "tenants[0].api_keys[1]: stands twice"},
+	 "tenants[0].api_keys[1]: duplicate key"},
 	{"key twice, two organisations",
 	 TENANTS("[{\"name\":\"a\",\"api_keys\":[\"k\"]},"
 		 "{\"name\":\"b\",\"api_keys\":[\"k\"]}]"),
-	 "tenants[1].api_keys[0]: stands twice"},
+	 "tenants[1].api_keys[0]: duplicate key"},
 	{"negative rate", TENANTS("[{\"name\":\"a\",\"rate_per_s\":-1}]"),
 	 "tenants[0].rate_per_s"},
 	{"text for a burst", TENANTS("[{\"name\":\"a\",\"burst\":\"9\"}]"),
 	 "tenants[0].burst"},
 	{"unknown unit", TENANTS("[{\"name\":\"a\",\"unit\":\"bytes\"}]"),
-	 "tenants[0].unit: not known"},
+	 "tenants[0].unit: unknown unit"},
 	{"priority, no number",
 	 TENANTS("[{\"name\":\"a\",\"priority\":\"x\"}]"),
 	 "tenants[0].priority"},
@@ -165,7 +165,7 @@
 	catalog_unref(catalog);
 }
 
-/* A kind that is not known is taken for the one that may not be repeated. */
+/* An unknown route type is decoded as one that must not be retried. */
 static void test_unknown_kind(void)
 {
 	static const char text[] =
@@ -198,7 +198,7 @@
 	 "\"1234567890123456789012345678901234567890123456789012345678901234\""
 	 "}",
 	 "entry.address"},
-	/* What another writer may have put there. */
+	/* Entries that a writer other than the server may have made. */
 	{"text for all", "\"ready\"", "line 1"},
 	{"a list for all", "[]", "entry.service"},
 	{"number for service",
@@ -303,7 +303,7 @@
 struct evacuation {
 	const char *name;
 	const char *key;
-	const char *data_centre; /* NULL: evacuates none */
+	const char *data_centre; /* NULL: not an evacuation */
 };
 
 static const struct evacuation evacuation_rows[] = {
@@ -436,13 +436,13 @@
 {
 	static const unsigned char bytes[] = {
 		0, 0, 0, 0, 0, 0,    0,	  11,	    /* end */
-		0, 0, 0, 0, 0, 0,    0,	  3,	    /* first kept */
-		0, 0, 0, 4, 1, 'k',  'v', 'w',	    /* a value */
-		0, 0, 0, 2, 1, 'k',		    /* its end */
-		0, 0, 0, 1, 0,			    /* no key: passed over */
-		0, 0, 0, 5, 3, 'k',  0,	  'x', 'v', /* a key with a NUL: too */
-		0, 0, 0, 3, 1, 0xff, 'v', /* one that is no text: too */
-		0, 0, 0, 9, 1, 'c',	  /* cut short */
+		0, 0, 0, 0, 0, 0,    0,	  3,	    /* first retained */
+		0, 0, 0, 4, 1, 'k',  'v', 'w',	    /* a value is set */
+		0, 0, 0, 2, 1, 'k',		    /* and deleted */
+		0, 0, 0, 1, 0,			    /* ignored: no key */
+		0, 0, 0, 5, 3, 'k',  0,	  'x', 'v', /* ignored: NUL in key */
+		0, 0, 0, 3, 1, 0xff, 'v',	    /* ignored: key not UTF-8 */
+		0, 0, 0, 9, 1, 'c',		    /* truncated */
 	};
 	struct feed_page page;
 	struct error err;
@@ -512,7 +512,7 @@
 	{"no JSON", "{", NULL, ""},
 };
 
-/* An item that cannot be read hides none of the others. */
+/* A malformed item must not hide the others. */
 static void test_snapshot(gconstpointer data)
 {
 	const struct snapshot_row *row = data;
@@ -527,12 +527,12 @@
 	g_string_free(seen.keys, TRUE);
 }
 
-/* ---- what an answer says of its server ---- */
+/* ---- backpressure signals ---- */
 
 struct limit_row {
 	const char *name;
 	const char *value;
-	double limit; /* below 0: none is taken */
+	double limit; /* negative: the value is ignored */
 };
 
 static const struct limit_row limit_rows[] = {
@@ -551,7 +551,7 @@
 	{"only a point", ".", -1.0},
 };
 
-/* Came at 08:49:37 of the date in the rows. */
+/* The answers arrive at 08:49:37 on the date in the rows. */
 #define CAME_UNIX_SEC INT64_C(784111777)
 
 static void signals_read(int status, const char *name, const char *value,
@@ -648,7 +648,7 @@
 
 /* ---- fuzz ---- */
 
-/* Seeded mutations of what is sound: nothing is read past its end. */
+/* Seeded mutations of valid documents must not be read past their end. */
 static void test_fuzz(void)
 {
 	static const char *const seeds[] = {
--- a/tests/platform/test_signals.c
+++ b/tests/platform/test_signals.c
@@ -1,7 +1,8 @@
 /*
- * A signal that comes while the process still reads its settings. The file is a
- * FIFO, so it is just there when the signal is sent. Before signals were held
- * back from the first line on, it ended the process by itself.
+ * A SIGTERM that arrives while the process still reads its settings must end it
+ * in an orderly way. If signals are not blocked from the first line of main()
+ * on, the default action kills the process. The settings file is a FIFO, which
+ * keeps the process reading until the signal has been sent.
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -18,7 +19,7 @@
 #define WAIT_TRIES 4000
 #define WAIT_USEC 5000
 
-/* The store is at a port where nobody listens. */
+/* Nothing listens on the store's port. */
 static const char settings[] = "name=f1\n"
 			       "data-centre=north\n"
 			       "listen=127.0.0.1:0\n"
@@ -39,7 +40,7 @@
 	return pid;
 }
 
-/* Returns once the other side has it open. */
+/* Returns when the process has opened the FIFO for reading. */
 static int fifo_open(const char *path)
 {
 	for (int i = 0; i < WAIT_TRIES; i++) {
@@ -50,7 +51,7 @@
 		g_assert_cmpint(errno, ==, ENXIO);
 		g_usleep(WAIT_USEC);
 	}
-	g_error("the settings were never opened");
+	g_error("the process did not open the settings file");
 }
 
 static int forward_end(const char *fifo, int signal)
