--- a/tests/platform/site/site.c
+++ b/tests/platform/site/site.c
@@ -1,4 +1,4 @@
-/* The stand-in site: arguments, configuration, control. */
+/* The simulated platform: arguments, configuration, control calls. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -19,7 +19,7 @@
 	return g_strdup_printf("%s%d", prefix, (int)++site->names);
 }
 
-/* Takes a hold or result out; false when it is not there any more. */
+/* Removes a reservation or result; false if it is missing or expired. */
 bool site_take(struct site *site, const char *name)
 {
 	int64_t *until = g_hash_table_lookup(site->taken, name);
@@ -203,7 +203,7 @@
 	return *(int64_t *)value < clock_now(site->clock);
 }
 
-/* How often the request "id" of the query has run. */
+/* Number of runs of the request given by the query parameter "id". */
 static int runs_of(struct site *site, const struct web_request *request)
 {
 	char id[128] = "";
@@ -212,7 +212,7 @@
 	return GPOINTER_TO_INT(g_hash_table_lookup(site->ledger.runs, id));
 }
 
-/* Tokens that ran of the organisation "of" of the query. */
+/* Tokens run for the organisation given by the query parameter "of". */
 static int units_of(struct site *site, const struct web_request *request)
 {
 	char name[128] = "";
@@ -305,8 +305,8 @@
 	}
 }
 
-/* jtsite SERVERS [EVENTS [EVENT_MSEC]]: names that begin with s (plain), p
- * (prefill) or d (decode). */
+/* jtsite SERVERS [EVENTS [EVENT_MSEC]]: SERVERS is a comma-separated list of
+ * names that begin with s (plain), p (prefill) or d (decode). */
 int main(int argc, char **argv)
 {
 	static const struct web_limits limits = {
--- a/tests/platform/site/site.h
+++ b/tests/platform/site/site.h
@@ -1,40 +1,44 @@
 /*
- * site.h - a stand-in for the users' platform: its store and its servers
+ * site.h - simulates the platform: its store and its backend servers
  *
  * DESCRIPTION
- *	One process with a store and a few backend servers on loopback. It
- *	speaks only what a forwarding process uses, and keeps a ledger of what
- *	ran, so that a test can check the promises from the servers' side.
- *	Faults are set through its control address:
+ *	One process with a store and several backend servers on loopback. It
+ *	implements only the calls that a forwarding process makes, and counts
+ *	what ran, so that a test can check the guarantees on the servers' side.
+ *	Control calls:
  *
- *
- *	POST /site/fault   {"server": "d1", "fault": NAME, "count": N}; reset
+ *	POST /site/fault   {"server": "d1", "fault": NAME, "count": N}: reset
  *			   (before the answer), error (500), busy (503, not
- *			   run), silent, cut (midway), unsigned
+ *			   run), silent, cut (in the middle of the answer),
+ *			   unsigned
  *	POST /site/state   {"server": "d1", "state": "ready"}, or "draining",
- *			   "gone", "mute" (writes no more to the store),
- *			   "again" (ready, started anew under its id)
- *	POST /site/entry   {"key": KEY, "value": TEXT, "topic": NAME}; as
- *			   another writer's; among the servers by default
+ *			   "gone", "mute" (stops writing to the store), "again"
+ *			   (ready, restarted with the same id)
+ *	POST /site/entry   {"key": KEY, "value": TEXT, "topic": NAME}: writes a
+ *			   record as another writer would; topic is
+ *			   keyed.servers by default
  *	POST /site/config  {"version": N, "timeout_ms": N, "extra": "/x/",
- *			   "tenants": [...]}; the route /open/ is public;
- *			   tenants stay as they are where none are given.
- *			   With tenants each request is to bear the name of
- *			   the one that its id begins with, up to a dot, or
- *			   none where that is "nobody"
+ *			   "tenants": [...]}; the route /open/ is public.
+ *			   Without "tenants" they do not change. With tenants
+ *			   each request must carry the name of the tenant that
+ *			   its id begins with, up to a dot, or none if that
+ *			   name is "nobody"
  *	POST /site/store   {"state": "up"}, or "down", "forget"
- *	POST /site/limit   {"server": "s1", "per_s": N}: it names that many
- *			   requests a second in its answers; none below 0
- *	POST /site/leaving {"server": "s1"}: it says in its answers that it
- *			   leaves; its entry stays as it is
- *	POST /site/backoff	   {"server": "p1", "sec": N}: it turns all
- *requests away and asks for so much rest; none at 0. Judged as if there were
- *one instance GET  /site/ledger?id=ID runs of that request; all runs, repeats,
- *what is still held, servers that ended
+ *	POST /site/limit   {"server": "s1", "per_s": N}: its answers announce a
+ *			   limit of N requests per second; none if negative
+ *	POST /site/leaving {"server": "s1"}: its answers announce that it is
+ *			   leaving; its entry does not change
+ *	POST /site/backoff {"server": "p1", "sec": N}: it refuses all requests
+ *			   and requests a backoff of N seconds; 0 ends it.
+ *			   Arrivals are checked as if there were one instance
+ *	GET  /site/ledger?id=ID
+ *			   runs of that request; totals of runs, repeats,
+ *			   outstanding reservations and results, and crashed
+ *			   servers
  *
- *	A request whose body holds ENDS_SERVER ends the server that begins to
- *	run it, with all that runs there. The server is back after half a
- *	second, at another address, in a new life.
+ *	A request whose body contains ENDS_SERVER crashes the server that begins
+ *	to run it, with all requests in progress there. The server restarts
+ *	after half a second at another address, as a new incarnation.
  */
 #ifndef TESTS_PLATFORM_SITE_H
 #define TESTS_PLATFORM_SITE_H
@@ -64,7 +68,7 @@
 	FAULT_SILENT,
 	FAULT_CUT,
 	FAULT_UNSIGNED,
-	FAULT_END, /* the server ends */
+	FAULT_END, /* the server crashes */
 	FAULT_COUNT,
 };
 
@@ -82,15 +86,15 @@
 	bool draining;
 	bool gone;
 	bool mute;
-	int64_t born; /* Unix milliseconds; small, so that logs are alike */
+	int64_t started_ms; /* small, so that logs are reproducible */
 	uint64_t beats;
 	uint32_t running;
-	double limit; /* requests a second that it names; below 0: none */
+	double limit; /* announced, requests per second; negative: none */
 	int64_t limited_at;
-	GArray *arrivals; /* int64_t, since the limit binds */
+	GArray *arrivals; /* int64_t, since the limit applies */
 	bool leaving_by_answer;
-	int64_t said_leaving_at; /* first; 0: not yet */
-	double backoff_sec;	 /* that it asks for; 0: none */
+	int64_t said_leaving_at; /* first time; 0: not yet */
+	double backoff_sec;	 /* requested; 0: none */
 	int64_t backoff_from;
 	int64_t backoff_until;
 	uint32_t backoff_arrivals;
@@ -99,24 +103,24 @@
 struct ledger {
 	GHashTable *runs; /* request id to number of runs */
 	uint32_t total;
-	uint32_t repeats;    /* runs of a request that had run */
+	uint32_t repeats;    /* runs of a request that had already run */
 	uint32_t after_gone; /* arrivals at a server long after it left */
 	uint32_t prefills;
 	uint32_t holds; /* outstanding */
 	uint32_t results;
 	uint32_t orders;
-	uint32_t ended;	     /* servers */
-	uint32_t strangers;  /* arrivals that name another organisation */
-	uint32_t secrets;    /* arrivals that bear a key */
-	uint32_t over_limit; /* arrivals beyond what a server's limit allows */
-	uint32_t after_leaving; /* arrivals long after a server said that */
+	uint32_t ended;		/* crashed servers */
+	uint32_t strangers;	/* arrivals with the wrong organisation */
+	uint32_t secrets;	/* arrivals with a caller's key */
+	uint32_t over_limit;	/* arrivals in excess of a server's limit */
+	uint32_t after_leaving; /* arrivals long after a server announced it */
 	uint32_t in_backoff;	/* arrivals at servers in backoff */
-	GHashTable *units; /* organisation to tokens that ran, as pointers */
+	GHashTable *units;	/* organisation to tokens run, as pointers */
 };
 
 struct record {
 	char *key;
-	char *value; /* NULL: dropped */
+	char *value; /* NULL: deleted */
 };
 
 struct topic {
@@ -131,13 +135,13 @@
 	struct web_server *control;
 	GPtrArray *servers;
 	GHashTable *topics;
-	GHashTable *taken; /* holds and results by name, to when they end */
+	GHashTable *taken; /* reservations and results: name to expiry */
 	struct ledger ledger;
 	uint64_t names;
 	uint64_t version;
 	int64_t timeout_msec;
 	char *extra;
-	json_t *tenants; /* NULL: callers are not told apart */
+	json_t *tenants; /* NULL: callers are not authenticated */
 	bool down;
 	int64_t event_usec;
 	uint32_t events;
@@ -148,7 +152,7 @@
 void store_serve(struct site *site);
 void store_put(struct site *site, const char *topic, const char *key,
 	       const char *value);
-/* Forgets all but the newest record of each key. */
+/* Drops all but the newest record of each key. */
 void store_forget(struct site *site);
 
 /* site_server.c */
@@ -157,14 +161,14 @@
 void server_beat(struct server *server);
 
 /* site_asks.c */
-/* Adds what the server asks for to an answer. */
+/* Adds the server's limit and leaving headers to an answer. */
 void asks_tell(struct server *server, struct web_request *request);
-/* Adds that it wants rest. */
+/* Adds a Retry-After header. */
 void asks_backoff(struct server *server, struct web_request *request);
 void asks_limit(struct server *server, double limit);
-/* A new life asks for nothing. */
+/* Resets all signals, for a new incarnation. */
 void asks_clear(struct server *server);
-/* A request has arrived. */
+/* Checks an arriving request against the announced signals. */
 void asks_judge(struct server *server);
 
 /* site.c */
--- a/tests/platform/site/site_asks.c
+++ b/tests/platform/site/site_asks.c
@@ -1,4 +1,4 @@
-/* What servers ask of those that send to them, and whether it is heeded. */
+/* Backpressure signals of the servers, and checks that senders obey them. */
 #include "site.h"
 
 #define CONTACT_USEC (3 * USEC_PER_SEC)
@@ -8,8 +8,8 @@
 #define OVER_REQUESTS 5.0
 
 #define DRAIN_USEC (2 * USEC_PER_SEC)
-/* What is on its way when a server asks for a backoff arrives within this time;
- * and so many may come later. */
+/* Requests already in transit when a server requests a backoff arrive within
+ * BACKOFF_BEGINS_USEC; BACKOFF_REQUESTS more are allowed after it. */
 #define BACKOFF_BEGINS_USEC (500 * USEC_PER_MSEC)
 #define BACKOFF_REQUESTS 2u
 
@@ -51,7 +51,7 @@
 	g_array_set_size(server->arrivals, 0);
 }
 
-/* Those of the last window that count against the limit. */
+/* Number of arrivals in the last window. */
 static guint window_count(struct server *server, int64_t now)
 {
 	while (server->arrivals->len > 0 &&
--- a/tests/platform/site/site_server.c
+++ b/tests/platform/site/site_server.c
@@ -15,13 +15,13 @@
 #define FIRST_BORN 1000
 #define BACK_USEC (500 * USEC_PER_MSEC)
 
-/* An answer on its way. */
+/* A request in progress. */
 struct run {
 	struct server *server;
 	struct web_request *request;
 	struct timer timer;
 	enum fault fault;
-	uint64_t event; /* sent last */
+	uint64_t event; /* last one sent */
 	bool stream;
 	bool started;
 };
@@ -87,8 +87,8 @@
 	run_end(ctx);
 }
 
-/* Whose name a header holds that is like the organisation's: also in other
- * spellings, which some servers take for the same. */
+/* Checks that the organisation header names the expected tenant, and counts
+ * forwarded keys. */
 static void organisation_judge(struct site *site, struct web_request *request)
 {
 	g_autofree char *id = header_copy(request, "request-id");
@@ -197,7 +197,7 @@
 	timer_start(&run->timer, site->event_usec);
 }
 
-/* Its connections go, and what ran there with them. */
+/* Crashes the server: its connections close and its requests are lost. */
 static void server_end(struct server *server)
 {
 	struct web_server *web = server->web;
@@ -250,7 +250,7 @@
 	run->fault = fault;
 	run->stream = server->stage == STAGE_DECODE;
 	run->event = after ? strtoull(after, NULL, 10) : 0;
-	/* A prompt that is read has not run. */
+	/* A prefill does not count as a run. */
 	if (server->stage != STAGE_PREFILL) {
 		run_count(server, request);
 		units_count(server->site, request);
@@ -278,7 +278,8 @@
 	web_reply(request, 200, "application/json", text, strlen(text));
 }
 
-/* What a decode run needs is there; false when it was refused. */
+/* Takes the reservation and the result that a decode run names; refuses the
+ * request and returns false if one is missing. */
 static bool needs_take(struct server *server, struct web_request *request)
 {
 	g_autofree char *source = header_copy(request, "kv-source");
--- a/tests/platform/site/site_store.c
+++ b/tests/platform/site/site_store.c
@@ -1,4 +1,4 @@
-/* The store: topics of one partition. */
+/* The simulated store: topics with one partition each. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -54,7 +54,8 @@
 	return record;
 }
 
-/* Offsets stay: what is dropped leaves a gap before the first one kept. */
+/* The remaining records get new offsets after the old end, as if appended
+ * again, so that reads at old offsets find a gap. */
 void store_forget(struct site *site)
 {
 	GHashTableIter iter;
@@ -78,7 +79,6 @@
 		topic->first += topic->records->len;
 		g_ptr_array_unref(topic->records);
 		topic->records = kept;
-		/* Kept ones get offsets anew, as if appended again. */
 	}
 }
 
