--- a/tests/platform/site/site.c
+++ b/tests/platform/site/site.c
@@ -8,7 +8,7 @@
 #include "site.h"
 
 #define PROGRAM "jtsite"
-#define BEAT_USEC (200 * USEC_PER_MSEC)
+#define HEARTBEAT_USEC (200 * USEC_PER_MSEC)
 
 static const char *const fault_names[FAULT_COUNT] = {
 	"none", "reset", "error", "busy", "silent", "cut", "unsigned", "end",
@@ -22,11 +22,11 @@
 /* Removes a reservation or result; false if it is missing or expired. */
 bool site_take(struct site *site, const char *name)
 {
-	int64_t *until = g_hash_table_lookup(site->taken, name);
-	bool good = until && *until >= clock_now(site->clock);
+	int64_t *until = g_hash_table_lookup(site->held, name);
+	bool is_valid = until && *until >= clock_now(site->clock);
 
-	g_hash_table_remove(site->taken, name);
-	return good;
+	g_hash_table_remove(site->held, name);
+	return is_valid;
 }
 
 static void route_add(json_t *routes, const struct site *site,
@@ -119,12 +119,12 @@
 	server->gone = strcmp(text_of(root, "state"), "gone") == 0;
 	server->mute = strcmp(text_of(root, "state"), "mute") == 0;
 	if (strcmp(text_of(root, "state"), "again") == 0) {
-		server->born++;
-		server->beats = 0;
-		asks_clear(server);
+		server->started_ms++;
+		server->heartbeats = 0;
+		signals_reset(server);
 	}
 	if (server->web && !server->mute)
-		server_beat(server);
+		server_heartbeat(server);
 	return true;
 }
 
@@ -133,8 +133,8 @@
 	struct server *server = server_find(site, text_of(root, "server"));
 
 	if (server)
-		asks_limit(server,
-			   json_number_value(json_object_get(root, "per_s")));
+		signals_set_limit(server, json_number_value(json_object_get(
+						  root, "per_s")));
 	return server != NULL;
 }
 
@@ -196,7 +196,7 @@
 	return true;
 }
 
-static gboolean is_over(gpointer key, gpointer value, gpointer data)
+static gboolean is_expired(gpointer key, gpointer value, gpointer data)
 {
 	const struct site *site = data;
 
@@ -221,8 +221,8 @@
 	return GPOINTER_TO_INT(g_hash_table_lookup(site->ledger.units, name));
 }
 
-static json_t *ledger_print(struct site *site,
-			    const struct web_request *request)
+static json_t *ledger_encode(struct site *site,
+			     const struct web_request *request)
 {
 	const struct ledger *ledger = &site->ledger;
 	uint32_t running = 0;
@@ -232,19 +232,19 @@
 
 		running += server->running;
 	}
-	g_hash_table_foreach_remove(site->taken, is_over, site);
+	g_hash_table_foreach_remove(site->held, is_expired, site);
 	return json_pack(
 		"{s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, "
 		"s:i, s:i, s:i, s:i}",
 		"after_leaving", (int)ledger->after_leaving, "in_backoff",
 		(int)ledger->in_backoff, "over_limit", (int)ledger->over_limit,
-		"strangers", (int)ledger->strangers, "secrets",
+		"strangers", (int)ledger->wrong_tenants, "secrets",
 		(int)ledger->secrets, "units", units_of(site, request), "of_id",
 		runs_of(site, request), "runs", (int)ledger->total, "repeats",
 		(int)ledger->repeats, "prefills", (int)ledger->prefills,
 		"orders", (int)ledger->orders, "running", (int)running, "held",
-		(int)g_hash_table_size(site->taken), "ended",
-		(int)ledger->ended);
+		(int)g_hash_table_size(site->held), "ended",
+		(int)ledger->crashed);
 }
 
 static const struct {
@@ -264,21 +264,21 @@
 	struct web_text body = web_request_body(request);
 	json_t *root =
 		json_loadb(body.data ? body.data : "", body.size, 0, NULL);
-	json_t *answer = ledger_print(site, request);
+	json_t *answer = ledger_encode(site, request);
 	char *text = json_dumps(answer, JSON_COMPACT);
-	bool good = g_str_has_prefix(path.data, "/site/ledger");
+	bool is_valid = g_str_has_prefix(path.data, "/site/ledger");
 
 	for (size_t i = 0; root && i < G_N_ELEMENTS(controls); i++)
 		if (web_text_is(path, controls[i].path))
-			good = controls[i].fn(site, root);
-	web_reply(request, good ? 200 : 400, "application/json", text,
+			is_valid = controls[i].fn(site, root);
+	web_reply(request, is_valid ? 200 : 400, "application/json", text,
 		  strlen(text));
 	free(text);
 	json_decref(answer);
 	json_decref(root);
 }
 
-static void on_beat(struct timer *timer, void *ctx)
+static void on_heartbeat(struct timer *timer, void *ctx)
 {
 	struct site *site = ctx;
 
@@ -286,9 +286,9 @@
 		struct server *server = site->servers->pdata[i];
 
 		if (server->web && !server->gone && !server->mute)
-			server_beat(server);
+			server_heartbeat(server);
 	}
-	timer_start(timer, BEAT_USEC);
+	timer_start(timer, HEARTBEAT_USEC);
 }
 
 static void servers_open(struct site *site, const char *list)
@@ -325,7 +325,7 @@
 	site.event_usec = (argc > 3 ? atoi(argv[3]) : 10) * USEC_PER_MSEC;
 	site.servers = g_ptr_array_new();
 	site.topics = g_hash_table_new(g_str_hash, g_str_equal);
-	site.taken =
+	site.held =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	site.ledger.units =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -336,8 +336,8 @@
 	store_serve(&site);
 	web_server_handle(site.control, "/site/", on_control, &site);
 	servers_open(&site, argc > 1 ? argv[1] : "s1,p1,d1");
-	timer_init(&site.beat, site.clock, on_beat, &site);
-	on_beat(&site.beat, &site);
+	timer_init(&site.heartbeat, site.clock, on_heartbeat, &site);
+	on_heartbeat(&site.heartbeat, &site);
 	site_config(&site);
 	log_event(LOG_INFO, "listening", LOG_S("role", "store"),
 		  LOG_S("address", web_server_address(site.control)));
--- a/tests/platform/site/site.h
+++ b/tests/platform/site/site.h
@@ -68,7 +68,7 @@
 	FAULT_SILENT,
 	FAULT_CUT,
 	FAULT_UNSIGNED,
-	FAULT_END, /* the server crashes */
+	FAULT_CRASH, /* the server crashes */
 	FAULT_COUNT,
 };
 
@@ -80,14 +80,14 @@
 	char *id;
 	enum stage stage;
 	struct web_server *web; /* NULL while it is down */
-	struct timer back;
+	struct timer restart;
 	enum fault fault;
 	uint32_t fault_count;
 	bool draining;
 	bool gone;
 	bool mute;
 	int64_t started_ms; /* small, so that logs are reproducible */
-	uint64_t beats;
+	uint64_t heartbeats;
 	uint32_t running;
 	double limit; /* announced, requests per second; negative: none */
 	int64_t limited_at;
@@ -109,8 +109,8 @@
 	uint32_t holds; /* outstanding */
 	uint32_t results;
 	uint32_t orders;
-	uint32_t ended;		/* crashed servers */
-	uint32_t strangers;	/* arrivals with the wrong organisation */
+	uint32_t crashed;	/* crashed servers */
+	uint32_t wrong_tenants; /* arrivals with the wrong organisation */
 	uint32_t secrets;	/* arrivals with a caller's key */
 	uint32_t over_limit;	/* arrivals in excess of a server's limit */
 	uint32_t after_leaving; /* arrivals long after a server announced it */
@@ -135,7 +135,7 @@
 	struct web_server *control;
 	GPtrArray *servers;
 	GHashTable *topics;
-	GHashTable *taken; /* reservations and results: name to expiry */
+	GHashTable *held; /* reservations and results: name to expiry */
 	struct ledger ledger;
 	uint64_t names;
 	uint64_t version;
@@ -145,7 +145,7 @@
 	bool down;
 	int64_t event_usec;
 	uint32_t events;
-	struct timer beat;
+	struct timer heartbeat;
 };
 
 /* site_store.c */
@@ -158,18 +158,18 @@
 /* site_server.c */
 struct server *server_open(struct site *site, const char *name,
 			   enum stage stage);
-void server_beat(struct server *server);
+void server_heartbeat(struct server *server);
 
 /* site_asks.c */
 /* Adds the server's limit and leaving headers to an answer. */
-void asks_tell(struct server *server, struct web_request *request);
+void signals_add_headers(struct server *server, struct web_request *request);
 /* Adds a Retry-After header. */
-void asks_backoff(struct server *server, struct web_request *request);
-void asks_limit(struct server *server, double limit);
+void signals_add_backoff(struct server *server, struct web_request *request);
+void signals_set_limit(struct server *server, double limit);
 /* Resets all signals, for a new incarnation. */
-void asks_clear(struct server *server);
+void signals_reset(struct server *server);
 /* Checks an arriving request against the announced signals. */
-void asks_judge(struct server *server);
+void signals_check(struct server *server);
 
 /* site.c */
 char *site_name(struct site *site, const char *prefix);
--- a/tests/platform/site/site_asks.c
+++ b/tests/platform/site/site_asks.c
@@ -1,11 +1,11 @@
 /* Backpressure signals of the servers, and checks that senders obey them. */
 #include "site.h"
 
-#define CONTACT_USEC (3 * USEC_PER_SEC)
+#define LIMIT_GRACE_USEC (3 * USEC_PER_SEC)
 #define WINDOW_SEC 4
 #define WINDOW_USEC (WINDOW_SEC * USEC_PER_SEC)
-#define OVER_PART 1.5
-#define OVER_REQUESTS 5.0
+#define LIMIT_TOLERANCE 1.5
+#define LIMIT_BURST 5.0
 
 #define DRAIN_USEC (2 * USEC_PER_SEC)
 /* Requests already in transit when a server requests a backoff arrive within
@@ -13,7 +13,7 @@
 #define BACKOFF_BEGINS_USEC (500 * USEC_PER_MSEC)
 #define BACKOFF_REQUESTS 2u
 
-void asks_tell(struct server *server, struct web_request *request)
+void signals_add_headers(struct server *server, struct web_request *request)
 {
 	char text[32];
 
@@ -29,7 +29,7 @@
 	}
 }
 
-void asks_backoff(struct server *server, struct web_request *request)
+void signals_add_backoff(struct server *server, struct web_request *request)
 {
 	int64_t now = clock_now(server->site->clock);
 	char text[32];
@@ -44,7 +44,7 @@
 	server->backoff_arrivals = 0;
 }
 
-void asks_limit(struct server *server, double limit)
+void signals_set_limit(struct server *server, double limit)
 {
 	server->limit = limit;
 	server->limited_at = clock_now(server->site->clock);
@@ -60,22 +60,23 @@
 	return server->arrivals->len;
 }
 
-static void limit_judge(struct server *server, int64_t now)
+static void limit_check(struct server *server, int64_t now)
 {
-	double allowed = server->limit * OVER_PART * WINDOW_SEC + OVER_REQUESTS;
+	double allowed =
+		server->limit * LIMIT_TOLERANCE * WINDOW_SEC + LIMIT_BURST;
 
-	if (server->limit < 0.0 || now - server->limited_at < CONTACT_USEC)
+	if (server->limit < 0.0 || now - server->limited_at < LIMIT_GRACE_USEC)
 		return;
 	g_array_append_val(server->arrivals, now);
 	if ((double)window_count(server, now) > allowed)
 		server->site->ledger.over_limit++;
 }
 
-void asks_judge(struct server *server)
+void signals_check(struct server *server)
 {
 	int64_t now = clock_now(server->site->clock);
 
-	limit_judge(server, now);
+	limit_check(server, now);
 	if (server->said_leaving_at != 0 &&
 	    now - server->said_leaving_at > DRAIN_USEC)
 		server->site->ledger.after_leaving++;
@@ -84,9 +85,9 @@
 		server->site->ledger.in_backoff++;
 }
 
-void asks_clear(struct server *server)
+void signals_reset(struct server *server)
 {
-	asks_limit(server, -1.0);
+	signals_set_limit(server, -1.0);
 	server->leaving_by_answer = false;
 	server->said_leaving_at = 0;
 	server->backoff_sec = 0.0;
--- a/tests/platform/site/site_server.c
+++ b/tests/platform/site/site_server.c
@@ -10,10 +10,10 @@
 
 #define PLAIN_USEC (5 * USEC_PER_MSEC)
 #define PREFILL_USEC (20 * USEC_PER_MSEC)
-#define HELD_USEC (2 * USEC_PER_SEC)
-#define RESULT_USEC (500 * USEC_PER_MSEC)
-#define FIRST_BORN 1000
-#define BACK_USEC (500 * USEC_PER_MSEC)
+#define RESERVATION_TTL_USEC (2 * USEC_PER_SEC)
+#define RESULT_TTL_USEC (500 * USEC_PER_MSEC)
+#define FIRST_STARTED_MS 1000
+#define RESTART_USEC (500 * USEC_PER_MSEC)
 
 /* A request in progress. */
 struct run {
@@ -28,7 +28,7 @@
 
 static const char *const stage_names[] = {"none", "prefill", "decode"};
 
-void server_beat(struct server *server)
+void server_heartbeat(struct server *server)
 {
 	g_autofree char *value = NULL;
 
@@ -45,8 +45,8 @@
 		server->draining ? "draining" : "ready",
 		server->stage == STAGE_PLAIN ? "" : "\"stage\":\"",
 		server->stage == STAGE_PLAIN ? "" : stage_names[server->stage],
-		server->stage == STAGE_PLAIN ? "" : "\",", server->born,
-		(int)++server->beats);
+		server->stage == STAGE_PLAIN ? "" : "\",", server->started_ms,
+		(int)++server->heartbeats);
 	store_put(server->site, "keyed.servers", server->id, value);
 }
 
@@ -70,7 +70,7 @@
 {
 	echo(request);
 	if (status != 421)
-		asks_tell(server, request);
+		signals_add_headers(server, request);
 	web_reply_header(request, "not-executed", "1");
 	web_reply(request, status, "text/plain", text, strlen(text));
 }
@@ -89,7 +89,7 @@
 
 /* Checks that the organisation header names the expected tenant, and counts
  * forwarded keys. */
-static void organisation_judge(struct site *site, struct web_request *request)
+static void organisation_check(struct site *site, struct web_request *request)
 {
 	g_autofree char *id = header_copy(request, "request-id");
 	const struct web_header *headers;
@@ -106,10 +106,11 @@
 		if (!web_text_is(headers[i].name, "tenant"))
 			continue;
 		named++;
-		site->ledger.strangers +=
+		site->ledger.wrong_tenants +=
 			!web_text_is(headers[i].value, expected);
 	}
-	site->ledger.strangers += named != (strcmp(expected, "nobody") != 0);
+	site->ledger.wrong_tenants +=
+		named != (strcmp(expected, "nobody") != 0);
 }
 
 static void units_count(struct site *site, struct web_request *request)
@@ -139,7 +140,7 @@
 static void sign(struct run *run)
 {
 	echo(run->request);
-	asks_tell(run->server, run->request);
+	signals_add_headers(run->server, run->request);
 	if (run->fault != FAULT_UNSIGNED)
 		web_reply_header(run->request, "server-signature",
 				 run->server->name);
@@ -198,15 +199,15 @@
 }
 
 /* Crashes the server: its connections close and its requests are lost. */
-static void server_end(struct server *server)
+static void server_crash(struct server *server)
 {
 	struct web_server *web = server->web;
 
 	log_event(LOG_INFO, "server_end", LOG_S("name", server->name),
-		  LOG_D("born", server->born));
-	server->site->ledger.ended++;
+		  LOG_D("born", server->started_ms));
+	server->site->ledger.crashed++;
 	server->web = NULL;
-	timer_start(&server->back, BACK_USEC);
+	timer_start(&server->restart, RESTART_USEC);
 	web_server_destroy(web);
 }
 
@@ -214,8 +215,8 @@
 {
 	struct run *run = ctx;
 
-	if (run->fault == FAULT_END) {
-		server_end(run->server);
+	if (run->fault == FAULT_CRASH) {
+		server_crash(run->server);
 		return;
 	}
 	if (run->fault == FAULT_RESET) {
@@ -268,19 +269,20 @@
 		"{\"handle\":\"%s\",\"tokens\":10,\"version\":1}", name);
 
 	g_hash_table_replace(
-		server->site->taken, g_strdup(name),
+		server->site->held, g_strdup(name),
 		g_memdup2(&(int64_t){clock_now(server->site->clock) +
-				     RESULT_USEC},
+				     RESULT_TTL_USEC},
 			  sizeof(int64_t)));
 	server->site->ledger.prefills++;
 	echo(request);
-	asks_tell(server, request);
+	signals_add_headers(server, request);
 	web_reply(request, 200, "application/json", text, strlen(text));
 }
 
 /* Takes the reservation and the result that a decode run names; refuses the
  * request and returns false if one is missing. */
-static bool needs_take(struct server *server, struct web_request *request)
+static bool decode_inputs_take(struct server *server,
+			       struct web_request *request)
 {
 	g_autofree char *source = header_copy(request, "kv-source");
 	g_autofree char *hold = header_copy(request, "hold");
@@ -297,7 +299,7 @@
 	return true;
 }
 
-static bool is_other(struct server *server, struct web_request *request)
+static bool is_other_server(struct server *server, struct web_request *request)
 {
 	struct web_text id = web_request_header(request, "expect-instance");
 
@@ -322,12 +324,12 @@
 	struct web_text stage = web_request_header(request, "stage");
 	enum fault fault;
 
-	if (is_other(server, request))
+	if (is_other_server(server, request))
 		return;
-	organisation_judge(server->site, request);
-	asks_judge(server);
+	organisation_check(server->site, request);
+	signals_check(server);
 	if (server->backoff_sec > 0.0) {
-		asks_backoff(server, request);
+		signals_add_backoff(server, request);
 		refuse(server, request, 503, "resting\n");
 		return;
 	}
@@ -346,8 +348,9 @@
 		return;
 	}
 	if (ends_server(request))
-		fault = FAULT_END;
-	if (server->stage != STAGE_DECODE || needs_take(server, request))
+		fault = FAULT_CRASH;
+	if (server->stage != STAGE_DECODE ||
+	    decode_inputs_take(server, request))
 		run_start(server, request, fault);
 }
 
@@ -357,11 +360,11 @@
 	g_autofree char *text = g_strdup_printf("{\"hold\":\"%s\"}", name);
 
 	g_hash_table_replace(
-		server->site->taken, g_strdup(name),
-		g_memdup2(
-			&(int64_t){clock_now(server->site->clock) + HELD_USEC},
-			sizeof(int64_t)));
-	asks_tell(server, request);
+		server->site->held, g_strdup(name),
+		g_memdup2(&(int64_t){clock_now(server->site->clock) +
+				     RESERVATION_TTL_USEC},
+			  sizeof(int64_t)));
+	signals_add_headers(server, request);
 	web_reply(request, 200, "application/json", text, strlen(text));
 }
 
@@ -376,7 +379,7 @@
 		server->stage = strcmp(stage, "prefill") == 0 ? STAGE_PREFILL
 							      : STAGE_DECODE;
 	json_decref(root);
-	server_beat(server);
+	server_heartbeat(server);
 	web_reply(request, 202, NULL, "", 0);
 }
 
@@ -387,7 +390,7 @@
 	g_autofree char *text = g_strndup(path.data, path.size);
 	const char *name = strrchr(text, '/');
 
-	if (is_other(server, request))
+	if (is_other_server(server, request))
 		return;
 	if (strcmp(text, "/-/hold-take") == 0) {
 		on_hold(server, request);
@@ -403,10 +406,10 @@
 {
 	struct server *server = ctx;
 
-	if (is_other(server, request))
+	if (is_other_server(server, request))
 		return;
 	web_reply_header(request, "instance-id", server->id);
-	asks_tell(server, request);
+	signals_add_headers(server, request);
 	web_reply(request, 200, "text/plain", "well\n", 5);
 }
 
@@ -430,15 +433,15 @@
 		  LOG_S("address", web_server_address(server->web)));
 }
 
-static void on_back(struct timer *timer, void *ctx)
+static void on_restart(struct timer *timer, void *ctx)
 {
 	struct server *server = ctx;
 
-	server->born++;
-	server->beats = 0;
-	asks_clear(server);
+	server->started_ms++;
+	server->heartbeats = 0;
+	signals_reset(server);
 	server_listen(server);
-	server_beat(server);
+	server_heartbeat(server);
 }
 
 struct server *server_open(struct site *site, const char *name,
@@ -450,10 +453,10 @@
 	server->name = g_strdup(name);
 	server->id = g_strdup_printf("i-%s", name);
 	server->stage = stage;
-	server->born = FIRST_BORN;
+	server->started_ms = FIRST_STARTED_MS;
 	server->limit = -1.0;
 	server->arrivals = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	timer_init(&server->back, site->clock, on_back, server);
+	timer_init(&server->restart, site->clock, on_restart, server);
 	server_listen(server);
 	return server;
 }
--- a/tests/platform/site/site_store.c
+++ b/tests/platform/site/site_store.c
@@ -126,7 +126,7 @@
 	}
 }
 
-static void record_print(GByteArray *out, const struct record *record)
+static void record_encode(GByteArray *out, const struct record *record)
 {
 	size_t key = record->key ? strlen(record->key) : 0;
 	size_t value = record->value ? strlen(record->value) : 0;
@@ -162,7 +162,7 @@
 	number_add(out, end, 8);
 	number_add(out, topic->first, 8);
 	for (uint64_t at = from; at < end; at++)
-		record_print(out, topic->records->pdata[at - topic->first]);
+		record_encode(out, topic->records->pdata[at - topic->first]);
 	web_reply(request, 200, "application/octet-stream", out->data,
 		  out->len);
 }
