--- a/tests/platform/fuzz_records.c
+++ b/tests/platform/fuzz_records.c
@@ -60,7 +60,7 @@
 
 #define MUTATIONS 30000
 
-static const char *const sound[] = {
+static const char *const valid_documents[] = {
 	"{\"service\":\"s\",\"address\":\"1.2.3.4:5\",\"zone\":\"z\","
 	"\"slots\":12,\"state\":\"ready\",\"stage\":\"decode\","
 	"\"born\":1764700000123,\"sequence\":4,\"version\":\"v1\","
@@ -84,12 +84,13 @@
 static void test_mutations(void)
 {
 	for (int i = 0; i < MUTATIONS; i++) {
-		size_t at = (size_t)i % G_N_ELEMENTS(sound);
-		size_t size =
-			at + 1 == G_N_ELEMENTS(sound) ? 30 : strlen(sound[at]);
+		size_t at = (size_t)i % G_N_ELEMENTS(valid_documents);
+		size_t size = at + 1 == G_N_ELEMENTS(valid_documents)
+				      ? 30
+				      : strlen(valid_documents[at]);
 		GByteArray *bytes = g_byte_array_new();
 
-		g_byte_array_append(bytes, (const guint8 *)sound[at],
+		g_byte_array_append(bytes, (const guint8 *)valid_documents[at],
 				    (guint)size);
 		LLVMFuzzerTestOneInput(bytes->data, bytes->len);
 		bytes_mutate(bytes, 4);
--- a/tests/platform/test_decode.c
+++ b/tests/platform/test_decode.c
@@ -199,25 +199,26 @@
 	 "}",
 	 "entry.address"},
 	/* Entries that a writer other than the server may have made. */
-	{"text for all", "\"ready\"", "line 1"},
-	{"a list for all", "[]", "entry.service"},
+	{"entry is a string", "\"ready\"", "line 1"},
+	{"entry is a list", "[]", "entry.service"},
 	{"number for service",
 	 "{\"service\":7,\"state\":\"ready\",\"zone\":\"z\","
 	 "\"address\":\"1.2.3.4:5\",\"slots\":8}",
 	 "entry.service"},
-	{"state of another name", ENTRY("ready2", "8", ""), "entry.state"},
+	{"unknown state", ENTRY("ready2", "8", ""), "entry.state"},
 	{"slots as text", ENTRY("ready", "\"8\"", ""), "entry.slots"},
 	{"no slots", ENTRY("ready", "null", ""), "entry.slots"},
 	{"slots of 0", ENTRY("ready", "0", ""), "entry.slots"},
-	{"part of a slot", ENTRY("ready", "1.5", ""), "entry.slots"},
-	{"stage of another name", ENTRY("ready", "8", ",\"stage\":\"embed\""),
+	{"fraction of a slot", ENTRY("ready", "1.5", ""), "entry.slots"},
+	{"unknown stage", ENTRY("ready", "8", ",\"stage\":\"embed\""),
 	 "entry.stage"},
 	{"stage of another type", ENTRY("ready", "8", ",\"stage\":1"),
 	 "entry.stage"},
 	{"born as text", ENTRY("ready", "8", ",\"born\":\"17\""), "entry.born"},
-	{"born as a part", ENTRY("ready", "8", ",\"born\":17.5"), "entry.born"},
-	{"born never", ENTRY("ready", "8", ",\"born\":null"), "entry.born"},
-	{"born before all", ENTRY("ready", "8", ",\"born\":-1"), "entry.born"},
+	{"born as a fraction", ENTRY("ready", "8", ",\"born\":17.5"),
+	 "entry.born"},
+	{"born null", ENTRY("ready", "8", ",\"born\":null"), "entry.born"},
+	{"born negative", ENTRY("ready", "8", ",\"born\":-1"), "entry.born"},
 	{"count as text", ENTRY("ready", "8", ",\"sequence\":\"4\""),
 	 "entry.sequence"},
 	{"version of another type", ENTRY("ready", "8", ",\"version\":[]"),
@@ -536,23 +537,23 @@
 };
 
 static const struct limit_row limit_rows[] = {
-	{"whole", "5", 5.0},
+	{"integer", "5", 5.0},
 	{"decimal", "8.9", 8.9},
-	{"none at all", "0", 0.0},
+	{"zero", "0", 0.0},
 	{"empty", "", -1.0},
 	{"negative", "-1", -1.0},
 	{"no number", "many", -1.0},
 	{"exponent", "1e3", -1.0},
 	{"not a number", "nan", -1.0},
-	{"endless", "inf", -1.0},
-	{"two points", "1.2.3", -1.0},
+	{"infinite", "inf", -1.0},
+	{"two decimal points", "1.2.3", -1.0},
 	{"unit", "5/s", -1.0},
 	{"huge", "99999999999999999999999999999999", -1.0},
-	{"only a point", ".", -1.0},
+	{"only a decimal point", ".", -1.0},
 };
 
 /* The answers arrive at 08:49:37 on the date in the rows. */
-#define CAME_UNIX_SEC INT64_C(784111777)
+#define ARRIVED_UNIX_SEC INT64_C(784111777)
 
 static void signals_read(int status, const char *name, const char *value,
 			 struct backpressure_signals *signals)
@@ -563,7 +564,7 @@
 	};
 	const struct signals_answer answer = {
 		.status = status,
-		.unix_usec = CAME_UNIX_SEC * USEC_PER_SEC,
+		.unix_usec = ARRIVED_UNIX_SEC * USEC_PER_SEC,
 		.headers = headers,
 		.count = G_N_ELEMENTS(headers),
 	};
@@ -584,20 +585,21 @@
 	g_assert_cmpint(signals.backoff_usec, ==, 0);
 }
 
-struct rest_row {
+struct backoff_row {
 	const char *name;
 	int status;
 	const char *value;
 	int64_t msec;
 };
 
-static const struct rest_row rest_rows[] = {
+static const struct backoff_row backoff_rows[] = {
 	{"seconds", 503, "3", 3000},
-	{"parts", 503, "0.25", 250},
+	{"fraction", 503, "0.25", 250},
 	{"nothing", 503, "0", 0},
 	{"date", 503, "Sun, 06 Nov 1994 08:49:41 GMT", 4000},
-	{"date gone by", 503, "Sun, 06 Nov 1994 08:49:30 GMT", 0},
-	{"date far off", 503, "Sun, 06 Nov 2094 08:49:37 GMT", 300000},
+	{"date in the past", 503, "Sun, 06 Nov 1994 08:49:30 GMT", 0},
+	{"date far in the future", 503, "Sun, 06 Nov 2094 08:49:37 GMT",
+	 300000},
 	{"no date", 503, "Sun, 06 Nov 1994", 0},
 	{"other zone", 503, "Sun, 06 Nov 1994 08:49:41 CET", 0},
 	{"huge", 503, "99999999999", 300000},
@@ -609,9 +611,9 @@
 	{"after a success", 200, "3", 0},
 };
 
-static void test_rest(const void *data)
+static void test_backoff(const void *data)
 {
-	const struct rest_row *row = data;
+	const struct backoff_row *row = data;
 	struct backpressure_signals signals;
 
 	signals_read(row->status, "retry-after", row->value, &signals);
@@ -694,7 +696,7 @@
 	ROWS_ADD("/platform/evacuation/", evacuation_rows, test_evacuation);
 	ROWS_ADD("/platform/tokens/", token_rows, test_tokens);
 	ROWS_ADD("/platform/limit/", limit_rows, test_limit);
-	ROWS_ADD("/platform/rest/", rest_rows, test_rest);
+	ROWS_ADD("/platform/backoff/", backoff_rows, test_backoff);
 	g_test_add_func("/platform/leaving", test_leaving);
 	g_test_add_func("/platform/cold", test_cold);
 	g_test_add_func("/platform/regions", test_regions);
--- a/tests/platform/test_signals.c
+++ b/tests/platform/test_signals.c
@@ -54,7 +54,7 @@
 	g_error("the process did not open the settings file");
 }
 
-static int forward_end(const char *fifo, int signal)
+static int forward_signal(const char *fifo, int signal)
 {
 	pid_t pid = forward_spawn(fifo);
 	int fd = fifo_open(fifo);
@@ -76,7 +76,7 @@
 	int status;
 
 	g_assert_cmpint(mkfifo(fifo, 0600), ==, 0);
-	status = forward_end(fifo, SIGTERM);
+	status = forward_signal(fifo, SIGTERM);
 	g_assert_true(WIFEXITED(status));
 	g_assert_cmpint(WEXITSTATUS(status), ==, 0);
 	g_unlink(fifo);
