--- a/tests/platform/fuzz_records.c
+++ b/tests/platform/fuzz_records.c
@@ -1,9 +1,8 @@
 /*
- * Reads bytes as each thing that the platform hands over: an entry of a server,
- * a configuration, records and a snapshot of the store. Whatever is taken for
- * an entry must be one that may be used. With clang's -fsanitize=fuzzer and
- * -DFUZZ_ENGINE this is a fuzz target; as a test it runs seeded mutations of
- * sound bytes.
+ * Decodes bytes as each kind of document of the platform: a server's entry, a
+ * configuration, and records and a snapshot of the store. An accepted entry
+ * must be usable. With clang's -fsanitize=fuzzer and -DFUZZ_ENGINE this is a
+ * fuzz target; as a test it runs seeded mutations of valid documents.
  */
 #include <glib.h>
 #include <stdint.h>
@@ -61,7 +60,7 @@
 
 #define MUTATIONS 30000
 
-static const char *const sound[] = {
+static const char *const valid_documents[] = {
 	"{\"service\":\"s\",\"address\":\"1.2.3.4:5\",\"zone\":\"z\","
 	"\"slots\":12,\"state\":\"ready\",\"stage\":\"decode\","
 	"\"born\":1764700000123,\"sequence\":4,\"version\":\"v1\","
@@ -85,12 +84,13 @@
 static void test_mutations(void)
 {
 	for (int i = 0; i < MUTATIONS; i++) {
-		size_t at = (size_t)i % G_N_ELEMENTS(sound);
-		size_t size =
-			at + 1 == G_N_ELEMENTS(sound) ? 30 : strlen(sound[at]);
+		size_t at = (size_t)i % G_N_ELEMENTS(valid_documents);
+		size_t size = at + 1 == G_N_ELEMENTS(valid_documents)
+				      ? 30
+				      : strlen(valid_documents[at]);
 		GByteArray *bytes = g_byte_array_new();
 
-		g_byte_array_append(bytes, (const guint8 *)sound[at],
+		g_byte_array_append(bytes, (const guint8 *)valid_documents[at],
 				    (guint)size);
 		LLVMFuzzerTestOneInput(bytes->data, bytes->len);
 		bytes_mutate(bytes, 4);
@@ -105,7 +105,7 @@
 	int status;
 
 	g_test_init(&argc, &argv, NULL);
-	/* What is malformed is logged; here it always is. */
+	/* Most input is malformed, so its warnings are not logged. */
 	log_setup(clock, "fuzz", LOG_ERR);
 	g_test_add_func("/fuzz/records", test_mutations);
 	status = g_test_run();
--- a/tests/platform/site/site_store.c
+++ b/tests/platform/site/site_store.c
@@ -1,4 +1,4 @@
-/* The store: topics of one partition. */
+/* The simulated store: topics with one partition each. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -54,7 +54,8 @@
 	return record;
 }
 
-/* Offsets stay: what is dropped leaves a gap before the first one kept. */
+/* The remaining records get new offsets after the old end, as if appended
+ * again, so that reads at old offsets find a gap. */
 void store_forget(struct site *site)
 {
 	GHashTableIter iter;
@@ -78,7 +79,6 @@
 		topic->first += topic->records->len;
 		g_ptr_array_unref(topic->records);
 		topic->records = kept;
-		/* Kept ones get offsets anew, as if appended again. */
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 }
 
-static void record_print(GByteArray *out, const struct record *record)
+static void record_encode(GByteArray *out, const struct record *record)
 {
 	size_t key = record->key ? strlen(record->key) : 0;
 	size_t value = record->value ? strlen(record->value) : 0;
@@ -162,7 +162,7 @@
 	number_add(out, end, 8);
 	number_add(out, topic->first, 8);
 	for (uint64_t at = from; at < end; at++)
-		record_print(out, topic->records->pdata[at - topic->first]);
+		record_encode(out, topic->records->pdata[at - topic->first]);
 	web_reply(request, 200, "application/octet-stream", out->data,
 		  out->len);
 }
