--- a/entry/answer.c
+++ b/entry/answer.c
@@ -1,4 +1,4 @@
-/* The forms that answers take towards callers. */
+/* Formats answers to callers: JSON, server-sent events, plain HTTP. */
 #include <glib.h>
 #include <stdio.h>
 #include <string.h>
@@ -69,7 +69,7 @@
 	json_text_append(out, request->model, strlen(request->model));
 }
 
-/* One server-sent event; text NULL is the last one, with the reason. */
+/* One server-sent event; text NULL: the last one, with finish_reason. */
 static void event_print(GString *out, const struct request *request,
 			const char *text, size_t size)
 {
--- a/entry/cancel.c
+++ b/entry/cancel.c
@@ -1,4 +1,4 @@
-/* Cancellation of engine streams, repeated until it is confirmed. */
+/* Cancels engine streams, with retries until the engine confirms. */
 #include <glib.h>
 #include <string.h>
 
--- a/entry/prompt.c
+++ b/entry/prompt.c
@@ -36,7 +36,7 @@
 	return true;
 }
 
-/* "@N ": the number of tokens that the prompt stands for. */
+/* "@N ": a synthetic prompt of N tokens. */
 static bool synthetic_read(const char *text, size_t size, uint32_t *tokens)
 {
 	size_t start;
@@ -64,7 +64,7 @@
 	}
 }
 
-/* "WORD~P": the shared tokens, and the word that names them. */
+/* "WORD~P": the number of shared tokens, and the hash of the word. */
 static uint32_t shared_read(const char *text, size_t size, uint64_t *group)
 {
 	const char *mark;
--- a/entry/request.c
+++ b/entry/request.c
@@ -1,4 +1,4 @@
-/* The life of a request and of the replies attached to it. */
+/* Creation, completion and release of requests and of their replies. */
 #include "entry/request.h"
 
 #include <string.h>
@@ -121,7 +121,7 @@
 	requests_settled(requests);
 }
 
-/* The next reply, detached: answer it, then free it. */
+/* Detaches the next reply; the caller answers it and frees it. */
 static struct reply *reply_take(struct request *request)
 {
 	GList *link = g_queue_pop_head_link(&request->replies);
@@ -174,7 +174,7 @@
 	g_free(reply);
 }
 
-/* Nobody waits for the answer any more: stop the work, free its memory. */
+/* The last caller has disconnected: cancels the request and frees it. */
 static void request_abandon(struct request *request)
 {
 	log_event(LOG_INFO, "caller_gone", LOG_X("request", request->id),
--- a/entry/request_forward.c
+++ b/entry/request_forward.c
@@ -1,7 +1,7 @@
 /*
- * Sending a request to another data centre as it came, and relaying the
- * answer. Done when the own cell is full and another is not, and when the key
- * is known to run there. A forwarded request is never forwarded again.
+ * Forwards a request to another data centre and relays the answer: when the
+ * local cell is full and another is not, or when the key was run there. A
+ * forwarded request is never forwarded again.
  */
 #include <stdio.h>
 #include <string.h>
@@ -11,7 +11,7 @@
 #include "entry/request.h"
 
 #define FORWARD_HEAD_USEC (120 * USEC_PER_SEC)
-/* Instances of the other data centre that are tried. */
+/* Instances of the remote data centre. */
 #define FORWARD_TRIES 3u
 
 static struct web_text text_of(const char *text)
@@ -19,7 +19,8 @@
 	return (struct web_text){.data = text, .size = strlen(text)};
 }
 
-/* All but those of one connection, the deadline anew, and our own mark. */
+/* Copies the caller's headers without hop-by-hop headers, and sets the time
+ * left to the deadline and jt-forwarded. */
 static size_t headers_make(const struct request *request,
 			   const struct web_request *web, const char *deadline,
 			   struct web_header *out)
@@ -132,8 +133,8 @@
 	return forward_send(request, data_centre);
 }
 
-/* A share of urgent work goes elsewhere when the own cell makes it wait and
- * another does not; any work goes when the own cell can serve none. */
+/* Redirects a share of urgent requests when they would wait in the local cell
+ * but not in another; redirects any request when the local cell is full. */
 bool request_spill(struct request *request, bool refused)
 {
 	struct entry *entry = request->entry;
--- a/entry/request_join.c
+++ b/entry/request_join.c
@@ -1,7 +1,7 @@
 /*
- * Repeated keys. A repeat is attached to the running request or answered from
- * the kept answer when this instance has it; else its answer is fetched from
- * the instance that has; when that one died, its stream is taken over.
+ * Repeated keys. If this instance has the request, the repeat attaches to it or
+ * gets the kept answer. Otherwise the answer is fetched from the instance that
+ * has the request; if that instance is dead, its stream is taken over.
  */
 #include <stdio.h>
 #include <string.h>
@@ -18,7 +18,7 @@
 		     "the key was used before with another request");
 }
 
-/* Moves the replies of a repeat to the request that has the answer. */
+/* Moves the replies of a repeat to the first request with the key. */
 static void replies_move(struct request *from, struct request *to)
 {
 	while (from->replies.head) {
@@ -99,8 +99,9 @@
 }
 
 /*
- * No answer came. The other data centre may have run it: only an idempotent
- * request, or one that was never sent, is tried again, there and then here.
+ * No answer arrived. A forwarded request may have run there, so it is retried
+ * only if it is idempotent or was never sent: at the other instances there, and
+ * then here.
  */
 static void join_failed(struct request *request,
 			const struct web_result *result)
@@ -111,7 +112,7 @@
 			     "the data centre that took it does not answer");
 		return;
 	}
-	/* The live winner of the claim has no answer and will have none. */
+	/* The live holder of the claim has no answer and will not get one. */
 	if (request->claim_lost && request->status == 404) {
 		request_fail(request, RESULT_ALREADY_CLAIMED, 0,
 			     "a request with this key was claimed before");
@@ -186,7 +187,7 @@
 	request->web_call = NULL;
 }
 
-/* The instance that ran the request is gone. */
+/* The instance that ran the request is dead: takes over its stream. */
 static void owner_gone(struct request *request,
 		       const struct ledger_duplicate *duplicate)
 {
@@ -205,8 +206,8 @@
 	ledger_adopt(request->entry->ledger, request->id);
 }
 
-/* Its key was run in another data centre; when that cannot be reached, this one
- * serves what it can. */
+/* The key was run in another data centre. If that one is unreachable, the
+ * request is resubmitted here, marked as forwarded. */
 static void key_elsewhere(struct request *request, const char *data_centre)
 {
 	if (request_forward(request, data_centre))
--- a/entry/request_model.c
+++ b/entry/request_model.c
@@ -1,7 +1,7 @@
 /*
- * The path of a request for a model: prefill, transfer, decode, and what is
- * done when a step fails. A stream that broke is resumed at its offset; only
- * when it is gone are other runners asked for and the prefill repeated.
+ * Requests for a model: prefill, transfer, decode, and recovery when a step
+ * fails. A broken stream is resumed at its offset; new runners are requested
+ * and the prefill repeated only when the stream no longer exists.
  */
 #include <string.h>
 
@@ -49,7 +49,7 @@
 	};
 }
 
-/* The prefill's result will not be used any more. */
+/* Frees the unused result of the prefill and counts its tokens as wasted. */
 static void prefill_waste(struct request *request)
 {
 	const struct backend *runner =
@@ -70,7 +70,7 @@
 	request->call = NULL;
 }
 
-/* Asks for other runners. The former stream, if any, is ended first. */
+/* Requests new runners. The home ends the previous attempt's stream, if any. */
 void model_again(struct request *request)
 {
 	if (request->call)
@@ -83,7 +83,7 @@
 		     request->tokens);
 }
 
-/* An attempt failed: another one, unless there is no point in it. */
+/* Retries a failed attempt, unless urgent attempts or the deadline ran out. */
 static void model_retry(struct request *request, enum result_code code,
 			const char *text)
 {
@@ -136,7 +136,7 @@
 	model_resume_try(request);
 }
 
-/* The stream broke but may live: take it up where it stopped. */
+/* The connection to the stream broke: resumes at the next offset. */
 static void model_broke(struct request *request, const char *text)
 {
 	struct requests *requests = request->entry->requests;
@@ -259,7 +259,7 @@
 	request_destroy(request);
 }
 
-/* The transfer failed: again while the source still holds the result. */
+/* Retries a failed transfer while the source still holds the KV cache. */
 static void transfer_failed(struct request *request, enum result_code code,
 			    const char *text)
 {
@@ -321,7 +321,7 @@
 	return a;
 }
 
-/* How long a transfer may take before it is given up as stalled. */
+/* Time after which a transfer counts as stalled. */
 static int64_t transfer_limit(const struct request *request)
 {
 	const struct config *config = request->entry->config;
@@ -379,7 +379,7 @@
 				       &model_ops, request);
 }
 
-/* A transfer that stalled, a pause before a resume, or no stream's name. */
+/* Stalled transfer, backoff before a resume, or timeout of a cancellation. */
 void model_timer(struct request *request)
 {
 	switch (request->state) {
@@ -429,7 +429,8 @@
 			      request->stream, stream_cancelled, request);
 		return;
 	}
-	/* Memory may be reserved under a name that is still on its way. */
+	/* The engine may have reserved memory for a stream whose name has not
+	 * arrived yet. */
 	if (state == REQUEST_TRANSFER && request->call) {
 		timer_start(&request->timer, STREAM_NAME_USEC);
 		return;
--- a/entry/request_parse.c
+++ b/entry/request_parse.c
@@ -1,4 +1,4 @@
-/* Reading what callers send: headers, and the body of a call to a model. */
+/* Parsing of callers' headers, and of the body of a model request. */
 #include <jansson.h>
 #include <stdlib.h>
 #include <string.h>
--- a/entry/request_plain.c
+++ b/entry/request_plain.c
@@ -1,7 +1,7 @@
 /*
- * The path of a request for a plain service: method, headers, status and body
- * are passed on intact. A call is repeated only when the request is idempotent
- * or when it is known that nothing was run.
+ * Requests for a plain service: method, headers, status and body are passed
+ * through, without hop-by-hop and jt-* headers. A call is retried only when the
+ * request is idempotent or certainly did not run.
  */
 #include <stdio.h>
 #include <string.h>
@@ -59,7 +59,7 @@
 	       web_text_is(header->value, value);
 }
 
-/* A refusal that says the call was not run. */
+/* A refusal by a server that states that the call did not run. */
 static bool says_not_run(int status, const struct web_header *headers,
 			 size_t count)
 {
@@ -103,7 +103,7 @@
 		plain_put(request->entry->requests->plain, id, use);
 }
 
-/* Another try after a pause; or the end, with what is known. */
+/* Retries after a backoff, or fails the request. */
 static void call_retry(struct request *request, enum result_code code,
 		       const char *text)
 {
@@ -177,7 +177,7 @@
 {
 	const struct backend *backend =
 		directory_find(request->entry->directory, request->server);
-	static const char gone[] = "0.0.0.0:0"; /* unlisted long ago */
+	static const char gone[] = "0.0.0.0:0"; /* no longer listed */
 	size_t count = request->headers->len / 2;
 	struct web_header *headers = g_new0(struct web_header, count + 1);
 	char id[HEX_ID_SIZE];
@@ -208,8 +208,8 @@
 }
 
 /*
- * A place at a server is held. The key of a request that is not idempotent is
- * claimed only now, so that a full queue does not spend it.
+ * The request holds a slot at a server. A non-idempotent request claims its key
+ * only now: a request refused by a full queue must not use up its key.
  */
 void plain_start(struct request *request, uint64_t server)
 {
@@ -260,7 +260,7 @@
 	timer_start(&request->timer, left);
 }
 
-/* A pause before another try is over, or the wait for a server is. */
+/* The retry backoff, or the wait in the queue, is over. */
 void plain_timer(struct request *request)
 {
 	struct plain *plain = request->entry->requests->plain;
@@ -274,7 +274,6 @@
 		     "the deadline passed before a server was free");
 }
 
-/* Gives up whatever the request holds or waits for at the servers. */
 void plain_drop(struct request *request)
 {
 	plain_unwait(request->entry->requests->plain, request);
@@ -287,8 +286,8 @@
 }
 
 /*
- * All callers have gone. A call with a key that was sent or claimed goes on:
- * its caller will ask again and is then given the answer. Others are ended.
+ * No caller is left. A request with a key continues if it was sent or is not
+ * idempotent: the answer is kept for a repeat of the key. Others are cancelled.
  */
 void plain_cancel(struct request *request)
 {
--- a/entry/request_start.c
+++ b/entry/request_start.c
@@ -1,4 +1,4 @@
-/* From a request that was read to one that runs: limits, home, claim. */
+/* Admission of a parsed request: limits, submission to the home, claim. */
 #include <string.h>
 
 #include "common/log.h"
@@ -7,11 +7,11 @@
 
 #define CLAIM_TIMEOUT_USEC (3 * USEC_PER_SEC)
 #define RETRY_SOON_USEC USEC_PER_SEC
-/* A rate's burst, in seconds of the rate: callers that start together after a
- * pause are let in. */
+/* Burst of a token bucket, in seconds of its rate: admits callers that start
+ * together after a pause. */
 #define RATE_BURST_SEC 2.0
 #define ASK_AGAIN_USEC (100 * USEC_PER_MSEC)
-/* Longer than it takes to notice that an instance has died. */
+/* Longer than the detection of a dead instance takes. */
 #define ASK_AGAIN_MAX_USEC (10 * USEC_PER_SEC)
 
 static int64_t target_time(const struct request *request)
@@ -98,7 +98,7 @@
 	return false;
 }
 
-/* The rates of the organisation and of the whole service. */
+/* Takes from the token buckets of the organisation and of the service. */
 static bool request_allowed(const struct request *request, int64_t *retry_after)
 {
 	const struct config_service *service = &request->service;
@@ -150,7 +150,7 @@
 		      CLAIM_TIMEOUT_USEC);
 }
 
-/* Plain services claim later, when a place at a server is held. */
+/* Plain services claim later, when the request holds a slot at a server. */
 void request_granted(struct request *request)
 {
 	request_own_key(request);
@@ -174,7 +174,7 @@
 		model_run(request);
 }
 
-/* Another instance holds the claim: its answer, when it can be had. */
+/* Another instance holds the claim: fetches its answer if it is alive. */
 static void claim_lost(struct request *request, const struct owner *winner)
 {
 	const struct membership *members = request->entry->membership;
@@ -216,7 +216,6 @@
 		     "the claim could not be decided; nothing was run");
 }
 
-/* What the one timer of a request is for depends on its state. */
 void request_timer(struct timer *timer, void *ctx)
 {
 	struct request *request = ctx;
--- a/entry/requests.c
+++ b/entry/requests.c
@@ -1,4 +1,4 @@
-/* The table of requests, and what arrives for them from other modules. */
+/* The table of requests, and the callbacks of other modules. */
 #include "entry/requests.h"
 
 #include <string.h>
@@ -20,9 +20,9 @@
 }
 
 /*
- * This process stood still. Its model requests were given up; what they held is
- * given back unless others have held the instance dead: then the home has ended
- * it, and a retry may be running on it.
+ * Releases the grants of model requests that were failed after a stall, once
+ * membership confirms that no instance declared this one dead. If one did, the
+ * home has ended the grants, and a retry may be running under them.
  */
 static void doubt_fire(struct timer *timer, void *ctx)
 {
@@ -235,8 +235,8 @@
 }
 
 /*
- * Callers of model requests are cut off before anything stale reaches them: a
- * retry may be running elsewhere.
+ * Fails model requests before any stale output reaches their callers: a retry
+ * may be running elsewhere.
  */
 void requests_paused(struct requests *requests)
 {
--- a/include/entry/request.h
+++ b/include/entry/request.h
@@ -2,23 +2,26 @@
  * request.h - one request in flight, and the callers that await its answer
  *
  * DESCRIPTION
- *	Internal to the request side of the daemon. A request is the work; its
- *	replies are the callers attached to it: the one that brought it, and
- *	those that repeated its key while it ran or within the time its answer
- *	is kept. A request without a key ends when its last caller has gone.
+ *	Internal to the request side of the daemon. Each caller attached to a
+ *	request has a reply: the caller that sent the request, and callers that
+ *	repeat its key while it runs or while its answer is kept. When the last
+ *	caller disconnects the request is cancelled, except for some calls to
+ *	plain services with a key: see plain_cancel().
  *
- *	States, in the order of the path:
+ *	States, in the order of processing:
  *
- *	ASKING    the cell's home has been asked (key, memory, runners)
+ *	ASKING    submitted to the cell's home, which checks the key and grants
+ *	          memory and runners
  *	CLAIMING  the key of a non-idempotent request is being claimed
  *	PREFILL   a prefill is being computed
  *	TRANSFER  a decode engine fetches the KV cache
  *	DECODE    tokens arrive
- *	RESUMING  the stream broke and is being taken up at its offset
- *	CALLING   a plain service has been called
+ *	RESUMING  the stream broke and is being resumed at its offset
+ *	CALLING   a plain service is being called, is to be called again after
+ *	          a backoff, or the request is queued for a server
  *	PAUSED    waits before another attempt
- *	JOINING   another instance runs the same key; its answer is fetched
- *	CANCELLING all callers are gone; the engine has yet to confirm
+ *	JOINING   the answer is fetched from another instance or data centre
+ *	CANCELLING no caller is left; the engine has yet to confirm
  *	KEPT      answered; the answer of a keyed request is kept for repeats
  */
 #ifndef ENTRY_REQUEST_H
@@ -56,8 +59,8 @@
 struct reply {
 	struct request *request;
 	struct web_request *web;
-	bool stream;  /* wants server-sent events */
-	bool started; /* the head was sent */
+	bool stream;  /* server-sent events requested */
+	bool started; /* status and headers sent */
 	GList link;
 };
 
@@ -65,7 +68,7 @@
 	struct entry *entry;
 	uint64_t id;
 	enum request_state state;
-	struct config_service service; /* a copy: outlives the config */
+	struct config_service service; /* a copy: the config may be replaced */
 	char model[REQUEST_MODEL_MAX];
 	enum request_class class;
 	bool idempotent;
@@ -75,11 +78,11 @@
 	uint64_t organisation;
 	int64_t arrived;
 	int64_t deadline;
-	int64_t asking_since; /* of repeats that found no answer; 0: never */
+	int64_t asking_since; /* first resubmission of a repeat; 0: none */
 	GQueue replies;
-	struct timer timer; /* transfer, pause, keep, cancel: one at a time */
+	struct timer timer; /* its purpose depends on the state */
 
-	/* Work for a model. */
+	/* Requests for a model. */
 	GString *prompt;
 	uint32_t prompt_tokens;
 	uint32_t output_tokens_max;
@@ -87,18 +90,18 @@
 	uint64_t blocks[PREFIX_BLOCKS_MAX];
 	struct engine_call *call;
 	struct ledger_grant grant;
-	bool granted;	/* a grant is held and has yet to be released */
+	bool granted;	/* a grant is held */
 	bool reached;	/* a byte may have reached a backend server */
-	bool forwarded; /* came from, or was sent to, another data centre */
-	/* The data centre that the call under way runs it in, when another, and
-	 * how many of its instances have failed before. */
+	bool forwarded; /* received from or sent to another data centre */
+	/* The remote data centre that the current call was forwarded to, or
+	 * empty, and the number of its instances that failed before. */
 	char away[MEMBER_NAME_MAX];
 	uint32_t away_tries;
-	bool adopted; /* taken over from an instance that died */
+	bool adopted; /* taken over from a dead instance */
 	char handle[LEDGER_STREAM_MAX];
 	char stream[LEDGER_STREAM_MAX];
 	int64_t handle_until;
-	uint32_t computed_tokens; /* by the prefill whose result is held */
+	uint32_t computed_tokens; /* by the prefill of this handle */
 	uint32_t resumes;
 	uint32_t attempts;
 	enum result_code last_code;
@@ -109,14 +112,15 @@
 	uint32_t gaps[REQUEST_GAP_BUCKETS];
 	uint32_t late_gaps;
 
-	/* Work for a plain service. */
-	struct web_call *web_call; /* to a server, or to the joined instance */
-	uint64_t server;	   /* the backend called; 0: none */
+	/* Requests for a plain service. */
+	struct web_call
+		*web_call; /* to a server, an instance or a data centre */
+	uint64_t server;   /* the server called; 0: none */
 	bool queued;
-	bool claimed;	 /* the claim of its key was won */
-	bool claim_lost; /* to a live instance, which is asked for the answer */
-	bool refused;	 /* the answer says that nothing was run */
-	bool too_long;	 /* the answer passed the limit */
+	bool claimed;	 /* this request holds the claim of its key */
+	bool claim_lost; /* to a live instance; its answer is fetched */
+	bool refused;	 /* the server answered jt-not-run */
+	bool too_long;	 /* the answer exceeds the size limit */
 	GString *method;
 	GString *path;
 	GPtrArray *headers; /* name, value, name, value... */
@@ -137,8 +141,8 @@
 	GQueue kept;	    /* oldest first */
 	uint64_t kept_bytes;
 	uint64_t next;
-	uint32_t active;  /* not counting kept ones */
-	GArray *doubtful; /* ids given up after a pause, not given back yet */
+	uint32_t active;  /* without kept ones */
+	GArray *doubtful; /* ids failed after a stall, not released yet */
 	struct timer doubt;
 	struct limits *limits;
 	GHashTable *budgets; /* service's name -> struct retry_budget */
@@ -151,48 +155,48 @@
 	struct counter *cancels;
 };
 
-/* Life. */
 struct request *request_create(struct requests *requests);
 void request_destroy(struct request *request);
-/* Ends a request when the process stops, dropping all that it holds. */
+/* Aborts all replies and frees the request; for process exit. */
 void request_discard(struct request *request);
 void request_set_service(struct request *request,
 			 const struct config_service *service);
-/* Makes this request the one that repeats of its key are attached to. */
+/* Enters the key: later repeats of it attach to this request. */
 void request_own_key(struct request *request);
-/* The one timer of a request; what it means depends on the state. */
+/* Expiry of the request's timer; the action depends on the state. */
 void request_timer(struct timer *timer, void *ctx);
-/* Adds the request to the operators' measures, as ended with code. */
+/* Adds the request, ended with code, to the measures. */
 void request_measure(struct request *request, enum result_code code);
 void request_note_gap(struct request *request, int64_t gap_usec);
 struct request *request_find(const struct requests *requests, uint64_t id);
-/* Cuts a caller off, as if it had hung up. */
+/* Aborts the connection and treats the caller as disconnected. */
 void reply_abort(struct reply *reply);
-/* A request has ended: a drain may be over. */
+/* Called when a request ends; completes a drain after the last one. */
 void requests_settled(struct requests *requests);
 /* Takes one retry from the budget of the request's service. */
 bool requests_may_retry(struct request *request);
-/* Lets the budget of the request's service grow. */
+/* Credits the retry budget of the request's service. */
 void requests_count_request(struct request *request);
 void reply_free(struct reply *reply);
-/* Brings a reply that was just attached up to date; one to a request that has
- * been answered is finished and freed. */
+/* Sends the output so far to a newly attached reply. If the request is already
+ * answered, finishes the reply and frees it. */
 void reply_serve(struct reply *reply);
 struct reply *reply_attach(struct request *request, struct web_request *web,
 			   bool stream);
-/* Sets the unique id and enters the tables; call when the fields are filled. */
+/* Assigns the id and adds the request to the table; call once it is filled. */
 void request_enter(struct request *request);
 
-/* Ends the work and answers all replies: the error, or what was gathered. */
+/* Ends the request and answers all replies with an error. */
 void request_fail(struct request *request, enum result_code code,
 		  int64_t retry_after_usec, const char *text);
+/* Ends the request and answers all replies with its output. */
 void request_complete(struct request *request);
-/* Releases the grant, when one is held. */
+/* Releases the grant, if one is held. */
 void request_release(struct request *request, enum release_reason reason);
-/* Ends a request that has nothing more to do: kept when it has a key. */
+/* Keeps a complete request that has a key for repeats; frees any other. */
 void request_retire(struct request *request);
 struct owner request_owner(const struct request *request);
-/* What is known of the request's effect after a failure with this code. */
+/* Whether the request may have run, after a failure with this code. */
 enum outcome request_outcome(const struct request *request,
 			     enum result_code code);
 
@@ -201,70 +205,73 @@
 		  enum outcome outcome, int64_t retry_after_usec,
 		  const char *text);
 void answer_token(struct request *request, const char *text, size_t size);
-/* Brings a reply that was attached late up to what is there. */
+/* Sends the output so far to a reply attached late. */
 void answer_catch_up(struct reply *reply);
-/* The caller reads so slowly that its answer piles up. */
+/* True when the unsent part of a caller's answer exceeds the limit. */
 bool answer_too_slow(const struct reply *reply);
 void answer_finish(struct reply *reply);
 void answer_fail(struct reply *reply, enum result_code code,
 		 int64_t retry_after_usec, const char *text);
 
-/* Reading what callers send (entry/request_parse.c). */
+/* Parsing of requests (entry/request_parse.c). */
 bool request_read_model(struct request *request, struct web_request *web,
 			bool chat, bool *stream, struct error *err);
 bool request_read_headers(struct request *request, struct web_request *web,
 			  struct error *err);
 
-/* The path of a request for a model (entry/request_model.c). */
+/* Requests for a model (entry/request_model.c). */
 void model_run(struct request *request);
 void model_again(struct request *request);
 void model_timer(struct request *request);
-/* The home has ended the grant: nothing of this work may reach a caller. */
+/* The home has revoked the grant: no more output may reach a caller. */
 void model_revoked(struct request *request);
 void model_cancel(struct request *request);
 void model_resume(struct request *request, const char *stream);
 
-/* The path of a request for a plain service (entry/request_plain.c). */
+/* Requests for a plain service (entry/request_plain.c). */
 void plain_run(struct request *request);
+/* No caller is left: cancels the request, unless a repeat of its key may need
+ * the answer. */
 void plain_cancel(struct request *request);
 void plain_timer(struct request *request);
-/* Sends to request->server, where a place is held. */
+/* Calls request->server, in which the request holds a slot. */
 void plain_call(struct request *request);
-/* Gives up whatever the request holds or waits for at the servers. */
+/* Leaves the queue, cancels the call and frees the slot at the server. */
 void plain_drop(struct request *request);
 bool plain_header_dropped(struct web_text name);
-/* Copies headers but those of one connection and our own. */
+/* Copies headers, without hop-by-hop headers and jt-* headers. */
 void plain_headers_copy(GPtrArray *to, const struct web_header *headers,
 			size_t count);
 
-/* Ends a stream, again and again until the engine confirms (entry/cancel.c).
- * fn may be NULL; confirmed is false when it was given up. */
+/* Cancels a stream, with retries until the engine confirms (entry/cancel.c).
+ * fn may be NULL; its confirmed is false when the retries are exhausted. */
 void cancel_stream(struct entry *entry, uint64_t runner, const char *stream,
 		   engine_cancel_fn fn, void *ctx);
 
-/* Starting on either path: ask, claim, run (entry/request_start.c). */
+/* Admission: limits, submission to the home, claim (entry/request_start.c). */
 void request_start(struct request *request);
 void request_granted(struct request *request);
 void request_claim(struct request *request);
 void request_claimed(struct request *request, enum result_code code,
 		     const struct owner *winner);
-/* Fetching the answer of a repeated key (entry/request_join.c). */
+/* Repeated keys (entry/request_join.c). */
 bool request_join_local(struct request *request);
 void request_join_peer(struct request *request, const struct member *peer);
-/* Sends the call and relays its answer to the one reply. */
+/* Sends the call and relays its answer to the request's only reply. */
 void request_pipe(struct request *request, const struct web_call_spec *spec);
 void request_join_cancel(struct request *request);
 void request_duplicate(struct request *request,
 		       const struct ledger_duplicate *duplicate);
-/* Asks the home again after a pause: the other run has just ended. Fails the
- * request when that was of no use several times. */
+/* Resubmits to the home after a delay, because the run of the same key is not
+ * available. Fails the request when this has lasted too long. */
 void request_ask_later(struct request *request);
 
-/* Other data centres (entry/request_forward.c): true when it was sent. */
+/* Forwarding to other data centres (entry/request_forward.c). These return
+ * true when the request was sent. */
 bool request_forward(struct request *request, const char *data_centre);
-/* To the next instance there, after one that did not answer. */
+/* To the next instance of that data centre, after one did not answer. */
 bool request_forward_next(struct request *request);
-/* refused: the own cell's home has just refused it, for want of room. */
+/* refused: the local cell's home has just refused it as full. */
 bool request_spill(struct request *request, bool refused);
 
 /* Handlers, each registered by requests_serve(). */
--- a/tests/requests/fakes.c
+++ b/tests/requests/fakes.c
@@ -343,7 +343,7 @@
 	fakes_note("again:%s@%u", result_label(why), tokens_so_far);
 	g_assert_cmpuint(fakes.grants, >, 0);
 	fakes.grants--;
-	fakes.streams = 0; /* the home ends the former attempt's */
+	fakes.streams = 0; /* the home ends the previous attempt's stream */
 	fakes.attempt++;
 }
 
@@ -354,7 +354,7 @@
 	fakes.asked = request;
 }
 
-/* The site: two instances, one server and one runner of each role. */
+/* Membership and directory: two instances, one server, a runner per role. */
 const struct member *membership_self(const struct membership *membership)
 {
 	return &self;
--- a/tests/requests/test_json_text.c
+++ b/tests/requests/test_json_text.c
@@ -1,4 +1,4 @@
-/* What is written by hand must read back as what it was. */
+/* Text escaped by json_text_append() must parse back to itself. */
 #include <glib.h>
 #include <jansson.h>
 #include <string.h>
--- a/tests/requests/test_paths.c
+++ b/tests/requests/test_paths.c
@@ -1,8 +1,8 @@
 /*
- * Every step of a request's path meets every fault: paths.txt has a row for
- * each pair, paths.golden what the request side did in answer. Whatever the
- * row, at its end each caller was answered at most once, no grant is held, no
- * stream that an engine named is left, and no request remains.
+ * Injects every fault at every step of a request. paths.txt has a row for each
+ * pair of step and fault, paths.golden the calls expected from the request
+ * side. At the end of each row every caller has been answered exactly once or
+ * has disconnected, and no grant, engine stream or request is left.
  */
 #include <glib.h>
 #include <stdlib.h>
@@ -219,13 +219,14 @@
 		fakes.streams = 0;
 		requests_revoked(requests, fakes.asked, fakes.attempt);
 	} else if (strcmp(verb, "refuted") == 0) {
-		/* Grants of plain services are kept: their calls go on. */
+		/* Grants of plain services are kept: their calls continue. */
 		if (strcmp(callers[0].path, "/s/book") != 0)
 			fakes.grants = 0;
 		fakes.streams = 0;
 		requests_refuted(requests);
 	} else if (strcmp(verb, "paused") == 0) {
-		fakes.streams = 0; /* the home ends what is released */
+		fakes.streams =
+			0; /* the home ends the streams of released grants */
 		requests_paused(requests);
 	} else if (strcmp(verb, "claimed") == 0)
 		requests_claimed(requests, fakes.asked, code_of(words[1]),
--- a/tests/requests/test_prompt.c
+++ b/tests/requests/test_prompt.c
@@ -1,4 +1,4 @@
-/* Counting a prompt's tokens, and hashing its blocks. */
+/* Token counts and block hashes of prompts. */
 #include <glib.h>
 #include <string.h>
 
