--- a/entry/request_join.c
+++ b/entry/request_join.c
@@ -109,7 +109,7 @@
 	if (request->away[0] && result->sent && !request->idempotent) {
 		request->reached = true;
 		request_fail(request, RESULT_PEER_GONE, USEC_PER_SEC,
-			     "the data centre that took it does not answer");
+			     "the remote data centre did not answer");
 		return;
 	}
 	/* The live holder of the claim has no answer and will not get one. */
--- a/entry/request_model.c
+++ b/entry/request_model.c
@@ -234,7 +234,7 @@
 		if (offset < request->tokens)
 			return;
 		call_drop(request);
-		model_broke(request, "a token is missing");
+		model_broke(request, "a token is missing from the stream");
 		return;
 	}
 	if (request->state == REQUEST_RESUMING)
@@ -410,7 +410,7 @@
 	request->reached = true;
 	request->stream[0] = '\0';
 	request_fail(request, RESULT_LEASE_LOST, USEC_PER_SEC,
-		     "this instance lost the request; send it again");
+		     "this instance lost its grant; send the request again");
 }
 
 void model_cancel(struct request *request)
--- a/entry/request_parse.c
+++ b/entry/request_parse.c
@@ -143,7 +143,7 @@
 		if (!json_is_string(content))
 			return error_set(err, RESULT_BAD_REQUEST,
 					 "field messages[%zu].content: "
-					 "expected text",
+					 "expected a string",
 					 i);
 		if (i)
 			g_string_append_c(request->prompt, '\n');
@@ -162,7 +162,7 @@
 		prompt = json_array_get(prompt, 0);
 	if (!json_is_string(prompt))
 		return error_set(err, RESULT_BAD_REQUEST,
-				 "field prompt: expected one text");
+				 "field prompt: expected one string");
 	g_string_append_len(request->prompt, json_string_value(prompt),
 			    (gssize)json_string_length(prompt));
 	return true;
--- a/entry/request_start.c
+++ b/entry/request_start.c
@@ -60,7 +60,7 @@
 			     request->idempotent ? RESULT_PEER_GONE
 						 : RESULT_ALREADY_CLAIMED,
 			     USEC_PER_SEC,
-			     "the answer of this key cannot be fetched");
+			     "the answer to this key cannot be fetched");
 		return;
 	}
 	request->state = REQUEST_PAUSED;
