--- a/entry/answer.c
+++ b/entry/answer.c
@@ -11,8 +11,8 @@
 #define TYPE_EVENTS "text/event-stream"
 #define SLOW_CALLER_BYTES (4u << 20)
 
-static void reply_names(struct web_request *web, uint64_t id,
-			enum outcome outcome, enum result_code code)
+static void reply_result_headers(struct web_request *web, uint64_t id,
+				 enum outcome outcome, enum result_code code)
 {
 	char text[HEX_ID_SIZE];
 	char number[16];
@@ -44,7 +44,7 @@
 	GString *body = g_string_new(NULL);
 	char seconds[24];
 
-	reply_names(web, id, outcome, code);
+	reply_result_headers(web, id, outcome, code);
 	if (retry_after_usec > 0) {
 		snprintf(seconds, sizeof(seconds), "%lld",
 			 (long long)((retry_after_usec + USEC_PER_SEC - 1) /
@@ -90,7 +90,7 @@
 			       text ? "null" : "\"stop\"");
 }
 
-static void whole_print(GString *out, const struct request *request)
+static void completion_print(GString *out, const struct request *request)
 {
 	head_print(out, request,
 		   request->chat ? "chat.completion" : "text_completion");
@@ -114,7 +114,8 @@
 	if (reply->started)
 		return;
 	reply->started = true;
-	reply_names(reply->web, reply->request->id, OUTCOME_RUN, RESULT_OK);
+	reply_result_headers(reply->web, reply->request->id, OUTCOME_RUN,
+			     RESULT_OK);
 	web_reply_header(reply->web, "cache-control", "no-store");
 	web_reply_start(reply->web, 200, TYPE_EVENTS);
 }
@@ -179,7 +180,7 @@
 	const GPtrArray *headers = request->answer_headers;
 	const char *type = "application/octet-stream";
 
-	reply_names(reply->web, request->id, OUTCOME_RUN, RESULT_OK);
+	reply_result_headers(reply->web, request->id, OUTCOME_RUN, RESULT_OK);
 	for (unsigned int i = 0; i + 1 < headers->len; i += 2) {
 		const char *name = headers->pdata[i];
 		const char *value = headers->pdata[i + 1];
@@ -207,8 +208,8 @@
 		return;
 	}
 	body = g_string_new(NULL);
-	whole_print(body, request);
-	reply_names(reply->web, request->id, OUTCOME_RUN, RESULT_OK);
+	completion_print(body, request);
+	reply_result_headers(reply->web, request->id, OUTCOME_RUN, RESULT_OK);
 	web_reply(reply->web, 200, TYPE_JSON, body->str, body->len);
 	g_string_free(body, TRUE);
 }
--- a/entry/cancel.c
+++ b/entry/cancel.c
@@ -7,7 +7,7 @@
 #include "entry/directory.h"
 #include "entry/request.h"
 
-#define CANCEL_TRIES 8u
+#define CANCEL_ATTEMPTS_MAX 8u
 #define CANCEL_BASE_USEC (100 * USEC_PER_MSEC)
 #define CANCEL_MAX_USEC (2 * USEC_PER_SEC)
 
@@ -37,7 +37,7 @@
 {
 	struct cancel *cancel = ctx;
 
-	if (confirmed || ++cancel->tries >= CANCEL_TRIES) {
+	if (confirmed || ++cancel->tries >= CANCEL_ATTEMPTS_MAX) {
 		cancel_end(cancel, confirmed);
 		return;
 	}
--- a/entry/handler_plain.c
+++ b/entry/handler_plain.c
@@ -72,7 +72,7 @@
 		return;
 	}
 	request = request_create(requests);
-	request_enter(request);
+	request_register(request);
 	request_set_service(request, service);
 	if (!request_read_headers(request, web, &err)) {
 		request_refuse(request, web, &err);
--- a/entry/prompt.c
+++ b/entry/prompt.c
@@ -67,7 +67,7 @@
 /* "WORD~P": the number of shared tokens, and the hash of the word. */
 static uint32_t shared_read(const char *text, size_t size, uint64_t *group)
 {
-	const char *mark;
+	const char *tilde;
 	uint32_t shared;
 	size_t start;
 	size_t end;
@@ -75,9 +75,9 @@
 	word_next(text, size, 0, &start);
 	end = word_next(text, size, 0, &start);
 	end = word_next(text, size, end, &start);
-	mark = memchr(text + start, '~', end - start);
-	if (!mark ||
-	    !number_read(mark + 1, (size_t)(text + end - mark - 1), &shared))
+	tilde = memchr(text + start, '~', end - start);
+	if (!tilde ||
+	    !number_read(tilde + 1, (size_t)(text + end - tilde - 1), &shared))
 		return 0;
 	*group = id_hash(text + start, end - start);
 	return shared;
@@ -86,8 +86,8 @@
 static uint32_t synthetic_blocks(const char *text, size_t size, uint32_t tokens,
 				 uint64_t *blocks, uint32_t max)
 {
-	uint64_t own = id_hash(text, size);
-	uint64_t group = own;
+	uint64_t own_hash = id_hash(text, size);
+	uint64_t group = own_hash;
 	uint32_t shared = shared_read(text, size, &group);
 	uint32_t count = tokens / PREFIX_BLOCK_TOKENS;
 	uint64_t chain = 0;
@@ -97,7 +97,7 @@
 	for (uint32_t i = 0; i < count; i++) {
 		bool common = (i + 1) * PREFIX_BLOCK_TOKENS <= shared;
 
-		chain = id_mix(chain, id_mix(common ? group : own, i));
+		chain = id_mix(chain, id_mix(common ? group : own_hash, i));
 		blocks[i] = chain;
 	}
 	return count;
--- a/entry/request.c
+++ b/entry/request.c
@@ -53,13 +53,13 @@
 	request->method = g_string_new(NULL);
 	request->path = g_string_new(NULL);
 	request->body = g_string_new(NULL);
-	request->state = REQUEST_ASKING;
+	request->state = REQUEST_SUBMITTED;
 	timer_init(&request->timer, requests->entry->clock, request_timer,
 		   request);
 	return request;
 }
 
-void request_enter(struct request *request)
+void request_register(struct request *request)
 {
 	struct requests *requests = request->entry->requests;
 	struct owner self = request_owner(request);
@@ -70,7 +70,7 @@
 	requests->active++;
 }
 
-void request_own_key(struct request *request)
+void request_register_key(struct request *request)
 {
 	struct requests *requests = request->entry->requests;
 
@@ -78,7 +78,7 @@
 		g_hash_table_insert(requests->by_key, &request->key, request);
 }
 
-static void key_disown(struct request *request)
+static void key_unregister(struct request *request)
 {
 	struct requests *requests = request->entry->requests;
 
@@ -100,7 +100,7 @@
 
 	timer_stop(&request->timer);
 	plain_drop(request);
-	key_disown(request);
+	key_unregister(request);
 	g_hash_table_remove(requests->by_id, &request->id);
 	if (request->state == REQUEST_KEPT) {
 		g_queue_unlink(&requests->kept, &request->kept_link);
@@ -181,7 +181,7 @@
 		  LOG_D("state", request->state),
 		  LOG_D("tokens", request->tokens));
 	switch (request->state) {
-	case REQUEST_ASKING:
+	case REQUEST_SUBMITTED:
 		ledger_withdraw(request->entry->ledger, request->id);
 		request_destroy(request);
 		return;
@@ -328,7 +328,7 @@
 	request_retire(request);
 }
 
-void request_note_gap(struct request *request, int64_t gap_usec)
+void request_record_gap(struct request *request, int64_t gap_usec)
 {
 	uint32_t target =
 		request->service.targets[request->class].between_tokens_ms;
--- a/entry/request_forward.c
+++ b/entry/request_forward.c
@@ -10,9 +10,9 @@
 #include "coord/ledger_level.h"
 #include "entry/request.h"
 
-#define FORWARD_HEAD_USEC (120 * USEC_PER_SEC)
+#define FORWARD_HEAD_TIMEOUT_USEC (120 * USEC_PER_SEC)
 /* Instances of the remote data centre. */
-#define FORWARD_TRIES 3u
+#define FORWARD_ATTEMPTS_MAX 3u
 
 static struct web_text text_of(const char *text)
 {
@@ -50,7 +50,7 @@
 {
 	const struct membership *members = request->entry->membership;
 	uint64_t id = membership_home(members, data_centre, request->id,
-				      request->away_tries);
+				      request->remote_attempts);
 
 	return id ? membership_find(members, id) : NULL;
 }
@@ -93,21 +93,22 @@
 				 query.size ? "?" : "", (int)query.size,
 				 query.size ? query.data : "");
 	deadline_print(request, deadline, sizeof(deadline));
-	request_pipe(request,
-		     &(struct web_call_spec){
-			     .address = member->http_address,
-			     .method = method,
-			     .path = target,
-			     .headers = headers,
-			     .header_count = headers_make(request, reply->web,
-							  deadline, headers),
-			     .body = web_request_body(reply->web).data,
-			     .body_size = web_request_body(reply->web).size,
-			     .head_usec = FORWARD_HEAD_USEC,
-			     .fresh = !request->idempotent,
-		     });
+	request_relay(request,
+		      &(struct web_call_spec){
+			      .address = member->http_address,
+			      .method = method,
+			      .path = target,
+			      .headers = headers,
+			      .header_count = headers_make(request, reply->web,
+							   deadline, headers),
+			      .body = web_request_body(reply->web).data,
+			      .body_size = web_request_body(reply->web).size,
+			      .head_usec = FORWARD_HEAD_TIMEOUT_USEC,
+			      .fresh = !request->idempotent,
+		      });
 	request->forwarded = true;
-	g_strlcpy(request->away, data_centre, sizeof(request->away));
+	g_strlcpy(request->remote_data_centre, data_centre,
+		  sizeof(request->remote_data_centre));
 	request->entry->requests->forwards->value++;
 	log_event(LOG_INFO, "request_forwarded", LOG_X("request", request->id),
 		  LOG_S("data_centre", data_centre));
@@ -119,7 +120,7 @@
 
 bool request_forward(struct request *request, const char *data_centre)
 {
-	request->away_tries = 0;
+	request->remote_attempts = 0;
 	return !request->forwarded && forward_send(request, data_centre);
 }
 
@@ -127,9 +128,10 @@
 {
 	char data_centre[MEMBER_NAME_MAX];
 
-	if (++request->away_tries >= FORWARD_TRIES)
+	if (++request->remote_attempts >= FORWARD_ATTEMPTS_MAX)
 		return false;
-	g_strlcpy(data_centre, request->away, sizeof(data_centre));
+	g_strlcpy(data_centre, request->remote_data_centre,
+		  sizeof(data_centre));
 	return forward_send(request, data_centre);
 }
 
--- a/entry/request_join.c
+++ b/entry/request_join.c
@@ -10,7 +10,7 @@
 #include "common/log.h"
 #include "entry/request.h"
 
-#define JOIN_HEAD_USEC (120 * USEC_PER_SEC)
+#define JOIN_HEAD_TIMEOUT_USEC (120 * USEC_PER_SEC)
 
 static void key_mismatch(struct request *request)
 {
@@ -52,7 +52,7 @@
 	return true;
 }
 
-static struct reply *only_reply(const struct request *request)
+static struct reply *single_reply(const struct request *request)
 {
 	return request->replies.head ? request->replies.head->data : NULL;
 }
@@ -61,12 +61,12 @@
 		      size_t count)
 {
 	struct request *request = ctx;
-	struct reply *reply = only_reply(request);
+	struct reply *reply = single_reply(request);
 	const char *type = "application/octet-stream";
 	char *type_copy = NULL;
 
 	request->status = status;
-	if ((status == 404 && !request->away[0]) || !reply)
+	if ((status == 404 && !request->remote_data_centre[0]) || !reply)
 		return;
 	for (size_t i = 0; i < count; i++) {
 		char *name =
@@ -92,9 +92,9 @@
 static void join_body(void *ctx, const void *data, size_t size)
 {
 	struct request *request = ctx;
-	struct reply *reply = only_reply(request);
+	struct reply *reply = single_reply(request);
 
-	if ((request->status != 404 || request->away[0]) && reply)
+	if ((request->status != 404 || request->remote_data_centre[0]) && reply)
 		web_reply_piece(reply->web, data, size);
 }
 
@@ -106,7 +106,8 @@
 static void join_failed(struct request *request,
 			const struct web_result *result)
 {
-	if (request->away[0] && result->sent && !request->idempotent) {
+	if (request->remote_data_centre[0] && result->sent &&
+	    !request->idempotent) {
 		request->reached = true;
 		request_fail(request, RESULT_PEER_GONE, USEC_PER_SEC,
 			     "the remote data centre did not answer");
@@ -118,15 +119,15 @@
 			     "a request with this key was claimed before");
 		return;
 	}
-	if (request->away[0] && request_forward_next(request))
+	if (request->remote_data_centre[0] && request_forward_next(request))
 		return;
-	request_ask_later(request);
+	request_submit_later(request);
 }
 
 static void join_done(void *ctx, const struct web_result *result)
 {
 	struct request *request = ctx;
-	struct reply *reply = only_reply(request);
+	struct reply *reply = single_reply(request);
 
 	request->web_call = NULL;
 	if (!reply) {
@@ -151,10 +152,10 @@
 	.done = join_done,
 };
 
-void request_pipe(struct request *request, const struct web_call_spec *spec)
+void request_relay(struct request *request, const struct web_call_spec *spec)
 {
 	request->state = REQUEST_JOINING;
-	request->away[0] = '\0';
+	request->remote_data_centre[0] = '\0';
 	request->status = 0;
 	request->web_call =
 		web_call(request->entry->client, spec, &join_ops, request);
@@ -162,22 +163,23 @@
 
 void request_join_peer(struct request *request, const struct member *peer)
 {
-	struct reply *reply = only_reply(request);
+	struct reply *reply = single_reply(request);
 	char key[HEX_ID_SIZE];
-	char mark[HEX_ID_SIZE];
+	char fingerprint[HEX_ID_SIZE];
 	char path[96];
 	struct web_call_spec spec = {
 		.address = peer->http_address,
 		.method = "GET",
 		.path = path,
-		.head_usec = JOIN_HEAD_USEC,
+		.head_usec = JOIN_HEAD_TIMEOUT_USEC,
 	};
 
 	snprintf(path, sizeof(path), "/v1/answers/%s?fingerprint=%s&stream=%d",
-		 hex_id(key, request->key), hex_id(mark, request->fingerprint),
+		 hex_id(key, request->key),
+		 hex_id(fingerprint, request->fingerprint),
 		 reply && reply->stream);
 	request->entry->requests->joins->value++;
-	request_pipe(request, &spec);
+	request_relay(request, &spec);
 }
 
 void request_join_cancel(struct request *request)
@@ -199,7 +201,7 @@
 			     0, "a request with this key was run before");
 		return;
 	}
-	request_own_key(request);
+	request_register_key(request);
 	request->grant.decode = duplicate->decode;
 	g_strlcpy(request->stream, duplicate->stream, sizeof(request->stream));
 	request->adopted = true;
@@ -208,12 +210,12 @@
 
 /* The key was run in another data centre. If that one is unreachable, the
  * request is resubmitted here, marked as forwarded. */
-static void key_elsewhere(struct request *request, const char *data_centre)
+static void key_remote(struct request *request, const char *data_centre)
 {
 	if (request_forward(request, data_centre))
 		return;
 	request->forwarded = true;
-	request_ask_later(request);
+	request_submit_later(request);
 }
 
 void request_duplicate(struct request *request,
@@ -224,7 +226,7 @@
 		membership_find(members, duplicate->owner.instance);
 
 	if (duplicate->state == RECORD_ELSEWHERE) {
-		key_elsewhere(request, duplicate->data_centre);
+		key_remote(request, duplicate->data_centre);
 		return;
 	}
 	if (!duplicate->owner_alive || !peer) {
@@ -241,5 +243,5 @@
 		return;
 	}
 	if (!request_join_local(request))
-		request_ask_later(request);
+		request_submit_later(request);
 }
--- a/entry/request_model.c
+++ b/entry/request_model.c
@@ -14,12 +14,12 @@
 #define RESUMES_MAX 6u
 #define RESUME_BASE_USEC (50 * USEC_PER_MSEC)
 #define RESUME_MAX_USEC USEC_PER_SEC
-#define AGAIN_BASE_USEC (20 * USEC_PER_MSEC)
-#define AGAIN_MAX_USEC (2 * USEC_PER_SEC)
+#define MODEL_RETRY_BASE_USEC (20 * USEC_PER_MSEC)
+#define MODEL_RETRY_MAX_USEC (2 * USEC_PER_SEC)
 #define URGENT_ATTEMPTS 4u
-#define TRANSFER_SLACK 4
-#define TRANSFER_FLOOR_USEC (500 * USEC_PER_MSEC)
-#define STREAM_NAME_USEC (5 * USEC_PER_SEC)
+#define TRANSFER_TIMEOUT_FACTOR 4
+#define TRANSFER_TIMEOUT_MIN_USEC (500 * USEC_PER_MSEC)
+#define STREAM_NAME_TIMEOUT_USEC (5 * USEC_PER_SEC)
 
 static const struct engine_ops model_ops;
 
@@ -50,7 +50,7 @@
 }
 
 /* Frees the unused result of the prefill and counts its tokens as wasted. */
-static void prefill_waste(struct request *request)
+static void prefill_discard(struct request *request)
 {
 	const struct backend *runner =
 		runner_find(request, request->grant.prefill);
@@ -71,14 +71,14 @@
 }
 
 /* Requests new runners. The home ends the previous attempt's stream, if any. */
-void model_again(struct request *request)
+void model_reassign(struct request *request)
 {
 	if (request->call)
 		call_drop(request);
 	timer_stop(&request->timer);
-	prefill_waste(request);
+	prefill_discard(request);
 	request->stream[0] = '\0';
-	request->state = REQUEST_ASKING;
+	request->state = REQUEST_SUBMITTED;
 	ledger_retry(request->entry->ledger, request->id, request->last_code,
 		     request->tokens);
 }
@@ -104,13 +104,13 @@
 		return;
 	}
 	if (tries == 1 && requests_may_retry(request)) {
-		model_again(request);
+		model_reassign(request);
 		return;
 	}
 	request->state = REQUEST_PAUSED;
 	timer_start(&request->timer,
-		    retry_backoff(request->entry->rand, tries, AGAIN_BASE_USEC,
-				  AGAIN_MAX_USEC));
+		    retry_backoff(request->entry->rand, tries,
+				  MODEL_RETRY_BASE_USEC, MODEL_RETRY_MAX_USEC));
 }
 
 static void model_resume_try(struct request *request)
@@ -137,7 +137,7 @@
 }
 
 /* The connection to the stream broke: resumes at the next offset. */
-static void model_broke(struct request *request, const char *text)
+static void model_stream_broken(struct request *request, const char *text)
 {
 	struct requests *requests = request->entry->requests;
 
@@ -234,7 +234,8 @@
 		if (offset < request->tokens)
 			return;
 		call_drop(request);
-		model_broke(request, "a token is missing from the stream");
+		model_stream_broken(request,
+				    "a token is missing from the stream");
 		return;
 	}
 	if (request->state == REQUEST_RESUMING)
@@ -242,7 +243,7 @@
 	if (request->first_token_at < 0)
 		request->first_token_at = now;
 	else
-		request_note_gap(request, now - request->last_token_at);
+		request_record_gap(request, now - request->last_token_at);
 	request->last_token_at = now;
 	request->tokens++;
 	g_string_append_len(request->text, text, (gssize)size);
@@ -303,7 +304,7 @@
 		model_retry(request, RESULT_STREAM_LOST, text);
 		return;
 	}
-	model_broke(request, text);
+	model_stream_broken(request, text);
 }
 
 static const struct engine_ops model_ops = {
@@ -314,7 +315,7 @@
 	.done = model_done,
 };
 
-static uint64_t slower(uint64_t a, uint64_t b)
+static uint64_t link_rate_min(uint64_t a, uint64_t b)
 {
 	if (!a || (b && b < a))
 		return b;
@@ -322,23 +323,23 @@
 }
 
 /* Time after which a transfer counts as stalled. */
-static int64_t transfer_limit(const struct request *request)
+static int64_t transfer_timeout(const struct request *request)
 {
 	const struct config *config = request->entry->config;
 	const struct config_pool *from =
 		config_pool(config, request->service.prefill_pool);
 	const struct config_pool *to =
 		config_pool(config, request->service.decode_pool);
-	uint64_t rate = slower(from ? from->link_bytes_per_s : 0,
-			       to ? to->link_bytes_per_s : 0);
+	uint64_t rate = link_rate_min(from ? from->link_bytes_per_s : 0,
+				      to ? to->link_bytes_per_s : 0);
 	uint64_t bytes;
 
 	if (!from || !rate)
-		return TRANSFER_FLOOR_USEC * TRANSFER_SLACK;
+		return TRANSFER_TIMEOUT_MIN_USEC * TRANSFER_TIMEOUT_FACTOR;
 	bytes = (uint64_t)from->kv_bytes_per_token *
 		(request->prompt_tokens + request->tokens);
-	return TRANSFER_FLOOR_USEC +
-	       TRANSFER_SLACK *
+	return TRANSFER_TIMEOUT_MIN_USEC +
+	       TRANSFER_TIMEOUT_FACTOR *
 		       (int64_t)((double)bytes / (double)rate * USEC_PER_SEC);
 }
 
@@ -358,7 +359,7 @@
 	request->call =
 		engine_decode(request->entry, to->address, &work, from->address,
 			      request->handle, &model_ops, request);
-	timer_start(&request->timer, transfer_limit(request));
+	timer_start(&request->timer, transfer_timeout(request));
 }
 
 void model_run(struct request *request)
@@ -418,7 +419,7 @@
 	enum request_state state = request->state;
 
 	request->entry->requests->cancels->value++;
-	prefill_waste(request);
+	prefill_discard(request);
 	timer_stop(&request->timer);
 	request->state = REQUEST_CANCELLING;
 	if (state == REQUEST_CLAIMING)
@@ -432,7 +433,7 @@
 	/* The engine may have reserved memory for a stream whose name has not
 	 * arrived yet. */
 	if (state == REQUEST_TRANSFER && request->call) {
-		timer_start(&request->timer, STREAM_NAME_USEC);
+		timer_start(&request->timer, STREAM_NAME_TIMEOUT_USEC);
 		return;
 	}
 	call_drop(request);
--- a/entry/request_plain.c
+++ b/entry/request_plain.c
@@ -13,8 +13,8 @@
 #include "entry/plain.h"
 #include "entry/request.h"
 
-#define CALL_HEAD_USEC (30 * USEC_PER_SEC)
-#define ANSWER_KEPT_MAX (4u << 20)
+#define CALL_HEAD_TIMEOUT_USEC (30 * USEC_PER_SEC)
+#define ANSWER_BYTES_MAX (4u << 20)
 #define RETRY_BASE_USEC (10 * USEC_PER_MSEC)
 #define RETRY_MAX_USEC USEC_PER_SEC
 #define ATTEMPTS_MAX 4u
@@ -87,14 +87,14 @@
 {
 	struct request *request = ctx;
 
-	if (request->answer_body->len + size > ANSWER_KEPT_MAX) {
+	if (request->answer_body->len + size > ANSWER_BYTES_MAX) {
 		request->too_long = true;
 		return;
 	}
 	g_string_append_len(request->answer_body, data, (gssize)size);
 }
 
-static void server_put(struct request *request, enum plain_use use)
+static void server_release(struct request *request, enum plain_use use)
 {
 	uint64_t id = request->server;
 
@@ -141,19 +141,19 @@
 	request->web_call = NULL;
 	if (result->ok && request->refused) {
 		directory_leaving(request->entry->directory, server);
-		server_put(request, PLAIN_UNKNOWN);
+		server_release(request, PLAIN_UNKNOWN);
 		call_retry(request, RESULT_BACKEND_REFUSED,
 			   "the server refused the call as not run");
 		return;
 	}
 	if (!result->ok) {
 		request->reached |= result->sent;
-		server_put(request, PLAIN_BAD);
+		server_release(request, PLAIN_BAD);
 		call_retry(request, failure_code(result), result->text);
 		return;
 	}
 	request->reached = true;
-	server_put(request, PLAIN_GOOD);
+	server_release(request, PLAIN_GOOD);
 	if (request->too_long) {
 		request_fail(request, RESULT_BACKEND_FAILED, 0,
 			     "the server's answer is too long");
@@ -177,19 +177,19 @@
 {
 	const struct backend *backend =
 		directory_find(request->entry->directory, request->server);
-	static const char gone[] = "0.0.0.0:0"; /* no longer listed */
+	static const char unlisted[] = "0.0.0.0:0"; /* no longer listed */
 	size_t count = request->headers->len / 2;
 	struct web_header *headers = g_new0(struct web_header, count + 1);
 	char id[HEX_ID_SIZE];
 	struct web_call_spec spec = {
-		.address = backend ? backend->address : gone,
+		.address = backend ? backend->address : unlisted,
 		.method = request->method->str,
 		.path = request->path->str,
 		.headers = headers,
 		.header_count = count + 1,
 		.body = request->body->str,
 		.body_size = request->body->len,
-		.head_usec = CALL_HEAD_USEC,
+		.head_usec = CALL_HEAD_TIMEOUT_USEC,
 		.fresh = !request->idempotent,
 	};
 
@@ -225,7 +225,7 @@
 static int64_t time_left(const struct request *request)
 {
 	if (request->deadline == CLOCK_NEVER)
-		return CALL_HEAD_USEC;
+		return CALL_HEAD_TIMEOUT_USEC;
 	return request->deadline - clock_now(request->entry->clock);
 }
 
@@ -282,7 +282,7 @@
 		request->web_call = NULL;
 		request->reached = true;
 	}
-	server_put(request, PLAIN_UNKNOWN);
+	server_release(request, PLAIN_UNKNOWN);
 }
 
 /*
--- a/entry/request_start.c
+++ b/entry/request_start.c
@@ -6,13 +6,13 @@
 #include "entry/request.h"
 
 #define CLAIM_TIMEOUT_USEC (3 * USEC_PER_SEC)
-#define RETRY_SOON_USEC USEC_PER_SEC
+#define RETRY_AFTER_USEC USEC_PER_SEC
 /* Burst of a token bucket, in seconds of its rate: admits callers that start
  * together after a pause. */
 #define RATE_BURST_SEC 2.0
-#define ASK_AGAIN_USEC (100 * USEC_PER_MSEC)
+#define RESUBMIT_DELAY_USEC (100 * USEC_PER_MSEC)
 /* Longer than the detection of a dead instance takes. */
-#define ASK_AGAIN_MAX_USEC (10 * USEC_PER_SEC)
+#define RESUBMIT_MAX_USEC (10 * USEC_PER_SEC)
 
 static int64_t target_time(const struct request *request)
 {
@@ -21,9 +21,9 @@
 	return ms ? request->arrived + ms * USEC_PER_MSEC : CLOCK_NEVER;
 }
 
-static void request_ask(struct request *request)
+static void request_submit(struct request *request)
 {
-	struct ledger_request ask = {
+	struct ledger_request submission = {
 		.request = request->id,
 		.service = request->service.name,
 		.key = request->key,
@@ -44,18 +44,19 @@
 			},
 	};
 
-	memcpy(ask.need.blocks, request->blocks, sizeof(ask.need.blocks));
-	request->state = REQUEST_ASKING;
-	ledger_submit(request->entry->ledger, &ask);
+	memcpy(submission.need.blocks, request->blocks,
+	       sizeof(submission.need.blocks));
+	request->state = REQUEST_SUBMITTED;
+	ledger_submit(request->entry->ledger, &submission);
 }
 
-void request_ask_later(struct request *request)
+void request_submit_later(struct request *request)
 {
 	int64_t now = clock_now(request->entry->clock);
 
-	if (!request->asking_since)
-		request->asking_since = now;
-	if (now - request->asking_since >= ASK_AGAIN_MAX_USEC) {
+	if (!request->resubmit_since)
+		request->resubmit_since = now;
+	if (now - request->resubmit_since >= RESUBMIT_MAX_USEC) {
 		request_fail(request,
 			     request->idempotent ? RESULT_PEER_GONE
 						 : RESULT_ALREADY_CLAIMED,
@@ -64,7 +65,7 @@
 		return;
 	}
 	request->state = REQUEST_PAUSED;
-	timer_start(&request->timer, ASK_AGAIN_USEC);
+	timer_start(&request->timer, RESUBMIT_DELAY_USEC);
 }
 
 static uint32_t instances_alive(const struct entry *entry)
@@ -84,7 +85,7 @@
 			double rate, uint32_t sharers, int64_t *retry_after)
 {
 	struct limit_refusal refusal;
-	const struct limit_request ask = {
+	const struct limit_request limit = {
 		.account = account,
 		.allotment = {rate, MAX(rate * RATE_BURST_SEC, 1.0)},
 		.units = 1.0,
@@ -92,7 +93,7 @@
 	};
 
 	if (limit_take(request->entry->requests->limits,
-		       clock_now(request->entry->clock), &ask, &refusal))
+		       clock_now(request->entry->clock), &limit, &refusal))
 		return true;
 	*retry_after = refusal.retry_usec;
 	return false;
@@ -121,7 +122,7 @@
 	int64_t retry_after = 0;
 
 	if (entry->requests->active > entry->settings.requests_max) {
-		request_fail(request, RESULT_LIMITED, RETRY_SOON_USEC,
+		request_fail(request, RESULT_LIMITED, RETRY_AFTER_USEC,
 			     "too many requests in flight at this instance");
 		return;
 	}
@@ -140,7 +141,7 @@
 	}
 	if (request_spill(request, false))
 		return;
-	request_ask(request);
+	request_submit(request);
 }
 
 void request_claim(struct request *request)
@@ -153,7 +154,7 @@
 /* Plain services claim later, when the request holds a slot at a server. */
 void request_granted(struct request *request)
 {
-	request_own_key(request);
+	request_register_key(request);
 	if (request->service.kind == SERVICE_PLAIN) {
 		plain_run(request);
 		return;
@@ -212,7 +213,7 @@
 		claim_lost(request, winner);
 		return;
 	}
-	request_fail(request, code, RETRY_SOON_USEC,
+	request_fail(request, code, RETRY_AFTER_USEC,
 		     "the claim could not be decided; nothing was run");
 }
 
@@ -226,9 +227,9 @@
 		return;
 	case REQUEST_PAUSED:
 		if (request->granted)
-			model_again(request);
+			model_reassign(request);
 		else
-			request_ask(request);
+			request_submit(request);
 		return;
 	case REQUEST_CALLING:
 		plain_timer(request);
--- a/entry/requests.c
+++ b/entry/requests.c
@@ -11,7 +11,7 @@
 #include "entry/request.h"
 
 #define RETRY_TOKENS_MAX 100.0
-#define DOUBT_USEC (100 * USEC_PER_MSEC)
+#define RELEASE_RETRY_USEC (100 * USEC_PER_MSEC)
 
 static struct counter *counter(struct entry *entry, const char *name,
 			       const char *help)
@@ -24,19 +24,19 @@
  * membership confirms that no instance declared this one dead. If one did, the
  * home has ended the grants, and a retry may be running under them.
  */
-static void doubt_fire(struct timer *timer, void *ctx)
+static void unreleased_fire(struct timer *timer, void *ctx)
 {
 	struct requests *requests = ctx;
 
 	if (!membership_certain(requests->entry->membership)) {
-		timer_start(timer, DOUBT_USEC);
+		timer_start(timer, RELEASE_RETRY_USEC);
 		return;
 	}
-	for (guint i = 0; i < requests->doubtful->len; i++)
+	for (guint i = 0; i < requests->unreleased->len; i++)
 		ledger_release(requests->entry->ledger,
-			       g_array_index(requests->doubtful, uint64_t, i),
+			       g_array_index(requests->unreleased, uint64_t, i),
 			       RELEASE_FAILED);
-	g_array_set_size(requests->doubtful, 0);
+	g_array_set_size(requests->unreleased, 0);
 }
 
 struct requests *requests_create(struct entry *entry)
@@ -53,8 +53,9 @@
 	requests->budgets =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g_queue_init(&requests->kept);
-	requests->doubtful = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	timer_init(&requests->doubt, entry->clock, doubt_fire, requests);
+	requests->unreleased = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	timer_init(&requests->release_timer, entry->clock, unreleased_fire,
+		   requests);
 	requests->plain = plain_create(entry);
 	requests->limits = limits_create(&limits);
 	requests->late_pieces =
@@ -86,8 +87,8 @@
 			break;
 		request_discard(request);
 	}
-	timer_stop(&requests->doubt);
-	g_array_free(requests->doubtful, TRUE);
+	timer_stop(&requests->release_timer);
+	g_array_free(requests->unreleased, TRUE);
 	plain_destroy(requests->plain);
 	limits_destroy(requests->limits);
 	g_hash_table_unref(requests->by_id);
@@ -156,7 +157,7 @@
 {
 	struct request *request = request_find(requests, grant->request);
 
-	if (!request || request->state != REQUEST_ASKING) {
+	if (!request || request->state != REQUEST_SUBMITTED) {
 		log_event(LOG_NOTICE, "grant_unwanted",
 			  LOG_X("request", grant->request));
 		ledger_release(requests->entry->ledger, grant->request,
@@ -181,7 +182,7 @@
 {
 	struct request *request = request_find(requests, refusal->request);
 
-	if (!request || request->state != REQUEST_ASKING)
+	if (!request || request->state != REQUEST_SUBMITTED)
 		return;
 	request->granted = false;
 	if (refusal->code == RESULT_QUEUE_FULL && request_spill(request, true))
@@ -197,7 +198,7 @@
 {
 	struct request *request = request_find(requests, duplicate->request);
 
-	if (!request || request->state != REQUEST_ASKING)
+	if (!request || request->state != REQUEST_SUBMITTED)
 		return;
 	request_duplicate(request, duplicate);
 }
@@ -230,8 +231,8 @@
 void requests_refuted(struct requests *requests)
 {
 	requests_paused(requests);
-	timer_stop(&requests->doubt);
-	g_array_set_size(requests->doubtful, 0);
+	timer_stop(&requests->release_timer);
+	g_array_set_size(requests->unreleased, 0);
 }
 
 /*
@@ -242,7 +243,7 @@
 {
 	GHashTableIter iter;
 	gpointer value;
-	GPtrArray *lost = g_ptr_array_new();
+	GPtrArray *revoked = g_ptr_array_new();
 
 	g_hash_table_iter_init(&iter, requests->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -250,26 +251,26 @@
 
 		if (request->service.kind == SERVICE_MODEL &&
 		    request->granted && request->state != REQUEST_CANCELLING)
-			g_ptr_array_add(lost, request);
+			g_ptr_array_add(revoked, request);
 	}
-	for (unsigned int i = 0; i < lost->len; i++) {
-		struct request *request = lost->pdata[i];
+	for (unsigned int i = 0; i < revoked->len; i++) {
+		struct request *request = revoked->pdata[i];
 
-		g_array_append_val(requests->doubtful, request->id);
+		g_array_append_val(requests->unreleased, request->id);
 		request->granted = false;
 		model_revoked(request);
 	}
-	g_ptr_array_unref(lost);
-	if (requests->doubtful->len)
-		timer_start(&requests->doubt, DOUBT_USEC);
+	g_ptr_array_unref(revoked);
+	if (requests->unreleased->len)
+		timer_start(&requests->release_timer, RELEASE_RETRY_USEC);
 }
 
 static const char *const state_names[] = {
-	[REQUEST_ASKING] = "asking",   [REQUEST_CLAIMING] = "claiming",
-	[REQUEST_PREFILL] = "prefill", [REQUEST_TRANSFER] = "transfer",
-	[REQUEST_DECODE] = "decode",   [REQUEST_RESUMING] = "resuming",
-	[REQUEST_CALLING] = "calling", [REQUEST_PAUSED] = "paused",
-	[REQUEST_JOINING] = "joining", [REQUEST_CANCELLING] = "cancelling",
+	[REQUEST_SUBMITTED] = "asking", [REQUEST_CLAIMING] = "claiming",
+	[REQUEST_PREFILL] = "prefill",	[REQUEST_TRANSFER] = "transfer",
+	[REQUEST_DECODE] = "decode",	[REQUEST_RESUMING] = "resuming",
+	[REQUEST_CALLING] = "calling",	[REQUEST_PAUSED] = "paused",
+	[REQUEST_JOINING] = "joining",	[REQUEST_CANCELLING] = "cancelling",
 	[REQUEST_KEPT] = "kept",
 };
 
--- a/include/entry/request.h
+++ b/include/entry/request.h
@@ -10,7 +10,7 @@
  *
  *	States, in the order of processing:
  *
- *	ASKING    submitted to the cell's home, which checks the key and grants
+ *	SUBMITTED submitted to the cell's home, which checks the key and grants
  *	          memory and runners
  *	CLAIMING  the key of a non-idempotent request is being claimed
  *	PREFILL   a prefill is being computed
@@ -40,7 +40,7 @@
 #define REQUEST_GAP_BUCKETS 32
 
 enum request_state {
-	REQUEST_ASKING,
+	REQUEST_SUBMITTED,
 	REQUEST_CLAIMING,
 	REQUEST_PREFILL,
 	REQUEST_TRANSFER,
@@ -78,7 +78,7 @@
 	uint64_t organisation;
 	int64_t arrived;
 	int64_t deadline;
-	int64_t asking_since; /* first resubmission of a repeat; 0: none */
+	int64_t resubmit_since; /* first resubmission of a repeat; 0: none */
 	GQueue replies;
 	struct timer timer; /* its purpose depends on the state */
 
@@ -95,8 +95,8 @@
 	bool forwarded; /* received from or sent to another data centre */
 	/* The remote data centre that the current call was forwarded to, or
 	 * empty, and the number of its instances that failed before. */
-	char away[MEMBER_NAME_MAX];
-	uint32_t away_tries;
+	char remote_data_centre[MEMBER_NAME_MAX];
+	uint32_t remote_attempts;
 	bool adopted; /* taken over from a dead instance */
 	char handle[LEDGER_STREAM_MAX];
 	char stream[LEDGER_STREAM_MAX];
@@ -141,9 +141,9 @@
 	GQueue kept;	    /* oldest first */
 	uint64_t kept_bytes;
 	uint64_t next;
-	uint32_t active;  /* without kept ones */
-	GArray *doubtful; /* ids failed after a stall, not released yet */
-	struct timer doubt;
+	uint32_t active;    /* without kept ones */
+	GArray *unreleased; /* ids failed after a stall, not released yet */
+	struct timer release_timer;
 	struct limits *limits;
 	GHashTable *budgets; /* service's name -> struct retry_budget */
 	struct plain *plain;
@@ -162,12 +162,12 @@
 void request_set_service(struct request *request,
 			 const struct config_service *service);
 /* Enters the key: later repeats of it attach to this request. */
-void request_own_key(struct request *request);
+void request_register_key(struct request *request);
 /* Expiry of the request's timer; the action depends on the state. */
 void request_timer(struct timer *timer, void *ctx);
 /* Adds the request, ended with code, to the measures. */
 void request_measure(struct request *request, enum result_code code);
-void request_note_gap(struct request *request, int64_t gap_usec);
+void request_record_gap(struct request *request, int64_t gap_usec);
 struct request *request_find(const struct requests *requests, uint64_t id);
 /* Aborts the connection and treats the caller as disconnected. */
 void reply_abort(struct reply *reply);
@@ -184,7 +184,7 @@
 struct reply *reply_attach(struct request *request, struct web_request *web,
 			   bool stream);
 /* Assigns the id and adds the request to the table; call once it is filled. */
-void request_enter(struct request *request);
+void request_register(struct request *request);
 
 /* Ends the request and answers all replies with an error. */
 void request_fail(struct request *request, enum result_code code,
@@ -221,7 +221,7 @@
 
 /* Requests for a model (entry/request_model.c). */
 void model_run(struct request *request);
-void model_again(struct request *request);
+void model_reassign(struct request *request);
 void model_timer(struct request *request);
 /* The home has revoked the grant: no more output may reach a caller. */
 void model_revoked(struct request *request);
@@ -258,13 +258,13 @@
 bool request_join_local(struct request *request);
 void request_join_peer(struct request *request, const struct member *peer);
 /* Sends the call and relays its answer to the request's only reply. */
-void request_pipe(struct request *request, const struct web_call_spec *spec);
+void request_relay(struct request *request, const struct web_call_spec *spec);
 void request_join_cancel(struct request *request);
 void request_duplicate(struct request *request,
 		       const struct ledger_duplicate *duplicate);
 /* Resubmits to the home after a delay, because the run of the same key is not
  * available. Fails the request when this has lasted too long. */
-void request_ask_later(struct request *request);
+void request_submit_later(struct request *request);
 
 /* Forwarding to other data centres (entry/request_forward.c). These return
  * true when the request was sent. */
--- a/tests/requests/fakes.c
+++ b/tests/requests/fakes.c
@@ -299,7 +299,7 @@
 void ledger_submit(struct ledger *ledger, const struct ledger_request *request)
 {
 	fakes_note(request->no_redirect ? "ask-here" : "ask");
-	fakes.asked = request->request;
+	fakes.submitted = request->request;
 	fakes.attempt = 0;
 }
 
@@ -351,7 +351,7 @@
 		   int64_t timeout_us)
 {
 	fakes_note("claim");
-	fakes.asked = request;
+	fakes.submitted = request;
 }
 
 /* Membership and directory: two instances, one server, a runner per role. */
--- a/tests/requests/fakes.h
+++ b/tests/requests/fakes.h
@@ -36,7 +36,7 @@
 	void *cancel_ctx;
 	const struct web_call_ops *call_ops;
 	void *call_ctx;
-	uint64_t asked; /* the last request submitted or claimed */
+	uint64_t submitted; /* the last request submitted or claimed */
 	uint32_t attempt;
 	uint32_t grants;   /* not yet released */
 	uint32_t streams;  /* named by an engine and not yet ended */
--- a/tests/requests/test_paths.c
+++ b/tests/requests/test_paths.c
@@ -60,7 +60,7 @@
 static void step_grant(bool adopted, bool plain)
 {
 	struct ledger_grant grant = {
-		.request = fakes.asked,
+		.request = fakes.submitted,
 		.attempt = fakes.attempt,
 		.prefill = adopted || plain ? 0 : 10,
 		.decode = plain ? 0 : 11,
@@ -83,7 +83,7 @@
 static void step_duplicate(char **words)
 {
 	struct ledger_duplicate duplicate = {
-		.request = fakes.asked,
+		.request = fakes.submitted,
 		.state = strcmp(words[1], "running") == 0 ? RECORD_RUNNING
 			 : strcmp(words[1], "done") == 0  ? RECORD_DONE
 							  : RECORD_FAILED,
@@ -99,7 +99,7 @@
 
 static void step_elsewhere(void)
 {
-	struct ledger_duplicate duplicate = {.request = fakes.asked,
+	struct ledger_duplicate duplicate = {.request = fakes.submitted,
 					     .state = RECORD_ELSEWHERE,
 					     .data_centre = "b"};
 
@@ -204,7 +204,7 @@
 			   words[1] && strcmp(words[1], "plain") == 0);
 	else if (strcmp(verb, "refuse") == 0)
 		requests_refused(requests, &(struct ledger_refusal){
-						   .request = fakes.asked,
+						   .request = fakes.submitted,
 						   .code = code_of(words[1])});
 	else if (strcmp(verb, "duplicate") == 0)
 		step_duplicate(words);
@@ -217,7 +217,7 @@
 	else if (strcmp(verb, "revoke") == 0) {
 		fakes.grants = 0;
 		fakes.streams = 0;
-		requests_revoked(requests, fakes.asked, fakes.attempt);
+		requests_revoked(requests, fakes.submitted, fakes.attempt);
 	} else if (strcmp(verb, "refuted") == 0) {
 		/* Grants of plain services are kept: their calls continue. */
 		if (strcmp(callers[0].path, "/s/book") != 0)
@@ -229,7 +229,7 @@
 			0; /* the home ends the streams of released grants */
 		requests_paused(requests);
 	} else if (strcmp(verb, "claimed") == 0)
-		requests_claimed(requests, fakes.asked, code_of(words[1]),
+		requests_claimed(requests, fakes.submitted, code_of(words[1]),
 				 &other);
 	else if (strcmp(verb, "prefilled") == 0)
 		step_prefilled();
