--- a/entry/handler_model.c
+++ b/entry/handler_model.c
@@ -29,7 +29,7 @@
 	}
 	request = request_create(requests);
 	request_register(request);
-	if (!request_read_model(request, web, chat, &stream, &err)) {
+	if (!request_parse_model(request, web, chat, &stream, &err)) {
 		answer_error(web, request->id, err.code, OUTCOME_NOT_RUN, 0,
 			     err.text);
 		request_destroy(request);
--- a/entry/handler_plain.c
+++ b/entry/handler_plain.c
@@ -74,7 +74,7 @@
 	request = request_create(requests);
 	request_register(request);
 	request_set_service(request, service);
-	if (!request_read_headers(request, web, &err)) {
+	if (!request_parse_headers(request, web, &err)) {
 		request_refuse(request, web, &err);
 		return;
 	}
--- a/entry/prompt.c
+++ b/entry/prompt.c
@@ -19,7 +19,7 @@
 	return at;
 }
 
-static bool number_read(const char *text, size_t size, uint32_t *value)
+static bool number_parse(const char *text, size_t size, uint32_t *value)
 {
 	uint32_t number = 0;
 
@@ -37,7 +37,7 @@
 }
 
 /* "@N ": a synthetic prompt of N tokens. */
-static bool synthetic_read(const char *text, size_t size, uint32_t *tokens)
+static bool synthetic_parse(const char *text, size_t size, uint32_t *tokens)
 {
 	size_t start;
 	size_t end;
@@ -45,7 +45,7 @@
 	if (!size || text[0] != '@')
 		return false;
 	end = word_next(text, size, 1, &start);
-	return start == 1 && number_read(text + 1, end - 1, tokens);
+	return start == 1 && number_parse(text + 1, end - 1, tokens);
 }
 
 uint32_t prompt_tokens(const char *text, size_t size)
@@ -54,7 +54,7 @@
 	size_t start;
 	size_t at = 0;
 
-	if (synthetic_read(text, size, &count))
+	if (synthetic_parse(text, size, &count))
 		return count ? count : 1;
 	for (;;) {
 		at = word_next(text, size, at, &start);
@@ -65,7 +65,7 @@
 }
 
 /* "WORD~P": the number of shared tokens, and the hash of the word. */
-static uint32_t shared_read(const char *text, size_t size, uint64_t *group)
+static uint32_t shared_parse(const char *text, size_t size, uint64_t *group)
 {
 	const char *tilde;
 	uint32_t shared;
@@ -77,7 +77,7 @@
 	end = word_next(text, size, end, &start);
 	tilde = memchr(text + start, '~', end - start);
 	if (!tilde ||
-	    !number_read(tilde + 1, (size_t)(text + end - tilde - 1), &shared))
+	    !number_parse(tilde + 1, (size_t)(text + end - tilde - 1), &shared))
 		return 0;
 	*group = id_hash(text + start, end - start);
 	return shared;
@@ -88,7 +88,7 @@
 {
 	uint64_t own_hash = id_hash(text, size);
 	uint64_t group = own_hash;
-	uint32_t shared = shared_read(text, size, &group);
+	uint32_t shared = shared_parse(text, size, &group);
 	uint32_t count = tokens / PREFIX_BLOCK_TOKENS;
 	uint64_t chain = 0;
 
@@ -114,7 +114,7 @@
 	size_t start;
 	size_t at = 0;
 
-	if (synthetic_read(text, size, &tokens))
+	if (synthetic_parse(text, size, &tokens))
 		return synthetic_blocks(text, size, tokens, blocks, max);
 	while (count < max) {
 		at = word_next(text, size, at, &start);
--- a/entry/request_parse.c
+++ b/entry/request_parse.c
@@ -30,8 +30,8 @@
 	return true;
 }
 
-static bool read_class(struct request *request, struct web_request *web,
-		       struct error *err)
+static bool parse_class(struct request *request, struct web_request *web,
+			struct error *err)
 {
 	struct web_text text = web_request_header(web, "jt-class");
 
@@ -44,8 +44,8 @@
 			 "header jt-class: expected urgent or deferrable");
 }
 
-static bool read_deadline(struct request *request, struct web_request *web,
-			  struct error *err)
+static bool parse_deadline(struct request *request, struct web_request *web,
+			   struct error *err)
 {
 	struct web_text text = web_request_header(web, "jt-deadline-ms");
 	uint32_t ms = request->service.deadline_ms;
@@ -59,8 +59,8 @@
 	return true;
 }
 
-static bool read_idempotent(struct request *request, struct web_request *web,
-			    struct error *err)
+static bool parse_idempotent(struct request *request, struct web_request *web,
+			     struct error *err)
 {
 	struct web_text text = web_request_header(web, "jt-idempotent");
 
@@ -75,8 +75,8 @@
 }
 
 /* The key is scoped by organisation and service. */
-static bool read_key(struct request *request, struct web_request *web,
-		     struct error *err)
+static bool parse_key(struct request *request, struct web_request *web,
+		      struct error *err)
 {
 	struct web_text organisation =
 		web_request_header(web, "jt-organisation");
@@ -101,7 +101,8 @@
 	return true;
 }
 
-static void read_fingerprint(struct request *request, struct web_request *web)
+static void fingerprint_compute(struct request *request,
+				struct web_request *web)
 {
 	struct web_text parts[] = {
 		web_request_method(web),
@@ -116,19 +117,19 @@
 			       id_hash(parts[i].data, parts[i].size));
 }
 
-bool request_read_headers(struct request *request, struct web_request *web,
-			  struct error *err)
+bool request_parse_headers(struct request *request, struct web_request *web,
+			   struct error *err)
 {
-	read_fingerprint(request, web);
+	fingerprint_compute(request, web);
 	request->forwarded = web_request_header(web, "jt-forwarded").data;
-	return read_class(request, web, err) &&
-	       read_deadline(request, web, err) &&
-	       read_idempotent(request, web, err) &&
-	       read_key(request, web, err);
+	return parse_class(request, web, err) &&
+	       parse_deadline(request, web, err) &&
+	       parse_idempotent(request, web, err) &&
+	       parse_key(request, web, err);
 }
 
-static bool read_messages(struct request *request, const json_t *body,
-			  struct error *err)
+static bool parse_messages(struct request *request, const json_t *body,
+			   struct error *err)
 {
 	const json_t *messages = json_object_get(body, "messages");
 	size_t i;
@@ -153,8 +154,8 @@
 	return true;
 }
 
-static bool read_prompt(struct request *request, const json_t *body,
-			struct error *err)
+static bool parse_prompt(struct request *request, const json_t *body,
+			 struct error *err)
 {
 	const json_t *prompt = json_object_get(body, "prompt");
 
@@ -168,8 +169,8 @@
 	return true;
 }
 
-static bool read_max_tokens(struct request *request, const json_t *body,
-			    struct error *err)
+static bool parse_max_tokens(struct request *request, const json_t *body,
+			     struct error *err)
 {
 	uint32_t limit = request->service.output_tokens_max;
 	const json_t *max = json_object_get(body, "max_tokens");
@@ -185,7 +186,7 @@
 	return true;
 }
 
-static bool read_stream(const json_t *body, bool *stream, struct error *err)
+static bool parse_stream(const json_t *body, bool *stream, struct error *err)
 {
 	const json_t *flag = json_object_get(body, "stream");
 
@@ -196,7 +197,7 @@
 			 "field stream: expected true or false");
 }
 
-static bool read_prompt_size(struct request *request, struct error *err)
+static bool prompt_size_check(struct request *request, struct error *err)
 {
 	request->prompt_tokens =
 		prompt_tokens(request->prompt->str, request->prompt->len);
@@ -208,8 +209,8 @@
 			 request->service.prompt_tokens_max);
 }
 
-static bool read_model(struct request *request, const json_t *body,
-		       struct error *err)
+static bool parse_model(struct request *request, const json_t *body,
+			struct error *err)
 {
 	const json_t *name = json_object_get(body, "model");
 	const struct config_service *service;
@@ -228,8 +229,8 @@
 	return true;
 }
 
-bool request_read_model(struct request *request, struct web_request *web,
-			bool chat, bool *stream, struct error *err)
+bool request_parse_model(struct request *request, struct web_request *web,
+			 bool chat, bool *stream, struct error *err)
 {
 	struct web_text text = web_request_body(web);
 	json_error_t where;
@@ -245,12 +246,12 @@
 				 where.line, where.column, where.text);
 	}
 	request->chat = chat;
-	ok = read_model(request, body, err) &&
-	     request_read_headers(request, web, err) &&
-	     (chat ? read_messages(request, body, err)
-		   : read_prompt(request, body, err)) &&
-	     read_max_tokens(request, body, err) &&
-	     read_stream(body, stream, err) && read_prompt_size(request, err);
+	ok = parse_model(request, body, err) &&
+	     request_parse_headers(request, web, err) &&
+	     (chat ? parse_messages(request, body, err)
+		   : parse_prompt(request, body, err)) &&
+	     parse_max_tokens(request, body, err) &&
+	     parse_stream(body, stream, err) && prompt_size_check(request, err);
 	json_decref(body);
 	if (ok)
 		request->block_count = prompt_blocks(
--- a/include/entry/request.h
+++ b/include/entry/request.h
@@ -214,10 +214,10 @@
 		 int64_t retry_after_usec, const char *text);
 
 /* Parsing of requests (entry/request_parse.c). */
-bool request_read_model(struct request *request, struct web_request *web,
-			bool chat, bool *stream, struct error *err);
-bool request_read_headers(struct request *request, struct web_request *web,
-			  struct error *err);
+bool request_parse_model(struct request *request, struct web_request *web,
+			 bool chat, bool *stream, struct error *err);
+bool request_parse_headers(struct request *request, struct web_request *web,
+			   struct error *err);
 
 /* Requests for a model (entry/request_model.c). */
 void model_run(struct request *request);
