--- a/entry/request_join.c
+++ b/entry/request_join.c
@@ -1,7 +1,7 @@
 /*
- * Repeated keys. A repeat is attached to the running request or answered from
- * the kept answer when this instance has it; else its answer is fetched from
- * the instance that has; when that one died, its stream is taken over.
+ * Repeated keys. If this instance has the request, the repeat attaches to it or
+ * gets the kept answer. Otherwise the answer is fetched from the instance that
+ * has the request; if that instance is dead, its stream is taken over.
  */
 #include <stdio.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "common/log.h"
 #include "entry/request.h"
 
-#define JOIN_HEAD_USEC (120 * USEC_PER_SEC)
+#define JOIN_HEAD_TIMEOUT_USEC (120 * USEC_PER_SEC)
 
 static void key_mismatch(struct request *request)
 {
@@ -18,7 +18,7 @@
 		     "the key was used before with another request");
 }
 
-/* Moves the replies of a repeat to the request that has the answer. */
+/* Moves the replies of a repeat to the first request with the key. */
 static void replies_move(struct request *from, struct request *to)
 {
 	while (from->replies.head) {
@@ -52,7 +52,7 @@
 	return true;
 }
 
-static struct reply *only_reply(const struct request *request)
+static struct reply *single_reply(const struct request *request)
 {
 	return request->replies.head ? request->replies.head->data : NULL;
 }
@@ -61,12 +61,12 @@
 		      size_t count)
 {
 	struct request *request = ctx;
-	struct reply *reply = only_reply(request);
+	struct reply *reply = single_reply(request);
 	const char *type = "application/octet-stream";
 	char *type_copy = NULL;
 
 	request->status = status;
-	if ((status == 404 && !request->away[0]) || !reply)
+	if ((status == 404 && !request->remote_data_centre[0]) || !reply)
 		return;
 	for (size_t i = 0; i < count; i++) {
 		char *name =
@@ -92,40 +92,42 @@
 static void join_body(void *ctx, const void *data, size_t size)
 {
 	struct request *request = ctx;
-	struct reply *reply = only_reply(request);
+	struct reply *reply = single_reply(request);
 
-	if ((request->status != 404 || request->away[0]) && reply)
+	if ((request->status != 404 || request->remote_data_centre[0]) && reply)
 		web_reply_piece(reply->web, data, size);
 }
 
 /*
- * No answer came. The other data centre may have run it: only an idempotent
- * request, or one that was never sent, is tried again, there and then here.
+ * No answer arrived. A forwarded request may have run there, so it is retried
+ * only if it is idempotent or was never sent: at the other instances there, and
+ * then here.
  */
 static void join_failed(struct request *request,
 			const struct web_result *result)
 {
-	if (request->away[0] && result->sent && !request->idempotent) {
+	if (request->remote_data_centre[0] && result->sent &&
+	    !request->idempotent) {
 		request->reached = true;
 		request_fail(request, RESULT_PEER_GONE, USEC_PER_SEC,
-			     "the data centre that took it does not answer");
+			     "the remote data centre did not answer");
 		return;
 	}
-	/* The live winner of the claim has no answer and will have none. */
+	/* The live holder of the claim has no answer and will not get one. */
 	if (request->claim_lost && request->status == 404) {
 		request_fail(request, RESULT_ALREADY_CLAIMED, 0,
 			     "a request with this key was claimed before");
 		return;
 	}
-	if (request->away[0] && request_forward_next(request))
+	if (request->remote_data_centre[0] && request_forward_next(request))
 		return;
-	request_ask_later(request);
+	request_submit_later(request);
 }
 
 static void join_done(void *ctx, const struct web_result *result)
 {
 	struct request *request = ctx;
-	struct reply *reply = only_reply(request);
+	struct reply *reply = single_reply(request);
 
 	request->web_call = NULL;
 	if (!reply) {
@@ -150,10 +152,10 @@
 	.done = join_done,
 };
 
-void request_pipe(struct request *request, const struct web_call_spec *spec)
+void request_relay(struct request *request, const struct web_call_spec *spec)
 {
 	request->state = REQUEST_JOINING;
-	request->away[0] = '\0';
+	request->remote_data_centre[0] = '\0';
 	request->status = 0;
 	request->web_call =
 		web_call(request->entry->client, spec, &join_ops, request);
@@ -161,22 +163,23 @@
 
 void request_join_peer(struct request *request, const struct member *peer)
 {
-	struct reply *reply = only_reply(request);
+	struct reply *reply = single_reply(request);
 	char key[HEX_ID_SIZE];
-	char mark[HEX_ID_SIZE];
+	char fingerprint[HEX_ID_SIZE];
 	char path[96];
 	struct web_call_spec spec = {
 		.address = peer->http_address,
 		.method = "GET",
 		.path = path,
-		.head_usec = JOIN_HEAD_USEC,
+		.head_usec = JOIN_HEAD_TIMEOUT_USEC,
 	};
 
 	snprintf(path, sizeof(path), "/v1/answers/%s?fingerprint=%s&stream=%d",
-		 hex_id(key, request->key), hex_id(mark, request->fingerprint),
+		 hex_id(key, request->key),
+		 hex_id(fingerprint, request->fingerprint),
 		 reply && reply->stream);
 	request->entry->requests->joins->value++;
-	request_pipe(request, &spec);
+	request_relay(request, &spec);
 }
 
 void request_join_cancel(struct request *request)
@@ -186,7 +189,7 @@
 	request->web_call = NULL;
 }
 
-/* The instance that ran the request is gone. */
+/* The instance that ran the request is dead: takes over its stream. */
 static void owner_gone(struct request *request,
 		       const struct ledger_duplicate *duplicate)
 {
@@ -198,21 +201,21 @@
 			     0, "a request with this key was run before");
 		return;
 	}
-	request_own_key(request);
+	request_register_key(request);
 	request->grant.decode = duplicate->decode;
 	g_strlcpy(request->stream, duplicate->stream, sizeof(request->stream));
 	request->adopted = true;
 	ledger_adopt(request->entry->ledger, request->id);
 }
 
-/* Its key was run in another data centre; when that cannot be reached, this one
- * serves what it can. */
-static void key_elsewhere(struct request *request, const char *data_centre)
+/* The key was run in another data centre. If that one is unreachable, the
+ * request is resubmitted here, marked as forwarded. */
+static void key_remote(struct request *request, const char *data_centre)
 {
 	if (request_forward(request, data_centre))
 		return;
 	request->forwarded = true;
-	request_ask_later(request);
+	request_submit_later(request);
 }
 
 void request_duplicate(struct request *request,
@@ -223,7 +226,7 @@
 		membership_find(members, duplicate->owner.instance);
 
 	if (duplicate->state == RECORD_ELSEWHERE) {
-		key_elsewhere(request, duplicate->data_centre);
+		key_remote(request, duplicate->data_centre);
 		return;
 	}
 	if (!duplicate->owner_alive || !peer) {
@@ -240,5 +243,5 @@
 		return;
 	}
 	if (!request_join_local(request))
-		request_ask_later(request);
+		request_submit_later(request);
 }
--- a/entry/request_plain.c
+++ b/entry/request_plain.c
@@ -1,7 +1,7 @@
 /*
- * The path of a request for a plain service: method, headers, status and body
- * are passed on intact. A call is repeated only when the request is idempotent
- * or when it is known that nothing was run.
+ * Requests for a plain service: method, headers, status and body are passed
+ * through, without hop-by-hop and jt-* headers. A call is retried only when the
+ * request is idempotent or certainly did not run.
  */
 #include <stdio.h>
 #include <string.h>
@@ -13,8 +13,8 @@
 #include "entry/plain.h"
 #include "entry/request.h"
 
-#define CALL_HEAD_USEC (30 * USEC_PER_SEC)
-#define ANSWER_KEPT_MAX (4u << 20)
+#define CALL_HEAD_TIMEOUT_USEC (30 * USEC_PER_SEC)
+#define ANSWER_BYTES_MAX (4u << 20)
 #define RETRY_BASE_USEC (10 * USEC_PER_MSEC)
 #define RETRY_MAX_USEC USEC_PER_SEC
 #define ATTEMPTS_MAX 4u
@@ -59,7 +59,7 @@
 	       web_text_is(header->value, value);
 }
 
-/* A refusal that says the call was not run. */
+/* A refusal by a server that states that the call did not run. */
 static bool says_not_run(int status, const struct web_header *headers,
 			 size_t count)
 {
@@ -87,14 +87,14 @@
 {
 	struct request *request = ctx;
 
-	if (request->answer_body->len + size > ANSWER_KEPT_MAX) {
+	if (request->answer_body->len + size > ANSWER_BYTES_MAX) {
 		request->too_long = true;
 		return;
 	}
 	g_string_append_len(request->answer_body, data, (gssize)size);
 }
 
-static void server_put(struct request *request, enum plain_use use)
+static void server_release(struct request *request, enum plain_use use)
 {
 	uint64_t id = request->server;
 
@@ -103,7 +103,7 @@
 		plain_put(request->entry->requests->plain, id, use);
 }
 
-/* Another try after a pause; or the end, with what is known. */
+/* Retries after a backoff, or fails the request. */
 static void call_retry(struct request *request, enum result_code code,
 		       const char *text)
 {
@@ -141,19 +141,19 @@
 	request->web_call = NULL;
 	if (result->ok && request->refused) {
 		directory_leaving(request->entry->directory, server);
-		server_put(request, PLAIN_UNKNOWN);
+		server_release(request, PLAIN_UNKNOWN);
 		call_retry(request, RESULT_BACKEND_REFUSED,
 			   "the server refused the call as not run");
 		return;
 	}
 	if (!result->ok) {
 		request->reached |= result->sent;
-		server_put(request, PLAIN_BAD);
+		server_release(request, PLAIN_BAD);
 		call_retry(request, failure_code(result), result->text);
 		return;
 	}
 	request->reached = true;
-	server_put(request, PLAIN_GOOD);
+	server_release(request, PLAIN_GOOD);
 	if (request->too_long) {
 		request_fail(request, RESULT_BACKEND_FAILED, 0,
 			     "the server's answer is too long");
@@ -177,19 +177,19 @@
 {
 	const struct backend *backend =
 		directory_find(request->entry->directory, request->server);
-	static const char gone[] = "0.0.0.0:0"; /* unlisted long ago */
+	static const char unlisted[] = "0.0.0.0:0"; /* fails the call at once */
 	size_t count = request->headers->len / 2;
 	struct web_header *headers = g_new0(struct web_header, count + 1);
 	char id[HEX_ID_SIZE];
 	struct web_call_spec spec = {
-		.address = backend ? backend->address : gone,
+		.address = backend ? backend->address : unlisted,
 		.method = request->method->str,
 		.path = request->path->str,
 		.headers = headers,
 		.header_count = count + 1,
 		.body = request->body->str,
 		.body_size = request->body->len,
-		.head_usec = CALL_HEAD_USEC,
+		.head_usec = CALL_HEAD_TIMEOUT_USEC,
 		.fresh = !request->idempotent,
 	};
 
@@ -208,8 +208,8 @@
 }
 
 /*
- * A place at a server is held. The key of a request that is not idempotent is
- * claimed only now, so that a full queue does not spend it.
+ * The request holds a slot at a server. A non-idempotent request claims its key
+ * only now: a request refused by a full queue must not use up its key.
  */
 void plain_start(struct request *request, uint64_t server)
 {
@@ -225,7 +225,7 @@
 static int64_t time_left(const struct request *request)
 {
 	if (request->deadline == CLOCK_NEVER)
-		return CALL_HEAD_USEC;
+		return CALL_HEAD_TIMEOUT_USEC;
 	return request->deadline - clock_now(request->entry->clock);
 }
 
@@ -260,7 +260,7 @@
 	timer_start(&request->timer, left);
 }
 
-/* A pause before another try is over, or the wait for a server is. */
+/* The retry backoff, or the wait in the queue, is over. */
 void plain_timer(struct request *request)
 {
 	struct plain *plain = request->entry->requests->plain;
@@ -274,7 +274,6 @@
 		     "the deadline passed before a server was free");
 }
 
-/* Gives up whatever the request holds or waits for at the servers. */
 void plain_drop(struct request *request)
 {
 	plain_unwait(request->entry->requests->plain, request);
@@ -283,12 +282,12 @@
 		request->web_call = NULL;
 		request->reached = true;
 	}
-	server_put(request, PLAIN_UNKNOWN);
+	server_release(request, PLAIN_UNKNOWN);
 }
 
 /*
- * All callers have gone. A call with a key that was sent or claimed goes on:
- * its caller will ask again and is then given the answer. Others are ended.
+ * No caller is left. A request with a key continues if it was sent or is not
+ * idempotent: the answer is kept for a repeat of the key. Others are cancelled.
  */
 void plain_cancel(struct request *request)
 {
--- a/tests/requests/fakes.c
+++ b/tests/requests/fakes.c
@@ -299,7 +299,7 @@
 void ledger_submit(struct ledger *ledger, const struct ledger_request *request)
 {
 	fakes_note(request->no_redirect ? "ask-here" : "ask");
-	fakes.asked = request->request;
+	fakes.submitted = request->request;
 	fakes.attempt = 0;
 }
 
@@ -343,7 +343,7 @@
 	fakes_note("again:%s@%u", result_label(why), tokens_so_far);
 	g_assert_cmpuint(fakes.grants, >, 0);
 	fakes.grants--;
-	fakes.streams = 0; /* the home ends the former attempt's */
+	fakes.streams = 0; /* the home ends the previous attempt's stream */
 	fakes.attempt++;
 }
 
@@ -351,10 +351,10 @@
 		   int64_t timeout_us)
 {
 	fakes_note("claim");
-	fakes.asked = request;
+	fakes.submitted = request;
 }
 
-/* The site: two instances, one server and one runner of each role. */
+/* Membership and directory: two instances, one server, a runner per role. */
 const struct member *membership_self(const struct membership *membership)
 {
 	return &self;
