--- a/entry/directory.c
+++ b/entry/directory.c
@@ -1,5 +1,5 @@
 /*
- * directory.c - backend servers by name, and which of them are leaving
+ * directory.c - backend servers from the platform's list, and which are leaving
  */
 #include "entry/directory.h"
 
@@ -15,24 +15,25 @@
 #include "coord/member.h"
 #include "entry/entry.h"
 
-/* An unlisted server is forgotten after this: its streams may still end. */
+/* Time for which an unlisted server is kept, so that its streams can end. */
 #define FORGET_USEC (60 * USEC_PER_SEC)
 
 struct item {
 	struct backend backend;
-	uint32_t reading;    /* the sweep that last named it */
+	uint32_t reading;    /* the last sweep that listed it */
 	int64_t unlisted_at; /* clock time */
-	uint64_t changed;    /* the number of its last change */
+	uint64_t changed;    /* number of its last change */
 };
 
 struct directory {
 	struct entry *entry;
-	GPtrArray *items;    /* sorted by name */
-	GHashTable *by_id;   /* id to struct item */
-	GHashTable *leaving; /* id to the highest incarnation said to leave */
+	GPtrArray *items;  /* sorted by name */
+	GHashTable *by_id; /* by id: struct item */
+	GHashTable
+		*leaving; /* by id: highest incarnation known to be leaving */
 	uint32_t reading;
 	uint64_t changes;
-	uint64_t forgotten; /* highest change of an item that is gone */
+	uint64_t forgotten; /* highest change number of a removed item */
 	struct timer notify;
 	directory_changed_fn changed;
 	void *ctx;
@@ -76,7 +77,7 @@
 	return incarnation && backend->incarnation <= *incarnation;
 }
 
-/* Returns whether this is news. */
+/* Returns false if this incarnation or a later one was already recorded. */
 static bool leaving_note(struct directory *directory, uint64_t id,
 			 uint64_t incarnation)
 {
@@ -116,7 +117,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Marks it here; spreads it when it was seen here first. */
+/* Marks a server as leaving; with spread, also announces it to the members. */
 static void item_leave(struct directory *directory, uint64_t id,
 		       uint64_t incarnation, bool spread)
 {
--- a/entry/directory_codec.c
+++ b/entry/directory_codec.c
@@ -1,5 +1,5 @@
 /*
- * directory_codec.c - what instances tell each other of backend servers
+ * directory_codec.c - messages on backend servers between instances
  */
 #include "entry/directory_codec.h"
 
--- a/entry/directory_sync.c
+++ b/entry/directory_sync.c
@@ -1,5 +1,5 @@
 /*
- * directory_sync.c - the directory of one data centre, read by two
+ * directory_sync.c - exchange of the directory between instances
  */
 #include "entry/directory_sync.h"
 
@@ -15,16 +15,17 @@
 #include "entry/peers.h"
 
 #define READERS 2
-/* While nothing is known. */
+/* Time between requests until a complete list is known. */
 #define START_USEC (500 * USEC_PER_MSEC)
-/* In periods of the list: between asks, how old the readers' list may be, and
- * how often it is read here all the same: when it is fresh, when it is not. */
+/* In periods of --list-ms: the time between requests to a reader; the age from
+ * which the directory counts as stale; how often an instance that is not a
+ * reader reads the list itself, while the directory is fresh or stale. */
 #define ASK_EVERY 10
 #define STALE_AFTER 30
 #define READ_FRESH 300
 #define READ_STALE 10
 
-/* What is known of one teller's numbers. */
+/* Up to which change this instance has the directory of a reader. */
 struct teller {
 	uint64_t id;
 	uint64_t epoch;
@@ -35,14 +36,14 @@
 	struct entry *entry;
 	struct timer timer;
 	struct teller tellers[READERS];
-	uint32_t asked;	   /* how many were asked: the next one's turn */
-	uint32_t ticks;	   /* since the last ask */
-	uint64_t told;	   /* the last change that the others were told of */
-	bool reader;	   /* at the last tick */
-	int64_t listed_at; /* when a reader has read what is known here */
-	/* Of the message being taken. */
+	uint32_t asked;	   /* requests sent; selects the next instance */
+	uint32_t ticks;	   /* since the last request */
+	uint64_t told;	   /* last change sent to the data centre */
+	bool reader;	   /* whether it was one at the last tick */
+	int64_t listed_at; /* when a reader read the list received last */
+	/* Of the message being decoded. */
 	uint64_t from;
-	bool wanted; /* its backends are news here */
+	bool wanted; /* whether its entries are applied */
 };
 
 static int64_t now_of(const struct directory_sync *sync)
@@ -69,7 +70,7 @@
 	return false;
 }
 
-/* When this instance, by itself or through a reader, last knew the list. */
+/* When the list that the directory reflects was read, here or by a reader. */
 static int64_t listed_at(const struct directory_sync *sync)
 {
 	const struct entry *entry = sync->entry;
@@ -91,8 +92,6 @@
 	return READ_FRESH;
 }
 
-/* Telling. */
-
 static uint64_t own_age_ms(const struct directory_sync *sync)
 {
 	int64_t at = listed_at(sync);
@@ -150,7 +149,7 @@
 	       strcmp(member->data_centre, self->data_centre) == 0;
 }
 
-/* Tells the data centre what has changed since it was last told. */
+/* Sends the changes since the last call to all members of the data centre. */
 static void changes_tell(struct directory_sync *sync)
 {
 	struct entry *entry = sync->entry;
@@ -170,8 +169,6 @@
 	sync->told = until;
 }
 
-/* Learning. */
-
 static struct teller *teller_find(struct directory_sync *sync, uint64_t id)
 {
 	for (size_t i = 0; i < READERS; i++) {
@@ -181,8 +178,9 @@
 	return NULL;
 }
 
-/* A reader goes by its own reading; two of them may differ for a while, and
- * would else undo each other's. */
+/* A reader with a complete list ignores entries from others: the lists of the
+ * two readers can differ for a while, and each would undo the other's changes.
+ */
 static void on_backend(void *ctx, const struct backend *backend)
 {
 	struct directory_sync *sync = ctx;
@@ -259,8 +257,6 @@
 			  LOG_X("peer", from));
 }
 
-/* Asking. */
-
 static void ask_send(const struct directory_sync *sync, uint64_t to,
 		     const struct teller *teller)
 {
@@ -275,7 +271,8 @@
 	g_byte_array_unref(bytes);
 }
 
-/* The two readers take turns; a new reader's numbers are not known yet. */
+/* Alternates between the two readers. The whole directory is requested
+ * from a new reader. */
 static void reader_ask(struct directory_sync *sync)
 {
 	uint32_t rank = sync->asked++ % READERS;
@@ -289,7 +286,7 @@
 	ask_send(sync, id, teller);
 }
 
-/* The live members take turns at being asked. */
+/* Selects the live members in turn. */
 static uint64_t next_member(const struct directory_sync *sync)
 {
 	const struct membership *members = sync->entry->membership;
@@ -320,7 +317,7 @@
 
 static void reader_tick(struct directory_sync *sync)
 {
-	/* What was known before the role was taken is no news. */
+	/* A new reader does not send changes from before it became one. */
 	if (!sync->reader)
 		sync->told = directory_changes(sync->entry->directory);
 	changes_tell(sync);
@@ -358,7 +355,7 @@
 
 	sync->entry = entry;
 	sync->listed_at = -1;
-	/* Spreads the first asks of instances that start together. */
+	/* Spreads the first requests of instances that start together. */
 	sync->ticks = (uint32_t)g_rand_int_range(entry->rand, 0, ASK_EVERY);
 	peers_on(entry->peers, CHANNEL_DIRECTORY, sync_receive, sync);
 	timer_init(&sync->timer, entry->clock, sync_fire, sync);
--- a/entry/orders.c
+++ b/entry/orders.c
@@ -1,5 +1,6 @@
 /*
- * orders.c - cells as coord/order.h sees them, and its calls to engines
+ * orders.c - the callbacks of coord/order.h on the ledger, directory and
+ * engines
  */
 #include "entry/orders.h"
 
@@ -14,16 +15,16 @@
 #include "entry/entry.h"
 #include "entry/own_platform.h"
 
-/* Of the mean size of requests, a tick. */
+/* Weight of one tick in the moving averages of a cell's arrivals. */
 #define SIZE_WEIGHT 0.05
 
-/* What a cell's arrivals were at the last tick. */
+/* A cell's arrival counters at the last tick, and their averages. */
 struct arrivals {
 	struct ledger_demand total;
 	double cached_tokens;
 	int64_t at;
-	struct ledger_demand mean; /* a second */
-	double uncached;	   /* prompt tokens a second */
+	struct ledger_demand mean; /* per second */
+	double uncached;	   /* prompt tokens per second */
 };
 
 /* A call to a runner on behalf of coord/order.h. */
@@ -36,9 +37,9 @@
 struct entry_orders {
 	struct entry *entry;
 	struct orders *orders;
-	GHashTable *arrivals; /* cell to struct arrivals */
-	GHashTable *calls;    /* runner to struct runner_call */
-	GArray *runners;      /* struct order_runner, of the cell visited */
+	GHashTable *arrivals; /* by cell id: struct arrivals */
+	GHashTable *calls;    /* by runner id: struct runner_call */
+	GArray *runners;      /* struct order_runner of the current cell */
 	struct timer count;
 };
 
@@ -113,7 +114,7 @@
 	smooth(&arrivals->mean.pieces, total->pieces - last.pieces, seconds);
 }
 
-/* How many requests of the usual size a decode runner holds. */
+/* Number of requests of average size that fit on one decode runner. */
 static double batch_size(const struct arrivals *arrivals,
 			 const struct config_pool *decode)
 {
@@ -306,7 +307,8 @@
 	return call;
 }
 
-/* One that has left the directory: a call to it fails in a later turn. */
+/* Empty for a runner that has left the directory: the call then fails in a
+ * later iteration of the event loop. */
 static const char *address_of(const struct entry_orders *orders,
 			      uint64_t runner)
 {
--- a/include/entry/directory.h
+++ b/include/entry/directory.h
@@ -1,14 +1,14 @@
 /*
- * directory.h - the backend servers that the platform's list names
+ * directory.h - the backend servers in the platform's list
  *
  * DESCRIPTION
- *	Filled from the platform's lagging list and from facts spread by other
- *	instances. A server marked leaving from any sign stays so until the list
- *	shows it under a new incarnation. While the platform cannot be read, the
- *	last list holds.
+ *	Filled from the platform's list, which lags, and from facts that other
+ *	instances spread. A server marked as leaving, for whatever reason, stays
+ *	so until the list shows it with a higher incarnation. While the platform
+ *	cannot be read, the last list remains in use.
  *
- *	Changes are numbered from 1 on, so that another instance can be told
- *	what has changed since a number.
+ *	Changes are numbered from 1, so that another instance can request the
+ *	changes after a given number.
  */
 #ifndef ENTRY_DIRECTORY_H
 #define ENTRY_DIRECTORY_H
@@ -31,40 +31,44 @@
 	bool listed; /* still in the platform's list */
 };
 
-/* Called in a later turn after any number of changes. */
+/* Called once in a later iteration of the event loop for one or more changes.
+ */
 typedef void (*directory_changed_fn)(void *ctx);
 
 struct directory *directory_create(struct entry *entry);
 void directory_destroy(struct directory *directory);
 const struct backend *directory_find(const struct directory *directory,
 				     uint64_t id);
-/* Walks all, sorted by name; cursor starts at 0. */
+/* Iterates over all servers, sorted by name; cursor starts at 0. */
 const struct backend *directory_next(const struct directory *directory,
 				     uint32_t *cursor);
-/* One entry as read from the list or told by a peer. */
+/* Applies an entry that this instance read from the platform's list. */
 void directory_put(struct directory *directory, const struct backend *backend);
-/* One entry as another instance has it, which may be unlisted by now. */
+/* Applies an entry received from another instance, which may be unlisted. */
 void directory_learn(struct directory *directory,
 		     const struct backend *backend);
-/* A reading starts that may name less than was learnt since the last one. */
+/* Starts a sweep afresh: entries applied before it do not count as listed. */
 void directory_begin(struct directory *directory);
-/* All entries of one reading were put: those not among them are unlisted. */
+/* Ends a sweep: unlists the servers of which it applied no entry. */
 void directory_swept(struct directory *directory);
-/* A fact spread by another instance; others than ours are passed over. */
+/* Applies a fact spread by another instance; ignores facts of other kinds. */
 void directory_fact(struct directory *directory, uint64_t key,
 		    const void *value, size_t size);
 void directory_on_changed(struct directory *directory, directory_changed_fn fn,
 			  void *ctx);
 /* The number of the last change. */
 uint64_t directory_changes(const struct directory *directory);
-/* Whether what changed since then is still known; if not, all must be told. */
+/* Whether all changes after since are still known; if not, the whole directory
+ * must be sent. */
 bool directory_remembers(const struct directory *directory, uint64_t since);
-/* As directory_next(), over what has changed since. */
+/* As directory_next(), for the servers changed after since. */
 const struct backend *directory_next_since(const struct directory *directory,
 					   uint32_t *cursor, uint64_t since);
-/* Whether one whole reading, of the list or of a peer, has been taken. */
+/* Whether a complete list was received, from the platform or another instance.
+ */
 bool directory_known(const struct directory *directory);
-/* The server said, refused or was reported to be leaving: spread it. */
+/* Marks a server as leaving and spreads that: the server announced it, refused
+ * work for it, or was reported to be leaving. */
 void directory_leaving(struct directory *directory, uint64_t id);
 
 #endif
--- a/include/entry/directory_codec.h
+++ b/include/entry/directory_codec.h
@@ -1,14 +1,15 @@
 /*
- * directory_codec.h - what instances tell each other of backend servers
+ * directory_codec.h - messages on backend servers between instances
  *
  * DESCRIPTION
  *	MessagePack arrays on CHANNEL_DIRECTORY:
- *	[1, epoch, since]                     asks for the changes since
+ *	[1, epoch, since]                     requests the changes after since
  *	[2, epoch, since, until, whole, age_ms, [backend...]]
  *	with backend [name, pool, data centre, address, incarnation, leaving,
- *	listed]. The epoch is the answering process's incarnation: numbers of
- *	changes mean nothing beyond it. whole: what is not named is unlisted.
- *	age_ms tells how old the teller's own reading of the list is.
+ *	listed]. The epoch is the incarnation of the process that sends the
+ *	update: change numbers are valid only within it. If whole is set, a
+ *	server that is not named is unlisted. age_ms is the time since the
+ *	sender's directory was last read from the list.
  */
 #ifndef ENTRY_DIRECTORY_CODEC_H
 #define ENTRY_DIRECTORY_CODEC_H
@@ -20,11 +21,11 @@
 
 #include "entry/directory.h"
 
-/* An age that says: never read. */
+/* The age_ms of a directory that was never read from the list. */
 #define DIRECTORY_AGE_NEVER UINT64_MAX
 
 struct directory_request {
-	uint64_t epoch; /* 0: all is wanted */
+	uint64_t epoch; /* 0: requests the whole directory */
 	uint64_t since;
 };
 
@@ -38,14 +39,15 @@
 
 void directory_request_encode(const struct directory_request *ask,
 			      GByteArray *out);
-/* Takes the backends from the directory itself: those changed since, or all
- * that are listed when whole. */
+/* Appends the backends from the directory: those changed after since or, if
+ * whole is set, all that are listed. */
 void directory_update_encode(const struct directory_update *news,
 			     const struct directory *directory,
 			     GByteArray *out);
 
-/* Calls ask, or news, backend for each, and end. False with nothing called when
- * the bytes are neither. */
+/* For a request directory_decode() calls ask; for an update, news, then backend
+ * for each entry, then end. It returns false for malformed data, without a
+ * call. */
 struct directory_codec_ops {
 	void (*ask)(void *ctx, const struct directory_request *ask);
 	void (*news)(void *ctx, const struct directory_update *news);
