--- a/entry/component_link.c
+++ b/entry/component_link.c
@@ -270,7 +270,7 @@
 {
 	const struct entry *entry = ctx;
 
-	directory_swept(entry->directory);
+	directory_sweep_end(entry->directory);
 }
 
 static uint32_t list_every(void *ctx)
--- a/entry/directory.c
+++ b/entry/directory.c
@@ -16,11 +16,11 @@
 #include "entry/entry.h"
 
 /* Time for which an unlisted server is kept, so that its streams can end. */
-#define FORGET_USEC (60 * USEC_PER_SEC)
+#define UNLISTED_KEEP_USEC (60 * USEC_PER_SEC)
 
 struct item {
 	struct backend backend;
-	uint32_t reading;    /* the last sweep that listed it */
+	uint32_t sweep;	     /* the last sweep that listed it */
 	int64_t unlisted_at; /* clock time */
 	uint64_t changed;    /* number of its last change */
 };
@@ -31,13 +31,13 @@
 	GHashTable *by_id; /* by id: struct item */
 	GHashTable
 		*leaving; /* by id: highest incarnation known to be leaving */
-	uint32_t reading;
+	uint32_t sweep;
 	uint64_t changes;
-	uint64_t forgotten; /* highest change number of a removed item */
+	uint64_t expired_change; /* highest change number of a removed item */
 	struct timer notify;
 	directory_changed_fn changed;
 	void *ctx;
-	struct counter *left;
+	struct counter *leaving_total;
 };
 
 static void notify_fire(struct timer *timer, void *ctx)
@@ -68,8 +68,8 @@
 	return strcmp((*left)->backend.name, (*right)->backend.name);
 }
 
-static bool left_before(const struct directory *directory,
-			const struct backend *backend)
+static bool is_leaving(const struct directory *directory,
+		       const struct backend *backend)
 {
 	const uint64_t *incarnation =
 		g_hash_table_lookup(directory->leaving, &backend->id);
@@ -78,8 +78,8 @@
 }
 
 /* Returns false if this incarnation or a later one was already recorded. */
-static bool leaving_note(struct directory *directory, uint64_t id,
-			 uint64_t incarnation)
+static bool leaving_record(struct directory *directory, uint64_t id,
+			   uint64_t incarnation)
 {
 	uint64_t *known = g_hash_table_lookup(directory->leaving, &id);
 
@@ -118,19 +118,19 @@
 }
 
 /* Marks a server as leaving; with spread, also announces it to the members. */
-static void item_leave(struct directory *directory, uint64_t id,
-		       uint64_t incarnation, bool spread)
+static void item_mark_leaving(struct directory *directory, uint64_t id,
+			      uint64_t incarnation, bool spread)
 {
 	struct item *item = g_hash_table_lookup(directory->by_id, &id);
 
-	if (!leaving_note(directory, id, incarnation))
+	if (!leaving_record(directory, id, incarnation))
 		return;
 	if (spread)
 		leaving_spread(directory, id, incarnation);
 	if (!item || item->backend.incarnation > incarnation)
 		return;
 	item->backend.leaving = true;
-	directory->left->value++;
+	directory->leaving_total->value++;
 	log_event(LOG_NOTICE, "backend_leaving",
 		  LOG_S("backend", item->backend.name),
 		  LOG_S("pool", item->backend.pool),
@@ -144,8 +144,8 @@
 	struct item *item = g_new0(struct item, 1);
 
 	item->backend = *backend;
-	item->backend.leaving = left_before(directory, backend);
-	item->reading = directory->reading;
+	item->backend.leaving = is_leaving(directory, backend);
+	item->sweep = directory->sweep;
 	g_ptr_array_add(directory->items, item);
 	g_ptr_array_sort(directory->items, item_compare);
 	g_hash_table_insert(directory->by_id, &item->backend.id, item);
@@ -168,11 +168,11 @@
 {
 	if (backend->incarnation < item->backend.incarnation)
 		return;
-	item->reading = directory->reading;
+	item->sweep = directory->sweep;
 	if (backend_same(&item->backend, backend))
 		return;
 	item->backend = *backend;
-	item->backend.leaving = left_before(directory, backend);
+	item->backend.leaving = is_leaving(directory, backend);
 	item_changed(directory, item);
 }
 
@@ -187,8 +187,8 @@
 	item_changed(directory, item);
 }
 
-static void backend_take(struct directory *directory,
-			 const struct backend *backend, bool spread)
+static void backend_apply(struct directory *directory,
+			  const struct backend *backend, bool spread)
 {
 	struct item *item = g_hash_table_lookup(directory->by_id, &backend->id);
 
@@ -197,52 +197,53 @@
 	else
 		item_insert(directory, backend);
 	if (backend->leaving)
-		item_leave(directory, backend->id, backend->incarnation,
-			   spread);
+		item_mark_leaving(directory, backend->id, backend->incarnation,
+				  spread);
 }
 
 void directory_put(struct directory *directory, const struct backend *backend)
 {
-	backend_take(directory, backend, true);
+	backend_apply(directory, backend, true);
 }
 
-void directory_learn(struct directory *directory, const struct backend *backend)
+void directory_merge(struct directory *directory, const struct backend *backend)
 {
 	struct item *item = g_hash_table_lookup(directory->by_id, &backend->id);
 
 	if (backend->listed)
-		backend_take(directory, backend, false);
+		backend_apply(directory, backend, false);
 	else if (item && item->backend.incarnation <= backend->incarnation)
 		item_unlist(directory, item);
 }
 
-static void item_forget(struct directory *directory, struct item *item)
+static void item_expire(struct directory *directory, struct item *item)
 {
 	int64_t age = clock_now(directory->entry->clock) - item->unlisted_at;
 
-	if (item->backend.listed || age < FORGET_USEC)
+	if (item->backend.listed || age < UNLISTED_KEEP_USEC)
 		return;
-	directory->forgotten = MAX(directory->forgotten, item->changed);
+	directory->expired_change =
+		MAX(directory->expired_change, item->changed);
 	g_hash_table_remove(directory->leaving, &item->backend.id);
 	g_hash_table_remove(directory->by_id, &item->backend.id);
 	g_ptr_array_remove(directory->items, item);
 }
 
-void directory_begin(struct directory *directory)
+void directory_sweep_begin(struct directory *directory)
 {
-	directory->reading++;
+	directory->sweep++;
 }
 
-void directory_swept(struct directory *directory)
+void directory_sweep_end(struct directory *directory)
 {
 	for (guint i = directory->items->len; i > 0; i--) {
 		struct item *item = directory->items->pdata[i - 1];
 
-		if (item->reading != directory->reading)
+		if (item->sweep != directory->sweep)
 			item_unlist(directory, item);
-		item_forget(directory, item);
+		item_expire(directory, item);
 	}
-	directory->reading++;
+	directory->sweep++;
 }
 
 void directory_leaving(struct directory *directory, uint64_t id)
@@ -250,7 +251,8 @@
 	const struct item *item = g_hash_table_lookup(directory->by_id, &id);
 
 	if (item && !item->backend.leaving)
-		item_leave(directory, id, item->backend.incarnation, true);
+		item_mark_leaving(directory, id, item->backend.incarnation,
+				  true);
 }
 
 static bool fact_decode(const void *value, size_t size, uint64_t *id,
@@ -282,12 +284,12 @@
 
 	if (fact_decode(value, size, &id, &incarnation) &&
 	    key == leaving_key(id))
-		item_leave(directory, id, incarnation, false);
+		item_mark_leaving(directory, id, incarnation, false);
 }
 
 bool directory_known(const struct directory *directory)
 {
-	return directory->reading > 0;
+	return directory->sweep > 0;
 }
 
 const struct backend *directory_find(const struct directory *directory,
@@ -314,9 +316,9 @@
 	return directory->changes;
 }
 
-bool directory_remembers(const struct directory *directory, uint64_t since)
+bool directory_has_since(const struct directory *directory, uint64_t since)
 {
-	return since >= directory->forgotten;
+	return since >= directory->expired_change;
 }
 
 const struct backend *directory_next_since(const struct directory *directory,
@@ -350,7 +352,7 @@
 	directory->leaving = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						   g_free, g_free);
 	timer_init(&directory->notify, entry->clock, notify_fire, directory);
-	directory->left =
+	directory->leaving_total =
 		counter_get(entry->counters, "jt_backends_leaving_total",
 			    "Backend servers seen to be leaving", NULL);
 	return directory;
--- a/entry/directory_sync.c
+++ b/entry/directory_sync.c
@@ -14,19 +14,19 @@
 #include "entry/own_platform.h"
 #include "entry/peers.h"
 
-#define READERS 2
+#define READER_COUNT 2
 /* Time between requests until a complete list is known. */
-#define START_USEC (500 * USEC_PER_MSEC)
+#define START_REQUEST_USEC (500 * USEC_PER_MSEC)
 /* In periods of --list-ms: the time between requests to a reader; the age from
  * which the directory counts as stale; how often an instance that is not a
  * reader reads the list itself, while the directory is fresh or stale. */
-#define ASK_EVERY 10
-#define STALE_AFTER 30
-#define READ_FRESH 300
-#define READ_STALE 10
+#define REQUEST_PERIODS 10
+#define STALE_PERIODS 30
+#define READ_FRESH_PERIODS 300
+#define READ_STALE_PERIODS 10
 
 /* Up to which change this instance has the directory of a reader. */
-struct teller {
+struct source {
 	uint64_t id;
 	uint64_t epoch;
 	uint64_t until;
@@ -35,15 +35,15 @@
 struct directory_sync {
 	struct entry *entry;
 	struct timer timer;
-	struct teller tellers[READERS];
-	uint32_t asked;	   /* requests sent; selects the next instance */
-	uint32_t ticks;	   /* since the last request */
-	uint64_t told;	   /* last change sent to the data centre */
-	bool reader;	   /* whether it was one at the last tick */
-	int64_t listed_at; /* when a reader read the list received last */
+	struct source sources[READER_COUNT];
+	uint32_t requests_sent; /* selects the next instance */
+	uint32_t ticks;		/* since the last request */
+	uint64_t sent_until;	/* last change sent to the data centre */
+	bool reader;		/* whether it was one at the last tick */
+	int64_t listed_at;	/* when a reader read the list received last */
 	/* Of the message being decoded. */
 	uint64_t from;
-	bool wanted; /* whether its entries are applied */
+	bool is_applied;
 };
 
 static int64_t now_of(const struct directory_sync *sync)
@@ -63,7 +63,7 @@
 {
 	uint64_t self = membership_self(sync->entry->membership)->id;
 
-	for (uint32_t rank = 0; rank < READERS; rank++) {
+	for (uint32_t rank = 0; rank < READER_COUNT; rank++) {
 		if (reader_id(sync, rank) == self)
 			return true;
 	}
@@ -87,9 +87,9 @@
 
 	if (at < 0 || is_reader(sync))
 		return 1;
-	if (now_of(sync) - at > STALE_AFTER * period)
-		return READ_STALE;
-	return READ_FRESH;
+	if (now_of(sync) - at > STALE_PERIODS * period)
+		return READ_STALE_PERIODS;
+	return READ_FRESH_PERIODS;
 }
 
 static uint64_t own_age_ms(const struct directory_sync *sync)
@@ -101,12 +101,12 @@
 	return (uint64_t)((now_of(sync) - at) / USEC_PER_MSEC);
 }
 
-static GByteArray *news_since(const struct directory_sync *sync, uint64_t since,
-			      bool whole)
+static GByteArray *update_encode(const struct directory_sync *sync,
+				 uint64_t since, bool whole)
 {
 	const struct entry *entry = sync->entry;
 	GByteArray *bytes = g_byte_array_new();
-	struct directory_update news = {
+	struct directory_update update = {
 		.epoch = entry->incarnation,
 		.since = since,
 		.until = directory_changes(entry->directory),
@@ -114,7 +114,7 @@
 		.age_ms = own_age_ms(sync),
 	};
 
-	directory_update_encode(&news, entry->directory, bytes);
+	directory_update_encode(&update, entry->directory, bytes);
 	return bytes;
 }
 
@@ -125,23 +125,23 @@
 		   bytes->len);
 }
 
-static void on_ask(void *ctx, const struct directory_request *ask)
+static void on_request(void *ctx, const struct directory_request *request)
 {
 	struct directory_sync *sync = ctx;
 	const struct entry *entry = sync->entry;
-	bool whole = ask->epoch != entry->incarnation ||
-		     !directory_remembers(entry->directory, ask->since);
+	bool whole = request->epoch != entry->incarnation ||
+		     !directory_has_since(entry->directory, request->since);
 	GByteArray *bytes;
 
 	if (!directory_known(entry->directory))
 		return;
-	bytes = news_since(sync, whole ? 0 : ask->since, whole);
+	bytes = update_encode(sync, whole ? 0 : request->since, whole);
 	bytes_send(sync, sync->from, bytes);
 	g_byte_array_unref(bytes);
 }
 
-static bool is_neighbour(const struct directory_sync *sync,
-			 const struct member *member)
+static bool is_local_peer(const struct directory_sync *sync,
+			  const struct member *member)
 {
 	const struct member *self = membership_self(sync->entry->membership);
 
@@ -150,7 +150,7 @@
 }
 
 /* Sends the changes since the last call to all members of the data centre. */
-static void changes_tell(struct directory_sync *sync)
+static void changes_send(struct directory_sync *sync)
 {
 	struct entry *entry = sync->entry;
 	uint64_t until = directory_changes(entry->directory);
@@ -158,22 +158,22 @@
 	GByteArray *bytes;
 	uint32_t cursor = 0;
 
-	if (until == sync->told)
+	if (until == sync->sent_until)
 		return;
-	bytes = news_since(sync, sync->told, false);
+	bytes = update_encode(sync, sync->sent_until, false);
 	while ((member = membership_next(entry->membership, &cursor))) {
-		if (is_neighbour(sync, member))
+		if (is_local_peer(sync, member))
 			bytes_send(sync, member->id, bytes);
 	}
 	g_byte_array_unref(bytes);
-	sync->told = until;
+	sync->sent_until = until;
 }
 
-static struct teller *teller_find(struct directory_sync *sync, uint64_t id)
+static struct source *source_find(struct directory_sync *sync, uint64_t id)
 {
-	for (size_t i = 0; i < READERS; i++) {
-		if (sync->tellers[i].id == id)
-			return &sync->tellers[i];
+	for (size_t i = 0; i < READER_COUNT; i++) {
+		if (sync->sources[i].id == id)
+			return &sync->sources[i];
 	}
 	return NULL;
 }
@@ -185,11 +185,11 @@
 {
 	struct directory_sync *sync = ctx;
 
-	if (sync->wanted)
-		directory_learn(sync->entry->directory, backend);
+	if (sync->is_applied)
+		directory_merge(sync->entry->directory, backend);
 }
 
-static void freshness_take(struct directory_sync *sync, uint64_t age_ms)
+static void freshness_update(struct directory_sync *sync, uint64_t age_ms)
 {
 	int64_t now = now_of(sync);
 
@@ -198,42 +198,42 @@
 				      now - (int64_t)age_ms * USEC_PER_MSEC);
 }
 
-static void teller_take(struct directory_sync *sync,
-			const struct directory_update *news)
+static void source_update(struct directory_sync *sync,
+			  const struct directory_update *update)
 {
-	struct teller *teller = teller_find(sync, sync->from);
+	struct source *source = source_find(sync, sync->from);
 
-	if (!teller)
+	if (!source)
 		return;
-	if (news->whole) {
-		teller->epoch = news->epoch;
-		teller->until = news->until;
-	} else if (teller->epoch == news->epoch &&
-		   news->since <= teller->until) {
-		teller->until = MAX(teller->until, news->until);
+	if (update->whole) {
+		source->epoch = update->epoch;
+		source->until = update->until;
+	} else if (source->epoch == update->epoch &&
+		   update->since <= source->until) {
+		source->until = MAX(source->until, update->until);
 	}
 }
 
-static void on_news(void *ctx, const struct directory_update *news)
+static void on_update(void *ctx, const struct directory_update *update)
 {
 	struct directory_sync *sync = ctx;
 
-	if (sync->wanted && news->whole)
-		directory_begin(sync->entry->directory);
+	if (sync->is_applied && update->whole)
+		directory_sweep_begin(sync->entry->directory);
 }
 
-static void on_end(void *ctx, const struct directory_update *news)
+static void on_end(void *ctx, const struct directory_update *update)
 {
 	struct directory_sync *sync = ctx;
 	struct directory *directory = sync->entry->directory;
 
-	if (!sync->wanted)
+	if (!sync->is_applied)
 		return;
-	teller_take(sync, news);
-	freshness_take(sync, news->age_ms);
-	if (!news->whole)
+	source_update(sync, update);
+	freshness_update(sync, update->age_ms);
+	if (!update->whole)
 		return;
-	directory_swept(directory);
+	directory_sweep_end(directory);
 	log_event(LOG_INFO, "directory_learnt", LOG_X("peer", sync->from),
 		  LOG_D("changes", directory_changes(directory)));
 }
@@ -242,48 +242,48 @@
 			 size_t size)
 {
 	static const struct directory_codec_ops ops = {
-		.ask = on_ask,
-		.news = on_news,
+		.request = on_request,
+		.update = on_update,
 		.backend = on_backend,
 		.end = on_end,
 	};
 	struct directory_sync *sync = ctx;
 
 	sync->from = from;
-	sync->wanted =
+	sync->is_applied =
 		!is_reader(sync) || !directory_known(sync->entry->directory);
 	if (!directory_decode(data, size, &ops, sync))
 		log_event(LOG_WARNING, "directory_message_malformed",
 			  LOG_X("peer", from));
 }
 
-static void ask_send(const struct directory_sync *sync, uint64_t to,
-		     const struct teller *teller)
+static void request_send(const struct directory_sync *sync, uint64_t to,
+			 const struct source *source)
 {
-	struct directory_request ask = {
-		.epoch = teller ? teller->epoch : 0,
-		.since = teller ? teller->until : 0,
+	struct directory_request request = {
+		.epoch = source ? source->epoch : 0,
+		.since = source ? source->until : 0,
 	};
 	GByteArray *bytes = g_byte_array_new();
 
-	directory_request_encode(&ask, bytes);
+	directory_request_encode(&request, bytes);
 	bytes_send(sync, to, bytes);
 	g_byte_array_unref(bytes);
 }
 
 /* Alternates between the two readers. The whole directory is requested
  * from a new reader. */
-static void reader_ask(struct directory_sync *sync)
+static void reader_request(struct directory_sync *sync)
 {
-	uint32_t rank = sync->asked++ % READERS;
+	uint32_t rank = sync->requests_sent++ % READER_COUNT;
 	uint64_t id = reader_id(sync, rank);
-	struct teller *teller = &sync->tellers[rank];
+	struct source *source = &sync->sources[rank];
 
 	if (id == 0)
 		return;
-	if (teller->id != id)
-		*teller = (struct teller){.id = id};
-	ask_send(sync, id, teller);
+	if (source->id != id)
+		*source = (struct source){.id = id};
+	request_send(sync, id, source);
 }
 
 /* Selects the live members in turn. */
@@ -301,34 +301,35 @@
 			g_array_append_val(alive, member->id);
 	}
 	if (alive->len > 0)
-		id = g_array_index(alive, uint64_t, sync->asked % alive->len);
+		id = g_array_index(alive, uint64_t,
+				   sync->requests_sent % alive->len);
 	g_array_free(alive, TRUE);
 	return id;
 }
 
-static void anyone_ask(struct directory_sync *sync)
+static void member_request(struct directory_sync *sync)
 {
 	uint64_t id = next_member(sync);
 
-	sync->asked++;
+	sync->requests_sent++;
 	if (id != 0)
-		ask_send(sync, id, NULL);
+		request_send(sync, id, NULL);
 }
 
 static void reader_tick(struct directory_sync *sync)
 {
 	/* A new reader does not send changes from before it became one. */
 	if (!sync->reader)
-		sync->told = directory_changes(sync->entry->directory);
-	changes_tell(sync);
+		sync->sent_until = directory_changes(sync->entry->directory);
+	changes_send(sync);
 }
 
-static void other_tick(struct directory_sync *sync)
+static void non_reader_tick(struct directory_sync *sync)
 {
-	if (++sync->ticks < ASK_EVERY)
+	if (++sync->ticks < REQUEST_PERIODS)
 		return;
 	sync->ticks = 0;
-	reader_ask(sync);
+	reader_request(sync);
 }
 
 static void sync_fire(struct timer *timer, void *ctx)
@@ -337,14 +338,14 @@
 	bool reader = is_reader(sync);
 
 	if (!directory_known(sync->entry->directory)) {
-		anyone_ask(sync);
-		timer_start(timer, START_USEC);
+		member_request(sync);
+		timer_start(timer, START_REQUEST_USEC);
 		return;
 	}
 	if (reader)
 		reader_tick(sync);
 	else
-		other_tick(sync);
+		non_reader_tick(sync);
 	sync->reader = reader;
 	timer_start(timer, sync->entry->settings.list_usec);
 }
@@ -356,10 +357,11 @@
 	sync->entry = entry;
 	sync->listed_at = -1;
 	/* Spreads the first requests of instances that start together. */
-	sync->ticks = (uint32_t)g_rand_int_range(entry->rand, 0, ASK_EVERY);
+	sync->ticks =
+		(uint32_t)g_rand_int_range(entry->rand, 0, REQUEST_PERIODS);
 	peers_on(entry->peers, CHANNEL_DIRECTORY, sync_receive, sync);
 	timer_init(&sync->timer, entry->clock, sync_fire, sync);
-	timer_start(&sync->timer, START_USEC);
+	timer_start(&sync->timer, START_REQUEST_USEC);
 	return sync;
 }
 
--- a/entry/orders.c
+++ b/entry/orders.c
@@ -43,9 +43,9 @@
 	struct timer count;
 };
 
-static bool pair_shared(const struct config *config,
-			const struct config_pool *prefill,
-			const struct config_pool *decode)
+static bool is_paired_otherwise(const struct config *config,
+				const struct config_pool *prefill,
+				const struct config_pool *decode)
 {
 	for (size_t i = 0; i < config->service_count; i++) {
 		const struct config_service *s = &config->services[i];
@@ -61,12 +61,13 @@
 	return false;
 }
 
-static bool takes_part(const struct entry_orders *orders,
-		       const struct ledger_cell *cell)
+static bool swaps_roles(const struct entry_orders *orders,
+			const struct ledger_cell *cell)
 {
 	return cell->settled && cell->prefill->swaps_role &&
 	       cell->decode->swaps_role &&
-	       !pair_shared(orders->entry->config, cell->prefill, cell->decode);
+	       !is_paired_otherwise(orders->entry->config, cell->prefill,
+				    cell->decode);
 }
 
 static struct arrivals *arrivals_get(struct entry_orders *orders, uint64_t cell)
@@ -82,14 +83,14 @@
 	return arrivals;
 }
 
-static void smooth(double *mean, double amount, double seconds)
+static void mean_update(double *mean, double amount, double seconds)
 {
 	*mean += SIZE_WEIGHT * (amount / seconds - *mean);
 }
 
-static void arrivals_take(struct arrivals *arrivals,
-			  const struct ledger_cell *cell, int64_t now,
-			  struct role_load *load)
+static void arrivals_update(struct arrivals *arrivals,
+			    const struct ledger_cell *cell, int64_t now,
+			    struct role_load *load)
 {
 	const struct ledger_demand *total = &cell->arrived;
 	double seconds = (double)(now - arrivals->at) / (double)USEC_PER_SEC;
@@ -109,9 +110,10 @@
 	load->prompt_tokens_per_s = MAX(prompts - cached, 0) / seconds;
 	load->output_tokens_per_s =
 		(total->output_tokens - last.output_tokens) / seconds;
-	smooth(&arrivals->mean.requests, total->requests - last.requests,
-	       seconds);
-	smooth(&arrivals->mean.pieces, total->pieces - last.pieces, seconds);
+	mean_update(&arrivals->mean.requests, total->requests - last.requests,
+		    seconds);
+	mean_update(&arrivals->mean.pieces, total->pieces - last.pieces,
+		    seconds);
 }
 
 /* Number of requests of average size that fit on one decode runner. */
@@ -146,12 +148,12 @@
 	g_array_append_val(orders->runners, out);
 }
 
-struct sums {
+struct rate_sums {
 	double prefill_rate;
 	double decode_rate;
 };
 
-static void load_add(struct role_load *load, struct sums *sums,
+static void load_add(struct role_load *load, struct rate_sums *rates,
 		     const struct policy_runner *runner, int64_t now)
 {
 	int64_t busy = runner->busy_until - now;
@@ -162,26 +164,26 @@
 		load->prefill++;
 		load->prefill_backlog +=
 			(double)MAX(busy, 0) / (double)USEC_PER_SEC;
-		sums->prefill_rate += runner->prefill_tokens_per_s;
+		rates->prefill_rate += runner->prefill_tokens_per_s;
 	} else if (runner->role == POOL_DECODE) {
 		load->decode++;
 		if (runner->pieces > 0)
 			load->memory_used += (double)runner->granted_pieces /
 					     (double)runner->pieces;
-		sums->decode_rate += runner->decode_tokens_per_s;
+		rates->decode_rate += runner->decode_tokens_per_s;
 	}
 }
 
-static void load_finish(struct role_load *load, const struct sums *sums,
+static void load_finish(struct role_load *load, const struct rate_sums *rates,
 			const struct ledger_cell *cell, double batch)
 {
 	double prefill = cell->prefill->prefill_tokens_per_s;
 	double decode = cell->decode->decode_tokens_per_s;
 
 	if (load->prefill > 0)
-		prefill = sums->prefill_rate / load->prefill;
+		prefill = rates->prefill_rate / load->prefill;
 	if (load->decode > 0)
-		decode = sums->decode_rate / load->decode;
+		decode = rates->decode_rate / load->decode;
 	load->prefill_tokens_per_s = prefill;
 	load->decode_tokens_per_s = decode * batch;
 	load->prefill_backlog += cell->waiting.prompt_tokens / MAX(prefill, 1);
@@ -194,14 +196,14 @@
 {
 	int64_t now = clock_now(orders->entry->clock);
 	struct arrivals *arrivals = arrivals_get(orders, cell->id);
-	struct sums sums = {0};
+	struct rate_sums rates = {0};
 
 	*out = (struct order_cell){
 		.id = cell->id,
 		.checks_fencing = cell->prefill->checks_fencing &&
 				  cell->decode->checks_fencing,
 	};
-	arrivals_take(arrivals, cell, now, &out->load);
+	arrivals_update(arrivals, cell, now, &out->load);
 	g_array_set_size(orders->runners, 0);
 	for (uint32_t i = 0; i < cell->runner_count; i++) {
 		const struct policy_runner *runner = &cell->runners[i];
@@ -210,10 +212,10 @@
 
 		if (!backend || !backend->listed || backend->leaving)
 			continue;
-		load_add(&out->load, &sums, runner, now);
+		load_add(&out->load, &rates, runner, now);
 		runner_add(orders, runner, backend, cell->grants[i]);
 	}
-	load_finish(&out->load, &sums, cell,
+	load_finish(&out->load, &rates, cell,
 		    batch_size(arrivals, cell->decode));
 	out->runners =
 		(const struct order_runner *)(void *)orders->runners->data;
@@ -227,7 +229,7 @@
 
 	while (orders->entry->config &&
 	       ledger_cell_next(orders->entry->ledger, cursor, &cell)) {
-		if (!takes_part(orders, &cell))
+		if (!swaps_roles(orders, &cell))
 			continue;
 		cell_fill(orders, &cell, out);
 		return true;
--- a/include/entry/directory.h
+++ b/include/entry/directory.h
@@ -45,12 +45,12 @@
 /* Applies an entry that this instance read from the platform's list. */
 void directory_put(struct directory *directory, const struct backend *backend);
 /* Applies an entry received from another instance, which may be unlisted. */
-void directory_learn(struct directory *directory,
+void directory_merge(struct directory *directory,
 		     const struct backend *backend);
 /* Starts a sweep afresh: entries applied before it do not count as listed. */
-void directory_begin(struct directory *directory);
+void directory_sweep_begin(struct directory *directory);
 /* Ends a sweep: unlists the servers of which it applied no entry. */
-void directory_swept(struct directory *directory);
+void directory_sweep_end(struct directory *directory);
 /* Applies a fact spread by another instance; ignores facts of other kinds. */
 void directory_fact(struct directory *directory, uint64_t key,
 		    const void *value, size_t size);
@@ -60,7 +60,7 @@
 uint64_t directory_changes(const struct directory *directory);
 /* Whether all changes after since are still known; if not, the whole directory
  * must be sent. */
-bool directory_remembers(const struct directory *directory, uint64_t since);
+bool directory_has_since(const struct directory *directory, uint64_t since);
 /* As directory_next(), for the servers changed after since. */
 const struct backend *directory_next_since(const struct directory *directory,
 					   uint32_t *cursor, uint64_t since);
--- a/include/entry/directory_codec.h
+++ b/include/entry/directory_codec.h
@@ -37,22 +37,22 @@
 	uint64_t age_ms;
 };
 
-void directory_request_encode(const struct directory_request *ask,
+void directory_request_encode(const struct directory_request *request,
 			      GByteArray *out);
 /* Appends the backends from the directory: those changed after since or, if
  * whole is set, all that are listed. */
-void directory_update_encode(const struct directory_update *news,
+void directory_update_encode(const struct directory_update *update,
 			     const struct directory *directory,
 			     GByteArray *out);
 
-/* For a request directory_decode() calls ask; for an update, news, then backend
- * for each entry, then end. It returns false for malformed data, without a
- * call. */
+/* For a request directory_decode() calls request; for an update, update, then
+ * backend for each entry, then end. It returns false for malformed data,
+ * without a call. */
 struct directory_codec_ops {
-	void (*ask)(void *ctx, const struct directory_request *ask);
-	void (*news)(void *ctx, const struct directory_update *news);
+	void (*request)(void *ctx, const struct directory_request *request);
+	void (*update)(void *ctx, const struct directory_update *update);
 	void (*backend)(void *ctx, const struct backend *backend);
-	void (*end)(void *ctx, const struct directory_update *news);
+	void (*end)(void *ctx, const struct directory_update *update);
 };
 bool directory_decode(const void *data, size_t size,
 		      const struct directory_codec_ops *ops, void *ctx);
--- a/tests/entry/test_directory.c
+++ b/tests/entry/test_directory.c
@@ -98,7 +98,7 @@
 		backend.leaving = part[3] != NULL;
 		directory_put(directory, &backend);
 	} else if (strcmp(part[0], "swept") == 0) {
-		directory_swept(directory);
+		directory_sweep_end(directory);
 	} else if (strcmp(part[0], "leave") == 0) {
 		directory_leaving(directory, id_of(part[1]));
 	} else if (strcmp(part[0], "fact") == 0) {
--- a/tests/entry/test_directory_sync.c
+++ b/tests/entry/test_directory_sync.c
@@ -265,7 +265,7 @@
 	if (strcmp(verb, "put") == 0) {
 		put(node, part[2]);
 	} else if (strcmp(verb, "read") == 0 || strcmp(verb, "gone") == 0) {
-		directory_swept(node->entry.directory);
+		directory_sweep_end(node->entry.directory);
 	} else if (strcmp(verb, "fresh") == 0) {
 		node->listed_at = clock_now(world->clock);
 	} else if (strcmp(verb, "dead") == 0) {
