--- a/entry/component.c
+++ b/entry/component.c
@@ -1,5 +1,5 @@
 /*
- * component.c - the supervisor tree: what is started, in which order
+ * component.c - the daemon's components in their start order
  */
 #include "component_private.h"
 
--- a/entry/component_config.c
+++ b/entry/component_config.c
@@ -1,5 +1,5 @@
 /*
- * component_config.c - the configuration fold, and what a new revision sets off
+ * component_config.c - the configuration fold and the use of a new revision
  */
 #include "component_private.h"
 
@@ -10,13 +10,13 @@
 #include "entry/requests.h"
 #include "policy/policy.h"
 
-/* The file in force is appended again after this share of the log's retention:
- * the second and third time are for outages. */
+/* The file in force is appended again after a third of the log's retention
+ * time, which leaves a second and a third attempt if there is an outage. */
 #define REAPPEND_SHARE 3
 
 #define FILE_LABEL "config"
 
-/* The ledger keeps its former configuration when it refuses this one. */
+/* If the ledger refuses a configuration, it keeps the previous one. */
 static bool ledger_accepts(struct entry *entry, uint64_t revision,
 			   const struct config *config)
 {
--- a/entry/component_ledger.c
+++ b/entry/component_ledger.c
@@ -1,5 +1,5 @@
 /*
- * component_ledger.c - claims, ledger and poller, wired to the requests
+ * component_ledger.c - claims, ledger and poller, and their callbacks
  */
 #include "component_private.h"
 
@@ -81,7 +81,7 @@
 		requests_revoked(entry->requests, request, attempt);
 }
 
-/* A cancellation on its way to a runner. */
+/* A cancellation sent to a runner. */
 struct cancel {
 	struct entry *entry;
 	uint64_t runner;
@@ -98,7 +98,7 @@
 	g_free(cancel);
 }
 
-/* A runner whose address is not known is asked again by the ledger. */
+/* If the runner's address is unknown, the ledger retries the cancellation. */
 static void on_cancel(void *ctx, uint64_t runner, const char *stream)
 {
 	struct entry *entry = ctx;
--- a/entry/component_private.h
+++ b/entry/component_private.h
@@ -1,5 +1,5 @@
 /*
- * component_private.h - the start and stop functions behind the table
+ * component_private.h - start and stop functions of the components
  */
 #ifndef ENTRY_COMPONENT_PRIVATE_H
 #define ENTRY_COMPONENT_PRIVATE_H
@@ -33,7 +33,8 @@
 bool poller_start(void *ctx, struct error *err);
 void poller_stop(void *ctx);
 
-/* How many missed heartbeats make a suspect, and a suspect dead. */
+/* Number of missed heartbeats until a member is suspected, and again until a
+ * suspected member is declared dead. */
 #define SUSPECT_HEARTBEATS 3
 
 #endif
--- a/entry/engine.c
+++ b/entry/engine.c
@@ -1,6 +1,5 @@
 /*
- * The adapter towards engines: see include/entry/engine.h and
- * docs/PROTOCOLS.md. Lines of an answer are JSON objects.
+ * engine.c - client of the engines' HTTP interface (docs/PROTOCOLS.md)
  */
 #include "entry/engine.h"
 
@@ -24,8 +23,8 @@
 	const struct engine_ops *ops;
 	void *ctx;
 	int status;
-	GByteArray *input; /* what is not yet a whole line */
-	bool lines;	   /* the answer comes in lines */
+	GByteArray *input; /* received bytes not yet decoded */
+	bool lines;	   /* the response is a JSON object per line */
 	bool started;
 	bool ended;
 	bool dropped;
@@ -94,7 +93,7 @@
 	}
 }
 
-/* Hands over the whole lines that came; callbacks may drop the call. */
+/* Decodes the complete lines received. A callback may drop the call. */
 static void lines_take(struct engine_call *call)
 {
 	size_t start = 0;
@@ -134,7 +133,8 @@
 
 	if (call->input->len + size > INPUT_MAX) {
 		web_call_cancel(call->call);
-		call_finish(call, RESULT_BACKEND_FAILED, "over-long answer");
+		call_finish(call, RESULT_BACKEND_FAILED,
+			    "engine answer exceeds 1 MiB");
 		return;
 	}
 	g_byte_array_append(call->input, data, (unsigned int)size);
@@ -159,7 +159,7 @@
 			  NULL);
 }
 
-/* The code of an answer that is no success. */
+/* The result code of a call that failed. */
 static enum result_code refusal_code(const struct engine_call *call,
 				     const struct web_result *result)
 {
@@ -222,7 +222,8 @@
 	prefilled.hold_ms = object_number(json, "hold_ms");
 	json_decref(json);
 	if (!prefilled.handle[0]) {
-		call_finish(call, RESULT_BACKEND_FAILED, "no handle");
+		call_finish(call, RESULT_BACKEND_FAILED,
+			    "engine answered the prefill without a handle");
 		return;
 	}
 	prefilled_finish(call, &prefilled);
@@ -236,7 +237,7 @@
 		call_finish(call,
 			    call->started ? RESULT_STREAM_LOST
 					  : RESULT_TRANSFER_FAILED,
-			    "the stream ended early");
+			    "engine closed the stream before its end");
 		return;
 	}
 	refusal_finish(call, result);
--- a/entry/engine_order.c
+++ b/entry/engine_order.c
@@ -1,3 +1,6 @@
+/*
+ * engine_order.c - client of the engines' order interface (docs/PROTOCOLS.md)
+ */
 #include "entry/engine_order.h"
 
 #include <jansson.h>
@@ -55,7 +58,8 @@
 			       call);
 }
 
-/* Only an answer that says so means that the order has no effect. */
+/* An order counts as refused only if it was not sent or the engine said so; any
+ * other failure leaves open whether it took effect. */
 static enum order_answer answer_of(const struct web_result *result, int status)
 {
 	if (!result->ok)
--- a/include/entry/engine.h
+++ b/include/entry/engine.h
@@ -1,10 +1,11 @@
 /*
- * engine.h - the adapter towards model engines
+ * engine.h - client interface to the model engines
  *
  * DESCRIPTION
- *	One call each for prefill, decode, resume and cancel, spoken as in
- *	docs/PROTOCOLS.md. To meet another engine, replace entry/engine.c. Each
- *	call ends by exactly one done callback unless it was dropped first.
+ *	One function each for prefill, decode, resume and cancel, with the
+ *	messages of docs/PROTOCOLS.md. To support another engine, replace
+ *	entry/engine.c. Each call ends with exactly one prefilled or done
+ *	callback, unless engine_drop() came first.
  */
 #ifndef ENTRY_ENGINE_H
 #define ENTRY_ENGINE_H
@@ -20,12 +21,12 @@
 struct entry;
 struct engine_call;
 
-/* What the engine is asked to work on. */
+/* One attempt of a request. */
 struct engine_work {
 	uint64_t request;
 	uint32_t attempt;
 	struct owner owner;
-	uint32_t priority; /* lower goes first */
+	uint32_t priority; /* lower values are served first */
 	uint32_t prompt_tokens;
 	uint32_t output_tokens_max;
 	uint32_t output_from;
@@ -44,15 +45,15 @@
 
 struct engine_ops {
 	void (*prefilled)(void *ctx, const struct engine_prefilled *result);
-	/* Memory is reserved under this name. */
+	/* The engine has reserved memory for the stream of this name. */
 	void (*stream)(void *ctx, const char *stream);
-	/* The transfer is done. */
+	/* The transfer of the prefill result is complete. */
 	void (*started)(void *ctx);
 	void (*token)(void *ctx, uint32_t offset, const char *text,
 		      size_t size);
-	/* code is RESULT_OK, RESULT_BACKEND_REFUSED (nothing was run),
-	 * RESULT_TRANSFER_FAILED, RESULT_STREAM_LOST (the stream may live), or
-	 * another of the 4xx. */
+	/* code is RESULT_OK, RESULT_BACKEND_REFUSED (not run),
+	 * RESULT_TRANSFER_FAILED, RESULT_STREAM_LOST (the stream may
+	 * still exist), RESULT_NOT_FOUND or another 4xx code. */
 	void (*done)(void *ctx, enum result_code code, const char *text);
 };
 
@@ -66,14 +67,14 @@
 struct engine_call *engine_resume(struct entry *entry, const char *address,
 				  const char *stream, uint32_t offset,
 				  const struct engine_ops *ops, void *ctx);
-/* Hangs up; no callback follows. Does not end the stream on the engine. */
+/* Closes the connection without a callback. The engine's stream continues. */
 void engine_drop(struct engine_call *call);
 
-/* Ends a stream; fn tells whether the engine has confirmed. */
+/* Ends a stream. confirmed: the engine answered that it no longer exists. */
 typedef void (*engine_cancel_fn)(void *ctx, bool confirmed);
 void engine_cancel(struct entry *entry, const char *address, const char *stream,
 		   engine_cancel_fn fn, void *ctx);
-/* Drops a prefill result that will not be fetched; best effort. */
+/* Discards a prefill result that will not be fetched; best effort. */
 void engine_forget(struct entry *entry, const char *address,
 		   const char *handle);
 
--- a/include/entry/engine_order.h
+++ b/include/entry/engine_order.h
@@ -1,10 +1,10 @@
 /*
- * engine_order.h - the adapter towards engines for orders
+ * engine_order.h - client interface for orders to engines
  *
  * DESCRIPTION
- *	Spoken as in docs/PROTOCOLS.md. To meet another engine, replace this
- *	together with entry/engine.c. A call ends by its callback, or by
- *	web_call_cancel() without one.
+ *	Uses the messages of docs/PROTOCOLS.md. To support another engine,
+ *	replace entry/engine_order.c together with entry/engine.c. A call ends
+ *	with its callback, or without one by web_call_cancel().
  */
 #ifndef ENTRY_ENGINE_ORDER_H
 #define ENTRY_ENGINE_ORDER_H
@@ -21,9 +21,9 @@
 typedef void (*engine_role_fn)(void *ctx, bool ok, enum pool_role role);
 typedef void (*engine_order_fn)(void *ctx, enum order_answer answer);
 
-/* fn and ctx must stay as they are until the call has ended. */
+/* The callbacks and ctx must not change until the call has ended. */
 struct engine_role_call {
-	struct web_call *call; /* NULL when it has ended */
+	struct web_call *call; /* NULL once it has ended */
 	engine_role_fn role;
 	engine_order_fn order;
 	void *ctx;
--- a/include/entry/entry.h
+++ b/include/entry/entry.h
@@ -1,10 +1,11 @@
 /*
- * entry.h - the daemon's components and what they share
+ * entry.h - the daemon's components and their shared state
  *
  * DESCRIPTION
- *	struct entry is made by entry/main.c. Its components are started in the
+ *	entry/main.c creates struct entry. Its components are started in the
  *	order of the supervisor tree (entry/component.c) and stopped in reverse.
- *	A component reads the fields of those before it, never of those after.
+ *	A component relies only on the fields of components started before it;
+ *	those of later ones may be NULL.
  */
 #ifndef ENTRY_ENTRY_H
 #define ENTRY_ENTRY_H
@@ -28,11 +29,11 @@
 struct directory;    /* backend servers and their addresses */
 struct peers;	     /* links to other instances */
 struct platform;     /* log store and instance list */
-struct poller;	     /* reads reports of the runners we are home to */
+struct poller;	     /* reads the reports of the runners with this home */
 struct requests;     /* requests in flight */
 struct entry_orders; /* role changes of those runners */
-struct measures;     /* what operators compare */
-struct admin;	     /* operators' and balancer's endpoints */
+struct measures;     /* goodput and wasted prefill, for operators */
+struct admin;	     /* endpoints for operators and the load balancer */
 struct drain;	     /* graceful shutdown */
 struct supervisor;
 
@@ -63,25 +64,26 @@
 	struct drain *drain;
 	struct supervisor *supervisor;
 	uint64_t incarnation;	    /* microseconds since 1970 at the start */
-	enum result_code exit_code; /* RESULT_OK unless the process gave up */
+	enum result_code exit_code; /* not RESULT_OK after a fatal error */
 };
 
 /* The components in the order of the supervisor tree. */
 extern const struct component entry_components[];
 extern const size_t entry_component_count;
 
-/* Starts a graceful shutdown; the loop stops when all is answered. */
+/* Starts a graceful shutdown: the loop stops once all requests are answered
+ * or the drain limit has passed. */
 void entry_drain(struct entry *entry);
 /* Called by requests when the last one has ended while draining. */
 void entry_drained(struct entry *entry);
 
 struct drain *drain_create(struct entry *entry);
 void drain_destroy(struct drain *drain);
-/* Puts a configuration into force, and takes it over; lower revisions than
- * that in force are passed over. */
+/* Puts a configuration into force, or discards it if the ledger refuses it or a
+ * higher revision is in force. Takes ownership of config in both cases. */
 void entry_configure(struct entry *entry, uint64_t revision,
 		     struct config *config);
-/* The process stood still for gap_usec. */
+/* The process did not run for gap_usec. */
 void entry_paused(struct entry *entry, int64_t gap_usec);
 
 #endif
