--- a/entry/component.c
+++ b/entry/component.c
@@ -10,8 +10,8 @@
 #include "entry/orders.h"
 #include "entry/requests.h"
 
-#define IDLE_USEC (60 * USEC_PER_SEC)
-#define REQUEST_USEC (30 * USEC_PER_SEC)
+#define CONNECTION_IDLE_USEC (60 * USEC_PER_SEC)
+#define REQUEST_READ_USEC (30 * USEC_PER_SEC)
 
 static bool client_start(void *ctx, struct error *err)
 {
@@ -35,8 +35,8 @@
 	struct web_limits limits = {
 		.body_bytes = entry->settings.body_bytes_max,
 		.connections = entry->settings.connections_max,
-		.idle_usec = IDLE_USEC,
-		.request_usec = REQUEST_USEC,
+		.idle_usec = CONNECTION_IDLE_USEC,
+		.request_usec = REQUEST_READ_USEC,
 	};
 
 	entry->server = web_server_create(entry->loop, entry->settings.listen,
--- a/entry/component_config.c
+++ b/entry/component_config.c
@@ -12,7 +12,7 @@
 
 /* The file in force is appended again after a third of the log's retention
  * time, which leaves a second and a third attempt if there is an outage. */
-#define REAPPEND_SHARE 3
+#define REAPPENDS_PER_RETENTION 3
 
 #define FILE_LABEL "config"
 
@@ -52,7 +52,7 @@
 		  LOG_S("policy", config->policy.name));
 }
 
-static bool meaning_check(const struct config *config, struct error *err)
+static bool semantics_check(const struct config *config, struct error *err)
 {
 	return ledger_check(config, err) && policy_check(&config->policy, err);
 }
@@ -62,7 +62,7 @@
 {
 	struct config *config = config_parse(FILE_LABEL, data, size, err);
 
-	if (!config || meaning_check(config, err))
+	if (!config || semantics_check(config, err))
 		return config;
 	config_destroy(config);
 	return NULL;
@@ -117,7 +117,7 @@
 	fold_receive(ctx, from, data, size);
 }
 
-static bool first_load(struct entry *entry, struct error *err)
+static bool file_load(struct entry *entry, struct error *err)
 {
 	struct config *config;
 
@@ -126,7 +126,7 @@
 	config = config_load(entry->settings.config_file, err);
 	if (!config)
 		return false;
-	if (!meaning_check(config, err)) {
+	if (!semantics_check(config, err)) {
 		config_destroy(config);
 		return false;
 	}
@@ -144,13 +144,13 @@
 	struct entry *entry = ctx;
 	struct transport transport = peers_transport(entry->peers);
 
-	if (!first_load(entry, err))
+	if (!file_load(entry, err))
 		return false;
 	entry->fold = fold_create(entry->clock, entry->membership,
 				  platform_log(entry->platform), &transport,
 				  &ops, entry);
 	fold_reappend_after(entry->fold, entry->settings.log_retention_usec /
-						 REAPPEND_SHARE);
+						 REAPPENDS_PER_RETENTION);
 	peers_on(entry->peers, CHANNEL_CONFIG, config_receive, entry->fold);
 	fold_start(entry->fold);
 	return true;
--- a/entry/component_ledger.c
+++ b/entry/component_ledger.c
@@ -20,8 +20,8 @@
 		requests_claimed(entry->requests, request, code, winner);
 }
 
-static void claims_take_message(void *ctx, uint64_t from, const void *data,
-				size_t size)
+static void claims_message_receive(void *ctx, uint64_t from, const void *data,
+				   size_t size)
 {
 	claims_receive(ctx, from, data, size);
 }
@@ -34,7 +34,7 @@
 	entry->claims = claims_create(entry->clock, entry->membership,
 				      platform_log(entry->platform), &transport,
 				      claim_ended, entry);
-	peers_on(entry->peers, CHANNEL_CLAIM, claims_take_message,
+	peers_on(entry->peers, CHANNEL_CLAIM, claims_message_receive,
 		 entry->claims);
 	claims_start(entry->claims);
 	return true;
@@ -115,7 +115,7 @@
 	engine_cancel(entry, backend->address, stream, cancel_done, cancel);
 }
 
-static void on_homes(void *ctx)
+static void on_homes_changed(void *ctx)
 {
 	const struct entry *entry = ctx;
 
@@ -123,7 +123,7 @@
 		poller_refresh(entry->poller);
 }
 
-static void runners_take(void *ctx)
+static void runners_update(void *ctx)
 {
 	struct entry *entry = ctx;
 	GArray *runners =
@@ -151,8 +151,8 @@
 		requests_configured(entry->requests);
 }
 
-static void ledger_take_message(void *ctx, uint64_t from, const void *data,
-				size_t size)
+static void ledger_message_receive(void *ctx, uint64_t from, const void *data,
+				   size_t size)
 {
 	ledger_receive(ctx, from, data, size);
 }
@@ -165,7 +165,7 @@
 		.duplicate = on_duplicate,
 		.revoked = on_revoked,
 		.cancel = on_cancel,
-		.homes_changed = on_homes,
+		.homes_changed = on_homes_changed,
 	};
 	struct entry *entry = ctx;
 	struct ledger_settings settings = {
@@ -176,9 +176,9 @@
 
 	entry->ledger = ledger_create(entry->clock, entry->membership,
 				      &settings, &transport, &ops, entry);
-	peers_on(entry->peers, CHANNEL_LEDGER, ledger_take_message,
+	peers_on(entry->peers, CHANNEL_LEDGER, ledger_message_receive,
 		 entry->ledger);
-	directory_on_changed(entry->directory, runners_take, entry);
+	directory_on_changed(entry->directory, runners_update, entry);
 	return !entry->config ||
 	       ledger_configure(entry->ledger, entry->config, err);
 }
--- a/entry/component_link.c
+++ b/entry/component_link.c
@@ -266,7 +266,7 @@
 	directory_put(entry->directory, backend);
 }
 
-static void listed_swept(void *ctx)
+static void listed_sweep_end(void *ctx)
 {
 	const struct entry *entry = ctx;
 
@@ -306,7 +306,7 @@
 	static const struct platform_list_ops ops = {
 		.member = listed_member,
 		.backend = listed_backend,
-		.swept = listed_swept,
+		.swept = listed_sweep_end,
 		.every = list_every,
 	};
 	struct entry *entry = ctx;
--- a/entry/engine.c
+++ b/entry/engine.c
@@ -12,11 +12,11 @@
 #include "entry/entry.h"
 #include "web/client.h"
 
-#define INPUT_MAX (1u << 20)
-#define CANCEL_HEAD_USEC (2 * USEC_PER_SEC)
-#define PREFILL_HEAD_USEC (120 * USEC_PER_SEC)
-#define DECODE_HEAD_USEC (5 * USEC_PER_SEC)
-#define TOKEN_IDLE_USEC (10 * USEC_PER_SEC)
+#define ANSWER_BYTES_MAX (1u << 20)
+#define CANCEL_TIMEOUT_USEC (2 * USEC_PER_SEC)
+#define PREFILL_TIMEOUT_USEC (120 * USEC_PER_SEC)
+#define DECODE_HEAD_TIMEOUT_USEC (5 * USEC_PER_SEC)
+#define TOKEN_TIMEOUT_USEC (10 * USEC_PER_SEC)
 
 struct engine_call {
 	struct web_call *call;
@@ -62,7 +62,7 @@
 	return n < 0 || n > UINT32_MAX ? 0 : (uint32_t)n;
 }
 
-static void line_take(struct engine_call *call, const json_t *line)
+static void line_decode(struct engine_call *call, const json_t *line)
 {
 	const json_t *token = json_object_get(line, "t");
 
@@ -94,7 +94,7 @@
 }
 
 /* Decodes the complete lines received. A callback may drop the call. */
-static void lines_take(struct engine_call *call)
+static void lines_decode(struct engine_call *call)
 {
 	size_t start = 0;
 
@@ -111,7 +111,7 @@
 				  NULL);
 		start += (size_t)(end - from) + 1;
 		if (line)
-			line_take(call, line);
+			line_decode(call, line);
 		json_decref(line);
 	}
 	call->in_callback = false;
@@ -131,7 +131,7 @@
 {
 	struct engine_call *call = ctx;
 
-	if (call->input->len + size > INPUT_MAX) {
+	if (call->input->len + size > ANSWER_BYTES_MAX) {
 		web_call_cancel(call->call);
 		call_finish(call, RESULT_BACKEND_FAILED,
 			    "engine answer exceeds 1 MiB");
@@ -140,7 +140,7 @@
 	g_byte_array_append(call->input, data, (unsigned int)size);
 	if (!call->lines || call->status != 200)
 		return;
-	lines_take(call);
+	lines_decode(call);
 	if (call->dropped) {
 		call_free(call);
 		return;
@@ -297,7 +297,7 @@
 		.body = text,
 		.body_size = strlen(text),
 		.head_usec = head_usec,
-		.idle_usec = TOKEN_IDLE_USEC,
+		.idle_usec = TOKEN_TIMEOUT_USEC,
 	};
 	struct web_call *call = web_call(entry->client, &spec, ops, ctx);
 
@@ -319,8 +319,8 @@
 	json_object_set_new(body, "blocks", blocks);
 	json_object_set_new(body, "prompt",
 			    json_stringn(work->prompt, work->prompt_size));
-	call->call = post(entry, address, "/prefill", body, PREFILL_HEAD_USEC,
-			  &prefill_call_ops, call);
+	call->call = post(entry, address, "/prefill", body,
+			  PREFILL_TIMEOUT_USEC, &prefill_call_ops, call);
 	return call;
 }
 
@@ -338,8 +338,8 @@
 			    json_integer(work->output_from));
 	json_object_set_new(body, "source", json_string(source));
 	json_object_set_new(body, "handle", json_string(handle));
-	call->call = post(entry, address, "/decode", body, DECODE_HEAD_USEC,
-			  &stream_call_ops, call);
+	call->call = post(entry, address, "/decode", body,
+			  DECODE_HEAD_TIMEOUT_USEC, &stream_call_ops, call);
 	return call;
 }
 
@@ -353,8 +353,8 @@
 		.address = address,
 		.method = "GET",
 		.path = path,
-		.head_usec = DECODE_HEAD_USEC,
-		.idle_usec = TOKEN_IDLE_USEC,
+		.head_usec = DECODE_HEAD_TIMEOUT_USEC,
+		.idle_usec = TOKEN_TIMEOUT_USEC,
 	};
 
 	call->started = true;
@@ -378,8 +378,8 @@
 	void *ctx;
 };
 
-static void cancel_answer(void *ctx, const struct web_result *result,
-			  int status, const void *body, size_t size)
+static void cancel_answered(void *ctx, const struct web_result *result,
+			    int status, const void *body, size_t size)
 {
 	struct cancel cancel = *(struct cancel *)ctx;
 
@@ -399,13 +399,14 @@
 		.address = address,
 		.method = "DELETE",
 		.path = path,
-		.head_usec = CANCEL_HEAD_USEC,
+		.head_usec = CANCEL_TIMEOUT_USEC,
 	};
 
 	cancel->fn = fn;
 	cancel->ctx = ctx;
 	snprintf(path, sizeof(path), "/%s/%s", kind, name);
-	web_fetch(entry->client, &spec, INPUT_MAX, cancel_answer, cancel);
+	web_fetch(entry->client, &spec, ANSWER_BYTES_MAX, cancel_answered,
+		  cancel);
 }
 
 void engine_cancel(struct entry *entry, const char *address, const char *stream,
--- a/entry/engine_order.c
+++ b/entry/engine_order.c
@@ -9,8 +9,8 @@
 
 #include "entry/entry.h"
 
-#define CALL_USEC (2 * USEC_PER_SEC)
-#define ANSWER_MAX (64u << 10)
+#define CALL_TIMEOUT_USEC (2 * USEC_PER_SEC)
+#define ANSWER_BYTES_MAX (64u << 10)
 
 enum {
 	STATUS_OK = 200,
@@ -50,17 +50,18 @@
 		.address = address,
 		.method = "GET",
 		.path = "/load",
-		.head_usec = CALL_USEC,
-		.idle_usec = CALL_USEC,
+		.head_usec = CALL_TIMEOUT_USEC,
+		.idle_usec = CALL_TIMEOUT_USEC,
 	};
 
-	call->call = web_fetch(entry->client, &spec, ANSWER_MAX, role_answered,
-			       call);
+	call->call = web_fetch(entry->client, &spec, ANSWER_BYTES_MAX,
+			       role_answered, call);
 }
 
 /* An order counts as refused only if it was not sent or the engine said so; any
  * other failure leaves open whether it took effect. */
-static enum order_answer answer_of(const struct web_result *result, int status)
+static enum order_answer answer_classify(const struct web_result *result,
+					 int status)
 {
 	if (!result->ok)
 		return result->sent ? ORDER_LOST : ORDER_REFUSED;
@@ -79,7 +80,7 @@
 	struct engine_role_call *call = ctx;
 
 	call->call = NULL;
-	call->order(call->ctx, answer_of(result, status));
+	call->order(call->ctx, answer_classify(result, status));
 }
 
 void engine_role_order(struct entry *entry, const char *address,
@@ -97,12 +98,12 @@
 		.path = "/orders",
 		.body = text,
 		.body_size = strlen(text),
-		.head_usec = CALL_USEC,
-		.idle_usec = CALL_USEC,
+		.head_usec = CALL_TIMEOUT_USEC,
+		.idle_usec = CALL_TIMEOUT_USEC,
 	};
 
-	call->call = web_fetch(entry->client, &spec, ANSWER_MAX, order_answered,
-			       call);
+	call->call = web_fetch(entry->client, &spec, ANSWER_BYTES_MAX,
+			       order_answered, call);
 	free(text);
 	json_decref(body);
 }
