--- a/entry/engine.c
+++ b/entry/engine.c
@@ -134,7 +134,7 @@
 	if (call->input->len + size > ANSWER_BYTES_MAX) {
 		web_call_cancel(call->call);
 		call_finish(call, RESULT_BACKEND_FAILED,
-			    "engine answer exceeds 1 MiB");
+			    "engine response exceeds the 1 MiB buffer");
 		return;
 	}
 	g_byte_array_append(call->input, data, (unsigned int)size);
