--- a/tests/entry/fake_coord.h
+++ b/tests/entry/fake_coord.h
@@ -1,4 +1,5 @@
-/* What directory and poller call of coord/, written down instead of done. */
+/* Fakes of the coord/ functions that directory and poller call. They record the
+ * calls. */
 #ifndef TESTS_ENTRY_FAKE_COORD_H
 #define TESTS_ENTRY_FAKE_COORD_H
 
@@ -7,8 +8,8 @@
 
 struct fake_coord {
 	GString *events;
-	uint64_t home; /* the one runner that we are home to */
-	uint64_t rank; /* the pool's key that we have rank 0 for */
+	uint64_t home; /* the only runner with this home */
+	uint64_t rank; /* key for which this instance has rank 0 */
 	/* The last fact that was set. */
 	uint64_t key;
 	uint64_t version;
--- a/tests/entry/test_directory.c
+++ b/tests/entry/test_directory.c
@@ -1,13 +1,13 @@
 /*
- * Scripted readings and facts. A step is one word:
+ * The directory after scripted sweeps of the list and facts. The steps are:
  *	put:NAME:INCARNATION[:leaving]  an entry of the list
- *	swept                           the reading ends
- *	leave:NAME                      a sign met here
+ *	swept                           the sweep ends
+ *	leave:NAME                      this instance sees the server leave
  *	fact:NAME:INCARNATION           a fact from another instance
- *	forged                          a fact whose key is another's
+ *	forged                          a fact with the key of another server
  *	run:SECONDS
- * After the steps the directory is written as NAME/INCARNATION with ! for
- * leaving and ? for unlisted, then the number of facts spread.
+ * expected: the servers as NAME/INCARNATION, with ! for leaving and ? for
+ * unlisted, then the number of facts spread.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -195,8 +195,9 @@
 	world_teardown(&other);
 }
 
-/* Changes are told in a later turn, many as one, and only when there are. */
-static void test_told(void)
+/* Several changes give one callback, in a later iteration of the event loop,
+ * and no change gives none. */
+static void test_notify(void)
 {
 	struct world world;
 
@@ -226,6 +227,6 @@
 	log_setup(NULL, "test", LOG_EMERG);
 	ROWS_ADD("/directory/", scripts, test_script);
 	g_test_add_func("/directory/spread", test_spread);
-	g_test_add_func("/directory/told", test_told);
+	g_test_add_func("/directory/told", test_notify);
 	return g_test_run();
 }
--- a/tests/entry/test_directory_sync.c
+++ b/tests/entry/test_directory_sync.c
@@ -1,15 +1,16 @@
 /*
- * Four instances, n0 and n1 the readers of their data centre, n3 in another
- * data centre, over links that the test delivers or drops. A step is one word:
+ * Exchange of the directory between four instances. 0 and 1 are the readers of
+ * their data centre, 3 is in another one. The test delivers or drops all
+ * messages. The steps are:
  *	put:N:NAME        instance N reads an entry from the platform
  *	gone:N            instance N reads an empty list
- *	read:N            its reading ends
- *	fresh:N           the platform answered N now
+ *	read:N            its read of the list ends
+ *	fresh:N           N last read the list now
  *	run:PERIODS       time passes, messages are delivered
  *	lose:PERIODS      time passes, messages are dropped
- *	restart:N         N forgets all, under a new incarnation
- *	dead:N            N is no member any more
- * After the steps, what each instance has listed is written, separated by |.
+ *	restart:N         N restarts empty, with a new incarnation
+ *	dead:N            N is no longer a member
+ * expected: the listed servers of each instance, separated by |.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -32,7 +33,7 @@
 	const char *name;
 	const char *steps;
 	const char *expected;
-	const char *every; /* of each instance, or NULL */
+	const char *every; /* directory_sync_every() of each, or NULL */
 };
 
 #define KNOWN "read:0 read:1 read:2 read:3 fresh:0 fresh:1 run:12 "
@@ -97,7 +98,7 @@
 	GQueue messages;
 };
 
-/* Pointers to other modules are our nodes. */
+/* The pointers to membership, peers and platform point to the nodes. */
 
 const struct member *membership_self(const struct membership *membership)
 {
@@ -298,7 +299,7 @@
 {
 	*world = (struct world){.clock = clock_create(0)};
 	g_queue_init(&world->messages);
-	/* So that no age is longer than the clock's. */
+	/* Ages are only accepted below the clock's time. */
 	clock_advance(world->clock, 1000 * PERIOD_USEC);
 	for (int i = 0; i < NODES; i++)
 		node_start(world, i, 10);
--- a/tests/entry/test_engine_order.c
+++ b/tests/entry/test_engine_order.c
@@ -1,4 +1,4 @@
-/* What each answer of an engine to an order means, against a fake engine. */
+/* The result of each answer to an order or a role query, with a fake engine. */
 #include <string.h>
 
 #include <glib.h>
@@ -9,10 +9,10 @@
 #include "rows.h"
 #include "run.h"
 
-/* How the fake engine ends the call, beside a status. */
+/* Values of row.status other than an HTTP status. */
 enum {
-	CUT = 1,    /* in the middle of its answer */
-	ABSENT = 2, /* nothing listens */
+	CUT = 1,    /* connection aborted within the answer */
+	ABSENT = 2, /* no server at the address */
 };
 
 struct row {
@@ -20,7 +20,7 @@
 	int status;
 	const char *body;
 	enum order_answer answer; /* of an order */
-	bool ok;		  /* of a reading */
+	bool ok;		  /* of a role query */
 	enum pool_role role;
 };
 
@@ -48,7 +48,7 @@
 	struct web_server *server;
 	char *address;
 	const struct row *row;
-	GString *asked;
+	GString *received;
 	struct engine_role_call call;
 	bool ended;
 	bool ok;
@@ -62,7 +62,7 @@
 	struct web_text path = web_request_path(request);
 	struct web_text body = web_request_body(request);
 
-	g_string_append_printf(world->asked, "%.*s %.*s\n", (int)path.size,
+	g_string_append_printf(world->received, "%.*s %.*s\n", (int)path.size,
 			       path.data, (int)body.size, body.data);
 	if (world->row->status != CUT) {
 		web_reply(request, world->row->status, "application/json",
@@ -105,7 +105,7 @@
 	*world = (struct world){.row = row};
 	run_setup(&world->run);
 	world->entry.client = web_client_create(world->run.loop);
-	world->asked = g_string_new(NULL);
+	world->received = g_string_new(NULL);
 	world->server = web_server_create(world->run.loop, "127.0.0.1:0",
 					  &limits, NULL);
 	world->address = g_strdup(web_server_address(world->server));
@@ -125,7 +125,7 @@
 {
 	web_client_destroy(world->entry.client);
 	web_server_destroy(world->server);
-	g_string_free(world->asked, TRUE);
+	g_string_free(world->received, TRUE);
 	g_free(world->address);
 	run_teardown(&world->run);
 }
@@ -147,7 +147,7 @@
 	g_assert_null(world.call.call);
 	g_assert_cmpint(world.answer, ==, row->answer);
 	if (row->status != ABSENT)
-		g_assert_cmpstr(world.asked->str, ==,
+		g_assert_cmpstr(world.received->str, ==,
 				"/orders {\"order\":\"role\",\"role\":"
 				"\"decode\",\"pool\":\"lex\",\"fence\":7}\n");
 	world_teardown(&world);
@@ -166,11 +166,11 @@
 	if (row->ok)
 		g_assert_cmpint(world.role, ==, row->role);
 	if (row->status != ABSENT)
-		g_assert_cmpstr(world.asked->str, ==, "/load \n");
+		g_assert_cmpstr(world.received->str, ==, "/load \n");
 	world_teardown(&world);
 }
 
-/* After a cancel nothing is heard of it. */
+/* A cancelled call gives no callback. */
 static void test_cancelled(void)
 {
 	struct world world;
