--- a/entry/directory_sync.c
+++ b/entry/directory_sync.c
@@ -40,7 +40,7 @@
 	uint32_t ticks;		/* since the last request */
 	uint64_t sent_until;	/* last change sent to the data centre */
 	bool reader;		/* whether it was one at the last tick */
-	int64_t listed_at;	/* when a reader read the list received last */
+	int64_t listed_at; /* when a reader read the newest list received */
 	/* Of the message being decoded. */
 	uint64_t from;
 	bool is_applied;
@@ -149,7 +149,8 @@
 	       strcmp(member->data_centre, self->data_centre) == 0;
 }
 
-/* Sends the changes since the last call to all members of the data centre. */
+/* Sends the changes since the last call to the live and suspected members of
+ * the data centre. */
 static void changes_send(struct directory_sync *sync)
 {
 	struct entry *entry = sync->entry;
