--- a/entry/admin.c
+++ b/entry/admin.c
@@ -92,7 +92,7 @@
 	if (admin->entry->draining)
 		state = "draining\n";
 	else if (!admin->entry->config ||
-		 !directory_known(admin->entry->directory) ||
+		 !directory_is_loaded(admin->entry->directory) ||
 		 !supervisor_running(admin->entry->supervisor))
 		state = "starting\n";
 	int status = state[0] == 'r' ? STATUS_OK : STATUS_UNAVAILABLE;
--- a/entry/directory.c
+++ b/entry/directory.c
@@ -246,7 +246,7 @@
 	directory->sweep++;
 }
 
-void directory_leaving(struct directory *directory, uint64_t id)
+void directory_mark_leaving(struct directory *directory, uint64_t id)
 {
 	const struct item *item = g_hash_table_lookup(directory->by_id, &id);
 
@@ -287,7 +287,7 @@
 		item_mark_leaving(directory, id, incarnation, false);
 }
 
-bool directory_known(const struct directory *directory)
+bool directory_is_loaded(const struct directory *directory)
 {
 	return directory->sweep > 0;
 }
--- a/entry/directory_sync.c
+++ b/entry/directory_sync.c
@@ -133,7 +133,7 @@
 		     !directory_has_since(entry->directory, request->since);
 	GByteArray *bytes;
 
-	if (!directory_known(entry->directory))
+	if (!directory_is_loaded(entry->directory))
 		return;
 	bytes = update_encode(sync, whole ? 0 : request->since, whole);
 	bytes_send(sync, sync->from, bytes);
@@ -251,8 +251,8 @@
 	struct directory_sync *sync = ctx;
 
 	sync->from = from;
-	sync->is_applied =
-		!is_reader(sync) || !directory_known(sync->entry->directory);
+	sync->is_applied = !is_reader(sync) ||
+			   !directory_is_loaded(sync->entry->directory);
 	if (!directory_decode(data, size, &ops, sync))
 		log_event(LOG_WARNING, "directory_message_malformed",
 			  LOG_X("peer", from));
@@ -338,7 +338,7 @@
 	struct directory_sync *sync = ctx;
 	bool reader = is_reader(sync);
 
-	if (!directory_known(sync->entry->directory)) {
+	if (!directory_is_loaded(sync->entry->directory)) {
 		member_request(sync);
 		timer_start(timer, START_REQUEST_USEC);
 		return;
--- a/entry/poller_read.c
+++ b/entry/poller_read.c
@@ -63,7 +63,7 @@
 	};
 
 	if (report.leaving)
-		directory_leaving(entry->directory, target->id);
+		directory_mark_leaving(entry->directory, target->id);
 	if (ledger_is_home(entry->ledger, target->id))
 		ledger_report(entry->ledger, &report);
 }
--- a/entry/request_plain.c
+++ b/entry/request_plain.c
@@ -140,7 +140,7 @@
 
 	request->web_call = NULL;
 	if (result->ok && request->refused) {
-		directory_leaving(request->entry->directory, server);
+		directory_mark_leaving(request->entry->directory, server);
 		server_put(request, PLAIN_UNKNOWN);
 		call_retry(request, RESULT_BACKEND_REFUSED,
 			   "the server refused the call as not run");
@@ -247,7 +247,7 @@
 		plain_start(request, server);
 		return;
 	}
-	if (!any && directory_known(request->entry->directory)) {
+	if (!any && directory_is_loaded(request->entry->directory)) {
 		request_fail(request, RESULT_NO_BACKEND, USEC_PER_SEC,
 			     "the service has no server to call");
 		return;
--- a/include/entry/directory.h
+++ b/include/entry/directory.h
@@ -66,9 +66,9 @@
 					   uint32_t *cursor, uint64_t since);
 /* Whether a complete list was received, from the platform or another instance.
  */
-bool directory_known(const struct directory *directory);
+bool directory_is_loaded(const struct directory *directory);
 /* Marks a server as leaving and spreads that: the server announced it, refused
  * work for it, or was reported to be leaving. */
-void directory_leaving(struct directory *directory, uint64_t id);
+void directory_mark_leaving(struct directory *directory, uint64_t id);
 
 #endif
--- a/tests/entry/test_directory.c
+++ b/tests/entry/test_directory.c
@@ -100,7 +100,7 @@
 	} else if (strcmp(part[0], "swept") == 0) {
 		directory_sweep_end(directory);
 	} else if (strcmp(part[0], "leave") == 0) {
-		directory_leaving(directory, id_of(part[1]));
+		directory_mark_leaving(directory, id_of(part[1]));
 	} else if (strcmp(part[0], "fact") == 0) {
 		uint64_t id = id_of(part[1]);
 
--- a/tests/entry/test_directory_sync.c
+++ b/tests/entry/test_directory_sync.c
@@ -348,7 +348,7 @@
 
 	for (guint size = 0; size < bytes->len; size++)
 		node->receive(node->receive_ctx, 1, bytes->data, size);
-	g_assert_false(directory_known(node->entry.directory));
+	g_assert_false(directory_is_loaded(node->entry.directory));
 	for (guint i = 0; i < bytes->len; i++) {
 		guint8 kept = bytes->data[i];
 
--- a/tests/requests/fakes.c
+++ b/tests/requests/fakes.c
@@ -432,12 +432,12 @@
 	return *cursor < G_N_ELEMENTS(backends) ? &backends[(*cursor)++] : NULL;
 }
 
-bool directory_known(const struct directory *directory)
+bool directory_is_loaded(const struct directory *directory)
 {
 	return true;
 }
 
-void directory_leaving(struct directory *directory, uint64_t id)
+void directory_mark_leaving(struct directory *directory, uint64_t id)
 {
 	fakes_note("leaving");
 }
