--- a/entry/directory_sync.c
+++ b/entry/directory_sync.c
@@ -1,5 +1,5 @@
 /*
- * directory_sync.c - the directory of one data centre, read by two
+ * directory_sync.c - exchange of the directory between instances
  */
 #include "entry/directory_sync.h"
 
@@ -14,18 +14,19 @@
 #include "entry/own_platform.h"
 #include "entry/peers.h"
 
-#define READERS 2
-/* While nothing is known. */
-#define START_USEC (500 * USEC_PER_MSEC)
-/* In periods of the list: between asks, how old the readers' list may be, and
- * how often it is read here all the same: when it is fresh, when it is not. */
-#define ASK_EVERY 10
-#define STALE_AFTER 30
-#define READ_FRESH 300
-#define READ_STALE 10
-
-/* What is known of one teller's numbers. */
-struct teller {
+#define READER_COUNT 2
+/* Time between requests until a complete list is known. */
+#define START_REQUEST_USEC (500 * USEC_PER_MSEC)
+/* In periods of --list-ms: the time between requests to a reader; the age from
+ * which the directory counts as stale; how often an instance that is not a
+ * reader reads the list itself, while the directory is fresh or stale. */
+#define REQUEST_PERIODS 10
+#define STALE_PERIODS 30
+#define READ_FRESH_PERIODS 300
+#define READ_STALE_PERIODS 10
+
+/* Up to which change this instance has the directory of a reader. */
+struct source {
 	uint64_t id;
 	uint64_t epoch;
 	uint64_t until;
@@ -34,15 +35,15 @@
 struct directory_sync {
 	struct entry *entry;
 	struct timer timer;
-	struct teller tellers[READERS];
-	uint32_t asked;	   /* how many were asked: the next one's turn */
-	uint32_t ticks;	   /* since the last ask */
-	uint64_t told;	   /* the last change that the others were told of */
-	bool reader;	   /* at the last tick */
-	int64_t listed_at; /* when a reader has read what is known here */
-	/* Of the message being taken. */
+	struct source sources[READER_COUNT];
+	uint32_t requests_sent; /* selects the next instance */
+	uint32_t ticks;		/* since the last request */
+	uint64_t sent_until;	/* last change sent to the data centre */
+	bool reader;		/* whether it was one at the last tick */
+	int64_t listed_at; /* when a reader read the newest list received */
+	/* Of the message being decoded. */
 	uint64_t from;
-	bool wanted; /* its backends are news here */
+	bool is_applied;
 };
 
 static int64_t now_of(const struct directory_sync *sync)
@@ -62,14 +63,14 @@
 {
 	uint64_t self = membership_self(sync->entry->membership)->id;
 
-	for (uint32_t rank = 0; rank < READERS; rank++) {
+	for (uint32_t rank = 0; rank < READER_COUNT; rank++) {
 		if (reader_id(sync, rank) == self)
 			return true;
 	}
 	return false;
 }
 
-/* When this instance, by itself or through a reader, last knew the list. */
+/* When the list that the directory reflects was read, here or by a reader. */
 static int64_t listed_at(const struct directory_sync *sync)
 {
 	const struct entry *entry = sync->entry;
@@ -86,13 +87,11 @@
 
 	if (at < 0 || is_reader(sync))
 		return 1;
-	if (now_of(sync) - at > STALE_AFTER * period)
-		return READ_STALE;
-	return READ_FRESH;
+	if (now_of(sync) - at > STALE_PERIODS * period)
+		return READ_STALE_PERIODS;
+	return READ_FRESH_PERIODS;
 }
 
-/* Telling. */
-
 static uint64_t own_age_ms(const struct directory_sync *sync)
 {
 	int64_t at = listed_at(sync);
@@ -102,12 +101,12 @@
 	return (uint64_t)((now_of(sync) - at) / USEC_PER_MSEC);
 }
 
-static GByteArray *news_since(const struct directory_sync *sync, uint64_t since,
-			      bool whole)
+static GByteArray *update_encode(const struct directory_sync *sync,
+				 uint64_t since, bool whole)
 {
 	const struct entry *entry = sync->entry;
 	GByteArray *bytes = g_byte_array_new();
-	struct directory_update news = {
+	struct directory_update update = {
 		.epoch = entry->incarnation,
 		.since = since,
 		.until = directory_changes(entry->directory),
@@ -115,7 +114,7 @@
 		.age_ms = own_age_ms(sync),
 	};
 
-	directory_update_encode(&news, entry->directory, bytes);
+	directory_update_encode(&update, entry->directory, bytes);
 	return bytes;
 }
 
@@ -126,23 +125,23 @@
 		   bytes->len);
 }
 
-static void on_ask(void *ctx, const struct directory_request *ask)
+static void on_request(void *ctx, const struct directory_request *request)
 {
 	struct directory_sync *sync = ctx;
 	const struct entry *entry = sync->entry;
-	bool whole = ask->epoch != entry->incarnation ||
-		     !directory_remembers(entry->directory, ask->since);
+	bool whole = request->epoch != entry->incarnation ||
+		     !directory_has_since(entry->directory, request->since);
 	GByteArray *bytes;
 
-	if (!directory_known(entry->directory))
+	if (!directory_is_loaded(entry->directory))
 		return;
-	bytes = news_since(sync, whole ? 0 : ask->since, whole);
+	bytes = update_encode(sync, whole ? 0 : request->since, whole);
 	bytes_send(sync, sync->from, bytes);
 	g_byte_array_unref(bytes);
 }
 
-static bool is_neighbour(const struct directory_sync *sync,
-			 const struct member *member)
+static bool is_local_peer(const struct directory_sync *sync,
+			  const struct member *member)
 {
 	const struct member *self = membership_self(sync->entry->membership);
 
@@ -150,8 +149,9 @@
 	       strcmp(member->data_centre, self->data_centre) == 0;
 }
 
-/* Tells the data centre what has changed since it was last told. */
-static void changes_tell(struct directory_sync *sync)
+/* Sends the changes since the last call to the live and suspected members of
+ * the data centre. */
+static void changes_send(struct directory_sync *sync)
 {
 	struct entry *entry = sync->entry;
 	uint64_t until = directory_changes(entry->directory);
@@ -159,39 +159,38 @@
 	GByteArray *bytes;
 	uint32_t cursor = 0;
 
-	if (until == sync->told)
+	if (until == sync->sent_until)
 		return;
-	bytes = news_since(sync, sync->told, false);
+	bytes = update_encode(sync, sync->sent_until, false);
 	while ((member = membership_next(entry->membership, &cursor))) {
-		if (is_neighbour(sync, member))
+		if (is_local_peer(sync, member))
 			bytes_send(sync, member->id, bytes);
 	}
 	g_byte_array_unref(bytes);
-	sync->told = until;
+	sync->sent_until = until;
 }
 
-/* Learning. */
-
-static struct teller *teller_find(struct directory_sync *sync, uint64_t id)
+static struct source *source_find(struct directory_sync *sync, uint64_t id)
 {
-	for (size_t i = 0; i < READERS; i++) {
-		if (sync->tellers[i].id == id)
-			return &sync->tellers[i];
+	for (size_t i = 0; i < READER_COUNT; i++) {
+		if (sync->sources[i].id == id)
+			return &sync->sources[i];
 	}
 	return NULL;
 }
 
-/* A reader goes by its own reading; two of them may differ for a while, and
- * would else undo each other's. */
+/* A reader with a complete list ignores entries from others: the lists of the
+ * two readers can differ for a while, and each would undo the other's changes.
+ */
 static void on_backend(void *ctx, const struct backend *backend)
 {
 	struct directory_sync *sync = ctx;
 
-	if (sync->wanted)
-		directory_learn(sync->entry->directory, backend);
+	if (sync->is_applied)
+		directory_merge(sync->entry->directory, backend);
 }
 
-static void freshness_take(struct directory_sync *sync, uint64_t age_ms)
+static void freshness_update(struct directory_sync *sync, uint64_t age_ms)
 {
 	int64_t now = now_of(sync);
 
@@ -200,42 +199,42 @@
 				      now - (int64_t)age_ms * USEC_PER_MSEC);
 }
 
-static void teller_take(struct directory_sync *sync,
-			const struct directory_update *news)
+static void source_update(struct directory_sync *sync,
+			  const struct directory_update *update)
 {
-	struct teller *teller = teller_find(sync, sync->from);
+	struct source *source = source_find(sync, sync->from);
 
-	if (!teller)
+	if (!source)
 		return;
-	if (news->whole) {
-		teller->epoch = news->epoch;
-		teller->until = news->until;
-	} else if (teller->epoch == news->epoch &&
-		   news->since <= teller->until) {
-		teller->until = MAX(teller->until, news->until);
+	if (update->whole) {
+		source->epoch = update->epoch;
+		source->until = update->until;
+	} else if (source->epoch == update->epoch &&
+		   update->since <= source->until) {
+		source->until = MAX(source->until, update->until);
 	}
 }
 
-static void on_news(void *ctx, const struct directory_update *news)
+static void on_update(void *ctx, const struct directory_update *update)
 {
 	struct directory_sync *sync = ctx;
 
-	if (sync->wanted && news->whole)
-		directory_begin(sync->entry->directory);
+	if (sync->is_applied && update->whole)
+		directory_sweep_begin(sync->entry->directory);
 }
 
-static void on_end(void *ctx, const struct directory_update *news)
+static void on_end(void *ctx, const struct directory_update *update)
 {
 	struct directory_sync *sync = ctx;
 	struct directory *directory = sync->entry->directory;
 
-	if (!sync->wanted)
+	if (!sync->is_applied)
 		return;
-	teller_take(sync, news);
-	freshness_take(sync, news->age_ms);
-	if (!news->whole)
+	source_update(sync, update);
+	freshness_update(sync, update->age_ms);
+	if (!update->whole)
 		return;
-	directory_swept(directory);
+	directory_sweep_end(directory);
 	log_event(LOG_INFO, "directory_learnt", LOG_X("peer", sync->from),
 		  LOG_D("changes", directory_changes(directory)));
 }
@@ -244,52 +243,51 @@
 			 size_t size)
 {
 	static const struct directory_codec_ops ops = {
-		.ask = on_ask,
-		.news = on_news,
+		.request = on_request,
+		.update = on_update,
 		.backend = on_backend,
 		.end = on_end,
 	};
 	struct directory_sync *sync = ctx;
 
 	sync->from = from;
-	sync->wanted =
-		!is_reader(sync) || !directory_known(sync->entry->directory);
+	sync->is_applied = !is_reader(sync) ||
+			   !directory_is_loaded(sync->entry->directory);
 	if (!directory_decode(data, size, &ops, sync))
 		log_event(LOG_WARNING, "directory_message_malformed",
 			  LOG_X("peer", from));
 }
 
-/* Asking. */
-
-static void ask_send(const struct directory_sync *sync, uint64_t to,
-		     const struct teller *teller)
+static void request_send(const struct directory_sync *sync, uint64_t to,
+			 const struct source *source)
 {
-	struct directory_request ask = {
-		.epoch = teller ? teller->epoch : 0,
-		.since = teller ? teller->until : 0,
+	struct directory_request request = {
+		.epoch = source ? source->epoch : 0,
+		.since = source ? source->until : 0,
 	};
 	GByteArray *bytes = g_byte_array_new();
 
-	directory_request_encode(&ask, bytes);
+	directory_request_encode(&request, bytes);
 	bytes_send(sync, to, bytes);
 	g_byte_array_unref(bytes);
 }
 
-/* The two readers take turns; a new reader's numbers are not known yet. */
-static void reader_ask(struct directory_sync *sync)
+/* Alternates between the two readers. The whole directory is requested
+ * from a new reader. */
+static void reader_request(struct directory_sync *sync)
 {
-	uint32_t rank = sync->asked++ % READERS;
+	uint32_t rank = sync->requests_sent++ % READER_COUNT;
 	uint64_t id = reader_id(sync, rank);
-	struct teller *teller = &sync->tellers[rank];
+	struct source *source = &sync->sources[rank];
 
 	if (id == 0)
 		return;
-	if (teller->id != id)
-		*teller = (struct teller){.id = id};
-	ask_send(sync, id, teller);
+	if (source->id != id)
+		*source = (struct source){.id = id};
+	request_send(sync, id, source);
 }
 
-/* The live members take turns at being asked. */
+/* Selects the live members in turn. */
 static uint64_t next_member(const struct directory_sync *sync)
 {
 	const struct membership *members = sync->entry->membership;
@@ -304,34 +302,35 @@
 			g_array_append_val(alive, member->id);
 	}
 	if (alive->len > 0)
-		id = g_array_index(alive, uint64_t, sync->asked % alive->len);
+		id = g_array_index(alive, uint64_t,
+				   sync->requests_sent % alive->len);
 	g_array_free(alive, TRUE);
 	return id;
 }
 
-static void anyone_ask(struct directory_sync *sync)
+static void member_request(struct directory_sync *sync)
 {
 	uint64_t id = next_member(sync);
 
-	sync->asked++;
+	sync->requests_sent++;
 	if (id != 0)
-		ask_send(sync, id, NULL);
+		request_send(sync, id, NULL);
 }
 
 static void reader_tick(struct directory_sync *sync)
 {
-	/* What was known before the role was taken is no news. */
+	/* A new reader does not send changes from before it became one. */
 	if (!sync->reader)
-		sync->told = directory_changes(sync->entry->directory);
-	changes_tell(sync);
+		sync->sent_until = directory_changes(sync->entry->directory);
+	changes_send(sync);
 }
 
-static void other_tick(struct directory_sync *sync)
+static void non_reader_tick(struct directory_sync *sync)
 {
-	if (++sync->ticks < ASK_EVERY)
+	if (++sync->ticks < REQUEST_PERIODS)
 		return;
 	sync->ticks = 0;
-	reader_ask(sync);
+	reader_request(sync);
 }
 
 static void sync_fire(struct timer *timer, void *ctx)
@@ -339,15 +338,15 @@
 	struct directory_sync *sync = ctx;
 	bool reader = is_reader(sync);
 
-	if (!directory_known(sync->entry->directory)) {
-		anyone_ask(sync);
-		timer_start(timer, START_USEC);
+	if (!directory_is_loaded(sync->entry->directory)) {
+		member_request(sync);
+		timer_start(timer, START_REQUEST_USEC);
 		return;
 	}
 	if (reader)
 		reader_tick(sync);
 	else
-		other_tick(sync);
+		non_reader_tick(sync);
 	sync->reader = reader;
 	timer_start(timer, sync->entry->settings.list_usec);
 }
@@ -358,11 +357,12 @@
 
 	sync->entry = entry;
 	sync->listed_at = -1;
-	/* Spreads the first asks of instances that start together. */
-	sync->ticks = (uint32_t)g_rand_int_range(entry->rand, 0, ASK_EVERY);
+	/* Spreads the first requests of instances that start together. */
+	sync->ticks =
+		(uint32_t)g_rand_int_range(entry->rand, 0, REQUEST_PERIODS);
 	peers_on(entry->peers, CHANNEL_DIRECTORY, sync_receive, sync);
 	timer_init(&sync->timer, entry->clock, sync_fire, sync);
-	timer_start(&sync->timer, START_USEC);
+	timer_start(&sync->timer, START_REQUEST_USEC);
 	return sync;
 }
 
--- a/entry/orders.c
+++ b/entry/orders.c
@@ -1,5 +1,6 @@
 /*
- * orders.c - cells as coord/order.h sees them, and its calls to engines
+ * orders.c - the callbacks of coord/order.h on the ledger, directory and
+ * engines
  */
 #include "entry/orders.h"
 
@@ -14,16 +15,16 @@
 #include "entry/entry.h"
 #include "entry/own_platform.h"
 
-/* Of the mean size of requests, a tick. */
+/* Weight of one tick in the moving averages of a cell's arrivals. */
 #define SIZE_WEIGHT 0.05
 
-/* What a cell's arrivals were at the last tick. */
+/* A cell's arrival counters at the last tick, and their averages. */
 struct arrivals {
 	struct ledger_demand total;
 	double cached_tokens;
 	int64_t at;
-	struct ledger_demand mean; /* a second */
-	double uncached;	   /* prompt tokens a second */
+	struct ledger_demand mean; /* per second */
+	double uncached;	   /* prompt tokens per second */
 };
 
 /* A call to a runner on behalf of coord/order.h. */
@@ -36,15 +37,15 @@
 struct entry_orders {
 	struct entry *entry;
 	struct orders *orders;
-	GHashTable *arrivals; /* cell to struct arrivals */
-	GHashTable *calls;    /* runner to struct runner_call */
-	GArray *runners;      /* struct order_runner, of the cell visited */
+	GHashTable *arrivals; /* by cell id: struct arrivals */
+	GHashTable *calls;    /* by runner id: struct runner_call */
+	GArray *runners;      /* struct order_runner of the current cell */
 	struct timer count;
 };
 
-static bool pair_shared(const struct config *config,
-			const struct config_pool *prefill,
-			const struct config_pool *decode)
+static bool is_paired_otherwise(const struct config *config,
+				const struct config_pool *prefill,
+				const struct config_pool *decode)
 {
 	for (size_t i = 0; i < config->service_count; i++) {
 		const struct config_service *s = &config->services[i];
@@ -60,12 +61,13 @@
 	return false;
 }
 
-static bool takes_part(const struct entry_orders *orders,
-		       const struct ledger_cell *cell)
+static bool swaps_roles(const struct entry_orders *orders,
+			const struct ledger_cell *cell)
 {
 	return cell->settled && cell->prefill->swaps_role &&
 	       cell->decode->swaps_role &&
-	       !pair_shared(orders->entry->config, cell->prefill, cell->decode);
+	       !is_paired_otherwise(orders->entry->config, cell->prefill,
+				    cell->decode);
 }
 
 static struct arrivals *arrivals_get(struct entry_orders *orders, uint64_t cell)
@@ -81,14 +83,14 @@
 	return arrivals;
 }
 
-static void smooth(double *mean, double amount, double seconds)
+static void mean_update(double *mean, double amount, double seconds)
 {
 	*mean += SIZE_WEIGHT * (amount / seconds - *mean);
 }
 
-static void arrivals_take(struct arrivals *arrivals,
-			  const struct ledger_cell *cell, int64_t now,
-			  struct role_load *load)
+static void arrivals_update(struct arrivals *arrivals,
+			    const struct ledger_cell *cell, int64_t now,
+			    struct role_load *load)
 {
 	const struct ledger_demand *total = &cell->arrived;
 	double seconds = (double)(now - arrivals->at) / (double)USEC_PER_SEC;
@@ -108,12 +110,13 @@
 	load->prompt_tokens_per_s = MAX(prompts - cached, 0) / seconds;
 	load->output_tokens_per_s =
 		(total->output_tokens - last.output_tokens) / seconds;
-	smooth(&arrivals->mean.requests, total->requests - last.requests,
-	       seconds);
-	smooth(&arrivals->mean.pieces, total->pieces - last.pieces, seconds);
+	mean_update(&arrivals->mean.requests, total->requests - last.requests,
+		    seconds);
+	mean_update(&arrivals->mean.pieces, total->pieces - last.pieces,
+		    seconds);
 }
 
-/* How many requests of the usual size a decode runner holds. */
+/* Number of requests of average size that fit on one decode runner. */
 static double batch_size(const struct arrivals *arrivals,
 			 const struct config_pool *decode)
 {
@@ -145,12 +148,12 @@
 	g_array_append_val(orders->runners, out);
 }
 
-struct sums {
+struct rate_sums {
 	double prefill_rate;
 	double decode_rate;
 };
 
-static void load_add(struct role_load *load, struct sums *sums,
+static void load_add(struct role_load *load, struct rate_sums *rates,
 		     const struct policy_runner *runner, int64_t now)
 {
 	int64_t busy = runner->busy_until - now;
@@ -161,26 +164,26 @@
 		load->prefill++;
 		load->prefill_backlog +=
 			(double)MAX(busy, 0) / (double)USEC_PER_SEC;
-		sums->prefill_rate += runner->prefill_tokens_per_s;
+		rates->prefill_rate += runner->prefill_tokens_per_s;
 	} else if (runner->role == POOL_DECODE) {
 		load->decode++;
 		if (runner->pieces > 0)
 			load->memory_used += (double)runner->granted_pieces /
 					     (double)runner->pieces;
-		sums->decode_rate += runner->decode_tokens_per_s;
+		rates->decode_rate += runner->decode_tokens_per_s;
 	}
 }
 
-static void load_finish(struct role_load *load, const struct sums *sums,
+static void load_finish(struct role_load *load, const struct rate_sums *rates,
 			const struct ledger_cell *cell, double batch)
 {
 	double prefill = cell->prefill->prefill_tokens_per_s;
 	double decode = cell->decode->decode_tokens_per_s;
 
 	if (load->prefill > 0)
-		prefill = sums->prefill_rate / load->prefill;
+		prefill = rates->prefill_rate / load->prefill;
 	if (load->decode > 0)
-		decode = sums->decode_rate / load->decode;
+		decode = rates->decode_rate / load->decode;
 	load->prefill_tokens_per_s = prefill;
 	load->decode_tokens_per_s = decode * batch;
 	load->prefill_backlog += cell->waiting.prompt_tokens / MAX(prefill, 1);
@@ -193,14 +196,14 @@
 {
 	int64_t now = clock_now(orders->entry->clock);
 	struct arrivals *arrivals = arrivals_get(orders, cell->id);
-	struct sums sums = {0};
+	struct rate_sums rates = {0};
 
 	*out = (struct order_cell){
 		.id = cell->id,
 		.checks_fencing = cell->prefill->checks_fencing &&
 				  cell->decode->checks_fencing,
 	};
-	arrivals_take(arrivals, cell, now, &out->load);
+	arrivals_update(arrivals, cell, now, &out->load);
 	g_array_set_size(orders->runners, 0);
 	for (uint32_t i = 0; i < cell->runner_count; i++) {
 		const struct policy_runner *runner = &cell->runners[i];
@@ -209,10 +212,10 @@
 
 		if (!backend || !backend->listed || backend->leaving)
 			continue;
-		load_add(&out->load, &sums, runner, now);
+		load_add(&out->load, &rates, runner, now);
 		runner_add(orders, runner, backend, cell->grants[i]);
 	}
-	load_finish(&out->load, &sums, cell,
+	load_finish(&out->load, &rates, cell,
 		    batch_size(arrivals, cell->decode));
 	out->runners =
 		(const struct order_runner *)(void *)orders->runners->data;
@@ -226,7 +229,7 @@
 
 	while (orders->entry->config &&
 	       ledger_cell_next(orders->entry->ledger, cursor, &cell)) {
-		if (!takes_part(orders, &cell))
+		if (!swaps_roles(orders, &cell))
 			continue;
 		cell_fill(orders, &cell, out);
 		return true;
@@ -306,7 +309,8 @@
 	return call;
 }
 
-/* One that has left the directory: a call to it fails in a later turn. */
+/* Empty for a runner that has left the directory: the call then fails in a
+ * later iteration of the event loop. */
 static const char *address_of(const struct entry_orders *orders,
 			      uint64_t runner)
 {
--- a/tests/entry/test_directory_sync.c
+++ b/tests/entry/test_directory_sync.c
@@ -1,15 +1,16 @@
 /*
- * Four instances, n0 and n1 the readers of their data centre, n3 in another
- * data centre, over links that the test delivers or drops. A step is one word:
+ * Exchange of the directory between four instances. 0 and 1 are the readers of
+ * their data centre, 3 is in another one. The test delivers or drops all
+ * messages. The steps are:
  *	put:N:NAME        instance N reads an entry from the platform
  *	gone:N            instance N reads an empty list
- *	read:N            its reading ends
- *	fresh:N           the platform answered N now
+ *	read:N            its read of the list ends
+ *	fresh:N           N last read the list now
  *	run:PERIODS       time passes, messages are delivered
  *	lose:PERIODS      time passes, messages are dropped
- *	restart:N         N forgets all, under a new incarnation
- *	dead:N            N is no member any more
- * After the steps, what each instance has listed is written, separated by |.
+ *	restart:N         N restarts empty, with a new incarnation
+ *	dead:N            N is no longer a member
+ * expected: the listed servers of each instance, separated by |.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -32,7 +33,7 @@
 	const char *name;
 	const char *steps;
 	const char *expected;
-	const char *every; /* of each instance, or NULL */
+	const char *every; /* directory_sync_every() of each, or NULL */
 };
 
 #define KNOWN "read:0 read:1 read:2 read:3 fresh:0 fresh:1 run:12 "
@@ -97,7 +98,7 @@
 	GQueue messages;
 };
 
-/* Pointers to other modules are our nodes. */
+/* The pointers to membership, peers and platform point to the nodes. */
 
 const struct member *membership_self(const struct membership *membership)
 {
@@ -265,7 +266,7 @@
 	if (strcmp(verb, "put") == 0) {
 		put(node, part[2]);
 	} else if (strcmp(verb, "read") == 0 || strcmp(verb, "gone") == 0) {
-		directory_swept(node->entry.directory);
+		directory_sweep_end(node->entry.directory);
 	} else if (strcmp(verb, "fresh") == 0) {
 		node->listed_at = clock_now(world->clock);
 	} else if (strcmp(verb, "dead") == 0) {
@@ -298,7 +299,7 @@
 {
 	*world = (struct world){.clock = clock_create(0)};
 	g_queue_init(&world->messages);
-	/* So that no age is longer than the clock's. */
+	/* Ages are only accepted below the clock's time. */
 	clock_advance(world->clock, 1000 * PERIOD_USEC);
 	for (int i = 0; i < NODES; i++)
 		node_start(world, i, 10);
@@ -347,7 +348,7 @@
 
 	for (guint size = 0; size < bytes->len; size++)
 		node->receive(node->receive_ctx, 1, bytes->data, size);
-	g_assert_false(directory_known(node->entry.directory));
+	g_assert_false(directory_is_loaded(node->entry.directory));
 	for (guint i = 0; i < bytes->len; i++) {
 		guint8 kept = bytes->data[i];
 
