--- a/include/web/client.h
+++ b/include/web/client.h
@@ -1,14 +1,13 @@
 /*
- * client.h - HTTP/1.1 client on h2o, with connections kept for reuse
+ * client.h - HTTP/1.1 client on h2o, with a pool of keep-alive connections
  *
  * DESCRIPTION
  *	web_call() sends one request and reports its answer through callbacks:
  *	head once, body any number of times, then done exactly once unless
  *	web_call_cancel() came first. No callback runs before web_call()
  *	returns, nor after done or a cancel. Cancelling closes the connection.
- *	Nothing is ever sent twice by the client itself: a call on a kept
- *	connection that the other side had closed fails with sent = true unless
- *	no byte was written.
+ *	The client never retries: a call on a pooled connection that the server
+ *	has closed fails with sent = true, unless no byte was written.
  */
 #ifndef WEB_CLIENT_H
 #define WEB_CLIENT_H
@@ -45,12 +44,12 @@
 	const char *path;     /* with query */
 	struct web_text host; /* empty: the address */
 	const struct web_header
-		*headers; /* host and content-length are added */
+		*headers; /* the client adds host and content-length */
 	size_t header_count;
 	const void *body; /* copied */
 	size_t body_size;
-	int64_t connect_usec; /* time to a connection; 0 for the default */
-	int64_t head_usec;    /* time to the answer's head; 0 for the default */
+	int64_t connect_usec; /* time to connect; 0: default */
+	int64_t head_usec;    /* time to the answer's head; 0: default */
 	int64_t idle_usec;    /* time between pieces of the body; 0: default */
 	bool fresh; /* open a new connection, for calls that run at most once */
 };
@@ -62,17 +61,17 @@
 			  const struct web_call_spec *spec,
 			  const struct web_call_ops *ops, void *ctx);
 void web_call_cancel(struct web_call *call);
-/* Has data released when the call ends in any way, after its last callback. */
+/* Releases data after the call's last callback or its cancellation. */
 void web_call_own(struct web_call *call, void *data,
 		  void (*release)(void *data));
 
-/* A call whose whole answer is collected, at most limit bytes. */
+/* Collects the whole answer; fails when it exceeds limit bytes. */
 typedef void (*web_answer_fn)(void *ctx, const struct web_result *result,
 			      int status, const void *body, size_t size);
 struct web_call *web_fetch(struct web_client *client,
 			   const struct web_call_spec *spec, size_t limit,
 			   web_answer_fn fn, void *ctx);
-/* The same; head is called before, when the head has arrived. */
+/* Like web_fetch(); also calls head when the answer's head arrives. */
 typedef void (*web_head_fn)(void *ctx, int status,
 			    const struct web_header *headers, size_t count);
 struct web_call *web_fetch_head(struct web_client *client,
--- a/include/web/loop.h
+++ b/include/web/loop.h
@@ -1,18 +1,18 @@
 /*
- * loop.h - the one loop of a process: h2o's event loop driven by our clock
+ * loop.h - the event loop of a process: h2o's loop with timers of struct clock
  *
  * DESCRIPTION
- *	loop_run() turns until loop_stop(): it moves the clock, calls the turn
- *	hook, fires the timers due, runs what was deferred, then waits for
- *	sockets until the next timer. Signals are taken by a signalfd of the
- *	loop's own.
+ *	loop_run() iterates until loop_stop(): it advances the clock, calls the
+ *	iteration hook, fires due timers, runs deferred callbacks, then waits
+ *	for sockets until the next timer. The loop receives signals through a
+ *	signalfd.
  *
- *	A callback that a socket wakes runs before the loop is back at its top,
- *	so it starts with loop_enter(): the first call after a wait moves the
- *	clock and calls the turn hook, so that a process that was stopped knows
- *	it before it takes new work. After such a gap, of 0.2 s or more, timers
- *	fire a turn later: what arrived meanwhile goes before the time-outs that
- *	fell due meanwhile.
+ *	Socket callbacks run before the next iteration begins, so each starts
+ *	with loop_enter(): the first call after a wait advances the clock and
+ *	calls the iteration hook. A process that was stopped thus notices the
+ *	gap before it accepts new work. After a gap of 0.2 s or more, timers
+ *	fire one iteration later, so that input that arrived during the gap is
+ *	handled before timeouts that expired during it.
  */
 #ifndef WEB_LOOP_H
 #define WEB_LOOP_H
@@ -24,9 +24,9 @@
 struct loop;
 
 typedef void (*loop_signal_fn)(void *ctx, int signal);
-/* Called at the top of a turn, and before at the first callback after a wait.
- * gap_us is how far the present ran ahead since the last
- * turn, less the time waited on purpose: large after SIGSTOP and SIGCONT. */
+/* Called once per iteration: at its start, or earlier at the first socket
+ * callback after a wait. gap_us is the time since the last call, less the time
+ * that the loop meant to wait: large after SIGSTOP and SIGCONT. */
 typedef void (*loop_iteration_fn)(void *ctx, int64_t gap_us);
 
 /* Fields private. */
@@ -45,17 +45,17 @@
 void loop_on_signal(struct loop *loop, int signal, loop_signal_fn fn,
 		    void *ctx);
 void loop_on_iteration(struct loop *loop, loop_iteration_fn fn, void *ctx);
-/* Follows the clock and calls the turn hook, once after each wait. Timers may
- * fire in it. Server and client call it before their callbacks. */
+/* Advances the clock, calls the iteration hook and fires due timers; only the
+ * first call after each wait has an effect. The server and the client call it
+ * before their callbacks. */
 void loop_enter(struct loop *loop);
 /* Runs fn once before the loop waits again. The node is embedded in its owner
- * and zeroed before its first use; deferring a node that waits has no effect.
- */
+ * and zeroed before its first use. A node already deferred is left as it is. */
 void loop_defer(struct loop *loop, struct loop_deferred *node,
 		loop_deferred_fn fn, void *ctx);
 void loop_defer_cancel(struct loop_deferred *node);
-/* One turn of h2o's loop, safe for sockets that were closed outside of one.
- * For use where loop_run() does not run; waits at most msec. */
+/* Runs one iteration of h2o's loop, also safe after sockets were closed outside
+ * of one. For use where loop_run() does not run; waits at most msec. */
 void loop_turn_h2o(struct loop *loop, int32_t msec);
 struct clock *loop_clock(struct loop *loop);
 h2o_loop_t *loop_h2o(struct loop *loop);
--- a/web/call.c
+++ b/web/call.c
@@ -76,7 +76,7 @@
 	int64_t since =
 		clock_now(loop_clock(call->client->loop)) - call->active;
 
-	/* Bytes have just come: this is one of the call's own callbacks. */
+	/* The call's own callback runs, so bytes have just arrived. */
 	if (call->busy)
 		since = 0;
 	if (!call->connected)
@@ -102,8 +102,8 @@
 	activity(call);
 }
 
-/* False when the call was cancelled or failed in its callback, and is no
- * more; h2o then closes the connection. */
+/* False when the call was cancelled or failed in its callback and is now freed;
+ * h2o then closes the connection. */
 static bool busy_end(struct web_call *call)
 {
 	call->busy = false;
@@ -114,23 +114,23 @@
 	return false;
 }
 
-/* Keeps h2o from using the connection again. */
+/* Prevents h2o from reusing the connection. */
 static void sock_spoil(h2o_http1client_t *http)
 {
 	if (http->sock)
 		shutdown(h2o_socket_get_fd(http->sock), SHUT_RDWR);
 }
 
-/* h2o 2.2 takes a connection closed after any whole chunk for the end of the
- * body; the empty chunk that ends it would have been read just now. */
+/* h2o 2.2 treats a close after any complete chunk as the end of the body. At a
+ * proper end the terminating empty chunk was read just now. */
 static bool is_cut_off(const struct web_call *call)
 {
 	return (call->chunked && call->http->sock->bytes_read == 0) ||
 	       call->reset;
 }
 
-/* h2o 2.2 takes any end of a connection for the end of a body without length,
- * also a reset. */
+/* h2o 2.2 treats any end of the connection, also a reset, as the end of a body
+ * without length. */
 static void sock_read(h2o_socket_t *sock, const char *err)
 {
 	h2o_http1client_t *http = sock->data;
@@ -139,7 +139,7 @@
 	call->reset = err && err != h2o_socket_error_closed;
 	if (!call->answered && !err &&
 	    !head_is_sound(sock->input->bytes, sock->input->size)) {
-		call_fail(call, "the answer's length is malformed");
+		call_fail(call, "invalid content-length or transfer-encoding");
 		return;
 	}
 	call->h2o_reader(sock, err);
@@ -156,8 +156,8 @@
 	call->h2o_writer(sock, err);
 }
 
-/* h2o sets its own readers: once the request is written, and after the head
- * was reported. */
+/* h2o sets its own read callbacks once the request is written and again after
+ * it has reported the head, so the wrapper is installed each time. */
 static void sock_watch(void *ctx)
 {
 	struct web_call *call = ctx;
@@ -252,7 +252,7 @@
 		return NULL;
 	}
 	loop_defer(call->client->loop, &call->watch, sock_watch, call);
-	/* The limit from now on is that between pieces. */
+	/* From here on idle_usec applies. */
 	timer_start(&call->timer, call->idle_usec);
 	return busy_end(call) ? on_body : NULL;
 }
--- a/web/call.h
+++ b/web/call.h
@@ -2,9 +2,9 @@
  * call.h - a call inside the client
  *
  * DESCRIPTION
- *	While one of a call's own callbacks runs the call is busy: a cancel or
- *	failure is then noted and carried out when the callback returns, since
- *	h2o goes on using its client until then.
+ *	A call is busy while one of its callbacks runs. A cancel or failure is
+ *	then recorded and takes effect when the callback returns, since h2o uses
+ *	its client object until then.
  */
 #ifndef WEB_CALL_H
 #define WEB_CALL_H
@@ -23,8 +23,8 @@
 	GQueue calls;
 };
 
-/* The connections to one address: those kept, and those of fresh calls, which
- * are shut down before h2o can keep them. */
+/* The connections to one address: keep-alive ones, and those of fresh calls,
+ * which are shut down before h2o can reuse them. */
 struct pool {
 	h2o_socketpool_t kept;
 	h2o_socketpool_t fresh;
@@ -43,32 +43,32 @@
 	h2o_iovec_t vec;
 	struct timer timer;
 	struct loop_deferred fail;
-	struct loop_deferred watch; /* puts our reader before h2o's */
+	struct loop_deferred watch; /* wraps h2o's socket callbacks */
 	h2o_socket_cb h2o_reader;
 	h2o_socket_cb h2o_writer;
 	int64_t connect_usec;
 	int64_t head_usec;
 	int64_t idle_usec;
-	int64_t active; /* when bytes arrived last */
+	int64_t active; /* time of the last activity */
 	const char *text;
 	bool is_head;
 	bool fresh;
 	bool connected;
 	bool answered; /* the head has arrived */
-	bool chunked;  /* its body ends with an empty chunk */
-	bool reset;    /* the connection did not end in order */
+	bool chunked;  /* the body is in chunked encoding */
+	bool reset;    /* the connection ended with an error */
 	bool busy;
 	bool cancelled;
 	bool timed_out;
 };
 
-/* Links a call that does nothing yet. */
+/* Creates and links a call without connecting. */
 struct web_call *call_create(struct web_client *client,
 			     const struct web_call_spec *spec,
 			     const struct web_call_ops *ops, void *ctx);
 void call_connect(struct web_call *call, h2o_socketpool_t *sockets);
-/* Fails the call: at once, or when its callback returns. */
+/* Fails the call now, or when its running callback returns. */
 void call_fail(struct web_call *call, const char *text);
-/* As call_fail(), but done is only called at the end of the turn. */
+/* As call_fail(), but defers done to the end of the event loop's iteration. */
 void call_fail_later(struct web_call *call, const char *text);
 #endif
--- a/web/client.c
+++ b/web/client.c
@@ -5,11 +5,11 @@
 #include "call.h"
 #include "common/address.h"
 
-/* A kept connection idle for longer is closed: before the servers that we know
- * of would do it, so that a call rarely meets a connection just closed. */
+/* Shorter than the keep-alive timeout of known backend servers, so that a call
+ * rarely uses a connection that the server has just closed. */
 #define KEEP_MSEC 2000
 #define POOL_CONNECTIONS 65536
-/* h2o's own timeout is off the way: calls have timers of their own. */
+/* So long that h2o's timeout never fires: each call has its own timer. */
 #define IO_MSEC (UINT64_C(24) * 60 * 60 * 1000)
 
 static void pool_destroy(void *ptr)
@@ -145,7 +145,7 @@
 	}
 	pool = pool_get(client, spec->address);
 	if (!pool) {
-		call_fail_later(call, "the address is no IP:port");
+		call_fail_later(call, "the address is not of the form IP:port");
 		return call;
 	}
 	call->request = request_print(spec);
--- a/web/head.c
+++ b/web/head.c
@@ -28,7 +28,7 @@
 	       g_ascii_strncasecmp(part.data, word, part.size) == 0;
 }
 
-/* 18 digits fit any count of bytes that h2o can hold. */
+/* 18 digits fit in h2o's 64-bit length. */
 static bool length_is_sound(struct part value)
 {
 	if (value.size == 0 || value.size > 18)
@@ -57,9 +57,9 @@
 	return true;
 }
 
-/* Several heads may stand one after the other (100 Continue), so all lines are
- * looked at up to the first that is no header; a body's lines do not matter,
- * since h2o reads the head in the same turn. */
+/* Informational heads (100 Continue) may precede the final one, so lines are
+ * checked up to the empty line that ends the final head. The body needs no
+ * check, since h2o parses the head in the same iteration of the event loop. */
 bool head_is_sound(const char *data, size_t size)
 {
 	bool informational = false;
--- a/web/head.h
+++ b/web/head.h
@@ -1,5 +1,5 @@
 /*
- * head.h - a look at an answer's head before h2o reads it
+ * head.h - validates an answer's head before h2o parses it
  */
 #ifndef WEB_HEAD_H
 #define WEB_HEAD_H
@@ -7,9 +7,9 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Whether h2o can read the body that the bytes so far announce: h2o 2.2.5 ends
- * the process (an assertion) for a length that is no number or a transfer
- * coding that it does not know. Also true while the head is not whole. */
+/* False when the Content-Length is not a number or the Transfer-Encoding is
+ * unknown: h2o 2.2.5 fails an assertion on both. True while the head is
+ * incomplete and valid so far. */
 bool head_is_sound(const char *data, size_t size);
 
 #endif
--- a/web/loop.c
+++ b/web/loop.c
@@ -8,13 +8,13 @@
 
 #include "common/clock.h"
 
-/* Longest wait when no timer runs: signals and sockets end it earlier. */
+/* Longest wait; signals and sockets end it earlier. */
 #define WAIT_MAX_MSEC 1000
-/* A gap that is none of ordinary load: an instance whose share of a core is
- * used up gets it back within a tenth of a second. */
+/* Longer than the 0.1 s within which an instance that has used up its CPU quota
+ * gets the next one. */
 #define LOOP_GAP_USEC (200 * USEC_PER_MSEC)
-/* The turn in which the gap is noticed may hold a part of what is ready, the
- * next one holds all. */
+/* The iteration that detects the gap may handle only some of the ready sockets;
+ * the next one handles all. */
 #define WOKEN_TURNS 2u
 
 struct signal_watch {
@@ -26,8 +26,8 @@
 struct loop {
 	h2o_loop_t *h2o;
 	struct clock *clock;
-	struct loop_deferred deferred; /* head of a ring */
-	h2o_timeout_t soon;	       /* ends a turn of h2o's */
+	struct loop_deferred deferred; /* head of a circular list */
+	h2o_timeout_t soon; /* runs deferred callbacks in h2o's loop */
 	h2o_timeout_entry_t soon_entry;
 	h2o_timeout_t drain; /* see loop_turn_h2o() */
 	h2o_timeout_entry_t drain_entry;
@@ -37,10 +37,10 @@
 	h2o_socket_t *signal_sock;
 	loop_iteration_fn iteration_fn;
 	void *iteration_ctx;
-	int64_t waited_usec;  /* on purpose, since the clock was followed */
-	bool entered;	      /* the clock was followed since the last wait */
-	uint32_t woken_turns; /* until timers fire, see timers_wait() */
-	bool fired;	      /* timers, since they had to wait */
+	int64_t waited_usec;  /* intended wait since the clock advanced */
+	bool entered;	      /* the clock advanced since the last wait */
+	uint32_t woken_turns; /* iterations until timers fire again */
+	bool fired;	      /* timers fired since they were deferred */
 	bool running;
 };
 
@@ -63,13 +63,10 @@
 {
 }
 
-/*
- * A turn of h2o's frees the sockets that were closed before it runs the
- * callbacks that are due. A socket that was used and closed outside of a turn,
- * say by a timer of ours that calls and one that cancels, would be freed first
- * and called then. Running a timeout of h2o's runs the callbacks due, and
- * passes over closed sockets.
- */
+/* h2o_evloop_run() frees closed sockets before it runs pending callbacks. A
+ * socket used and closed outside of it, as by a timer that cancels a call,
+ * would be called after it was freed. h2o_timeout_run() runs the pending
+ * callbacks first and skips closed sockets. */
 void loop_turn_h2o(struct loop *loop, int32_t msec)
 {
 	h2o_timeout_link(loop->h2o, &loop->drain, &loop->drain_entry);
@@ -103,7 +100,7 @@
 	if (loop->signal_sock)
 		h2o_socket_close(loop->signal_sock);
 	sigprocmask(SIG_UNBLOCK, &loop->mask, NULL);
-	/* Lets h2o free the sockets that were closed last. */
+	/* Lets h2o free sockets that were just closed. */
 	loop_turn_h2o(loop, 0);
 	h2o_timeout_unlink(&loop->soon_entry);
 	h2o_timeout_dispose(loop->h2o, &loop->soon);
@@ -124,7 +121,8 @@
 	node->next = &loop->deferred;
 	node->prev->next = node;
 	node->next->prev = node;
-	/* Inside a turn of h2o's it runs at the end of that same turn. */
+	/* Inside h2o_evloop_run() this runs at the end of the same iteration.
+	 */
 	if (!h2o_timeout_is_linked(&loop->soon_entry))
 		h2o_timeout_link(loop->h2o, &loop->soon, &loop->soon_entry);
 }
@@ -139,15 +137,14 @@
 	node->next = NULL;
 }
 
-/* Whether timers wait: after a gap what has arrived meanwhile goes first. With
- * the timers first a process that stood still for three seconds gave up streams
- * whose events lay in its sockets, and had them run again elsewhere. */
+/* After a gap, input that arrived during it is handled before timers. With the
+ * timers first, a process stopped for three seconds timed out streams whose
+ * events were already in its sockets, and retried them elsewhere. */
 static bool timers_wait(struct loop *loop, int64_t gap)
 {
 	if (loop->woken_turns > 0)
 		return true;
-	/* Not twice in a row: turns that take long would hold them up for ever.
-	 */
+	/* Not twice in a row: slow iterations would defer timers forever. */
 	if (gap >= LOOP_GAP_USEC && loop->fired) {
 		loop->woken_turns = WOKEN_TURNS;
 		loop->fired = false;
@@ -177,7 +174,8 @@
 	int64_t next = clock_next(loop->clock);
 	int64_t usec;
 
-	/* h2o does not look at callbacks due from writes made outside of it. */
+	/* h2o waits in spite of pending callbacks of writes made outside of it.
+	 */
 	if (!loop->running || loop->h2o->_pending_as_client ||
 	    loop->h2o->_pending_as_server)
 		return 0;
@@ -196,8 +194,8 @@
 
 	if (loop->woken_turns > 0)
 		loop->woken_turns--;
-	/* Also when a callback has entered: it may have taken long, and what
-	 * it set may be looked at by the hook. */
+	/* Also if a callback has called loop_enter(): it may have taken long,
+	 * and the hook may read what it set. */
 	loop->entered = false;
 	loop_enter(loop);
 	deferred_run(loop);
@@ -211,7 +209,7 @@
 void loop_run(struct loop *loop)
 {
 	loop->running = true;
-	/* Time before the loop ran is no gap. */
+	/* Time before the loop starts does not count as a gap. */
 	clock_follow(loop->clock);
 	while (loop->running)
 		turn(loop);
--- a/web/reply.c
+++ b/web/reply.c
@@ -5,9 +5,9 @@
 
 #include "common/clock.h"
 
-/* What h2o gets at once, so that a slow caller's progress can be seen. */
+/* Largest write passed to h2o, so that a slow caller's progress is visible. */
 #define SLICE_MAX ((size_t)128 * 1024)
-/* A buffer larger than this is given back when it is empty. */
+/* A larger buffer is freed rather than reused when it is empty. */
 #define KEEP_MAX ((size_t)16 * 1024)
 
 static const struct {
@@ -55,7 +55,7 @@
 	return request->queue ? request->queue->len : 0;
 }
 
-/* Makes the queue the flight once the latter has been sent. */
+/* Moves the queue to in_flight once everything in flight has been sent. */
 static void flight_fill(struct web_request *request)
 {
 	GByteArray *spent = request->flight;
@@ -75,7 +75,7 @@
 	request->queue = spent;
 }
 
-/* Nothing may be touched after this: h2o may have freed the request. */
+/* The request must not be used afterwards: h2o may have freed it. */
 static void slice_send(struct web_request *request, h2o_send_state_t state)
 {
 	h2o_req_t *req = request->req;
@@ -97,11 +97,11 @@
 	h2o_send(req, &vec, request->slice > 0 ? 1 : 0, state);
 }
 
-/* h2o 2.2 would end a cut-off answer with a malformed chunk, or an answer that
- * has no head yet with a whole one of its own. Below HTTP/2 it is to end with
- * its connection and no further byte. Only a head that h2o holds back, as no
- * byte of the body follows, still goes out with that chunk: without, the caller
- * would not see the status. */
+/* h2o 2.2 would end a truncated answer with a malformed chunk, and send an
+ * answer of its own if no head was sent. On HTTP/1 the connection is closed
+ * without further bytes instead. The exception is a head that h2o still buffers
+ * because no body byte followed: it goes out with that chunk, since the caller
+ * would otherwise not see the status. */
 static void cut(struct web_request *request)
 {
 	h2o_res_t *res = &request->req->res;
@@ -169,18 +169,18 @@
 
 void reply_drop(struct web_request *request)
 {
-	/* What h2o holds must stay; all else goes. */
+	/* Keeps the slice that h2o is sending and drops the rest. */
 	if (request->queue)
 		g_byte_array_set_size(request->queue, 0);
 	if (request->flight)
 		request->offset = request->flight->len - request->slice;
-	/* Ends a write that the caller does not take. */
+	/* Ends a write that is blocked because the caller does not read. */
 	if (request->sock && !request->final)
 		shutdown(h2o_socket_get_fd(request->sock), SHUT_RDWR);
 	reply_end(request, true);
 }
 
-/* Headers that h2o writes itself; a second one would be wrong. */
+/* Headers that h2o writes itself and that must not be duplicated. */
 static bool is_own_header(const char *name)
 {
 	static const char *const names[] = {
--- a/web/request.c
+++ b/web/request.c
@@ -20,8 +20,8 @@
 	h2o_socket_dont_read(request->sock, 0);
 }
 
-/* The socket is looked at, not read: while a request waits h2o keeps pointers
- * into the input buffer, and further requests can wait in the kernel. */
+/* Peeks instead of reading: h2o keeps pointers into the input buffer while a
+ * request is pending, and further requests can stay in the kernel's buffer. */
 static void sock_readable(h2o_socket_t *sock, const char *err)
 {
 	struct web_conn *conn = sock->on_close.data;
@@ -37,9 +37,10 @@
 		request_hang_up(request);
 }
 
-/* h2o 2.2 stops reading an HTTP/1 connection until the answer is sent, and so
- * does not notice a caller that hangs up. A connection upgraded to HTTP/2
- * keeps the old version in its first request, so that is not what tells. */
+/* h2o 2.2 stops reading an HTTP/1 connection until the answer is sent, so it
+ * does not notice a disconnect. The request's version can't be used to detect
+ * HTTP/1: the first request of a connection upgraded to HTTP/2 keeps the old
+ * one. */
 static void watch_start(struct web_request *request)
 {
 	h2o_conn_t *conn = request->req->conn;
@@ -65,7 +66,7 @@
 		request->gone_fn(request->gone_ctx);
 }
 
-/* Runs when h2o clears the request's pool. */
+/* Called when h2o clears the request's memory pool. */
 static void request_dispose(void *ptr)
 {
 	struct web_request *request = ptr;
@@ -201,7 +202,7 @@
 	return req->headers.size;
 }
 
-/* Copies text with %XX and '+' decoded; false when it does not fit. */
+/* Decodes %XX and '+'; false when the result does not fit or contains NUL. */
 static bool param_decode(const char *text, size_t len, char *value, size_t size)
 {
 	size_t out = 0;
--- a/web/server.c
+++ b/web/server.c
@@ -16,7 +16,7 @@
 
 #define ACCEPTS_PER_TURN 64
 #define SWEEP_USEC USEC_PER_SEC
-/* Turns that web_server_destroy() grants the connections to close. */
+/* Loop iterations in which web_server_destroy() lets connections close. */
 #define CLOSE_TURNS 1000
 #define STREAMS_MAX 256
 
@@ -42,7 +42,7 @@
 };
 
 struct web_hook {
-	h2o_handler_t handler; /* first: h2o hands it back */
+	h2o_handler_t handler; /* first: h2o passes it to on_request() */
 	struct web_server *server;
 };
 
@@ -189,7 +189,7 @@
 	h2o_config_init(config);
 	config->server_name = h2o_iovec_init(H2O_STRLIT("jacinthtrestle"));
 	config->max_request_entity_size = limits->body_bytes;
-	/* h2o counts the wait for a request and its arrival as one. */
+	/* h2o has one timeout for waiting for a request and receiving it. */
 	config->http1.req_timeout = (uint64_t)(wait / USEC_PER_MSEC);
 	config->http2.idle_timeout =
 		(uint64_t)(limits->idle_usec / USEC_PER_MSEC);
@@ -245,8 +245,8 @@
 		h2o_context_request_shutdown(&server->context);
 }
 
-/* A caller that sends on a connection just then is told by its end that the
- * request was not read. */
+/* A caller that sends a request at the same moment sees the connection close
+ * without an answer, and so knows that the request was not read. */
 static void conns_close_idle(struct web_server *server)
 {
 	for (GList *link = server->conns.head; link; link = link->next) {
@@ -291,7 +291,7 @@
 static void context_dispose(h2o_context_t *context)
 {
 #ifdef __SANITIZE_ADDRESS__
-	/* h2o 2.2.5 closes its queue between threads but never frees it. */
+	/* h2o 2.2.5 closes its inter-thread queue but never frees it. */
 	__lsan_ignore_object(context->queue);
 #endif
 	h2o_timeout_unlink(&context->http2._graceful_shutdown_timeout);
@@ -305,7 +305,7 @@
 	timer_stop(&server->sweep);
 	listener_close(server);
 	conns_close(server);
-	/* h2o would still use the context of a connection that remains. */
+	/* h2o would still use the context for remaining connections. */
 	if (server->conns.length > 0)
 		return;
 	context_dispose(&server->context);
--- a/web/silence.c
+++ b/web/silence.c
@@ -8,10 +8,10 @@
 
 #include "common/log.h"
 
-/* An idle connection is probed after the first figure, each second, so often.
- * Together longer than the 3.6 s after which a caller leaves a stream that
- * shows nothing, so no stream is reset that its caller still waits for. Without
- * it a run on a connection that died held its memory until its limit, 14 s. */
+/* An idle connection is reset after PROBE_AFTER_SEC + PROBES * PROBE_EVERY_SEC.
+ * That is longer than the 3.6 s after which a caller abandons a silent stream,
+ * so no stream is reset while its caller still waits for it. Without probes, a
+ * run on a dead connection held its memory until its time limit of 14 s. */
 #define PROBE_AFTER_SEC 2
 #define PROBE_EVERY_SEC 1
 #define PROBES 3
--- a/web/silence.h
+++ b/web/silence.h
@@ -1,11 +1,11 @@
 /*
- * silence.h - connections that died without a word
+ * silence.h - TCP keep-alive and user timeout, to detect dead connections
  */
 #ifndef WEB_SILENCE_H
 #define WEB_SILENCE_H
 
-/* Has the kernel reset a connection whose other side has answered nothing for
- * five seconds, be it probes while it is idle or data that was sent. */
+/* Makes the kernel reset a connection whose peer acknowledges neither
+ * keep-alive probes nor sent data for five seconds. */
 void silence_watch(int fd);
 
 #endif
