--- a/entry/drain.c
+++ b/entry/drain.c
@@ -95,7 +95,7 @@
 	if (entry->ledger)
 		ledger_drain(entry->ledger);
 	if (entry->server)
-		web_server_announce(entry->server);
+		web_server_announce_shutdown(entry->server);
 }
 
 void entry_drain(struct entry *entry)
--- a/forward/node_drain.c
+++ b/forward/node_drain.c
@@ -46,7 +46,7 @@
 	node->drain_started_at = clock_now(node->clock);
 	log_event(LOG_NOTICE, "draining",
 		  LOG_D("pending", forward_pending(node->forward)));
-	web_server_announce(node->callers);
+	web_server_announce_shutdown(node->callers);
 	node_unregister(node);
 	timer_init(&node->drain_timer, node->clock, on_check, node);
 	timer_start(&node->drain_timer, CHECK_USEC);
--- a/include/web/client.h
+++ b/include/web/client.h
@@ -62,8 +62,8 @@
 			  const struct web_call_ops *ops, void *ctx);
 void web_call_cancel(struct web_call *call);
 /* Releases data after the call's last callback or its cancellation. */
-void web_call_own(struct web_call *call, void *data,
-		  void (*release)(void *data));
+void web_call_attach(struct web_call *call, void *data,
+		     void (*release)(void *data));
 
 /* Collects the whole answer; fails when it exceeds limit bytes. */
 typedef void (*web_answer_fn)(void *ctx, const struct web_result *result,
--- a/include/web/loop.h
+++ b/include/web/loop.h
@@ -56,7 +56,7 @@
 void loop_defer_cancel(struct loop_deferred *node);
 /* Runs one iteration of h2o's loop, also safe after sockets were closed outside
  * of one. For use where loop_run() does not run; waits at most msec. */
-void loop_turn_h2o(struct loop *loop, int32_t msec);
+void loop_run_h2o(struct loop *loop, int32_t msec);
 struct clock *loop_clock(struct loop *loop);
 h2o_loop_t *loop_h2o(struct loop *loop);
 
--- a/include/web/server.h
+++ b/include/web/server.h
@@ -65,7 +65,7 @@
 				     struct error *err);
 /* Still accepts connections, but asks each of them to close: with "Connection:
  * close" in its next answer, or GOAWAY. */
-void web_server_announce(struct web_server *server);
+void web_server_announce_shutdown(struct web_server *server);
 /* Stops listening, sends GOAWAY or "Connection: close" on open connections, and
  * closes HTTP/1 connections that have no request pending. */
 void web_server_drain(struct web_server *server);
--- a/tests/entry/test_drain.c
+++ b/tests/entry/test_drain.c
@@ -98,7 +98,7 @@
 	event("ledger-drains");
 }
 
-void web_server_announce(struct web_server *server)
+void web_server_announce_shutdown(struct web_server *server)
 {
 	event("closing");
 }
--- a/tests/forward/gossip_world.c
+++ b/tests/forward/gossip_world.c
@@ -211,7 +211,7 @@
 			      clock_now(site->clock) + 50 * USEC_PER_MSEC);
 		for (int k = 0; k < 3 * CENTRES; k++)
 			if (!site->paused[k % CENTRES])
-				loop_turn_h2o(site->loops[k % CENTRES], 0);
+				loop_run_h2o(site->loops[k % CENTRES], 0);
 		quarantine_store(site);
 	}
 }
--- a/tests/forward/test_gossip.c
+++ b/tests/forward/test_gossip.c
@@ -66,7 +66,7 @@
 {
 	for (int i = 0; i < 4; i++) {
 		clock_advance(site->clock, clock_now(site->clock) + usec / 4);
-		loop_turn_h2o(site->loop, 0);
+		loop_run_h2o(site->loop, 0);
 	}
 }
 
--- a/tests/web/h2.c
+++ b/tests/web/h2.c
@@ -136,7 +136,7 @@
 	for (int i = 0; i < TURNS_MAX && *goal < count; i++) {
 		bool more = exchange(h2);
 
-		loop_turn_h2o(world->loop, more ? 0 : 1);
+		loop_run_h2o(world->loop, more ? 0 : 1);
 	}
 	g_assert_cmpint(*goal, >=, count);
 }
--- a/tests/web/test_silence.c
+++ b/tests/web/test_silence.c
@@ -23,7 +23,7 @@
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 	int idle;
 
-	silence_watch(fd);
+	keepalive_enable(fd);
 	g_assert_cmpint(option(fd, SOL_SOCKET, SO_KEEPALIVE), ==, 1);
 	idle = option(fd, IPPROTO_TCP, TCP_KEEPIDLE) +
 	       option(fd, IPPROTO_TCP, TCP_KEEPINTVL) *
@@ -39,7 +39,7 @@
 	int fds[2];
 
 	g_assert_cmpint(socketpair(AF_UNIX, SOCK_STREAM, 0, fds), ==, 0);
-	silence_watch(fds[0]);
+	keepalive_enable(fds[0]);
 	g_assert_cmpint(write(fds[0], "x", 1), ==, 1);
 	close(fds[0]);
 	close(fds[1]);
--- a/tests/web/world.c
+++ b/tests/web/world.c
@@ -61,7 +61,7 @@
 {
 	world->goal = NULL;
 	while (turns-- > 0)
-		loop_turn_h2o(world->loop, 0);
+		loop_run_h2o(world->loop, 0);
 }
 
 static void on_head(void *ctx, int status, const struct web_header *headers,
@@ -170,7 +170,7 @@
 			data += n;
 			size -= (size_t)n;
 		}
-		loop_turn_h2o(world->loop, 0);
+		loop_run_h2o(world->loop, 0);
 	}
 }
 
@@ -188,7 +188,7 @@
 			g_string_append_len(all, buf, n);
 		if (text && memmem(all->str, all->len, text, strlen(text)))
 			return all;
-		loop_turn_h2o(world->loop, n > 0 ? 0 : 1);
+		loop_run_h2o(world->loop, n > 0 ? 0 : 1);
 	}
 	g_error("no \"%s\" in \"%s\"", text ? text : "close", all->str);
 }
--- a/web/call.c
+++ b/web/call.c
@@ -15,7 +15,7 @@
 {
 	timer_stop(&call->timer);
 	loop_defer_cancel(&call->fail);
-	loop_defer_cancel(&call->watch);
+	loop_defer_cancel(&call->wrap);
 	g_queue_unlink(&call->client->calls, &call->link);
 	if (call->request)
 		g_string_free(call->request, TRUE);
@@ -30,7 +30,7 @@
 {
 	const struct web_result result = {
 		.ok = ok,
-		.sent = call->connected,
+		.sent = call->is_connected,
 		.timed_out = call->timed_out,
 		.text = ok ? NULL : call->text,
 	};
@@ -72,34 +72,34 @@
 static void on_timer(struct timer *timer, void *ctx)
 {
 	struct web_call *call = ctx;
-	int64_t limit = call->answered ? call->idle_usec : call->head_usec;
+	int64_t limit = call->has_head ? call->idle_usec : call->head_usec;
 	int64_t since =
-		clock_now(loop_clock(call->client->loop)) - call->active;
+		clock_now(loop_clock(call->client->loop)) - call->last_active;
 
 	/* The call's own callback runs, so bytes have just arrived. */
 	if (call->busy)
 		since = 0;
-	if (!call->connected)
+	if (!call->is_connected)
 		limit = MIN(limit, call->connect_usec);
 	if (since < limit) {
 		timer_start(timer, limit - since);
 		return;
 	}
 	call->timed_out = true;
-	call_fail(call, call->connected ? "no answer in time"
-					: "no connection in time");
+	call_fail(call, call->is_connected ? "no answer in time"
+					   : "no connection in time");
 }
 
-static void activity(struct web_call *call)
+static void activity_record(struct web_call *call)
 {
-	call->active = clock_now(loop_clock(call->client->loop));
+	call->last_active = clock_now(loop_clock(call->client->loop));
 }
 
 static void busy_begin(struct web_call *call)
 {
 	call->busy = true;
 	loop_enter(call->client->loop);
-	activity(call);
+	activity_record(call);
 }
 
 /* False when the call was cancelled or failed in its callback and is now freed;
@@ -115,7 +115,7 @@
 }
 
 /* Prevents h2o from reusing the connection. */
-static void sock_spoil(h2o_http1client_t *http)
+static void sock_shutdown(h2o_http1client_t *http)
 {
 	if (http->sock)
 		shutdown(h2o_socket_get_fd(http->sock), SHUT_RDWR);
@@ -123,10 +123,10 @@
 
 /* h2o 2.2 treats a close after any complete chunk as the end of the body. At a
  * proper end the terminating empty chunk was read just now. */
-static bool is_cut_off(const struct web_call *call)
+static bool is_truncated(const struct web_call *call)
 {
-	return (call->chunked && call->http->sock->bytes_read == 0) ||
-	       call->reset;
+	return (call->is_chunked && call->http->sock->bytes_read == 0) ||
+	       call->was_reset;
 }
 
 /* h2o 2.2 treats any end of the connection, also a reset, as the end of a body
@@ -136,38 +136,38 @@
 	h2o_http1client_t *http = sock->data;
 	struct web_call *call = http->data;
 
-	call->reset = err && err != h2o_socket_error_closed;
-	if (!call->answered && !err &&
-	    !head_is_sound(sock->input->bytes, sock->input->size)) {
+	call->was_reset = err && err != h2o_socket_error_closed;
+	if (!call->has_head && !err &&
+	    !head_is_valid(sock->input->bytes, sock->input->size)) {
 		call_fail(call, "invalid content-length or transfer-encoding");
 		return;
 	}
-	call->h2o_reader(sock, err);
+	call->h2o_read_cb(sock, err);
 }
 
-static void sock_watch(void *ctx);
+static void sock_wrap(void *ctx);
 
 static void sock_written(h2o_socket_t *sock, const char *err)
 {
 	h2o_http1client_t *http = sock->data;
 	struct web_call *call = http->data;
 
-	loop_defer(call->client->loop, &call->watch, sock_watch, call);
-	call->h2o_writer(sock, err);
+	loop_defer(call->client->loop, &call->wrap, sock_wrap, call);
+	call->h2o_write_cb(sock, err);
 }
 
 /* h2o sets its own read callbacks once the request is written and again after
  * it has reported the head, so the wrapper is installed each time. */
-static void sock_watch(void *ctx)
+static void sock_wrap(void *ctx)
 {
 	struct web_call *call = ctx;
 	h2o_socket_t *sock = call->http ? call->http->sock : NULL;
 
 	if (sock && sock->_cb.read && sock->_cb.read != sock_read) {
-		call->h2o_reader = sock->_cb.read;
+		call->h2o_read_cb = sock->_cb.read;
 		h2o_socket_read_start(sock, sock_read);
 	} else if (sock && sock->_cb.write && sock->_cb.write != sock_written) {
-		call->h2o_writer = sock->_cb.write;
+		call->h2o_write_cb = sock->_cb.write;
 		sock->_cb.write = sock_written;
 	}
 }
@@ -175,7 +175,7 @@
 static void answer_end(struct web_call *call)
 {
 	if (call->fresh)
-		sock_spoil(call->http);
+		sock_shutdown(call->http);
 	call->http = NULL;
 	call_done(call, !call->text);
 }
@@ -203,7 +203,7 @@
 		return -1;
 	}
 	input_take(call, http);
-	if (err && is_cut_off(call))
+	if (err && is_truncated(call))
 		call->text = "the answer was cut off";
 	if (err) {
 		answer_end(call);
@@ -242,16 +242,17 @@
 		call_done(call, false);
 		return NULL;
 	}
-	call->answered = true;
-	call->chunked = h2o_find_header(&(h2o_headers_t){headers, count, count},
-					H2O_TOKEN_TRANSFER_ENCODING, -1) != -1;
+	call->has_head = true;
+	call->is_chunked =
+		h2o_find_header(&(h2o_headers_t){headers, count, count},
+				H2O_TOKEN_TRANSFER_ENCODING, -1) != -1;
 	if (call->ops.head && !call->cancelled)
 		head_report(call, status, headers, count);
 	if (err) {
 		answer_end(call);
 		return NULL;
 	}
-	loop_defer(call->client->loop, &call->watch, sock_watch, call);
+	loop_defer(call->client->loop, &call->wrap, sock_wrap, call);
 	/* From here on idle_usec applies. */
 	timer_start(&call->timer, call->idle_usec);
 	return busy_end(call) ? on_body : NULL;
@@ -268,15 +269,15 @@
 		call_fail_later(call, err);
 		return NULL;
 	}
-	silence_watch(h2o_socket_get_fd(http->sock));
-	call->connected = true;
-	activity(call);
+	keepalive_enable(h2o_socket_get_fd(http->sock));
+	call->is_connected = true;
+	activity_record(call);
 	timer_start(&call->timer, call->head_usec);
 	call->vec = h2o_iovec_init(call->request->str, call->request->len);
 	*vecs = &call->vec;
 	*count = 1;
 	*is_head = call->is_head;
-	loop_defer(call->client->loop, &call->watch, sock_watch, call);
+	loop_defer(call->client->loop, &call->wrap, sock_wrap, call);
 	return on_head;
 }
 
@@ -303,7 +304,7 @@
 
 void call_connect(struct web_call *call, h2o_socketpool_t *sockets)
 {
-	activity(call);
+	activity_record(call);
 	timer_start(&call->timer, MIN(call->head_usec, call->connect_usec));
 	h2o_http1client_connect_with_pool(
 		&call->http, call, &call->client->context, sockets, on_connect);
@@ -318,8 +319,8 @@
 	call_destroy(call);
 }
 
-void web_call_own(struct web_call *call, void *data,
-		  void (*release)(void *data))
+void web_call_attach(struct web_call *call, void *data,
+		     void (*release)(void *data))
 {
 	call->owned = data;
 	call->owned_release = release;
--- a/web/call.h
+++ b/web/call.h
@@ -26,7 +26,7 @@
 /* The connections to one address: keep-alive ones, and those of fresh calls,
  * which are shut down before h2o can reuse them. */
 struct pool {
-	h2o_socketpool_t kept;
+	h2o_socketpool_t keepalive;
 	h2o_socketpool_t fresh;
 };
 
@@ -43,20 +43,20 @@
 	h2o_iovec_t vec;
 	struct timer timer;
 	struct loop_deferred fail;
-	struct loop_deferred watch; /* wraps h2o's socket callbacks */
-	h2o_socket_cb h2o_reader;
-	h2o_socket_cb h2o_writer;
+	struct loop_deferred wrap; /* wraps h2o's socket callbacks */
+	h2o_socket_cb h2o_read_cb;
+	h2o_socket_cb h2o_write_cb;
 	int64_t connect_usec;
 	int64_t head_usec;
 	int64_t idle_usec;
-	int64_t active; /* time of the last activity */
+	int64_t last_active; /* when it began, connected or last got bytes */
 	const char *text;
 	bool is_head;
 	bool fresh;
-	bool connected;
-	bool answered; /* the head has arrived */
-	bool chunked;  /* the body is in chunked encoding */
-	bool reset;    /* the connection ended with an error */
+	bool is_connected;
+	bool has_head;	 /* the head has arrived */
+	bool is_chunked; /* the body is in chunked encoding */
+	bool was_reset;	 /* the connection ended with an error */
 	bool busy;
 	bool cancelled;
 	bool timed_out;
--- a/web/client.c
+++ b/web/client.c
@@ -7,7 +7,7 @@
 
 /* Shorter than the keep-alive timeout of known backend servers, so that a call
  * rarely uses a connection that the server has just closed. */
-#define KEEP_MSEC 2000
+#define KEEPALIVE_MSEC 2000
 #define POOL_CONNECTIONS 65536
 /* So long that h2o's timeout never fires: each call has its own timer. */
 #define IO_MSEC (UINT64_C(24) * 60 * 60 * 1000)
@@ -16,7 +16,7 @@
 {
 	struct pool *pool = ptr;
 
-	h2o_socketpool_dispose(&pool->kept);
+	h2o_socketpool_dispose(&pool->keepalive);
 	h2o_socketpool_dispose(&pool->fresh);
 	g_free(pool);
 }
@@ -50,7 +50,8 @@
 {
 	h2o_socketpool_init_by_address(sockets, (struct sockaddr *)peer, size,
 				       0, POOL_CONNECTIONS);
-	h2o_socketpool_set_timeout(sockets, client->context.loop, KEEP_MSEC);
+	h2o_socketpool_set_timeout(sockets, client->context.loop,
+				   KEEPALIVE_MSEC);
 }
 
 static struct pool *pool_get(struct web_client *client, const char *address)
@@ -64,13 +65,13 @@
 	if (!address_parse(address, &peer, &size, NULL))
 		return NULL;
 	pool = g_new0(struct pool, 1);
-	sockets_init(client, &pool->kept, &peer, size);
+	sockets_init(client, &pool->keepalive, &peer, size);
 	sockets_init(client, &pool->fresh, &peer, size);
 	g_hash_table_insert(client->pools, g_strdup(address), pool);
 	return pool;
 }
 
-static bool text_is_clean(const char *text, size_t size)
+static bool text_is_valid(const char *text, size_t size)
 {
 	for (size_t i = 0; i < size; i++)
 		if (text[i] == '\r' || text[i] == '\n' || text[i] == '\0')
@@ -78,22 +79,22 @@
 	return true;
 }
 
-static bool word_is_clean(const char *text)
+static bool token_is_valid(const char *text)
 {
 	return text && text[0] && !strpbrk(text, " \r\n");
 }
 
-static bool spec_is_clean(const struct web_call_spec *spec)
+static bool spec_is_valid(const struct web_call_spec *spec)
 {
-	if (!spec->address || !word_is_clean(spec->method) ||
-	    !word_is_clean(spec->path) ||
-	    !text_is_clean(spec->host.data, spec->host.size))
+	if (!spec->address || !token_is_valid(spec->method) ||
+	    !token_is_valid(spec->path) ||
+	    !text_is_valid(spec->host.data, spec->host.size))
 		return false;
 	for (size_t i = 0; i < spec->header_count; i++) {
 		const struct web_header *header = &spec->headers[i];
 
-		if (!text_is_clean(header->name.data, header->name.size) ||
-		    !text_is_clean(header->value.data, header->value.size))
+		if (!text_is_valid(header->name.data, header->name.size) ||
+		    !text_is_valid(header->value.data, header->value.size))
 			return false;
 	}
 	return true;
@@ -139,7 +140,7 @@
 	struct web_call *call = call_create(client, spec, ops, ctx);
 	struct pool *pool;
 
-	if (!spec_is_clean(spec)) {
+	if (!spec_is_valid(spec)) {
 		call_fail_later(call, "the request is malformed");
 		return call;
 	}
@@ -149,6 +150,6 @@
 		return call;
 	}
 	call->request = request_print(spec);
-	call_connect(call, spec->fresh ? &pool->fresh : &pool->kept);
+	call_connect(call, spec->fresh ? &pool->fresh : &pool->keepalive);
 	return call;
 }
--- a/web/head.c
+++ b/web/head.c
@@ -29,7 +29,7 @@
 }
 
 /* 18 digits fit in h2o's 64-bit length. */
-static bool length_is_sound(struct part value)
+static bool length_is_valid(struct part value)
 {
 	if (value.size == 0 || value.size > 18)
 		return false;
@@ -39,7 +39,7 @@
 	return true;
 }
 
-static bool line_is_sound(struct part line)
+static bool line_is_valid(struct part line)
 {
 	const char *colon = memchr(line.data, ':', line.size);
 	struct part name;
@@ -51,7 +51,7 @@
 	value = part_trim((struct part){colon + 1, line.size - name.size - 1});
 	name = part_trim(name);
 	if (part_is(name, "content-length"))
-		return length_is_sound(value);
+		return length_is_valid(value);
 	if (part_is(name, "transfer-encoding"))
 		return part_is(value, "chunked") || part_is(value, "identity");
 	return true;
@@ -60,7 +60,7 @@
 /* Informational heads (100 Continue) may precede the final one, so lines are
  * checked up to the empty line that ends the final head. The body needs no
  * check, since h2o parses the head in the same iteration of the event loop. */
-bool head_is_sound(const char *data, size_t size)
+bool head_is_valid(const char *data, size_t size)
 {
 	bool informational = false;
 
@@ -77,7 +77,7 @@
 			informational = line.data[9] == '1';
 		else if (line.size == 0 && !informational)
 			return true;
-		else if (!line_is_sound(line))
+		else if (!line_is_valid(line))
 			return false;
 	}
 	return true;
--- a/web/loop.c
+++ b/web/loop.c
@@ -15,7 +15,7 @@
 #define LOOP_GAP_USEC (200 * USEC_PER_MSEC)
 /* The iteration that detects the gap may handle only some of the ready sockets;
  * the next one handles all. */
-#define WOKEN_TURNS 2u
+#define RESUME_ITERATIONS 2u
 
 struct signal_watch {
 	int signal;
@@ -26,10 +26,10 @@
 struct loop {
 	h2o_loop_t *h2o;
 	struct clock *clock;
-	struct loop_deferred deferred; /* head of a circular list */
-	h2o_timeout_t soon; /* runs deferred callbacks in h2o's loop */
-	h2o_timeout_entry_t soon_entry;
-	h2o_timeout_t drain; /* see loop_turn_h2o() */
+	struct loop_deferred deferred;	/* head of a circular list */
+	h2o_timeout_t deferred_timeout; /* has h2o call deferred_run() */
+	h2o_timeout_entry_t deferred_entry;
+	h2o_timeout_t drain; /* see loop_run_h2o() */
 	h2o_timeout_entry_t drain_entry;
 	GArray *watches;
 	sigset_t mask;
@@ -37,10 +37,10 @@
 	h2o_socket_t *signal_sock;
 	loop_iteration_fn iteration_fn;
 	void *iteration_ctx;
-	int64_t waited_usec;  /* intended wait since the clock advanced */
-	bool entered;	      /* the clock advanced since the last wait */
-	uint32_t woken_turns; /* iterations until timers fire again */
-	bool fired;	      /* timers fired since they were deferred */
+	int64_t waited_usec;	    /* intended wait since the clock advanced */
+	bool entered;		    /* the clock advanced since the last wait */
+	uint32_t resume_iterations; /* iterations until timers fire again */
+	bool timers_fired;	    /* timers fired since they were deferred */
 	bool running;
 };
 
@@ -54,9 +54,10 @@
 	}
 }
 
-static void on_soon(h2o_timeout_entry_t *entry)
+static void on_deferred(h2o_timeout_entry_t *entry)
 {
-	deferred_run(H2O_STRUCT_FROM_MEMBER(struct loop, soon_entry, entry));
+	deferred_run(
+		H2O_STRUCT_FROM_MEMBER(struct loop, deferred_entry, entry));
 }
 
 static void on_drain(h2o_timeout_entry_t *entry)
@@ -67,7 +68,7 @@
  * socket used and closed outside of it, as by a timer that cancels a call,
  * would be called after it was freed. h2o_timeout_run() runs the pending
  * callbacks first and skips closed sockets. */
-void loop_turn_h2o(struct loop *loop, int32_t msec)
+void loop_run_h2o(struct loop *loop, int32_t msec)
 {
 	h2o_timeout_link(loop->h2o, &loop->drain, &loop->drain_entry);
 	h2o_timeout_run(loop->h2o, &loop->drain, h2o_now(loop->h2o));
@@ -81,8 +82,8 @@
 	signal(SIGPIPE, SIG_IGN);
 	loop->h2o = h2o_evloop_create();
 	loop->clock = clock;
-	h2o_timeout_init(loop->h2o, &loop->soon, 0);
-	loop->soon_entry.cb = on_soon;
+	h2o_timeout_init(loop->h2o, &loop->deferred_timeout, 0);
+	loop->deferred_entry.cb = on_deferred;
 	h2o_timeout_init(loop->h2o, &loop->drain, 0);
 	loop->drain_entry.cb = on_drain;
 	loop->deferred.prev = &loop->deferred;
@@ -101,9 +102,9 @@
 		h2o_socket_close(loop->signal_sock);
 	sigprocmask(SIG_UNBLOCK, &loop->mask, NULL);
 	/* Lets h2o free sockets that were just closed. */
-	loop_turn_h2o(loop, 0);
-	h2o_timeout_unlink(&loop->soon_entry);
-	h2o_timeout_dispose(loop->h2o, &loop->soon);
+	loop_run_h2o(loop, 0);
+	h2o_timeout_unlink(&loop->deferred_entry);
+	h2o_timeout_dispose(loop->h2o, &loop->deferred_timeout);
 	h2o_timeout_dispose(loop->h2o, &loop->drain);
 	h2o_evloop_destroy(loop->h2o);
 	g_array_free(loop->watches, TRUE);
@@ -123,8 +124,9 @@
 	node->next->prev = node;
 	/* Inside h2o_evloop_run() this runs at the end of the same iteration.
 	 */
-	if (!h2o_timeout_is_linked(&loop->soon_entry))
-		h2o_timeout_link(loop->h2o, &loop->soon, &loop->soon_entry);
+	if (!h2o_timeout_is_linked(&loop->deferred_entry))
+		h2o_timeout_link(loop->h2o, &loop->deferred_timeout,
+				 &loop->deferred_entry);
 }
 
 void loop_defer_cancel(struct loop_deferred *node)
@@ -140,17 +142,17 @@
 /* After a gap, input that arrived during it is handled before timers. With the
  * timers first, a process stopped for three seconds timed out streams whose
  * events were already in its sockets, and retried them elsewhere. */
-static bool timers_wait(struct loop *loop, int64_t gap)
+static bool timers_are_deferred(struct loop *loop, int64_t gap)
 {
-	if (loop->woken_turns > 0)
+	if (loop->resume_iterations > 0)
 		return true;
 	/* Not twice in a row: slow iterations would defer timers forever. */
-	if (gap >= LOOP_GAP_USEC && loop->fired) {
-		loop->woken_turns = WOKEN_TURNS;
-		loop->fired = false;
+	if (gap >= LOOP_GAP_USEC && loop->timers_fired) {
+		loop->resume_iterations = RESUME_ITERATIONS;
+		loop->timers_fired = false;
 		return true;
 	}
-	loop->fired = true;
+	loop->timers_fired = true;
 	return false;
 }
 
@@ -165,7 +167,7 @@
 	loop->waited_usec = 0;
 	if (loop->iteration_fn)
 		loop->iteration_fn(loop->iteration_ctx, MAX(gap, 0));
-	if (!timers_wait(loop, gap))
+	if (!timers_are_deferred(loop, gap))
 		clock_fire_due(loop->clock);
 }
 
@@ -188,22 +190,22 @@
 			    WAIT_MAX_MSEC);
 }
 
-static void turn(struct loop *loop)
+static void iteration_run(struct loop *loop)
 {
 	int32_t msec;
 
-	if (loop->woken_turns > 0)
-		loop->woken_turns--;
+	if (loop->resume_iterations > 0)
+		loop->resume_iterations--;
 	/* Also if a callback has called loop_enter(): it may have taken long,
 	 * and the hook may read what it set. */
 	loop->entered = false;
 	loop_enter(loop);
 	deferred_run(loop);
-	h2o_timeout_unlink(&loop->soon_entry);
+	h2o_timeout_unlink(&loop->deferred_entry);
 	msec = wait_msec(loop);
 	loop->waited_usec = msec * USEC_PER_MSEC;
 	loop->entered = false;
-	loop_turn_h2o(loop, msec);
+	loop_run_h2o(loop, msec);
 }
 
 void loop_run(struct loop *loop)
@@ -212,7 +214,7 @@
 	/* Time before the loop starts does not count as a gap. */
 	clock_follow(loop->clock);
 	while (loop->running)
-		turn(loop);
+		iteration_run(loop);
 	loop_enter(loop);
 	deferred_run(loop);
 }
--- a/web/reply.c
+++ b/web/reply.c
@@ -6,9 +6,9 @@
 #include "common/clock.h"
 
 /* Largest write passed to h2o, so that a slow caller's progress is visible. */
-#define SLICE_MAX ((size_t)128 * 1024)
+#define SLICE_BYTES_MAX ((size_t)128 * 1024)
 /* A larger buffer is freed rather than reused when it is empty. */
-#define KEEP_MAX ((size_t)16 * 1024)
+#define REUSE_BYTES_MAX ((size_t)16 * 1024)
 
 static const struct {
 	int status;
@@ -45,9 +45,10 @@
 	return "Status";
 }
 
-static size_t flight_left(const struct web_request *request)
+static size_t in_flight_size(const struct web_request *request)
 {
-	return request->flight ? request->flight->len - request->offset : 0;
+	return request->in_flight ? request->in_flight->len - request->offset
+				  : 0;
 }
 
 static size_t queue_size(const struct web_request *request)
@@ -56,23 +57,23 @@
 }
 
 /* Moves the queue to in_flight once everything in flight has been sent. */
-static void flight_fill(struct web_request *request)
+static void in_flight_refill(struct web_request *request)
 {
-	GByteArray *spent = request->flight;
+	GByteArray *sent = request->in_flight;
 
-	if (flight_left(request) > 0 || queue_size(request) == 0)
+	if (in_flight_size(request) > 0 || queue_size(request) == 0)
 		return;
-	request->flight = request->queue;
+	request->in_flight = request->queue;
 	request->offset = 0;
 	request->queue = NULL;
-	if (!spent)
+	if (!sent)
 		return;
-	if (spent->len > KEEP_MAX) {
-		g_byte_array_unref(spent);
+	if (sent->len > REUSE_BYTES_MAX) {
+		g_byte_array_unref(sent);
 		return;
 	}
-	g_byte_array_set_size(spent, 0);
-	request->queue = spent;
+	g_byte_array_set_size(sent, 0);
+	request->queue = sent;
 }
 
 /* The request must not be used afterwards: h2o may have freed it. */
@@ -82,16 +83,16 @@
 	h2o_iovec_t vec = {NULL, 0};
 
 	if (request->slice > 0)
-		vec = h2o_iovec_init(request->flight->data + request->offset,
+		vec = h2o_iovec_init(request->in_flight->data + request->offset,
 				     request->slice);
 	request->sending = h2o_send_state_is_in_progress(state);
-	request->since = clock_now(loop_clock(request->loop));
+	request->sending_since = clock_now(loop_clock(request->loop));
 	if (!request->sending) {
-		request->final = true;
+		request->final_sent = true;
 		request_unwatch(request);
 	}
-	if (!request->opened) {
-		request->opened = true;
+	if (!request->head_sent) {
+		request->head_sent = true;
 		h2o_start_response(req, &request->generator);
 	}
 	h2o_send(req, &vec, request->slice > 0 ? 1 : 0, state);
@@ -102,7 +103,7 @@
  * without further bytes instead. The exception is a head that h2o still buffers
  * because no body byte followed: it goes out with that chunk, since the caller
  * would otherwise not see the status. */
-static void cut(struct web_request *request)
+static void response_abort(struct web_request *request)
 {
 	h2o_res_t *res = &request->req->res;
 
@@ -110,17 +111,17 @@
 		res->status = 500;
 		res->reason = reason_of(500);
 	}
-	if (request->sock && (request->opened || !request->started))
+	if (request->sock && (request->head_sent || !request->started))
 		shutdown(h2o_socket_get_fd(request->sock), SHUT_RDWR);
 }
 
 static h2o_send_state_t slice_state(const struct web_request *request)
 {
 	if (!request->ended || queue_size(request) > 0 ||
-	    request->slice < flight_left(request) ||
-	    (request->cut && request->slice > 0))
+	    request->slice < in_flight_size(request) ||
+	    (request->truncated && request->slice > 0))
 		return H2O_SEND_STATE_IN_PROGRESS;
-	return request->cut ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
+	return request->truncated ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
 }
 
 static void flush(void *ctx)
@@ -128,25 +129,25 @@
 	struct web_request *request = ctx;
 	h2o_send_state_t state;
 
-	if (request->sending || request->final)
+	if (request->sending || request->final_sent)
 		return;
-	flight_fill(request);
-	request->slice = MIN(flight_left(request), SLICE_MAX);
+	in_flight_refill(request);
+	request->slice = MIN(in_flight_size(request), SLICE_BYTES_MAX);
 	state = slice_state(request);
-	if (request->opened && request->slice == 0 &&
+	if (request->head_sent && request->slice == 0 &&
 	    h2o_send_state_is_in_progress(state))
 		return;
 	if (state == H2O_SEND_STATE_ERROR ||
 	    request->req->conn->ctx->shutdown_requested)
 		request->req->http1_is_persistent = 0;
 	if (state == H2O_SEND_STATE_ERROR)
-		cut(request);
+		response_abort(request);
 	slice_send(request, state);
 }
 
 static void flush_defer(struct web_request *request)
 {
-	if (!request->sending && !request->final)
+	if (!request->sending && !request->final_sent)
 		loop_defer(request->loop, &request->flush, flush, request);
 }
 
@@ -160,10 +161,10 @@
 	flush(request);
 }
 
-static void reply_end(struct web_request *request, bool cut)
+static void reply_end(struct web_request *request, bool truncated)
 {
 	request->ended = true;
-	request->cut = cut;
+	request->truncated = truncated;
 	flush_defer(request);
 }
 
@@ -172,16 +173,16 @@
 	/* Keeps the slice that h2o is sending and drops the rest. */
 	if (request->queue)
 		g_byte_array_set_size(request->queue, 0);
-	if (request->flight)
-		request->offset = request->flight->len - request->slice;
+	if (request->in_flight)
+		request->offset = request->in_flight->len - request->slice;
 	/* Ends a write that is blocked because the caller does not read. */
-	if (request->sock && !request->final)
+	if (request->sock && !request->final_sent)
 		shutdown(h2o_socket_get_fd(request->sock), SHUT_RDWR);
 	reply_end(request, true);
 }
 
 /* Headers that h2o writes itself and that must not be duplicated. */
-static bool is_own_header(const char *name)
+static bool is_server_header(const char *name)
 {
 	static const char *const names[] = {
 		"connection", "content-length",	   "date",
@@ -201,7 +202,7 @@
 	h2o_iovec_t key;
 	h2o_iovec_t text;
 
-	if (request->started || request->ended || is_own_header(name))
+	if (request->started || request->ended || is_server_header(name))
 		return;
 	key = h2o_strdup(&req->pool, name, SIZE_MAX);
 	text = h2o_strdup(&req->pool, value, SIZE_MAX);
@@ -228,13 +229,13 @@
 	req->res.status = status;
 	req->res.reason = reason_of(status);
 	request->started = true;
-	request->bodiless = has_no_body(request);
+	request->no_body = has_no_body(request);
 }
 
 static void queue_add(struct web_request *request, const void *data,
 		      size_t size)
 {
-	if (size == 0 || request->bodiless)
+	if (size == 0 || request->no_body)
 		return;
 	if (!request->queue)
 		request->queue = g_byte_array_new();
@@ -271,7 +272,7 @@
 
 size_t web_reply_queued(const struct web_request *request)
 {
-	return queue_size(request) + flight_left(request);
+	return queue_size(request) + in_flight_size(request);
 }
 
 void web_reply_end(struct web_request *request)
--- a/web/request.c
+++ b/web/request.c
@@ -57,7 +57,7 @@
 	h2o_socket_read_start(request->sock, sock_readable);
 }
 
-static void owner_tell_gone(struct web_request *request)
+static void owner_notify_gone(struct web_request *request)
 {
 	if (request->ended)
 		return;
@@ -77,13 +77,13 @@
 
 		conn->request = NULL;
 	}
-	owner_tell_gone(request);
+	owner_notify_gone(request);
 	loop_defer_cancel(&request->flush);
 	server_request_remove(request->server, &request->link);
 	if (request->queue)
 		g_byte_array_unref(request->queue);
-	if (request->flight)
-		g_byte_array_unref(request->flight);
+	if (request->in_flight)
+		g_byte_array_unref(request->in_flight);
 }
 
 struct web_request *web_request_create(struct web_server *server,
@@ -106,7 +106,7 @@
 void request_hang_up(struct web_request *request)
 {
 	request_unwatch(request);
-	owner_tell_gone(request);
+	owner_notify_gone(request);
 	reply_drop(request);
 }
 
@@ -123,9 +123,10 @@
 void request_sweep(struct web_request *request, int64_t idle_usec)
 {
 	int64_t now = clock_now(loop_clock(request->loop));
-	bool stalled = request->sending && now - request->since > idle_usec;
+	bool stalled =
+		request->sending && now - request->sending_since > idle_usec;
 
-	if (stalled || (!request->final && sock_hung_up(request)))
+	if (stalled || (!request->final_sent && sock_hung_up(request)))
 		request_hang_up(request);
 }
 
--- a/web/request.h
+++ b/web/request.h
@@ -25,21 +25,21 @@
 	struct loop_deferred flush;
 	web_gone_fn gone_fn;
 	void *gone_ctx;
-	GByteArray *queue;  /* not yet passed to h2o */
-	GByteArray *flight; /* being sent, from offset */
+	GByteArray *queue;     /* not yet passed to h2o */
+	GByteArray *in_flight; /* being sent, from offset */
 	size_t offset;
-	size_t slice;	    /* bytes that h2o is sending */
-	int64_t since;	    /* when the slice was passed to h2o */
-	h2o_socket_t *sock; /* HTTP/1 only: watched for a disconnect */
+	size_t slice;	       /* bytes that h2o is sending */
+	int64_t sending_since; /* when the slice was passed to h2o */
+	h2o_socket_t *sock;    /* HTTP/1 only: watched for a disconnect */
 	struct web_header *headers;
 	bool watched;
-	bool started;  /* status and headers are set */
-	bool bodiless; /* HEAD, or a status without a body */
-	bool opened;   /* the head was passed to h2o */
-	bool sending;  /* h2o is sending a slice */
-	bool ended;    /* by the owner, or by a disconnect */
-	bool cut;      /* end the answer truncated */
-	bool final;    /* the last slice was passed to h2o */
+	bool started;	 /* status and headers are set */
+	bool no_body;	 /* HEAD, or a status without a body */
+	bool head_sent;	 /* the head was passed to h2o */
+	bool sending;	 /* h2o is sending a slice */
+	bool ended;	 /* by the owner, or by a disconnect */
+	bool truncated;	 /* end the answer truncated */
+	bool final_sent; /* the last slice was passed to h2o */
 };
 
 /* An accepted connection; attached to its socket's close hook, since h2o uses
--- a/web/server.c
+++ b/web/server.c
@@ -14,10 +14,10 @@
 #include <sanitizer/lsan_interface.h>
 #endif
 
-#define ACCEPTS_PER_TURN 64
+#define ACCEPTS_PER_ITERATION 64
 #define SWEEP_USEC USEC_PER_SEC
 /* Loop iterations in which web_server_destroy() lets connections close. */
-#define CLOSE_TURNS 1000
+#define CLOSE_ITERATIONS 1000
 #define STREAMS_MAX 256
 
 struct route {
@@ -41,8 +41,8 @@
 	struct timer sweep;
 };
 
-struct web_hook {
-	h2o_handler_t handler; /* first: h2o passes it to on_request() */
+struct web_handler {
+	h2o_handler_t base; /* first: h2o passes it to on_request() */
 	struct web_server *server;
 };
 
@@ -81,7 +81,7 @@
 
 static int on_request(h2o_handler_t *handler, h2o_req_t *req)
 {
-	struct web_server *server = ((struct web_hook *)handler)->server;
+	struct web_server *server = ((struct web_handler *)handler)->server;
 	struct web_request *request;
 	const struct route *route;
 
@@ -111,7 +111,7 @@
 		h2o_socket_close(sock);
 		return;
 	}
-	silence_watch(h2o_socket_get_fd(sock));
+	keepalive_enable(h2o_socket_get_fd(sock));
 	conn = g_new0(struct web_conn, 1);
 	conn->server = server;
 	conn->sock = sock;
@@ -128,7 +128,7 @@
 
 	if (err)
 		return;
-	for (int i = 0; i < ACCEPTS_PER_TURN; i++) {
+	for (int i = 0; i < ACCEPTS_PER_ITERATION; i++) {
 		h2o_socket_t *sock = h2o_evloop_socket_accept(listener);
 
 		if (!sock)
@@ -184,7 +184,7 @@
 	const struct web_limits *limits = &server->limits;
 	int64_t wait = MAX(limits->idle_usec, limits->request_usec);
 	h2o_hostconf_t *host;
-	struct web_hook *hook;
+	struct web_handler *handler;
 
 	h2o_config_init(config);
 	config->server_name = h2o_iovec_init(H2O_STRLIT("jacinthtrestle"));
@@ -196,10 +196,10 @@
 	config->http2.max_concurrent_requests_per_connection = STREAMS_MAX;
 	host = h2o_config_register_host(
 		config, h2o_iovec_init(H2O_STRLIT("default")), 65535);
-	hook = (struct web_hook *)h2o_create_handler(
-		h2o_config_register_path(host, "/", 0), sizeof(*hook));
-	hook->handler.on_req = on_request;
-	hook->server = server;
+	handler = (struct web_handler *)h2o_create_handler(
+		h2o_config_register_path(host, "/", 0), sizeof(*handler));
+	handler->base.on_req = on_request;
+	handler->server = server;
 }
 
 struct web_server *web_server_create(struct loop *loop, const char *address,
@@ -239,7 +239,7 @@
 	server->listener = NULL;
 }
 
-void web_server_announce(struct web_server *server)
+void web_server_announce_shutdown(struct web_server *server)
 {
 	if (server->listener)
 		h2o_context_request_shutdown(&server->context);
@@ -261,7 +261,7 @@
 {
 	if (!server->listener)
 		return;
-	web_server_announce(server);
+	web_server_announce_shutdown(server);
 	listener_close(server);
 	conns_close_idle(server);
 }
@@ -284,8 +284,8 @@
 
 		shutdown(h2o_socket_get_fd(conn->sock), SHUT_RDWR);
 	}
-	for (int i = 0; i < CLOSE_TURNS && server->conns.length > 0; i++)
-		loop_turn_h2o(server->loop, 0);
+	for (int i = 0; i < CLOSE_ITERATIONS && server->conns.length > 0; i++)
+		loop_run_h2o(server->loop, 0);
 }
 
 static void context_dispose(h2o_context_t *context)
--- a/web/silence.c
+++ b/web/silence.c
@@ -24,7 +24,7 @@
 			  LOG_D("option", name), LOG_S("why", strerror(errno)));
 }
 
-void silence_watch(int fd)
+void keepalive_enable(int fd)
 {
 	option_set(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
 	option_set(fd, IPPROTO_TCP, TCP_KEEPIDLE, PROBE_AFTER_SEC);
--- a/web/silence.h
+++ b/web/silence.h
@@ -6,6 +6,6 @@
 
 /* Makes the kernel reset a connection whose peer acknowledges neither
  * keep-alive probes nor sent data for five seconds. */
-void silence_watch(int fd);
+void keepalive_enable(int fd);
 
 #endif
