--- a/tests/web/h2.c
+++ b/tests/web/h2.c
@@ -116,7 +116,7 @@
 				  NGHTTP2_CANCEL);
 }
 
-/* True when something was read. */
+/* True when bytes were received. */
 static bool exchange(struct h2 *h2)
 {
 	const uint8_t *out;
--- a/tests/web/test_client.c
+++ b/tests/web/test_client.c
@@ -1,4 +1,4 @@
-/* The client, against a scripted server and our own. */
+/* The client, against a scripted server and against web_server. */
 #include <errno.h>
 #include <string.h>
 #include <unistd.h>
@@ -9,13 +9,13 @@
 	THEN_KEEP,  /* the connection stays open */
 	THEN_CLOSE, /* once the answer is sent */
 	THEN_RESET,
-	THEN_AT_ONCE, /* closed before a byte of the request is read */
+	THEN_AT_ONCE, /* closes before reading the request */
 };
 
 struct answer_case {
 	const char *name;
 	const char *method;
-	const char *answer; /* sent after the request's head was read */
+	const char *answer; /* sent after the request was read */
 	enum then then;
 	bool ok;
 	bool timed_out;
@@ -119,7 +119,7 @@
 	script->fd = -1;
 }
 
-/* Accepts, reads and answers what is there. */
+/* Accepts a pending connection, and answers a request that has arrived. */
 static void script_step(struct script *script, const char *answer,
 			enum then then)
 {
@@ -141,7 +141,7 @@
 	script_close(script, then);
 }
 
-/* Turns until the call is done; moves the clock only once answered. */
+/* Runs until the call is done; advances the clock only after the answer. */
 static void script_run(struct world *world, struct script *script,
 		       const char *answer, enum then then)
 {
@@ -176,7 +176,8 @@
 	script_teardown(&script);
 }
 
-/* A body without length ends with its connection, but not by a reset. */
+/* A body without length ends when its connection closes; a reset is an error.
+ */
 static void test_reset_body(struct world *world, gconstpointer data)
 {
 	struct script script;
@@ -197,7 +198,7 @@
 	script_teardown(&script);
 }
 
-/* Calls that fail before a byte can have been written. */
+/* Calls that fail before any byte is written. */
 static void test_unsent(struct world *world, gconstpointer data)
 {
 	static const struct web_header split = {{"x-a", 3}, {"b\r\nc: d", 7}};
@@ -226,7 +227,7 @@
 	}
 }
 
-/* A listener whose queue is full lets no connection be made. */
+/* A listener with a full queue accepts no connection. */
 static void test_connect_timeout(struct world *world, gconstpointer data)
 {
 	int fds[8];
@@ -252,7 +253,7 @@
 	close(listener);
 }
 
-/* Which calls share a connection. */
+/* Which calls reuse a connection. */
 static void test_reuse(struct world *world, gconstpointer data)
 {
 	static const char answer[] = HEAD "content-length: 2\r\n\r\nok";
@@ -303,7 +304,7 @@
 	world_turns(world, 50);
 	g_assert_false(world->done);
 	g_assert_cmpint(world->status, ==, 0);
-	/* After its first piece, from inside the callback. */
+	/* Cancelled in the callback of the first piece. */
 	call = world_call(world, (struct web_call_spec){0});
 	world->cancel = call;
 	for (int i = 0; i < 5000 && world->pieces == 0; i++)
@@ -311,7 +312,7 @@
 	world_turns(world, 50);
 	g_assert_cmpstr(world->body->str, ==, "some");
 	g_assert_false(world->done);
-	/* The server saw the caller go. */
+	/* The server has noticed the disconnect. */
 	g_assert_cmpuint(web_server_pending(world->server), ==, 0);
 	/* In flight when the client is destroyed. */
 	world_call(world, (struct web_call_spec){0});
--- a/tests/web/test_gone.c
+++ b/tests/web/test_gone.c
@@ -1,4 +1,5 @@
-/* Callers that go away, over both protocols and at each stage of an answer. */
+/* Callers that disconnect, over both protocols and at each stage of an answer.
+ */
 #include <string.h>
 #include <unistd.h>
 
@@ -14,9 +15,9 @@
 enum stage {
 	STAGE_WAITING,	/* before the first byte of the answer */
 	STAGE_STARTED,	/* after the first piece */
-	STAGE_BLOCKED,	/* with more queued than the caller takes */
+	STAGE_BLOCKED,	/* with more queued than the caller reads */
 	STAGE_FOLLOWED, /* with a further request sent; HTTP/1 only */
-	STAGE_ENDED,	/* after the handler's end, with much still queued */
+	STAGE_ENDED,	/* after web_reply_end(), with data still queued */
 };
 
 struct gone_case {
@@ -163,7 +164,7 @@
 		g_assert_cmpuint(web_reply_queued(held->request), >, 0);
 }
 
-/* Sends a request that arrives and is not answered. */
+/* Sends a request that the handler receives and does not answer. */
 static void caller_hold(struct caller *caller, struct world *world, int version,
 			const char *path, struct held *held)
 {
@@ -176,7 +177,7 @@
 	g_assert_cmpint(held->arrived, ==, arrived);
 }
 
-/* Turns until the request is no more, moving the clock so that the server's
+/* Runs until no request is pending, advancing the clock so that the server's
  * sweep runs. */
 static void pending_wait(struct world *world)
 {
@@ -203,13 +204,13 @@
 	g_assert_cmpint(held.gone, ==, c->stage == STAGE_ENDED ? 0 : 1);
 	g_assert_cmpint(held.arrived, ==, 1);
 	caller_close(&caller);
-	/* The server still serves. */
+	/* The server still accepts requests. */
 	caller_hold(&caller, world, c->version, "/x", &held);
 	caller_close(&caller);
 	pending_wait(world);
 }
 
-/* A caller that keeps its connection but takes nothing. */
+/* A caller that keeps its connection open but reads nothing. */
 static void test_slow(struct world *world, gconstpointer data)
 {
 	int version = GPOINTER_TO_INT(data);
@@ -241,7 +242,8 @@
 	caller_hold(&caller, world, version, "/", &held);
 	web_server_drain(world->server);
 	caller_turns(&caller, world, 20);
-	/* The request in flight is answered, and the caller told to leave. */
+	/* The pending request is answered, and the connection asked to close.
+	 */
 	g_assert_cmpint(held.gone, ==, 0);
 	web_reply(held.request, 200, "text/plain", "last\n", 5);
 	if (caller.h2) {
@@ -261,7 +263,7 @@
 	g_assert_false(world->result.sent);
 }
 
-/* The server goes while a request waits. */
+/* The server is destroyed while a request is pending. */
 static void test_destroy(struct world *world, gconstpointer data)
 {
 	int version = GPOINTER_TO_INT(data);
--- a/tests/web/test_loop.c
+++ b/tests/web/test_loop.c
@@ -1,4 +1,6 @@
-/* The loop: deferred calls, signals, and gaps of a process that was stopped. */
+/* The event loop: deferred calls, signals, and gaps after a process was
+ * stopped.
+ */
 #include <signal.h>
 #include <string.h>
 #include <time.h>
@@ -8,8 +10,8 @@
 
 static int64_t present = 1000 * USEC_PER_SEC;
 
-/* Takes the place of the C library's for this program: time stands still
- * but for what a test adds. */
+/* Replaces the C library's function, so that time only advances when a test
+ * adds to it. */
 int clock_gettime(clockid_t id, struct timespec *ts)
 {
 	ts->tv_sec = present / USEC_PER_SEC;
@@ -61,7 +63,7 @@
 	struct fixture *fixture = ctx;
 
 	g_string_append_c(fixture->trace, 't');
-	/* Deferred again while it runs: once more, at the end. */
+	/* Deferred again while it runs: runs once more, after the others. */
 	if (fixture->trace->len < 3)
 		loop_defer(fixture->loop, &fixture->nodes[0], trace_twice, ctx);
 }
@@ -132,7 +134,7 @@
 	loop_run(fixture->loop);
 	g_assert_cmpint(fixture->gap, ==, 0);
 	g_assert_cmpuint(fixture->trace->len, >=, 4);
-	/* Between two runs no gap is counted; within a run it is. */
+	/* Time between two runs is no gap; time within a run is. */
 	present += 60 * USEC_PER_SEC;
 	fixture->turns = 0;
 	loop_run(fixture->loop);
@@ -168,8 +170,8 @@
 	web_reply(request, 200, NULL, NULL, 0);
 }
 
-/* A request that waited while the process was stopped is handled only after
- * the gap is known. */
+/* A request that arrived while the process was stopped is handled only after
+ * the iteration hook has reported the gap. */
 static void test_gap_before_request(struct world *world, gconstpointer data)
 {
 	struct paused paused = {.world = world};
--- a/tests/web/test_server.c
+++ b/tests/web/test_server.c
@@ -1,4 +1,4 @@
-/* The server: whole and streamed answers, limits, pipelines, drain. */
+/* The server: complete and streamed answers, routes, limits and pipelining. */
 #include <string.h>
 #include <unistd.h>
 
@@ -112,7 +112,7 @@
 	g_assert_cmpstr(world->body->str, ==, "hello");
 	g_assert_nonnull(strstr(world->heads->str, "x-param: a b\n"));
 	g_assert_nonnull(strstr(world->heads->str, "content-length: 5\n"));
-	/* What the server writes itself comes once. */
+	/* Headers that the server sets itself are not duplicated. */
 	g_assert_null(strstr(world->heads->str, "today"));
 	g_assert_null(strstr(world->heads->str, "77"));
 }
@@ -124,7 +124,7 @@
 	g_assert_true(world->result.ok);
 	g_assert_cmpuint(world->body->len, ==, 5000);
 	g_assert_true(g_str_has_suffix(world->body->str, "0999\n"));
-	/* Pieces of one turn are sent together. */
+	/* Pieces queued in one iteration of the loop are sent together. */
 	g_assert_cmpuint(world->pieces, <=, 3);
 }
 
@@ -175,14 +175,14 @@
 	g_assert_cmpint(world->status, ==, 404);
 }
 
-/* Requests as bytes, and what the answer holds. */
+/* Raw requests, and what the answer contains. */
 struct wire_case {
 	const char *name;
 	const char *text;
 	size_t zeroes;	    /* sent after the text */
 	const char *answer; /* read until this */
-	const char *also;   /* in what was read; may be NULL */
-	const char *never;  /* not in what was read; may be NULL */
+	const char *also;   /* expected in the answer; may be NULL */
+	const char *never;  /* not expected in it; may be NULL */
 };
 
 static const struct wire_case wire_cases[] = {
--- a/tests/web/test_silence.c
+++ b/tests/web/test_silence.c
@@ -1,4 +1,4 @@
-/* What the kernel is told to do with connections that die without a word. */
+/* Socket options that make the kernel reset dead connections. */
 #include <glib.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -16,8 +16,8 @@
 	return value;
 }
 
-/* Idle or with data under way, the connection ends within five seconds, and not
- * before a caller's patience of 3.6 s. */
+/* A dead connection is reset after five seconds, idle or with unacknowledged
+ * data, and so not before a caller's timeout of 3.6 s. */
 static void test_options(void)
 {
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -33,7 +33,7 @@
 	close(fd);
 }
 
-/* A socket that does not take the options is logged, and goes on. */
+/* A socket that does not support the options stays usable. */
 static void test_other_socket(void)
 {
 	int fds[2];
--- a/tests/web/world.c
+++ b/tests/web/world.c
@@ -26,7 +26,7 @@
 	};
 	struct error err = {0};
 
-	/* A test that hangs ends. */
+	/* Ends a test that hangs. */
 	alarm(120);
 	world->clock = clock_create_system();
 	world->loop = loop_create(world->clock);
