--- a/tests/web/h2.c
+++ b/tests/web/h2.c
@@ -4,7 +4,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define TURNS_MAX 20000
+#define ITERATIONS_MAX 20000
 #define HEADER(n, v)                                                           \
 	((nghttp2_nv){(uint8_t *)(n), (uint8_t *)(v), strlen(n), strlen(v), 0})
 
@@ -133,7 +133,7 @@
 
 void h2_run(struct world *world, struct h2 *h2, const int *goal, int count)
 {
-	for (int i = 0; i < TURNS_MAX && *goal < count; i++) {
+	for (int i = 0; i < ITERATIONS_MAX && *goal < count; i++) {
 		bool more = exchange(h2);
 
 		loop_run_h2o(world->loop, more ? 0 : 1);
@@ -141,10 +141,10 @@
 	g_assert_cmpint(*goal, >=, count);
 }
 
-void h2_turns(struct world *world, struct h2 *h2, int turns)
+void h2_iterate(struct world *world, struct h2 *h2, int iterations)
 {
-	while (turns-- > 0) {
+	while (iterations-- > 0) {
 		exchange(h2);
-		world_turns(world, 1);
+		world_iterate(world, 1);
 	}
 }
--- a/tests/web/h2.h
+++ b/tests/web/h2.h
@@ -25,6 +25,6 @@
 void h2_reset(struct h2 *h2, int32_t stream);
 /* Sends, receives and runs the loop until *goal is at least count. */
 void h2_run(struct world *world, struct h2 *h2, const int *goal, int count);
-void h2_turns(struct world *world, struct h2 *h2, int turns);
+void h2_iterate(struct world *world, struct h2 *h2, int iterations);
 
 #endif
--- a/tests/web/test_client.c
+++ b/tests/web/test_client.c
@@ -5,18 +5,18 @@
 
 #include "world.h"
 
-enum then {
-	THEN_KEEP,  /* the connection stays open */
-	THEN_CLOSE, /* once the answer is sent */
-	THEN_RESET,
-	THEN_AT_ONCE, /* closes before reading the request */
+enum conn_end {
+	CONN_KEEP,  /* the connection stays open */
+	CONN_CLOSE, /* once the answer is sent */
+	CONN_RESET,
+	CONN_CLOSE_UNREAD, /* closes before reading the request */
 };
 
 struct answer_case {
 	const char *name;
 	const char *method;
 	const char *answer; /* sent after the request was read */
-	enum then then;
+	enum conn_end end;
 	bool ok;
 	bool timed_out;
 	int status;
@@ -26,62 +26,62 @@
 #define HEAD "HTTP/1.1 200 OK\r\n"
 
 static const struct answer_case answer_cases[] = {
-	{"length", "GET", HEAD "content-length: 5\r\n\r\nhello", THEN_KEEP,
+	{"length", "GET", HEAD "content-length: 5\r\n\r\nhello", CONN_KEEP,
 	 true, false, 200, "hello"},
 	{"length, close", "GET",
-	 HEAD "connection: close\r\ncontent-length: 5\r\n\r\nhello", THEN_CLOSE,
+	 HEAD "connection: close\r\ncontent-length: 5\r\n\r\nhello", CONN_CLOSE,
 	 true, false, 200, "hello"},
-	{"empty", "GET", HEAD "content-length: 0\r\n\r\n", THEN_KEEP, true,
+	{"empty", "GET", HEAD "content-length: 0\r\n\r\n", CONN_KEEP, true,
 	 false, 200, ""},
 	{"chunks", "POST",
 	 HEAD "transfer-encoding: chunked\r\n\r\n"
 	      "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
-	 THEN_KEEP, true, false, 200, "hello"},
+	 CONN_KEEP, true, false, 200, "hello"},
 	{"chunks, close", "GET",
 	 HEAD "transfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
-	 THEN_CLOSE, true, false, 200, "hello"},
-	{"until close", "GET", HEAD "\r\nhello", THEN_CLOSE, true, false, 200,
+	 CONN_CLOSE, true, false, 200, "hello"},
+	{"until close", "GET", HEAD "\r\nhello", CONN_CLOSE, true, false, 200,
 	 "hello"},
 	{"length that is none", "GET", HEAD "content-length: 5x\r\n\r\nhello",
-	 THEN_KEEP, false, false, 0, ""},
+	 CONN_KEEP, false, false, 0, ""},
 	{"negative length", "GET", HEAD "Content-Length: -1\r\n\r\nhello",
-	 THEN_KEEP, false, false, 0, ""},
+	 CONN_KEEP, false, false, 0, ""},
 	{"unknown encoding", "GET", HEAD "Transfer-Encoding: gzip\r\n\r\nhello",
-	 THEN_KEEP, false, false, 0, ""},
+	 CONN_KEEP, false, false, 0, ""},
 	{"bad length after continue", "GET",
 	 "HTTP/1.1 100 Continue\r\n\r\n" HEAD "content-length: \r\n\r\n",
-	 THEN_KEEP, false, false, 0, ""},
-	{"head", "HEAD", HEAD "content-length: 5\r\n\r\n", THEN_KEEP, true,
+	 CONN_KEEP, false, false, 0, ""},
+	{"head", "HEAD", HEAD "content-length: 5\r\n\r\n", CONN_KEEP, true,
 	 false, 200, ""},
-	{"no content", "GET", "HTTP/1.1 204 No Content\r\n\r\n", THEN_KEEP,
+	{"no content", "GET", "HTTP/1.1 204 No Content\r\n\r\n", CONN_KEEP,
 	 true, false, 204, ""},
 	{"not modified", "GET",
-	 "HTTP/1.1 304 Not Modified\r\ncontent-length: 5\r\n\r\n", THEN_KEEP,
+	 "HTTP/1.1 304 Not Modified\r\ncontent-length: 5\r\n\r\n", CONN_KEEP,
 	 true, false, 304, ""},
 	{"continue", "POST",
 	 "HTTP/1.1 100 Continue\r\n\r\n" HEAD "content-length: 5\r\n\r\nhello",
-	 THEN_KEEP, true, false, 200, "hello"},
+	 CONN_KEEP, true, false, 200, "hello"},
 	{"error status", "GET",
-	 "HTTP/1.1 503 Busy\r\ncontent-length: 2\r\n\r\nno", THEN_KEEP, true,
+	 "HTTP/1.1 503 Busy\r\ncontent-length: 2\r\n\r\nno", CONN_KEEP, true,
 	 false, 503, "no"},
-	{"closed at once", "GET", "", THEN_AT_ONCE, false, false, 0, ""},
-	{"closed unanswered", "GET", "", THEN_CLOSE, false, false, 0, ""},
-	{"reset unanswered", "GET", "", THEN_RESET, false, false, 0, ""},
-	{"closed in the head", "GET", "HTTP/1.1 200 O", THEN_CLOSE, false,
+	{"closed at once", "GET", "", CONN_CLOSE_UNREAD, false, false, 0, ""},
+	{"closed unanswered", "GET", "", CONN_CLOSE, false, false, 0, ""},
+	{"reset unanswered", "GET", "", CONN_RESET, false, false, 0, ""},
+	{"closed in the head", "GET", "HTTP/1.1 200 O", CONN_CLOSE, false,
 	 false, 0, ""},
 	{"closed in the body", "GET", HEAD "content-length: 9\r\n\r\nhello",
-	 THEN_CLOSE, false, false, 200, "hello"},
+	 CONN_CLOSE, false, false, 200, "hello"},
 	{"closed in the chunks", "GET",
-	 HEAD "transfer-encoding: chunked\r\n\r\n5\r\nhello\r\n", THEN_CLOSE,
+	 HEAD "transfer-encoding: chunked\r\n\r\n5\r\nhello\r\n", CONN_CLOSE,
 	 false, false, 200, "hello"},
-	{"no answer", "GET", "nonsense\r\n\r\n", THEN_KEEP, false, false, 0,
+	{"no answer", "GET", "nonsense\r\n\r\n", CONN_KEEP, false, false, 0,
 	 ""},
 	{"bad chunk", "GET", HEAD "transfer-encoding: chunked\r\n\r\nzz\r\n",
-	 THEN_KEEP, false, false, 200, ""},
-	{"no head in time", "GET", "HTTP/1.1 200 OK\r\n", THEN_KEEP, false,
+	 CONN_KEEP, false, false, 200, ""},
+	{"no head in time", "GET", "HTTP/1.1 200 OK\r\n", CONN_KEEP, false,
 	 true, 0, ""},
 	{"no more body in time", "GET", HEAD "content-length: 9\r\n\r\nhello",
-	 THEN_KEEP, false, true, 200, "hello"},
+	 CONN_KEEP, false, true, 200, "hello"},
 };
 
 struct script {
@@ -106,22 +106,22 @@
 	close(script->listener);
 }
 
-static void script_close(struct script *script, enum then then)
+static void script_close(struct script *script, enum conn_end end)
 {
-	static const struct linger hard = {.l_onoff = 1};
+	static const struct linger abortive = {.l_onoff = 1};
 
-	if (then == THEN_KEEP)
+	if (end == CONN_KEEP)
 		return;
-	if (then == THEN_RESET)
-		setsockopt(script->fd, SOL_SOCKET, SO_LINGER, &hard,
-			   sizeof(hard));
+	if (end == CONN_RESET)
+		setsockopt(script->fd, SOL_SOCKET, SO_LINGER, &abortive,
+			   sizeof(abortive));
 	close(script->fd);
 	script->fd = -1;
 }
 
 /* Accepts a pending connection, and answers a request that has arrived. */
 static void script_step(struct script *script, const char *answer,
-			enum then then)
+			enum conn_end end)
 {
 	char buf[4096];
 	int fd = accept4(script->listener, NULL, NULL, SOCK_NONBLOCK);
@@ -131,23 +131,23 @@
 			close(script->fd);
 		script->fd = fd;
 		script->accepted++;
-		if (then == THEN_AT_ONCE)
-			script_close(script, then);
+		if (end == CONN_CLOSE_UNREAD)
+			script_close(script, end);
 	}
 	if (script->fd < 0 || recv(script->fd, buf, sizeof(buf), 0) <= 0)
 		return;
 	script->answered = true;
 	raw_send(script->fd, answer, strlen(answer));
-	script_close(script, then);
+	script_close(script, end);
 }
 
 /* Runs until the call is done; advances the clock only after the answer. */
 static void script_run(struct world *world, struct script *script,
-		       const char *answer, enum then then)
+		       const char *answer, enum conn_end end)
 {
 	for (int i = 0; i < 5000 && !world->done; i++) {
-		script_step(script, answer, then);
-		world_turns(world, 1);
+		script_step(script, answer, end);
+		world_iterate(world, 1);
 		if (script->answered && i % 50 == 49)
 			clock_advance(world->clock,
 				      clock_now(world->clock) + USEC_PER_SEC);
@@ -166,7 +166,7 @@
 						 .head_usec = 10 * USEC_PER_SEC,
 						 .idle_usec = USEC_PER_SEC});
 	g_assert_false(world->done);
-	script_run(world, &script, c->answer, c->then);
+	script_run(world, &script, c->answer, c->end);
 	g_assert_true(world->result.ok == c->ok);
 	g_assert_true(world->result.sent);
 	g_assert_true(world->result.timed_out == c->timed_out);
@@ -186,12 +186,12 @@
 	world_call(world, (struct web_call_spec){.address = script.address,
 						 .fresh = true});
 	for (int i = 0; i < 5000 && world->body->len < 5; i++) {
-		script_step(&script, HEAD "\r\nhello", THEN_KEEP);
-		world_turns(world, 1);
+		script_step(&script, HEAD "\r\nhello", CONN_KEEP);
+		world_iterate(world, 1);
 	}
 	g_assert_cmpstr(world->body->str, ==, "hello");
-	world_turns(world, 2);
-	script_close(&script, THEN_RESET);
+	world_iterate(world, 2);
+	script_close(&script, CONN_RESET);
 	world_run(world, &world->done);
 	g_assert_false(world->result.ok);
 	g_assert_nonnull(world->result.text);
@@ -237,9 +237,9 @@
 	listen(listener, 0);
 	for (size_t i = 0; i < G_N_ELEMENTS(fds); i++)
 		fds[i] = raw_connect_start(address);
-	world_turns(world, 10);
+	world_iterate(world, 10);
 	world_call(world, (struct web_call_spec){.address = address});
-	world_turns(world, 10);
+	world_iterate(world, 10);
 	g_assert_false(world->done);
 	clock_advance(world->clock, clock_now(world->clock) + 2 * USEC_PER_SEC);
 	g_assert_false(world->done);
@@ -259,13 +259,13 @@
 	static const char answer[] = HEAD "content-length: 2\r\n\r\nok";
 	static const struct {
 		bool fresh;
-		enum then then;
+		enum conn_end end;
 		int accepted; /* after it */
 	} steps[] = {
-		{false, THEN_KEEP, 1},	{false, THEN_KEEP, 1},
-		{true, THEN_KEEP, 2},	{true, THEN_KEEP, 3},
-		{false, THEN_CLOSE, 4}, {false, THEN_KEEP, 5},
-		{false, THEN_KEEP, 5},
+		{false, CONN_KEEP, 1},	{false, CONN_KEEP, 1},
+		{true, CONN_KEEP, 2},	{true, CONN_KEEP, 3},
+		{false, CONN_CLOSE, 4}, {false, CONN_KEEP, 5},
+		{false, CONN_KEEP, 5},
 	};
 	struct script script;
 
@@ -274,7 +274,7 @@
 		world_call(world,
 			   (struct web_call_spec){.address = script.address,
 						  .fresh = steps[i].fresh});
-		script_run(world, &script, answer, steps[i].then);
+		script_run(world, &script, answer, steps[i].end);
 		g_assert_true(world->result.ok);
 		g_assert_cmpint(script.accepted, ==, steps[i].accepted);
 	}
@@ -301,22 +301,22 @@
 	web_server_handle(world->server, "/", streamed, NULL);
 	call = world_call(world, (struct web_call_spec){0});
 	web_call_cancel(call);
-	world_turns(world, 50);
+	world_iterate(world, 50);
 	g_assert_false(world->done);
 	g_assert_cmpint(world->status, ==, 0);
 	/* Cancelled in the callback of the first piece. */
 	call = world_call(world, (struct web_call_spec){0});
 	world->cancel = call;
 	for (int i = 0; i < 5000 && world->pieces == 0; i++)
-		world_turns(world, 1);
-	world_turns(world, 50);
+		world_iterate(world, 1);
+	world_iterate(world, 50);
 	g_assert_cmpstr(world->body->str, ==, "some");
 	g_assert_false(world->done);
 	/* The server has noticed the disconnect. */
 	g_assert_cmpuint(web_server_pending(world->server), ==, 0);
 	/* In flight when the client is destroyed. */
 	world_call(world, (struct web_call_spec){0});
-	world_turns(world, 50);
+	world_iterate(world, 50);
 	g_assert_cmpstr(world->body->str, ==, "some");
 	g_assert_false(world->done);
 }
--- a/tests/web/test_gone.c
+++ b/tests/web/test_gone.c
@@ -5,11 +5,11 @@
 
 #include "h2.h"
 
-enum way {
-	WAY_CLOSE,    /* closes the connection */
-	WAY_SHUTDOWN, /* closes its sending side only */
-	WAY_ABORT,    /* resets the connection */
-	WAY_RESET,    /* resets the stream; HTTP/2 only */
+enum disconnect {
+	DISCONNECT_CLOSE,    /* closes the connection */
+	DISCONNECT_SHUTDOWN, /* closes its sending side only */
+	DISCONNECT_ABORT,    /* resets the connection */
+	DISCONNECT_STREAM,   /* resets the stream; HTTP/2 only */
 };
 
 enum stage {
@@ -24,32 +24,32 @@
 	const char *name;
 	int version;
 	enum stage stage;
-	enum way way;
+	enum disconnect how;
 };
 
-#define BOTH(name, stage, way)                                                 \
-	{"1 " name, 1, stage, way},                                            \
+#define BOTH(name, stage, how)                                                 \
+	{"1 " name, 1, stage, how},                                            \
 	{                                                                      \
-		"2 " name, 2, stage, way                                       \
+		"2 " name, 2, stage, how                                       \
 	}
 
 static const struct gone_case cases[] = {
-	BOTH("waiting, close", STAGE_WAITING, WAY_CLOSE),
-	BOTH("waiting, shutdown", STAGE_WAITING, WAY_SHUTDOWN),
-	BOTH("waiting, abort", STAGE_WAITING, WAY_ABORT),
-	BOTH("started, close", STAGE_STARTED, WAY_CLOSE),
-	BOTH("started, shutdown", STAGE_STARTED, WAY_SHUTDOWN),
-	BOTH("started, abort", STAGE_STARTED, WAY_ABORT),
-	BOTH("blocked, close", STAGE_BLOCKED, WAY_CLOSE),
-	BOTH("blocked, shutdown", STAGE_BLOCKED, WAY_SHUTDOWN),
-	BOTH("blocked, abort", STAGE_BLOCKED, WAY_ABORT),
-	BOTH("ended, close", STAGE_ENDED, WAY_CLOSE),
-	BOTH("ended, abort", STAGE_ENDED, WAY_ABORT),
-	{"1 followed, close", 1, STAGE_FOLLOWED, WAY_CLOSE},
-	{"1 followed, abort", 1, STAGE_FOLLOWED, WAY_ABORT},
-	{"2 waiting, reset", 2, STAGE_WAITING, WAY_RESET},
-	{"2 started, reset", 2, STAGE_STARTED, WAY_RESET},
-	{"2 blocked, reset", 2, STAGE_BLOCKED, WAY_RESET},
+	BOTH("waiting, close", STAGE_WAITING, DISCONNECT_CLOSE),
+	BOTH("waiting, shutdown", STAGE_WAITING, DISCONNECT_SHUTDOWN),
+	BOTH("waiting, abort", STAGE_WAITING, DISCONNECT_ABORT),
+	BOTH("started, close", STAGE_STARTED, DISCONNECT_CLOSE),
+	BOTH("started, shutdown", STAGE_STARTED, DISCONNECT_SHUTDOWN),
+	BOTH("started, abort", STAGE_STARTED, DISCONNECT_ABORT),
+	BOTH("blocked, close", STAGE_BLOCKED, DISCONNECT_CLOSE),
+	BOTH("blocked, shutdown", STAGE_BLOCKED, DISCONNECT_SHUTDOWN),
+	BOTH("blocked, abort", STAGE_BLOCKED, DISCONNECT_ABORT),
+	BOTH("ended, close", STAGE_ENDED, DISCONNECT_CLOSE),
+	BOTH("ended, abort", STAGE_ENDED, DISCONNECT_ABORT),
+	{"1 followed, close", 1, STAGE_FOLLOWED, DISCONNECT_CLOSE},
+	{"1 followed, abort", 1, STAGE_FOLLOWED, DISCONNECT_ABORT},
+	{"2 waiting, reset", 2, STAGE_WAITING, DISCONNECT_STREAM},
+	{"2 started, reset", 2, STAGE_STARTED, DISCONNECT_STREAM},
+	{"2 blocked, reset", 2, STAGE_BLOCKED, DISCONNECT_STREAM},
 };
 
 struct held {
@@ -95,12 +95,13 @@
 	caller->stream = h2_request(caller->h2, "GET", "/", 0);
 }
 
-static void caller_turns(struct caller *caller, struct world *world, int turns)
+static void caller_iterate(struct caller *caller, struct world *world,
+			   int iterations)
 {
 	if (caller->h2)
-		h2_turns(world, caller->h2, turns);
+		h2_iterate(world, caller->h2, iterations);
 	else
-		world_turns(world, turns);
+		world_iterate(world, iterations);
 }
 
 static void caller_close(struct caller *caller)
@@ -111,24 +112,24 @@
 		close(caller->fd);
 }
 
-static void caller_leave(struct caller *caller, struct world *world,
-			 enum way way)
+static void caller_disconnect(struct caller *caller, struct world *world,
+			      enum disconnect how)
 {
-	static const struct linger hard = {.l_onoff = 1};
+	static const struct linger abortive = {.l_onoff = 1};
 
-	switch (way) {
-	case WAY_RESET:
+	switch (how) {
+	case DISCONNECT_STREAM:
 		h2_reset(caller->h2, caller->stream);
-		h2_turns(world, caller->h2, 10);
+		h2_iterate(world, caller->h2, 10);
 		return;
-	case WAY_SHUTDOWN:
+	case DISCONNECT_SHUTDOWN:
 		shutdown(caller->fd, SHUT_WR);
 		return;
-	case WAY_ABORT:
-		setsockopt(caller->fd, SOL_SOCKET, SO_LINGER, &hard,
-			   sizeof(hard));
+	case DISCONNECT_ABORT:
+		setsockopt(caller->fd, SOL_SOCKET, SO_LINGER, &abortive,
+			   sizeof(abortive));
 		break;
-	case WAY_CLOSE:
+	case DISCONNECT_CLOSE:
 		break;
 	}
 	caller_close(caller);
@@ -139,7 +140,7 @@
 static void answer_to(struct held *held, struct caller *caller,
 		      struct world *world, enum stage stage)
 {
-	static char much[16 << 20];
+	static char large[16 << 20];
 
 	switch (stage) {
 	case STAGE_WAITING:
@@ -154,12 +155,12 @@
 	case STAGE_BLOCKED:
 	case STAGE_ENDED:
 		web_reply_start(held->request, 200, "text/plain");
-		web_reply_piece(held->request, much, sizeof(much));
+		web_reply_piece(held->request, large, sizeof(large));
 		break;
 	}
 	if (stage == STAGE_ENDED)
 		web_reply_end(held->request);
-	caller_turns(caller, world, 20);
+	caller_iterate(caller, world, 20);
 	if (stage == STAGE_BLOCKED)
 		g_assert_cmpuint(web_reply_queued(held->request), >, 0);
 }
@@ -173,7 +174,7 @@
 	web_server_handle(world->server, path, hold, held);
 	caller_open(caller, world, version);
 	for (int i = 0; i < 1000 && held->arrived < arrived; i++)
-		caller_turns(caller, world, 1);
+		caller_iterate(caller, world, 1);
 	g_assert_cmpint(held->arrived, ==, arrived);
 }
 
@@ -182,7 +183,7 @@
 static void pending_wait(struct world *world)
 {
 	for (int i = 0; i < 200 && web_server_pending(world->server); i++) {
-		world_turns(world, 5);
+		world_iterate(world, 5);
 		clock_advance(world->clock,
 			      clock_now(world->clock) + 50 * USEC_PER_MSEC);
 	}
@@ -199,7 +200,7 @@
 	answer_to(&held, &caller, world, c->stage);
 	g_assert_cmpint(held.gone, ==, 0);
 	g_assert_cmpuint(web_server_pending(world->server), ==, 1);
-	caller_leave(&caller, world, c->way);
+	caller_disconnect(&caller, world, c->how);
 	pending_wait(world);
 	g_assert_cmpint(held.gone, ==, c->stage == STAGE_ENDED ? 0 : 1);
 	g_assert_cmpint(held.arrived, ==, 1);
@@ -222,11 +223,11 @@
 	for (int i = 0; i < 4; i++) {
 		clock_advance(world->clock,
 			      clock_now(world->clock) + USEC_PER_SEC);
-		world_turns(world, 5);
+		world_iterate(world, 5);
 	}
 	g_assert_cmpint(held.gone, ==, 0);
 	clock_advance(world->clock, clock_now(world->clock) + 2 * USEC_PER_SEC);
-	world_turns(world, 5);
+	world_iterate(world, 5);
 	g_assert_cmpint(held.gone, ==, 1);
 	caller_close(&caller);
 	pending_wait(world);
@@ -241,7 +242,7 @@
 
 	caller_hold(&caller, world, version, "/", &held);
 	web_server_drain(world->server);
-	caller_turns(&caller, world, 20);
+	caller_iterate(&caller, world, 20);
 	/* The pending request is answered, and the connection asked to close.
 	 */
 	g_assert_cmpint(held.gone, ==, 0);
--- a/tests/web/test_loop.c
+++ b/tests/web/test_loop.c
@@ -8,14 +8,14 @@
 
 #include "world.h"
 
-static int64_t present = 1000 * USEC_PER_SEC;
+static int64_t fake_now = 1000 * USEC_PER_SEC;
 
 /* Replaces the C library's function, so that time only advances when a test
  * adds to it. */
 int clock_gettime(clockid_t id, struct timespec *ts)
 {
-	ts->tv_sec = present / USEC_PER_SEC;
-	ts->tv_nsec = present % USEC_PER_SEC * 1000;
+	ts->tv_sec = fake_now / USEC_PER_SEC;
+	ts->tv_nsec = fake_now % USEC_PER_SEC * 1000;
 	return 0;
 }
 
@@ -26,7 +26,7 @@
 	struct loop_deferred nodes[3];
 	struct timer timer;
 	int64_t gap;
-	int turns;
+	int iterations;
 };
 
 static void setup(struct fixture *fixture, gconstpointer data)
@@ -109,7 +109,7 @@
 	struct fixture *fixture = ctx;
 
 	fixture->gap = MAX(fixture->gap, gap_us);
-	if (++fixture->turns == 5)
+	if (++fixture->iterations == 5)
 		loop_stop(fixture->loop);
 }
 
@@ -123,7 +123,7 @@
 
 static void pause_process(void *ctx)
 {
-	present += 60 * USEC_PER_SEC;
+	fake_now += 60 * USEC_PER_SEC;
 }
 
 static void test_gap(struct fixture *fixture, gconstpointer data)
@@ -135,11 +135,11 @@
 	g_assert_cmpint(fixture->gap, ==, 0);
 	g_assert_cmpuint(fixture->trace->len, >=, 4);
 	/* Time between two runs is no gap; time within a run is. */
-	present += 60 * USEC_PER_SEC;
-	fixture->turns = 0;
+	fake_now += 60 * USEC_PER_SEC;
+	fixture->iterations = 0;
 	loop_run(fixture->loop);
 	g_assert_cmpint(fixture->gap, ==, 0);
-	fixture->turns = 0;
+	fixture->iterations = 0;
 	loop_defer(fixture->loop, &fixture->nodes[0], pause_process, NULL);
 	loop_run(fixture->loop);
 	g_assert_cmpint(fixture->gap, ==, 60 * USEC_PER_SEC);
@@ -152,7 +152,7 @@
 	int handled;
 };
 
-static void on_paused_turn(void *ctx, int64_t gap_us)
+static void on_paused_iteration(void *ctx, int64_t gap_us)
 {
 	struct paused *paused = ctx;
 
@@ -179,9 +179,9 @@
 	int fd;
 
 	web_server_handle(world->server, "/", on_request, &paused);
-	loop_on_iteration(world->loop, on_paused_turn, &paused);
+	loop_on_iteration(world->loop, on_paused_iteration, &paused);
 	fd = raw_connect(web_server_address(world->server));
-	world_turns(world, 20);
+	world_iterate(world, 20);
 	raw_send(fd, "GET / HTTP/1.1\r\nhost: a\r\n\r\n", 27);
 	loop_defer(world->loop, &node, pause_process, NULL);
 	loop_run(world->loop);
--- a/tests/web/test_server.c
+++ b/tests/web/test_server.c
@@ -51,14 +51,14 @@
 	web_reply(request, 200, NULL, ctx, strlen(ctx));
 }
 
-static void cut_short(void *ctx, struct web_request *request)
+static void reply_truncated(void *ctx, struct web_request *request)
 {
 	web_reply_start(request, 200, "text/plain");
 	web_reply_piece(request, "some", 4);
 	web_reply_abort(request);
 }
 
-static void cut_at_once(void *ctx, struct web_request *request)
+static void reply_aborted(void *ctx, struct web_request *request)
 {
 	web_reply_abort(request);
 }
@@ -88,9 +88,12 @@
 		const char *prefix;
 		web_handler_fn fn;
 	} routes[] = {
-		{"/", echo},	       {"/pieces", pieces},
-		{"/big", big},	       {"/status", status},
-		{"/cut", cut_short},   {"/cut/0", cut_at_once},
+		{"/", echo},
+		{"/pieces", pieces},
+		{"/big", big},
+		{"/status", status},
+		{"/cut", reply_truncated},
+		{"/cut/0", reply_aborted},
 		{"/headers", headers},
 	};
 
@@ -179,10 +182,10 @@
 struct wire_case {
 	const char *name;
 	const char *text;
-	size_t zeroes;	    /* sent after the text */
-	const char *answer; /* read until this */
-	const char *also;   /* expected in the answer; may be NULL */
-	const char *never;  /* not expected in it; may be NULL */
+	size_t zeroes;	      /* sent after the text */
+	const char *answer;   /* read until this */
+	const char *contains; /* expected in the answer; may be NULL */
+	const char *lacks;    /* not expected in it; may be NULL */
 };
 
 static const struct wire_case wire_cases[] = {
@@ -246,10 +249,10 @@
 		g_test_message("got: %.200s", got->str);
 		if (c->answer)
 			g_assert_nonnull(strstr(got->str, c->answer));
-		if (c->also)
-			g_assert_nonnull(strstr(got->str, c->also));
-		if (c->never)
-			g_assert_null(strstr(got->str, c->never));
+		if (c->contains)
+			g_assert_nonnull(strstr(got->str, c->contains));
+		if (c->lacks)
+			g_assert_null(strstr(got->str, c->lacks));
 		g_string_free(got, TRUE);
 		close(fd);
 	}
@@ -327,7 +330,7 @@
 	close(extra);
 	for (size_t i = 0; i < G_N_ELEMENTS(fds); i++)
 		close(fds[i]);
-	world_turns(world, 100);
+	world_iterate(world, 100);
 	world_get(world, "GET", "/status");
 	g_assert_cmpint(world->status, ==, 200);
 }
--- a/tests/web/world.c
+++ b/tests/web/world.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define TURNS_MAX 20000
+#define ITERATIONS_MAX 20000
 
 static void on_iteration(void *ctx, int64_t gap_us)
 {
@@ -57,10 +57,10 @@
 	g_assert_true(*goal);
 }
 
-void world_turns(struct world *world, int turns)
+void world_iterate(struct world *world, int iterations)
 {
 	world->goal = NULL;
-	while (turns-- > 0)
+	while (iterations-- > 0)
 		loop_run_h2o(world->loop, 0);
 }
 
@@ -161,7 +161,7 @@
 
 void raw_push(struct world *world, int fd, const char *data, size_t size)
 {
-	for (int i = 0; i < TURNS_MAX && size > 0; i++) {
+	for (int i = 0; i < ITERATIONS_MAX && size > 0; i++) {
 		ssize_t n = send(fd, data, size, MSG_NOSIGNAL | MSG_DONTWAIT);
 
 		if (n < 0 && errno != EAGAIN)
@@ -179,7 +179,7 @@
 	GString *all = g_string_new(NULL);
 	char buf[4096];
 
-	for (int i = 0; i < TURNS_MAX; i++) {
+	for (int i = 0; i < ITERATIONS_MAX; i++) {
 		ssize_t n = recv(fd, buf, sizeof(buf), MSG_DONTWAIT);
 
 		if (n == 0 || (n < 0 && errno == ECONNRESET))
--- a/tests/web/world.h
+++ b/tests/web/world.h
@@ -32,7 +32,7 @@
 /* Runs the loop until *goal is not zero. */
 void world_run(struct world *world, const int *goal);
 /* Runs a number of iterations of h2o's loop. */
-void world_turns(struct world *world, int turns);
+void world_iterate(struct world *world, int iterations);
 struct web_call *world_call(struct world *world, struct web_call_spec spec);
 /* Sends a request and runs the loop until it is done. */
 void world_get(struct world *world, const char *method, const char *path);
