--- a/include/web/loop.h
+++ b/include/web/loop.h
@@ -11,8 +11,8 @@
  *	with loop_enter(): the first call after a wait advances the clock and
  *	calls the iteration hook. A process that was stopped thus notices the
  *	gap before it accepts new work. After a gap of 0.2 s or more, timers
- *	fire one iteration later, so that input that arrived during the gap is
- *	handled before timeouts that expired during it.
+ *	fire only after the next complete iteration, so that input that arrived
+ *	during the gap is handled before timeouts that expired during it.
  */
 #ifndef WEB_LOOP_H
 #define WEB_LOOP_H
@@ -24,9 +24,9 @@
 struct loop;
 
 typedef void (*loop_signal_fn)(void *ctx, int signal);
-/* Called once per iteration: at its start, or earlier at the first socket
- * callback after a wait. gap_us is the time since the last call, less the time
- * that the loop meant to wait: large after SIGSTOP and SIGCONT. */
+/* Called at the start of each iteration, and at the first socket callback after
+ * a wait. gap_us is the time since the last call, less the time that the loop
+ * meant to wait: large after SIGSTOP and SIGCONT. */
 typedef void (*loop_iteration_fn)(void *ctx, int64_t gap_us);
 
 /* Fields private. */
--- a/include/web/server.h
+++ b/include/web/server.h
@@ -11,13 +11,13 @@
  *	socket reader to detect this, see docs/design/http.md). After the gone
  *	hook, or the call that ends the answer, the request pointer is invalid.
  *
- *	struct web_limits limits header size, body size, connections and slow
- *	callers. A request that exceeds a limit gets a 4xx; over HTTP/2, a body
- *	that is too large resets its stream with REFUSED_STREAM. A connection
- *	over the limit is closed immediately. On HTTP/1, the longer of idle_usec
- *	and request_usec applies to both. A caller that reads no byte of its
- *	answer for idle_usec, or shuts down its sending side, counts as
- *	disconnected.
+ *	struct web_limits limits body size, connections and slow callers; h2o
+ *	limits header size. A request that exceeds a limit gets a 4xx; over
+ *	HTTP/2, a body that is too large resets its stream with REFUSED_STREAM.
+ *	A connection over the limit is closed immediately. On HTTP/1, the
+ *	longer of idle_usec and request_usec applies to both. A caller that
+ *	reads no byte of its answer for idle_usec, or shuts down its sending
+ *	side, counts as disconnected.
  */
 #ifndef WEB_SERVER_H
 #define WEB_SERVER_H
--- a/tests/web/test_silence.c
+++ b/tests/web/test_silence.c
@@ -33,7 +33,7 @@
 	close(fd);
 }
 
-/* A socket that does not support the options stays usable. */
+/* On a socket without these options the failure is logged; it stays usable. */
 static void test_other_socket(void)
 {
 	int fds[2];
--- a/web/loop.c
+++ b/web/loop.c
@@ -122,8 +122,7 @@
 	node->next = &loop->deferred;
 	node->prev->next = node;
 	node->next->prev = node;
-	/* Inside h2o_evloop_run() this runs at the end of the same iteration.
-	 */
+	/* Within h2o_evloop_run(), runs at the end of the same iteration. */
 	if (!h2o_timeout_is_linked(&loop->deferred_entry))
 		h2o_timeout_link(loop->h2o, &loop->deferred_timeout,
 				 &loop->deferred_entry);
@@ -176,8 +175,7 @@
 	int64_t next = clock_next(loop->clock);
 	int64_t usec;
 
-	/* h2o waits in spite of pending callbacks of writes made outside of it.
-	 */
+	/* h2o would wait despite pending callbacks of writes outside of it. */
 	if (!loop->running || loop->h2o->_pending_as_client ||
 	    loop->h2o->_pending_as_server)
 		return 0;
