--- a/tests/web/h2.c
+++ b/tests/web/h2.c
@@ -4,7 +4,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define TURNS_MAX 20000
+#define ITERATIONS_MAX 20000
 #define HEADER(n, v)                                                           \
 	((nghttp2_nv){(uint8_t *)(n), (uint8_t *)(v), strlen(n), strlen(v), 0})
 
@@ -116,7 +116,7 @@
 				  NGHTTP2_CANCEL);
 }
 
-/* True when something was read. */
+/* True when bytes were received. */
 static bool exchange(struct h2 *h2)
 {
 	const uint8_t *out;
@@ -133,18 +133,18 @@
 
 void h2_run(struct world *world, struct h2 *h2, const int *goal, int count)
 {
-	for (int i = 0; i < TURNS_MAX && *goal < count; i++) {
+	for (int i = 0; i < ITERATIONS_MAX && *goal < count; i++) {
 		bool more = exchange(h2);
 
-		loop_turn_h2o(world->loop, more ? 0 : 1);
+		loop_run_h2o(world->loop, more ? 0 : 1);
 	}
 	g_assert_cmpint(*goal, >=, count);
 }
 
-void h2_turns(struct world *world, struct h2 *h2, int turns)
+void h2_iterate(struct world *world, struct h2 *h2, int iterations)
 {
-	while (turns-- > 0) {
+	while (iterations-- > 0) {
 		exchange(h2);
-		world_turns(world, 1);
+		world_iterate(world, 1);
 	}
 }
--- a/tests/web/test_loop.c
+++ b/tests/web/test_loop.c
@@ -1,4 +1,6 @@
-/* The loop: deferred calls, signals, and gaps of a process that was stopped. */
+/* The event loop: deferred calls, signals, and gaps after a process was
+ * stopped.
+ */
 #include <signal.h>
 #include <string.h>
 #include <time.h>
@@ -6,14 +8,14 @@
 
 #include "world.h"
 
-static int64_t present = 1000 * USEC_PER_SEC;
+static int64_t fake_now = 1000 * USEC_PER_SEC;
 
-/* Takes the place of the C library's for this program: time stands still
- * but for what a test adds. */
+/* Replaces the C library's function, so that time only advances when a test
+ * adds to it. */
 int clock_gettime(clockid_t id, struct timespec *ts)
 {
-	ts->tv_sec = present / USEC_PER_SEC;
-	ts->tv_nsec = present % USEC_PER_SEC * 1000;
+	ts->tv_sec = fake_now / USEC_PER_SEC;
+	ts->tv_nsec = fake_now % USEC_PER_SEC * 1000;
 	return 0;
 }
 
@@ -24,7 +26,7 @@
 	struct loop_deferred nodes[3];
 	struct timer timer;
 	int64_t gap;
-	int turns;
+	int iterations;
 };
 
 static void setup(struct fixture *fixture, gconstpointer data)
@@ -61,7 +63,7 @@
 	struct fixture *fixture = ctx;
 
 	g_string_append_c(fixture->trace, 't');
-	/* Deferred again while it runs: once more, at the end. */
+	/* Deferred again while it runs: runs once more, after the others. */
 	if (fixture->trace->len < 3)
 		loop_defer(fixture->loop, &fixture->nodes[0], trace_twice, ctx);
 }
@@ -107,7 +109,7 @@
 	struct fixture *fixture = ctx;
 
 	fixture->gap = MAX(fixture->gap, gap_us);
-	if (++fixture->turns == 5)
+	if (++fixture->iterations == 5)
 		loop_stop(fixture->loop);
 }
 
@@ -121,7 +123,7 @@
 
 static void pause_process(void *ctx)
 {
-	present += 60 * USEC_PER_SEC;
+	fake_now += 60 * USEC_PER_SEC;
 }
 
 static void test_gap(struct fixture *fixture, gconstpointer data)
@@ -132,12 +134,12 @@
 	loop_run(fixture->loop);
 	g_assert_cmpint(fixture->gap, ==, 0);
 	g_assert_cmpuint(fixture->trace->len, >=, 4);
-	/* Between two runs no gap is counted; within a run it is. */
-	present += 60 * USEC_PER_SEC;
-	fixture->turns = 0;
+	/* Time between two runs is no gap; time within a run is. */
+	fake_now += 60 * USEC_PER_SEC;
+	fixture->iterations = 0;
 	loop_run(fixture->loop);
 	g_assert_cmpint(fixture->gap, ==, 0);
-	fixture->turns = 0;
+	fixture->iterations = 0;
 	loop_defer(fixture->loop, &fixture->nodes[0], pause_process, NULL);
 	loop_run(fixture->loop);
 	g_assert_cmpint(fixture->gap, ==, 60 * USEC_PER_SEC);
@@ -150,7 +152,7 @@
 	int handled;
 };
 
-static void on_paused_turn(void *ctx, int64_t gap_us)
+static void on_paused_iteration(void *ctx, int64_t gap_us)
 {
 	struct paused *paused = ctx;
 
@@ -168,8 +170,8 @@
 	web_reply(request, 200, NULL, NULL, 0);
 }
 
-/* A request that waited while the process was stopped is handled only after
- * the gap is known. */
+/* A request that arrived while the process was stopped is handled only after
+ * the iteration hook has reported the gap. */
 static void test_gap_before_request(struct world *world, gconstpointer data)
 {
 	struct paused paused = {.world = world};
@@ -177,9 +179,9 @@
 	int fd;
 
 	web_server_handle(world->server, "/", on_request, &paused);
-	loop_on_iteration(world->loop, on_paused_turn, &paused);
+	loop_on_iteration(world->loop, on_paused_iteration, &paused);
 	fd = raw_connect(web_server_address(world->server));
-	world_turns(world, 20);
+	world_iterate(world, 20);
 	raw_send(fd, "GET / HTTP/1.1\r\nhost: a\r\n\r\n", 27);
 	loop_defer(world->loop, &node, pause_process, NULL);
 	loop_run(world->loop);
--- a/tests/web/test_silence.c
+++ b/tests/web/test_silence.c
@@ -1,4 +1,4 @@
-/* What the kernel is told to do with connections that die without a word. */
+/* Socket options that make the kernel reset dead connections. */
 #include <glib.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -16,14 +16,14 @@
 	return value;
 }
 
-/* Idle or with data under way, the connection ends within five seconds, and not
- * before a caller's patience of 3.6 s. */
+/* A dead connection is reset after five seconds, idle or with unacknowledged
+ * data, and so not before a caller's timeout of 3.6 s. */
 static void test_options(void)
 {
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 	int idle;
 
-	silence_watch(fd);
+	keepalive_enable(fd);
 	g_assert_cmpint(option(fd, SOL_SOCKET, SO_KEEPALIVE), ==, 1);
 	idle = option(fd, IPPROTO_TCP, TCP_KEEPIDLE) +
 	       option(fd, IPPROTO_TCP, TCP_KEEPINTVL) *
@@ -33,13 +33,13 @@
 	close(fd);
 }
 
-/* A socket that does not take the options is logged, and goes on. */
+/* On a socket without these options the failure is logged; it stays usable. */
 static void test_other_socket(void)
 {
 	int fds[2];
 
 	g_assert_cmpint(socketpair(AF_UNIX, SOCK_STREAM, 0, fds), ==, 0);
-	silence_watch(fds[0]);
+	keepalive_enable(fds[0]);
 	g_assert_cmpint(write(fds[0], "x", 1), ==, 1);
 	close(fds[0]);
 	close(fds[1]);
--- a/web/loop.c
+++ b/web/loop.c
@@ -8,14 +8,14 @@
 
 #include "common/clock.h"
 
-/* Longest wait when no timer runs: signals and sockets end it earlier. */
+/* Longest wait; signals and sockets end it earlier. */
 #define WAIT_MAX_MSEC 1000
-/* A gap that is none of ordinary load: an instance whose share of a core is
- * used up gets it back within a tenth of a second. */
+/* Longer than the 0.1 s within which an instance that has used up its CPU quota
+ * gets the next one. */
 #define LOOP_GAP_USEC (200 * USEC_PER_MSEC)
-/* The turn in which the gap is noticed may hold a part of what is ready, the
- * next one holds all. */
-#define WOKEN_TURNS 2u
+/* The iteration that detects the gap may handle only some of the ready sockets;
+ * the next one handles all. */
+#define RESUME_ITERATIONS 2u
 
 struct signal_watch {
 	int signal;
@@ -26,10 +26,10 @@
 struct loop {
 	h2o_loop_t *h2o;
 	struct clock *clock;
-	struct loop_deferred deferred; /* head of a ring */
-	h2o_timeout_t soon;	       /* ends a turn of h2o's */
-	h2o_timeout_entry_t soon_entry;
-	h2o_timeout_t drain; /* see loop_turn_h2o() */
+	struct loop_deferred deferred;	/* head of a circular list */
+	h2o_timeout_t deferred_timeout; /* has h2o call deferred_run() */
+	h2o_timeout_entry_t deferred_entry;
+	h2o_timeout_t drain; /* see loop_run_h2o() */
 	h2o_timeout_entry_t drain_entry;
 	GArray *watches;
 	sigset_t mask;
@@ -37,10 +37,10 @@
 	h2o_socket_t *signal_sock;
 	loop_iteration_fn iteration_fn;
 	void *iteration_ctx;
-	int64_t waited_usec;  /* on purpose, since the clock was followed */
-	bool entered;	      /* the clock was followed since the last wait */
-	uint32_t woken_turns; /* until timers fire, see timers_wait() */
-	bool fired;	      /* timers, since they had to wait */
+	int64_t waited_usec;	    /* intended wait since the clock advanced */
+	bool entered;		    /* the clock advanced since the last wait */
+	uint32_t resume_iterations; /* iterations until timers fire again */
+	bool timers_fired;	    /* timers fired since they were deferred */
 	bool running;
 };
 
@@ -54,23 +54,21 @@
 	}
 }
 
-static void on_soon(h2o_timeout_entry_t *entry)
+static void on_deferred(h2o_timeout_entry_t *entry)
 {
-	deferred_run(H2O_STRUCT_FROM_MEMBER(struct loop, soon_entry, entry));
+	deferred_run(
+		H2O_STRUCT_FROM_MEMBER(struct loop, deferred_entry, entry));
 }
 
 static void on_drain(h2o_timeout_entry_t *entry)
 {
 }
 
-/*
- * A turn of h2o's frees the sockets that were closed before it runs the
- * callbacks that are due. A socket that was used and closed outside of a turn,
- * say by a timer of ours that calls and one that cancels, would be freed first
- * and called then. Running a timeout of h2o's runs the callbacks due, and
- * passes over closed sockets.
- */
-void loop_turn_h2o(struct loop *loop, int32_t msec)
+/* h2o_evloop_run() frees closed sockets before it runs pending callbacks. A
+ * socket used and closed outside of it, as by a timer that cancels a call,
+ * would be called after it was freed. h2o_timeout_run() runs the pending
+ * callbacks first and skips closed sockets. */
+void loop_run_h2o(struct loop *loop, int32_t msec)
 {
 	h2o_timeout_link(loop->h2o, &loop->drain, &loop->drain_entry);
 	h2o_timeout_run(loop->h2o, &loop->drain, h2o_now(loop->h2o));
@@ -84,8 +82,8 @@
 	signal(SIGPIPE, SIG_IGN);
 	loop->h2o = h2o_evloop_create();
 	loop->clock = clock;
-	h2o_timeout_init(loop->h2o, &loop->soon, 0);
-	loop->soon_entry.cb = on_soon;
+	h2o_timeout_init(loop->h2o, &loop->deferred_timeout, 0);
+	loop->deferred_entry.cb = on_deferred;
 	h2o_timeout_init(loop->h2o, &loop->drain, 0);
 	loop->drain_entry.cb = on_drain;
 	loop->deferred.prev = &loop->deferred;
@@ -103,10 +101,10 @@
 	if (loop->signal_sock)
 		h2o_socket_close(loop->signal_sock);
 	sigprocmask(SIG_UNBLOCK, &loop->mask, NULL);
-	/* Lets h2o free the sockets that were closed last. */
-	loop_turn_h2o(loop, 0);
-	h2o_timeout_unlink(&loop->soon_entry);
-	h2o_timeout_dispose(loop->h2o, &loop->soon);
+	/* Lets h2o free sockets that were just closed. */
+	loop_run_h2o(loop, 0);
+	h2o_timeout_unlink(&loop->deferred_entry);
+	h2o_timeout_dispose(loop->h2o, &loop->deferred_timeout);
 	h2o_timeout_dispose(loop->h2o, &loop->drain);
 	h2o_evloop_destroy(loop->h2o);
 	g_array_free(loop->watches, TRUE);
@@ -124,9 +122,10 @@
 	node->next = &loop->deferred;
 	node->prev->next = node;
 	node->next->prev = node;
-	/* Inside a turn of h2o's it runs at the end of that same turn. */
-	if (!h2o_timeout_is_linked(&loop->soon_entry))
-		h2o_timeout_link(loop->h2o, &loop->soon, &loop->soon_entry);
+	/* Within h2o_evloop_run(), runs at the end of the same iteration. */
+	if (!h2o_timeout_is_linked(&loop->deferred_entry))
+		h2o_timeout_link(loop->h2o, &loop->deferred_timeout,
+				 &loop->deferred_entry);
 }
 
 void loop_defer_cancel(struct loop_deferred *node)
@@ -139,21 +138,20 @@
 	node->next = NULL;
 }
 
-/* Whether timers wait: after a gap what has arrived meanwhile goes first. With
- * the timers first a process that stood still for three seconds gave up streams
- * whose events lay in its sockets, and had them run again elsewhere. */
-static bool timers_wait(struct loop *loop, int64_t gap)
+/* After a gap, input that arrived during it is handled before timers. With the
+ * timers first, a process stopped for three seconds timed out streams whose
+ * events were already in its sockets, and retried them elsewhere. */
+static bool timers_are_deferred(struct loop *loop, int64_t gap)
 {
-	if (loop->woken_turns > 0)
+	if (loop->resume_iterations > 0)
 		return true;
-	/* Not twice in a row: turns that take long would hold them up for ever.
-	 */
-	if (gap >= LOOP_GAP_USEC && loop->fired) {
-		loop->woken_turns = WOKEN_TURNS;
-		loop->fired = false;
+	/* Not twice in a row: slow iterations would defer timers forever. */
+	if (gap >= LOOP_GAP_USEC && loop->timers_fired) {
+		loop->resume_iterations = RESUME_ITERATIONS;
+		loop->timers_fired = false;
 		return true;
 	}
-	loop->fired = true;
+	loop->timers_fired = true;
 	return false;
 }
 
@@ -168,7 +166,7 @@
 	loop->waited_usec = 0;
 	if (loop->iteration_fn)
 		loop->iteration_fn(loop->iteration_ctx, MAX(gap, 0));
-	if (!timers_wait(loop, gap))
+	if (!timers_are_deferred(loop, gap))
 		clock_fire_due(loop->clock);
 }
 
@@ -177,7 +175,7 @@
 	int64_t next = clock_next(loop->clock);
 	int64_t usec;
 
-	/* h2o does not look at callbacks due from writes made outside of it. */
+	/* h2o would wait despite pending callbacks of writes outside of it. */
 	if (!loop->running || loop->h2o->_pending_as_client ||
 	    loop->h2o->_pending_as_server)
 		return 0;
@@ -190,31 +188,31 @@
 			    WAIT_MAX_MSEC);
 }
 
-static void turn(struct loop *loop)
+static void iteration_run(struct loop *loop)
 {
 	int32_t msec;
 
-	if (loop->woken_turns > 0)
-		loop->woken_turns--;
-	/* Also when a callback has entered: it may have taken long, and what
-	 * it set may be looked at by the hook. */
+	if (loop->resume_iterations > 0)
+		loop->resume_iterations--;
+	/* Also if a callback has called loop_enter(): it may have taken long,
+	 * and the hook may read what it set. */
 	loop->entered = false;
 	loop_enter(loop);
 	deferred_run(loop);
-	h2o_timeout_unlink(&loop->soon_entry);
+	h2o_timeout_unlink(&loop->deferred_entry);
 	msec = wait_msec(loop);
 	loop->waited_usec = msec * USEC_PER_MSEC;
 	loop->entered = false;
-	loop_turn_h2o(loop, msec);
+	loop_run_h2o(loop, msec);
 }
 
 void loop_run(struct loop *loop)
 {
 	loop->running = true;
-	/* Time before the loop ran is no gap. */
+	/* Time before the loop starts does not count as a gap. */
 	clock_follow(loop->clock);
 	while (loop->running)
-		turn(loop);
+		iteration_run(loop);
 	loop_enter(loop);
 	deferred_run(loop);
 }
