--- a/web/request.h
+++ b/web/request.h
@@ -3,10 +3,10 @@
  *
  * DESCRIPTION
  *	A request is allocated in h2o's memory pool and freed with it. Its
- *owner, the handler, may use it until the answer ends or the caller
- *disconnects; after that only the server uses it. All sends are deferred to the
- *end of the event loop's iteration, so that no call by the owner frees a
- *request.
+ *	owner, the handler, may use it until the answer ends or the caller
+ *	disconnects; after that only the server uses it. All sends are deferred
+ *	to the end of the event loop's iteration, so that no call by the owner
+ *	frees a request.
  */
 #ifndef WEB_REQUEST_H
 #define WEB_REQUEST_H
