--- a/coord/ledger_parts.h
+++ b/coord/ledger_parts.h
@@ -80,7 +80,7 @@
 /* Cancels the stream on the engine. The memory stays reserved until the engine
  * confirms the end; the key's record then gets record_state. */
 void grant_close(struct grant *grant, uint32_t record_state);
-/* Its holder has finished, but the engine may still run it. */
+/* The grant's holder has finished, but the engine may still run the stream. */
 void grant_end(struct grant *grant);
 /* State of the record when the outcome is unknown. */
 uint32_t grant_unknown_state(const struct grant *grant);
@@ -129,13 +129,13 @@
 struct pending *pending_add(struct cell *cell, const struct owner *owner,
 			    const struct submission *submission,
 			    struct service *service);
-/* Looks its key up, then queues or answers it. */
+/* Looks up the request's key, then queues or answers the request. */
 void pending_resolve(struct pending *pending);
 void pending_refuse(struct pending *pending, enum result_code code,
 		    int64_t retry_after);
-/* Resolves it again after another request took its key's record. */
+/* Resolves the request again after another took the record of its key. */
 void pending_restart(struct pending *pending);
-/* Removes it from queue and table, and ends its record. */
+/* Removes the request from queue and table, and ends its record. */
 void pending_remove(struct pending *pending);
 /* As pending_remove(), but keeps the record. */
 void pending_discard(struct pending *pending);
@@ -228,7 +228,7 @@
 void item_refused(struct item *item, enum result_code code,
 		  int64_t retry_after);
 void item_granted(struct item *item);
-/* The home has queued it. */
+/* The home has queued the request. */
 void item_queued(struct item *item, uint32_t attempt);
 /* Whether the home has acknowledged this instance's announcement. */
 bool announce_is_complete(const struct cell *cell);
--- a/coord/order_private.h
+++ b/coord/order_private.h
@@ -78,7 +78,7 @@
 void orders_release(struct orders *orders, uint64_t runner, int64_t until);
 void orders_withhold(struct orders *orders, uint64_t runner);
 uint64_t controller_task(const struct controller *ctl);
-/* To be called when the lease is taken, and when it ends. */
+/* Called when the lease is acquired (start) and when it ends (stop). */
 void controller_start(struct controller *ctl, uint64_t fence);
 void controller_stop(struct controller *ctl);
 void controller_tick(struct controller *ctl, const struct order_cell *cell);
--- a/entry/component_config.c
+++ b/entry/component_config.c
@@ -10,7 +10,7 @@
 #include "entry/requests.h"
 #include "policy/policy.h"
 
-/* The file in force is appended again after a third of the log's retention
+/* The file in force is reappended after a third of the log's retention
  * time, which leaves a second and a third attempt if there is an outage. */
 #define REAPPENDS_PER_RETENTION 3
 
--- a/forward/gossip_private.h
+++ b/forward/gossip_private.h
@@ -211,7 +211,7 @@
 void gossip_servers_local(const struct gossip *gossip,
 			  struct gossip_summary *summary);
 
-/* Of gossip_loads.c. */
+/* gossip_loads.c */
 /* Removes the loads of a peer or group from the servers. */
 void loads_remove(struct gossip *gossip, GArray *applied);
 /* The same, then adds new loads in their place. */
--- a/forward/gossip_send.c
+++ b/forward/gossip_send.c
@@ -11,8 +11,8 @@
 #define IDLE_INTERVAL_USEC (300 * USEC_PER_MSEC)
 /* Interval at which a silent or unknown address is tried. */
 #define PROBE_INTERVAL_USEC (1 * USEC_PER_SEC)
-/* Peers of unknown group sent to at a time. Summaries in return hold the
- * addresses of others. */
+/* Number of peers of unknown group to send to at a time. The summaries that
+ * they return hold the addresses of others. */
 #define UNKNOWN_PEERS_MAX 64u
 /* Peers examined in search of a live one. */
 #define ADDRESS_TRIES 16u
--- a/forward/node_feeds.c
+++ b/forward/node_feeds.c
@@ -42,7 +42,7 @@
 /* Keys whose last refused value is remembered, so that it is logged once. */
 #define REFUSED_MAX 1024u
 
-/* Whether this value of the key was refused before. A server that writes an
+/* Whether this value of the key was already refused. A server that writes an
  * invalid entry may do so with each heartbeat. */
 static bool refused_before(struct node *node, const char *key, const void *data,
 			   size_t size)
--- a/forward/plain.c
+++ b/forward/plain.c
@@ -42,8 +42,8 @@
 }
 
 /* A request that a server answered with an error mostly fails at other servers
- * too (511 of 676, at a general failure rate of 14 %), so its retry only takes
- * a free slot and never delays waiting requests. */
+ * too, so its retry only takes a free slot and never delays waiting requests.
+ */
 static bool worth_retry(const struct request *request,
 			const struct backend *backend)
 {
--- a/include/coord/quarantine.h
+++ b/include/coord/quarantine.h
@@ -119,7 +119,7 @@
  * is no longer held; returns false when there is none. */
 bool quarantine_unstored(const struct quarantine *quarantine,
 			 struct quarantine_entry *entry);
-/* Records that the entry was written to the store, or deleted there. */
+/* Notes that the entry was written to the store or deleted from it. */
 void quarantine_stored(struct quarantine *quarantine,
 		       const struct request_fingerprint *fingerprint,
 		       bool stored);
--- a/include/forward/backend.h
+++ b/include/forward/backend.h
@@ -92,7 +92,7 @@
 enum order_result {
 	ORDER_ACCEPTED,
 	ORDER_ALREADY_SET, /* the server already has that role */
-	ORDER_REFUSED,	   /* not carried out, for certain */
+	ORDER_REFUSED,	   /* certainly not carried out */
 	ORDER_UNKNOWN,	   /* may be carried out, now or later */
 };
 typedef void (*order_fn)(void *ctx, enum order_result result);
--- a/include/forward/feed.h
+++ b/include/forward/feed.h
@@ -35,7 +35,7 @@
 	size_t count;
 	uint64_t next;	  /* offset to continue from */
 	uint64_t end;	  /* end offset of the stream at the time of the read */
-	bool gap;	  /* the records asked for are no longer kept */
+	bool gap;	  /* the store no longer keeps the requested records */
 	const char *more; /* last key of a snapshot page that is not the last */
 };
 
@@ -86,7 +86,7 @@
 /* Minimum pause after a failed read. It doubles with each consecutive failure,
  * up to 800 ms. */
 int64_t feed_backoff(const struct feed *feed);
-/* How long the store took to answer the last read, not counting the wait of a
+/* Time that the store took to answer the last read, not counting the wait of a
  * long poll. At most the age of a newer state set by feed_advance(). */
 int64_t feed_latency(const struct feed *feed);
 /* When the last read failed; valid while feed_failing(). */
--- a/include/forward/roles.h
+++ b/include/forward/roles.h
@@ -56,8 +56,8 @@
 struct roles *roles_create(const struct roles_parts *parts);
 void roles_destroy(struct roles *roles);
 
-/* Copies the servers that this instance has ordered to change, and that the
- * list does not show in their new role yet, at most this many. Returns their
+/* Copies up to most servers that this instance has ordered to change their
+ * role and that the list does not yet show in the new one. Returns their
  * number. */
 uint32_t roles_pending_changes(const struct roles *roles,
 			       struct backend_change *moves, uint32_t most);
--- a/policy/place.h
+++ b/policy/place.h
@@ -1,15 +1,15 @@
 /*
- * place.h - what several policies share when they choose runners
+ * place.h - helper functions that policies use to choose runners
  */
 #ifndef POLICY_PLACE_H
 #define POLICY_PLACE_H
 
 #include "policy/policy.h"
 
-/* How long a baseline waits for a usable runner before it looks again. */
+/* Delay until a baseline policy looks for a usable runner again. */
 #define PLACE_RETRY_USEC (100 * INT64_C(1000))
 
-/* Lower is better; equal scores go to the runner that is met first. */
+/* Lower is better; of equal scores, the first runner is chosen. */
 typedef double (*runner_score_fn)(const struct policy_view *view,
 				  uint32_t runner, void *ctx);
 
@@ -18,7 +18,7 @@
  * start on and around; RUNNER_NONE when none is usable. */
 uint32_t runner_best(const struct policy_view *view, enum pool_role role,
 		     uint32_t start, runner_score_fn score, void *ctx);
-/* What the runner itself last reported. */
+/* A runner_score_fn: the load in the runner's last report. */
 double runner_reported_load(const struct policy_view *view, uint32_t runner,
 			    void *ctx);
 /* Starts on the two runners, or waits when one is missing. A request past its
--- a/policy/policies.h
+++ b/policy/policies.h
@@ -1,5 +1,5 @@
 /*
- * policies.h - the policies that table.c lists, one file each
+ * policies.h - declarations of the policies listed in table.c
  */
 #ifndef POLICY_POLICIES_H
 #define POLICY_POLICIES_H
