--- a/forward/roles.c
+++ b/forward/roles.c
@@ -263,7 +263,7 @@
 	return roles->mean_sum / MAX(roles->mean_weight, 1.0);
 }
 
-/* Prompt tokens a second of one prefill runner, as measured. A fixed rate below
+/* Prompt tokens a second of one prefill runner. A fixed rate below
  * that of the engines would turn too many servers into prefill servers in a
  * burst. */
 static double prefill_rate(const struct roles *roles)
--- a/include/entry/plain.h
+++ b/include/entry/plain.h
@@ -5,8 +5,8 @@
  *	Internal to the request side of the daemon. A server is picked by two
  *	random choices on the calls that this instance has in flight (after
  *	Mitzenmacher, IEEE TPDS 2001), local ones first. When none is free,
- *requests wait, urgent ones first. The place is given back with the result of
- *the call.
+ *	requests wait, urgent ones first. The place is given back with the
+ *	result of the call.
  */
 #ifndef ENTRY_PLAIN_H
 #define ENTRY_PLAIN_H
