--- a/forward/feed.c
+++ b/forward/feed.c
@@ -142,9 +142,9 @@
 }
 
 /* The time as of which the store reported the end of the stream. A long poll
- * without records counts from the end of its wait. Counted from its sending,
- * copies would look older than they are, and every instance that has them would
- * read the store as well. */
+ * without records ends no sooner than its wait after it was sent, so it counts
+ * as of then; else copies would look older than they are, and every instance
+ * that has them would read the store as well. */
 static int64_t end_seen_at(const struct feed *feed,
 			   const struct feed_page *page)
 {
