--- a/entry/peer_datagram.c
+++ b/entry/peer_datagram.c
@@ -1,9 +1,9 @@
 /*
- * peer_datagram.c - which messages go as datagrams, and taking them in
+ * peer_datagram.c - sending and receiving messages as datagrams
  *
- * A network may carry the links but not datagrams. So these are used only
- * while probes are answered: a probe and its answer are one byte each and ride
- * with messages when there are any.
+ * A network may pass TCP but drop UDP, so messages are sent as datagrams only
+ * while the peer answers probes. A probe and its answer are one byte each and
+ * share a datagram with messages when there are any.
  */
 #include "peers_private.h"
 
@@ -17,12 +17,12 @@
 #include "common/log.h"
 #include "entry/peer_datagram.h"
 
-/* Between probes that are not answered. */
+/* Interval between probes while one is unanswered. */
 #define PROBE_USEC (100 * USEC_PER_MSEC)
-/* Datagrams read before other sockets have their turn. */
+/* Datagrams read per callback, so that other sockets are not starved. */
 #define READ_MAX 64
 
-/* For the payload of a message that is alone. */
+/* Largest payload of a message that is alone in its datagram, in bytes. */
 #define ROOM                                                                   \
 	(DATAGRAM_MAX - DATAGRAM_HEADER - DATAGRAM_BODY_HEADER -               \
 	 DATAGRAM_MESSAGE_HEADER)
@@ -132,7 +132,7 @@
 		return false;
 	if (frame_writer_pending(own->open) + size > ROOM)
 		datagram_flush(peer);
-	/* Before the message, so that both fit. */
+	/* A probe is added only when the message fits behind it. */
 	if (frame_writer_pending(own->open) + size + DATAGRAM_MESSAGE_HEADER +
 		    1 <=
 	    ROOM)
@@ -172,7 +172,7 @@
 
 	if (frame_writer_pending(own->open) == 0)
 		return;
-	/* The link that the messages were taken for may have gone. */
+	/* The link may have closed since the messages were added. */
 	if (usable(peer) && address_find(peer) &&
 	    (own->messages == 0 || own->proven))
 		datagram_send(peer);
@@ -198,7 +198,8 @@
 	}
 }
 
-/* The peer may go while its messages are handed on. */
+/* Holds the id of the sender, not the peer, which a message handler may free.
+ */
 struct taking {
 	struct peers *peers;
 	uint64_t sender;
--- a/entry/peer_datagram_codec.c
+++ b/entry/peer_datagram_codec.c
@@ -1,5 +1,5 @@
 /*
- * peer_datagram_codec.c - datagrams as bytes
+ * peer_datagram_codec.c - encoding and decoding of datagrams
  */
 #include "entry/peer_datagram.h"
 
@@ -12,7 +12,8 @@
 {
 	uint64_t header[2] = {GUINT64_TO_BE(sender), GUINT64_TO_BE(token)};
 
-	/* The frame's length is written over by the end of the header. */
+	/* The end of the header overwrites the length of the frame, which a
+	 * datagram does not carry. */
 	g_byte_array_set_size(out, DATAGRAM_HEADER - FRAME_HEADER);
 	frame_writer_take(writer, out);
 	if (out->len < DATAGRAM_HEADER)
@@ -28,7 +29,8 @@
 
 	if (size <= DATAGRAM_HEADER || size > DATAGRAM_MAX)
 		return error_set(err, RESULT_BAD_MESSAGE,
-				 "datagram of %zu bytes", size);
+				 "datagram size of %zu bytes out of range",
+				 size);
 	memcpy(header, data, sizeof(header));
 	datagram->sender = GUINT64_FROM_BE(header[0]);
 	datagram->token = GUINT64_FROM_BE(header[1]);
--- a/include/entry/peer_datagram.h
+++ b/include/entry/peer_datagram.h
@@ -1,15 +1,16 @@
 /*
- * peer_datagram.h - small messages between instances as datagrams
+ * peer_datagram.h - codec of UDP datagrams between instances
  *
  * DESCRIPTION
  *	A datagram is the sender's instance id and a token, both 64 bits
- *	big-endian, then one body as in common/frame.h, without its length; at
- *	most DATAGRAM_MAX bytes of payload, which fits any Ethernet with room
- *	for tunnels. Only messages of CHANNEL_LEDGER travel so, and probes: one
- *	byte on CHANNEL_HELLO.
+ *	big-endian, then one body as in common/frame.h, without its length. Its
+ *	UDP payload is at most DATAGRAM_MAX bytes, which fits the Ethernet MTU
+ *	with room for the headers of tunnels. It carries messages of
+ *	CHANNEL_LEDGER, and probes, which are one byte on CHANNEL_HELLO.
  *
- *	The token was handed over in the hello of the TCP link that is in use
- *	and proves the sender as that link does; it ends with the link.
+ *	The token is received in the hello of the TCP link in use. It
+ *	authenticates the sender as that link does, and is valid as long as the
+ *	link.
  */
 #ifndef ENTRY_PEER_DATAGRAM_H
 #define ENTRY_PEER_DATAGRAM_H
@@ -23,7 +24,7 @@
 
 #define DATAGRAM_MAX 1200u
 #define DATAGRAM_HEADER 16u
-/* The most that a message adds to a body, and a body's own header. */
+/* Upper bounds: header of a message in a body, header of the body. */
 #define DATAGRAM_MESSAGE_HEADER 6u
 #define DATAGRAM_BODY_HEADER 5u
 
@@ -36,16 +37,16 @@
 	size_t size;
 };
 
-/* Closes the writer's frame and replaces *out by the datagram; empty when the
- * writer holds no message. */
+/* Closes the frame of the writer and replaces the contents of out by the
+ * datagram, or by nothing when the writer holds no message. */
 void datagram_encode(uint64_t sender, uint64_t token,
 		     struct frame_writer *writer, GByteArray *out);
-/* Reads the header. False with RESULT_BAD_MESSAGE when size is not more than
- * the header's or more than DATAGRAM_MAX. */
+/* Reads the header. False with RESULT_BAD_MESSAGE when size is at most
+ * DATAGRAM_HEADER or above DATAGRAM_MAX. */
 bool datagram_decode(struct datagram *datagram, const void *data, size_t size,
 		     struct error *err);
-/* Calls fn for each message, for none when the body is not sound as a whole.
- * False with RESULT_BAD_MESSAGE. */
+/* Calls fn for each message. Calls it for none and returns false with
+ * RESULT_BAD_MESSAGE when any part of the body is malformed. */
 bool datagram_read(const struct datagram *datagram, frame_fn fn, void *ctx,
 		   struct error *err);
 
