--- a/entry/peer_greet.c
+++ b/entry/peer_greet.c
@@ -1,5 +1,5 @@
 /*
- * peer_greet.c - what a hello leads to: which link to a peer is kept
+ * peer_greet.c - exchange of hellos, and which link to a peer is kept
  */
 #include "peers_private.h"
 
@@ -39,7 +39,8 @@
 	peer_write(peer);
 }
 
-/* Whether an inbound link takes the place of the present one. */
+/* Whether an inbound link replaces the current one. When both sides connect at
+ * once, both keep the link that the lower id opened. */
 static bool link_better(const struct link *fresh, const struct link *present)
 {
 	if (present->state == LINK_CONNECTING)
@@ -65,7 +66,8 @@
 	struct link *present = peer->link;
 
 	if (present && !link_better(link, present)) {
-		/* A link that the other side has lost is found out by this. */
+		/* The peer ignores a hello on a link in use. If the peer has
+		 * lost that link, the write makes it fail here as well. */
 		if (present->state == LINK_READY && !link_writing(present))
 			hello_write(peers, present);
 		link_drop(peers, link);
@@ -77,7 +79,8 @@
 	link_use(peers, peer, link);
 }
 
-/* A new incarnation's first word ends the links of the former one. */
+/* Records the incarnation; false when it is a former one. The hello of a newer
+ * incarnation closes the ready link of the former one. */
 static bool incarnation_take(struct peers *peers, struct peer *peer,
 			     const struct link *link,
 			     const struct member *member)
@@ -96,9 +99,9 @@
 			       const struct member *member)
 {
 	if (member->id == peers->self.id)
-		return "own name";
+		return "it has the name of this instance";
 	if (link->peer != 0 && link->peer != member->id)
-		return "another instance";
+		return "another instance answered at the address of the peer";
 	return NULL;
 }
 
@@ -129,8 +132,8 @@
 		hello_refuse(peers, link, &member, fault);
 		return;
 	}
-	/* Between data centres some messages are told once only, so they go
-	 * over the link. */
+	/* Between data centres some messages are sent only once and must not be
+	 * lost, so datagrams are used within a data centre only. */
 	if (strcmp(member.data_centre, peers->self.data_centre) == 0)
 		link->token_out = token;
 	peer = peer_get(peers, member.id);
--- a/entry/peer_hello.c
+++ b/entry/peer_hello.c
@@ -1,5 +1,5 @@
 /*
- * peer_hello.c - the first message of a link, as MessagePack
+ * peer_hello.c - codec of the hello, the first message of a link
  */
 #include "entry/peer_hello.h"
 
@@ -46,7 +46,7 @@
 			   sizeof(peer->peer_address));
 }
 
-/* What is no token is passed over, as any element added later. */
+/* Ignores an element that is not a token, like those of later versions. */
 static uint64_t token_take(const msgpack_object_array *array)
 {
 	const msgpack_object *field = &array->ptr[HELLO_FIELDS];
