--- a/entry/peer_connect.c
+++ b/entry/peer_connect.c
@@ -1,5 +1,5 @@
 /*
- * peer_connect.c - links opened, read from and closed
+ * peer_connect.c - opening, reading and closing links
  */
 #include "peers_private.h"
 
--- a/entry/peer_link.c
+++ b/entry/peer_link.c
@@ -1,5 +1,5 @@
 /*
- * peer_link.c - one TCP connection to another instance, on h2o's sockets
+ * peer_link.c - one TCP connection to another instance, on h2o sockets
  */
 #include "entry/peer_link.h"
 
@@ -10,7 +10,8 @@
 #include "common/address.h"
 #include "common/error.h"
 
-/* Unacknowledged data older than this ends a link. */
+/* Closes a link whose data stays unacknowledged for this long. Also bounds the
+ * time that a retired link may take to close. */
 #define USER_TIMEOUT_MSEC 3000
 
 const char link_timed_out[] = "timed out";
@@ -94,7 +95,8 @@
 		shutdown(h2o_socket_get_fd(link->socket), SHUT_WR);
 }
 
-/* The other side has ended: what waits is still written, then the link goes. */
+/* At the end of the stream a write in progress is finished before the link is
+ * closed; a read error closes it at once. */
 static void read_end(struct link *link, const char *err)
 {
 	h2o_socket_read_stop(link->socket);
@@ -105,7 +107,8 @@
 		link_retire(link);
 }
 
-/* Timers that the clock fires on entry may close the link, so it is held. */
+/* Holds a reference until link_leave(), since timers run by loop_enter() may
+ * close the link. */
 static void link_enter(struct link *link)
 {
 	g_rc_box_acquire(link);
--- a/entry/peer_listen.c
+++ b/entry/peer_listen.c
@@ -1,5 +1,5 @@
 /*
- * peer_listen.c - the socket that other instances connect to
+ * peer_listen.c - the TCP and UDP sockets that other instances send to
  */
 #include "peers_private.h"
 
@@ -12,7 +12,7 @@
 
 #define LISTEN_BACKLOG 512
 
-/* Tries of a free port, until it is free for datagrams too. */
+/* Further free TCP ports tried until one is free for UDP too. */
 #define PORT_TRIES 16
 
 static int datagrams_bind(const struct sockaddr_storage *storage,
--- a/entry/peer_queue.c
+++ b/entry/peer_queue.c
@@ -1,5 +1,5 @@
 /*
- * peer_queue.c - what waits for one peer, and when it is written
+ * peer_queue.c - send queue of a peer, its flush and reconnect timers
  */
 #include "peers_private.h"
 
@@ -18,7 +18,8 @@
 	       peer->datagrams.messages > 0;
 }
 
-/* Bytes are dropped, not messages: closed frames are not taken apart. */
+/* Empties the queue and counts it as one drop: the messages in closed frames
+ * are not counted, which would require parsing them. */
 void peer_queue_drop(struct peer *peer, enum drop reason)
 {
 	if (!peer_waiting(peer))
--- a/entry/peer_segments.c
+++ b/entry/peer_segments.c
@@ -1,8 +1,8 @@
 /*
  * peer_segments.c - how many TCP segments a link has sent and received
  *
- * The kernel's own header is used, since that of the C library stops short of
- * these fields; the two cannot be included together.
+ * Uses <linux/tcp.h>, since struct tcp_info in the header of the C library
+ * lacks these fields. The two headers cannot be included together.
  */
 #include <linux/tcp.h>
 #include <netinet/in.h>
--- a/entry/peers.c
+++ b/entry/peers.c
@@ -1,5 +1,5 @@
 /*
- * peers.c - creation, sending, housekeeping
+ * peers.c - set-up, sending, closing of idle links and counters
  */
 #include "peers_private.h"
 
--- a/entry/peers_private.h
+++ b/entry/peers_private.h
@@ -1,5 +1,5 @@
 /*
- * peers_private.h - what the files of peers share
+ * peers_private.h - structs and functions shared by the peer_*.c files
  */
 #ifndef ENTRY_PEERS_PRIVATE_H
 #define ENTRY_PEERS_PRIVATE_H
@@ -18,17 +18,17 @@
 	void *ctx;
 };
 
-/* Datagrams to one peer. The times are those of the clock. */
+/* State of the datagrams to one peer. Times are clock times in microseconds. */
 struct peer_datagrams {
-	struct frame_writer *open; /* probes and messages */
-	uint32_t messages;	   /* in open */
+	struct frame_writer *open; /* probes and messages to be sent */
+	uint32_t messages;	   /* in open, without probes */
 	bool proven;		   /* a probe was answered */
-	bool asking;		   /* since asked, last tried */
-	int64_t asked;
-	int64_t tried;
-	int64_t heard;
+	bool asking;		   /* a probe has no answer yet */
+	int64_t asked;		   /* first probe without an answer */
+	int64_t tried;		   /* last probe */
+	int64_t heard;		   /* last answer */
 	struct sockaddr_storage to;
-	socklen_t to_size; /* 0 when not looked up on this link */
+	socklen_t to_size; /* 0 until resolved for the link in use */
 };
 
 struct peer {
@@ -59,7 +59,8 @@
 	DROP_COUNT,
 };
 
-/* Why datagrams were dropped; busy is the only one of the sender's side. */
+/* Why datagrams were dropped. The sender counts DATAGRAM_DROP_BUSY, the
+ * receiver all others. */
 enum datagram_drop {
 	DATAGRAM_DROP_SIZE,
 	DATAGRAM_DROP_SENDER, /* unknown, or no link to it */
@@ -71,7 +72,7 @@
 };
 
 struct datagrams {
-	h2o_socket_t *socket; /* NULL when none are used */
+	h2o_socket_t *socket; /* NULL when datagrams are off */
 	GByteArray *out;
 	struct counter *sent;
 	struct counter *received;
@@ -95,7 +96,7 @@
 	struct handler handlers[CHANNEL_MAX];
 	GHashTable *table; /* id to struct peer */
 	GHashTable *links; /* set of every open link */
-	GQueue local;	   /* struct message to the own instance */
+	GQueue local;	   /* struct message to this instance */
 	struct loop_deferred deliver;
 	struct timer sweep;
 	struct link_traffic traffic;
@@ -107,7 +108,7 @@
 	struct counter *segments_received;
 	struct counter *messages_sent;
 	struct counter *messages_received;
-	struct counter *channel_bytes[CHANNEL_MAX]; /* payload, both ways */
+	struct counter *channel_bytes[CHANNEL_MAX]; /* payload, in and out */
 	struct counter *channel_messages[CHANNEL_MAX];
 	struct counter *connects;
 	struct counter *refused;
@@ -115,7 +116,7 @@
 	struct counter *dropped[DROP_COUNT];
 };
 
-/* entry/peer_queue.c: what waits for one peer. */
+/* entry/peer_queue.c: the send queue of a peer. */
 struct peer *peer_get(struct peers *peers, uint64_t id);
 void peer_free(void *data);
 bool peer_waiting(const struct peer *peer);
@@ -123,48 +124,49 @@
 bool peer_queue_add(struct peer *peer, enum channel channel,
 		    const void *payload, size_t size);
 void peer_queue_drop(struct peer *peer, enum drop reason);
-/* Writes what waits, when there is a link that can take it. */
+/* Writes the queue when the link is ready and no write is in progress. */
 void peer_write(struct peer *peer);
 void peer_flush_later(struct peer *peer);
 void peer_backoff(struct peer *peer);
 void traffic_count(struct peers *peers);
 
-/* entry/peer_connect.c: links opened, read from and closed. */
+/* entry/peer_connect.c: opening, reading and closing links. */
 void peer_connect(struct peer *peer);
-/* Counts a message to or from a peer. */
+/* Counts a message sent to or received from a peer. */
 void channel_count(struct peers *peers, enum channel channel, size_t size);
 void peers_accept(struct peers *peers, h2o_socket_t *socket);
 void peers_dispatch(struct peers *peers, uint64_t from, enum channel channel,
 		    const void *payload, size_t size);
-/* Takes the link out of the tables, then closes it. */
+/* Removes the link from the tables and closes it. */
 void link_drop(struct peers *peers, struct link *link);
-/* As link_drop(), counted; the peer is tried again later. */
+/* As link_drop(), but counted as refused; reconnects after a backoff. */
 void link_refuse(struct peers *peers, struct link *link);
 
-/* entry/peer_greet.c: what a hello leads to. */
+/* entry/peer_greet.c: the exchange of hellos. */
 void hello_write(struct peers *peers, struct link *link);
 void hello_take(struct peers *peers, struct link *link, const void *payload,
 		size_t size);
 
 /* entry/peer_datagram.c */
-/* fd is a bound socket, or -1 for none. */
+/* fd is a bound UDP socket, or -1 to turn datagrams off. */
 void datagrams_start(struct peers *peers, struct counter_set *counters, int fd);
 void datagrams_stop(struct peers *peers);
-/* For the hello of a link; 0 when no datagrams are taken. */
+/* A random token for the hello of a link, or 0 when datagrams are off. */
 uint64_t datagram_token(const struct peers *peers);
-/* A link came into use. */
+/* Clears the probe state and address; called when a link becomes ready. */
 void datagram_reset(struct peer *peer);
-/* Takes a message, to be sent at the flush; false when it is to go over the
- * link. */
+/* Adds a message to the next datagram. False when the message must be sent over
+ * the link. */
 bool datagram_add(struct peer *peer, enum channel channel, const void *payload,
 		  size_t size);
-/* Sends what waits; puts it into the queue when it cannot go so any more. */
+/* Sends the datagram being filled, or moves its messages to the queue of the
+ * link when datagrams can no longer be used. */
 void datagram_flush(struct peer *peer);
 
 /* entry/peer_listen.c */
-/* Returns a listening socket, its address as bound in bound, or -1. With
- * datagrams not NULL a socket for these at the same address is put there, or
- * -1 when that is in use. */
+/* Returns a listening TCP socket, or -1 on failure; bound receives its address.
+ * When datagrams is not NULL, it receives a UDP socket bound to the same
+ * address, or -1 when that is in use. */
 int peer_listen(const char *address, char *bound, int *datagrams,
 		struct error *err);
 
--- a/include/entry/peer_link.h
+++ b/include/entry/peer_link.h
@@ -2,12 +2,13 @@
  * peer_link.h - one TCP connection to another instance
  *
  * DESCRIPTION
- *	Carries frames. What a hello means, and which of two links to the same
- *	peer is kept, is decided by entry/peers.c. No callback runs within
- *	link_open() or link_accept(), nor after link_close().
+ *	Carries frames. entry/peer_greet.c handles hellos and decides which of
+ *	two links to the same peer is kept. No callback runs within link_open()
+ *	or link_accept(), nor after link_close().
  *
- *	A retired link writes what it was given, then ends its direction; it
- *	still hands on what arrives until the other side ends, then closes.
+ *	A retired link finishes its write and shuts down its sending direction.
+ *	It still delivers received messages until the other side shuts down
+ *	too, then closes.
  */
 #ifndef ENTRY_PEER_LINK_H
 #define ENTRY_PEER_LINK_H
@@ -23,13 +24,13 @@
 
 struct link;
 
-/* The reason given to closed when the time to link_ready() has run out. */
+/* The reason passed to closed() when a timeout of the link expires. */
 extern const char link_timed_out[];
 
 enum link_state {
 	LINK_CONNECTING,
-	LINK_OPEN,  /* connected; hellos not seen both ways */
-	LINK_READY, /* both hellos seen */
+	LINK_OPEN,  /* connected, hellos not yet exchanged */
+	LINK_READY, /* hellos exchanged */
 	LINK_RETIRED,
 };
 
@@ -38,28 +39,28 @@
 	void (*opened)(void *ctx, struct link *link);
 	void (*message)(void *ctx, struct link *link, enum channel channel,
 			const void *payload, size_t size);
-	/* Everything given to link_write() was taken by the socket. */
+	/* The socket has accepted all bytes given to link_write(). */
 	void (*written)(void *ctx, struct link *link);
-	/* Closed by the other side, a failure or a timeout; the link is freed
-	 * after this. */
+	/* The peer, a failure or a timeout closed the link, which is freed
+	 * after this call. */
 	void (*closed)(void *ctx, struct link *link, const char *reason);
 };
 
-/* What is counted on the wire, frame headers included. */
+/* Traffic of all links that share it, frame headers included. */
 struct link_traffic {
 	uint64_t bytes_sent;
 	uint64_t bytes_received;
 	uint64_t writes;
-	uint64_t segments_sent; /* of links closed, acknowledgements included */
+	uint64_t segments_sent; /* of closed links, acknowledgements included */
 	uint64_t segments_received;
 };
 
 struct link {
 	enum link_state state;
 	uint64_t peer;	 /* 0 on an inbound link before its hello */
-	uint64_t opener; /* who connected */
-	int64_t used;	 /* clock time of the last message either way */
-	/* Of datagrams from and to the peer; 0 for none. */
+	uint64_t opener; /* the instance that connected */
+	int64_t used;	 /* clock time of the last message or datagram */
+	/* Tokens of datagrams from and to the peer; 0 for no datagrams. */
 	uint64_t token_in;
 	uint64_t token_out;
 	/* The rest is private to peer_link.c. */
@@ -69,7 +70,7 @@
 	GByteArray *out;
 	bool writing;
 	bool closed;
-	bool ended; /* the other side has ended its direction */
+	bool ended; /* the peer has shut down its sending direction */
 	struct timer timeout;
 	const struct link_ops *ops;
 	void *ctx;
@@ -77,7 +78,7 @@
 };
 
 /* timeout_usec bounds the time until link_ready(). NULL when the address is
- * none or no socket can be made. */
+ * invalid or no socket can be created. */
 struct link *link_open(struct loop *loop, const char *address,
 		       int64_t timeout_usec, const struct link_ops *ops,
 		       void *ctx, struct link_traffic *traffic);
@@ -86,9 +87,10 @@
 			 void *ctx, struct link_traffic *traffic);
 void link_ready(struct link *link);
 bool link_writing(const struct link *link);
-/* Takes the bytes of *queue, leaving it an empty array; not while writing. */
+/* Writes the bytes of *queue and replaces it by an empty array. Does nothing
+ * while a write is in progress or when *queue is empty. */
 void link_write(struct link *link, GByteArray **queue);
-/* Of a link that is open, acknowledgements included. */
+/* TCP segments of an open link, acknowledgements included. */
 void link_segments(const struct link *link, uint64_t *sent, uint64_t *received);
 void link_retire(struct link *link);
 void link_close(struct link *link);
