--- a/tests/entry/fuzz_datagram.c
+++ b/tests/entry/fuzz_datagram.c
@@ -1,7 +1,7 @@
 /*
- * Reads bytes as a datagram; what is taken must be the same when it is written
- * and read again. With clang's -fsanitize=fuzzer and -DFUZZ_ENGINE this is a
- * fuzz target; as a test it runs seeded mutations of sound ones.
+ * Decodes bytes as a datagram; the messages must be the same after encoding and
+ * decoding them again. With clang's -fsanitize=fuzzer and -DFUZZ_ENGINE this is
+ * a fuzz target; as a test it runs seeded mutations of valid datagrams.
  */
 #include <glib.h>
 #include <stdint.h>
--- a/tests/entry/peers_world.h
+++ b/tests/entry/peers_world.h
@@ -1,4 +1,4 @@
-/* Three peers in one process over loopback. */
+/* Fixture: three instances in one process, connected over loopback. */
 #ifndef TESTS_ENTRY_PEERS_WORLD_H
 #define TESTS_ENTRY_PEERS_WORLD_H
 
@@ -18,7 +18,7 @@
 	const char *name;
 	uint64_t id;
 	char address[64];
-	GString *got; /* "FROM:text " each */
+	GString *got; /* "SENDER:TEXT " for each message */
 	int count;
 	int hellos;
 	int wanted;
@@ -28,8 +28,8 @@
 	struct run run;
 	struct side sides[SIDES];
 	struct peers_settings settings;
-	int apart; /* this side is in another data centre; 0 for none */
-	/* What the address callback says instead, by id. */
+	int apart; /* index of the one in another data centre; 0 for none */
+	/* The address callback returns moved_to for the id moved. */
 	uint64_t moved;
 	const char *moved_to;
 };
@@ -42,9 +42,10 @@
 void world_teardown(struct world *world);
 int64_t counted(const struct side *side, const char *name, const char *labels);
 void send_text(struct world *world, int from, int to, const char *text);
-/* Until side i has received as many messages, and no more. */
+/* Waits until i has received the wanted number of messages; fails when it has
+ * received more. */
 void wait_for(struct world *world, int i, int wanted);
-/* Of side 0. */
+/* Whether the first instance has no ready link. */
 bool no_links(void *ctx);
 
 #endif
--- a/tests/entry/run.h
+++ b/tests/entry/run.h
@@ -1,4 +1,4 @@
-/* A loop on the system's clock that runs until a condition holds. */
+/* Runs an event loop on the system clock until a condition holds. */
 #ifndef TESTS_ENTRY_RUN_H
 #define TESTS_ENTRY_RUN_H
 
@@ -16,16 +16,16 @@
 	bool (*condition)(void *ctx);
 	void *ctx;
 	int64_t deadline;
-	bool held; /* the condition held */
+	bool held; /* the condition became true */
 };
 
 void run_setup(struct run *run);
 void run_teardown(struct run *run);
 /* False when the condition did not hold within five seconds. */
 bool run_until(struct run *run, bool (*condition)(void *ctx), void *ctx);
-/* Runs for that long. */
+/* Runs the loop for usec. */
 void run_for(struct run *run, int64_t usec);
-/* The value of a counter that exists already, by name and labels. */
+/* The value of the counter of this name and labels. */
 int64_t run_counter(struct run *run, const char *name, const char *labels);
 
 #endif
--- a/tests/entry/test_peer_datagrams.c
+++ b/tests/entry/test_peer_datagrams.c
@@ -1,5 +1,5 @@
-/* Datagrams between peers of one process, and from a peer that is played by
- * the test with raw sockets. */
+/* Datagrams between instances in one process, and from a fake peer that the
+ * test implements with raw sockets. */
 #include <arpa/inet.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -18,7 +18,7 @@
 
 #define FAKE "fake"
 #define FAKE_TOKEN 77
-#define LARGEST 1173 /* payload of a message alone in a datagram */
+#define LARGEST 1173 /* payload of a message that is alone in a datagram */
 
 #define SENT "direction=\"sent\""
 #define RECEIVED "direction=\"received\""
@@ -56,7 +56,7 @@
 	return messages(ctx, SENT) > 0;
 }
 
-/* Sends from a to b until a message went as a datagram. */
+/* Sends from a to b until a message is sent as a datagram. */
 static void prove(struct world *world)
 {
 	struct side *a = &world->sides[0];
@@ -99,7 +99,8 @@
 	world_teardown(&world);
 }
 
-/* What fits goes by datagram, one byte more over the link; both arrive. */
+/* A message of the largest size is sent as a datagram, one byte more over the
+ * link. Both arrive. */
 static void test_sizes(void)
 {
 	static const struct {
@@ -160,7 +161,8 @@
 	world_teardown(&world);
 }
 
-/* Without the setting, on either side, and to another data centre. */
+/* No datagrams when the setting is off on either side, nor messages in
+ * datagrams to another data centre. */
 static void test_none(gconstpointer data)
 {
 	int row = GPOINTER_TO_INT(data);
@@ -189,7 +191,8 @@
 	world_teardown(&world);
 }
 
-/* What waits for a datagram when the link goes is sent by the next one. */
+/* A message pending for a datagram when the link closes is sent over the next
+ * link. */
 static void test_link_lost(void)
 {
 	struct peers_settings settings = {.datagrams = true,
@@ -215,7 +218,7 @@
 	world_teardown(&world);
 }
 
-/* A port that is taken for datagrams by another: only links are used. */
+/* When the UDP port is in use, messages are sent over the link. */
 static void test_port_taken(void)
 {
 	struct world world;
@@ -241,7 +244,7 @@
 	world_teardown(&world);
 }
 
-/* A peer of side 0 that is played here. */
+/* A fake peer of instance a. */
 struct fake {
 	struct world *world;
 	struct frame_reader *reader;
@@ -250,7 +253,7 @@
 	struct sockaddr_storage to;
 	socklen_t to_size;
 	char address[ADDRESS_TEXT_MAX];
-	uint64_t token; /* to side 0 */
+	uint64_t token; /* of datagrams to instance a */
 	bool answers;
 	int by_link;
 	int by_datagram;
@@ -394,7 +397,7 @@
 
 struct fault {
 	const char *name;
-	const char *reason; /* NULL: taken */
+	const char *reason; /* NULL when accepted */
 	bool own_sender;
 	bool own_token;
 	const char *body;
@@ -472,7 +475,7 @@
 	g_assert_cmpint(dropped_all(a), ==, row->reason ? 1 : 0);
 	if (row->reason)
 		g_assert_cmpint(dropped(a, row->reason), ==, 1);
-	/* The link and the others live on. */
+	/* The link stays open and valid datagrams are still accepted. */
 	fake_message(&fake, id_of(FAKE), fake.token, CHANNEL_LEDGER, "ok", 2);
 	datagrams_wait(&world, row->times + 1);
 	g_assert_cmpint(a->count, ==, row->taken + 1);
@@ -482,7 +485,7 @@
 	world_teardown(&world);
 }
 
-/* Datagrams shorter than the header, down to none. */
+/* Datagrams without a body, from 0 bytes to the header alone. */
 static void test_short(void)
 {
 	static const char bytes[DATAGRAM_HEADER] = {0};
@@ -500,7 +503,7 @@
 	world_teardown(&world);
 }
 
-/* A token ends with its link, also when the peer comes back. */
+/* A token is invalid once its link is closed, also after a reconnect. */
 static void test_old_token(void)
 {
 	struct world world;
@@ -535,7 +538,7 @@
 	run_for(&fake->world->run, 10 * USEC_PER_MSEC);
 }
 
-/* A network that swallows datagrams, carries them, swallows them again. */
+/* A network that drops datagrams, then delivers them, then drops them again. */
 static void test_lost(void)
 {
 	struct peers_settings settings = {
@@ -558,7 +561,7 @@
 	for (; sent < 200 && fake.by_datagram < 20; sent++)
 		to_fake(&fake);
 	g_assert_cmpint(fake.by_datagram, ==, 20);
-	/* A probe in a while only, and none is lost. */
+	/* Probes are sent only every proven_usec, and no message is lost. */
 	g_assert_cmpint(fake.by_datagram + fake.by_link, ==, sent);
 	fake.answers = false;
 	int by_link = fake.by_link;
@@ -576,8 +579,8 @@
 	world_teardown(&world);
 }
 
-/* An answer that nobody asked for proves nothing; odd probes are passed over.
- */
+/* An answer without a pending probe does not enable datagrams, and malformed
+ * probes are ignored. */
 static void test_unasked(void)
 {
 	struct world world;
--- a/tests/entry/test_peers.c
+++ b/tests/entry/test_peers.c
@@ -1,4 +1,5 @@
-/* Two or three peers in one process over loopback, and raw sockets to them. */
+/* Links between instances in one process over loopback, and raw sockets that
+ * connect to them. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <string.h>
@@ -29,7 +30,8 @@
 	send_text(&world, 1, 0, "back");
 	wait_for(&world, 0, 1);
 	g_assert_cmpstr(world.sides[0].got->str, ==, "b:back ");
-	/* The hello and one frame for the three; the link serves both ways. */
+	/* One write for the hello and one frame for the three messages. The
+	 * reply uses the same link. */
 	g_assert_cmpint(counted(&world.sides[0], "jt_peer_writes_total", NULL),
 			==, 2);
 	g_assert_cmpint(
@@ -38,7 +40,7 @@
 	g_assert_cmpint(
 		counted(&world.sides[0], "jt_peer_sent_bytes_total", NULL), ==,
 		counted(&world.sides[1], "jt_peer_received_bytes_total", NULL));
-	/* Handshake, four writes, and what acknowledges them. */
+	/* The TCP handshake, four writes and their acknowledgements. */
 	peers_measure(world.sides[0].peers);
 	g_assert_cmpint(counted(&world.sides[0], "jt_peer_segments_total",
 				"direction=\"sent\""),
@@ -51,7 +53,7 @@
 	world_teardown(&world);
 }
 
-/* Messages of one coalescing time share a write, later ones do not. */
+/* Messages sent within coalesce_usec share a write; a later one does not. */
 static void test_coalesce(void)
 {
 	struct world world;
@@ -98,7 +100,7 @@
 	send_text(&world, 0, 1, "before");
 	peers_send(world.sides[0].peers, world.sides[1].id, CHANNEL_LEDGER,
 		   large, FRAME_MAX + 1);
-	/* Two that only fit into frames of their own. */
+	/* Each of the two messages needs a frame of its own. */
 	memset(large, 'L', FRAME_MAX);
 	for (int i = 0; i < 2; i++)
 		peers_send(world.sides[0].peers, world.sides[1].id,
@@ -115,8 +117,8 @@
 	world_teardown(&world);
 }
 
-/* Both sides open a link at once; nothing is lost, doubled or reordered, and
- * one link is left. */
+/* When both sides connect at once, no message is lost, duplicated or reordered,
+ * and one link remains. */
 static void test_both_connect(void)
 {
 	for (int round = 0; round < 40; round++) {
@@ -160,7 +162,7 @@
 	send_text(&world, 0, 1, "new");
 	wait_for(&world, 1, 2);
 	g_assert_cmpstr(world.sides[1].got->str, ==, "a:old a:new ");
-	/* What claims to be the former incarnation is refused. */
+	/* A hello of the former incarnation is refused. */
 	side_stop(&world, 1);
 	g_assert_true(run_until(&world.run, no_links, &world));
 	side_start(&world, 1, 10);
@@ -174,7 +176,8 @@
 	world_teardown(&world);
 }
 
-/* An address that has passed to another instance: nothing reaches it. */
+/* No message reaches an instance that has taken over the address of the
+ * intended one. */
 static void test_address_moved(void)
 {
 	struct world world;
@@ -251,7 +254,7 @@
 	world_teardown(&world);
 }
 
-/* Bytes from outside that are no link: the socket is closed, others live. */
+/* Malformed input closes its socket and leaves other links open. */
 
 struct raw_case {
 	const char *name;
@@ -329,7 +332,7 @@
 	world_teardown(&world);
 }
 
-/* A socket that says nothing is closed after the time to connect. */
+/* A connection that sends no hello is closed after connect_usec. */
 static void test_silent(void)
 {
 	struct peers_settings settings = {.connect_usec = 20 * USEC_PER_MSEC};
@@ -343,7 +346,7 @@
 	world_teardown(&world);
 }
 
-/* Connections beyond the bound are closed at once. */
+/* A connection beyond links_max is closed at once. */
 static void test_links_bound(void)
 {
 	struct peers_settings settings = {.links_max = 2};
@@ -361,7 +364,7 @@
 	world_teardown(&world);
 }
 
-/* A message split over many segments, as slow senders make it. */
+/* A hello and a message that arrive byte by byte. */
 static void test_fragments(void)
 {
 	static const char hello[] = "\0\0\0\x13\x92\x01\xc4\x0f\x95\x01\xa1"
