--- a/entry/component_config.c
+++ b/entry/component_config.c
@@ -151,7 +151,8 @@
 				  &ops, entry);
 	fold_reappend_after(entry->fold, entry->settings.log_retention_usec /
 						 REAPPENDS_PER_RETENTION);
-	peers_on(entry->peers, CHANNEL_CONFIG, config_receive, entry->fold);
+	peers_handler_set(entry->peers, CHANNEL_CONFIG, config_receive,
+			  entry->fold);
 	fold_start(entry->fold);
 	return true;
 }
@@ -160,7 +161,7 @@
 {
 	struct entry *entry = ctx;
 
-	peers_on(entry->peers, CHANNEL_CONFIG, NULL, NULL);
+	peers_handler_set(entry->peers, CHANNEL_CONFIG, NULL, NULL);
 	fold_destroy(entry->fold);
 	entry->fold = NULL;
 }
--- a/entry/component_ledger.c
+++ b/entry/component_ledger.c
@@ -34,8 +34,8 @@
 	entry->claims = claims_create(entry->clock, entry->membership,
 				      platform_log(entry->platform), &transport,
 				      claim_ended, entry);
-	peers_on(entry->peers, CHANNEL_CLAIM, claims_message_receive,
-		 entry->claims);
+	peers_handler_set(entry->peers, CHANNEL_CLAIM, claims_message_receive,
+			  entry->claims);
 	claims_start(entry->claims);
 	return true;
 }
@@ -44,7 +44,7 @@
 {
 	struct entry *entry = ctx;
 
-	peers_on(entry->peers, CHANNEL_CLAIM, NULL, NULL);
+	peers_handler_set(entry->peers, CHANNEL_CLAIM, NULL, NULL);
 	claims_destroy(entry->claims);
 	entry->claims = NULL;
 }
@@ -176,8 +176,8 @@
 
 	entry->ledger = ledger_create(entry->clock, entry->membership,
 				      &settings, &transport, &ops, entry);
-	peers_on(entry->peers, CHANNEL_LEDGER, ledger_message_receive,
-		 entry->ledger);
+	peers_handler_set(entry->peers, CHANNEL_LEDGER, ledger_message_receive,
+			  entry->ledger);
 	directory_on_changed(entry->directory, runners_update, entry);
 	return !entry->config ||
 	       ledger_configure(entry->ledger, entry->config, err);
@@ -188,7 +188,7 @@
 	struct entry *entry = ctx;
 
 	directory_on_changed(entry->directory, NULL, NULL);
-	peers_on(entry->peers, CHANNEL_LEDGER, NULL, NULL);
+	peers_handler_set(entry->peers, CHANNEL_LEDGER, NULL, NULL);
 	ledger_destroy(entry->ledger);
 	entry->ledger = NULL;
 }
--- a/entry/component_link.c
+++ b/entry/component_link.c
@@ -218,8 +218,8 @@
 	self_fill(entry, &self);
 	entry->membership = membership_create(entry->clock, &self, &settings,
 					      &transport, &ops, entry);
-	peers_on(entry->peers, CHANNEL_MEMBER, member_receive,
-		 entry->membership);
+	peers_handler_set(entry->peers, CHANNEL_MEMBER, member_receive,
+			  entry->membership);
 	membership_start(entry->membership);
 	return true;
 }
@@ -228,7 +228,7 @@
 {
 	struct entry *entry = ctx;
 
-	peers_on(entry->peers, CHANNEL_MEMBER, NULL, NULL);
+	peers_handler_set(entry->peers, CHANNEL_MEMBER, NULL, NULL);
 	membership_destroy(entry->membership);
 	entry->membership = NULL;
 }
--- a/entry/directory_sync.c
+++ b/entry/directory_sync.c
@@ -360,7 +360,7 @@
 	/* Spreads the first requests of instances that start together. */
 	sync->ticks =
 		(uint32_t)g_rand_int_range(entry->rand, 0, REQUEST_PERIODS);
-	peers_on(entry->peers, CHANNEL_DIRECTORY, sync_receive, sync);
+	peers_handler_set(entry->peers, CHANNEL_DIRECTORY, sync_receive, sync);
 	timer_init(&sync->timer, entry->clock, sync_fire, sync);
 	timer_start(&sync->timer, START_REQUEST_USEC);
 	return sync;
@@ -371,6 +371,6 @@
 	if (!sync)
 		return;
 	timer_stop(&sync->timer);
-	peers_on(sync->entry->peers, CHANNEL_DIRECTORY, NULL, NULL);
+	peers_handler_set(sync->entry->peers, CHANNEL_DIRECTORY, NULL, NULL);
 	g_free(sync);
 }
--- a/entry/peer_connect.c
+++ b/entry/peer_connect.c
@@ -5,19 +5,19 @@
 
 #include "common/log.h"
 
-static void link_forget(struct peers *peers, struct link *link)
+static void link_unregister(struct peers *peers, struct link *link)
 {
 	struct peer *peer = g_hash_table_lookup(peers->table, &link->peer);
 
 	g_hash_table_remove(peers->links, link);
 	if (peer && peer->link == link)
 		peer->link = NULL;
-	peers->linked->value = peers_links(peers);
+	peers->links_ready->value = peers_links(peers);
 }
 
 void link_drop(struct peers *peers, struct link *link)
 {
-	link_forget(peers, link);
+	link_unregister(peers, link);
 	link_close(link);
 }
 
@@ -58,7 +58,7 @@
 	if (channel != CHANNEL_HELLO && link->state >= LINK_READY)
 		peers_dispatch(peers, link->peer, channel, payload, size);
 	else if (channel == CHANNEL_HELLO && link->state == LINK_OPEN)
-		hello_take(peers, link, payload, size);
+		hello_receive(peers, link, payload, size);
 	else if (channel != CHANNEL_HELLO)
 		link_refuse(peers, link);
 }
@@ -70,7 +70,7 @@
 
 	if (peer && peer->link == link && peer->queue->len > 0)
 		peer_write(peer);
-	else if (peer && peer->link == link && peer_waiting(peer))
+	else if (peer && peer->link == link && peer_pending(peer))
 		peer_flush_later(peer);
 }
 
@@ -78,15 +78,15 @@
 {
 	struct peers *peers = ctx;
 	struct peer *peer = g_hash_table_lookup(peers->table, &link->peer);
-	bool present = peer && peer->link == link;
+	bool current = peer && peer->link == link;
 	bool reached =
 		link->state != LINK_CONNECTING && reason != link_timed_out;
 
-	link_forget(peers, link);
+	link_unregister(peers, link);
 	if (link->state != LINK_RETIRED)
 		log_event(LOG_DEBUG, "peer_link_closed",
 			  LOG_X("peer", link->peer), LOG_S("reason", reason));
-	if (!present)
+	if (!current)
 		return;
 	if (!reached)
 		peer_queue_drop(peer, DROP_UNREACHABLE);
--- a/entry/peer_datagram.c
+++ b/entry/peer_datagram.c
@@ -18,17 +18,17 @@
 #include "entry/peer_datagram.h"
 
 /* Interval between probes while one is unanswered. */
-#define PROBE_USEC (100 * USEC_PER_MSEC)
+#define PROBE_RETRY_USEC (100 * USEC_PER_MSEC)
 /* Datagrams read per callback, so that other sockets are not starved. */
-#define READ_MAX 64
+#define READ_BATCH_MAX 64
 
 /* Largest payload of a message that is alone in its datagram, in bytes. */
-#define ROOM                                                                   \
+#define PAYLOAD_MAX                                                            \
 	(DATAGRAM_MAX - DATAGRAM_HEADER - DATAGRAM_BODY_HEADER -               \
 	 DATAGRAM_MESSAGE_HEADER)
 
 enum probe {
-	PROBE_ASK,
+	PROBE_REQUEST,
 	PROBE_ANSWER,
 };
 
@@ -53,31 +53,31 @@
 
 void datagram_reset(struct peer *peer)
 {
-	struct peer_datagrams *own = &peer->datagrams;
+	struct peer_datagrams *path = &peer->datagrams;
 
-	own->proven = false;
-	own->asking = false;
-	own->to_size = 0;
+	path->confirmed = false;
+	path->probe_pending = false;
+	path->to_size = 0;
 }
 
-static bool usable(const struct peer *peer)
+static bool datagrams_usable(const struct peer *peer)
 {
 	return peer->link && peer->link->state == LINK_READY &&
 	       peer->link->token_out != 0 && peer->peers->datagrams.socket;
 }
 
-static bool address_find(struct peer *peer)
+static bool address_resolve(struct peer *peer)
 {
 	struct peers *peers = peer->peers;
-	struct peer_datagrams *own = &peer->datagrams;
+	struct peer_datagrams *path = &peer->datagrams;
 	const char *address;
 
-	if (own->to_size > 0)
+	if (path->to_size > 0)
 		return true;
 	address = peers->ops.address(peers->ctx, peer->id);
-	if (address && address_parse(address, &own->to, &own->to_size, NULL))
+	if (address && address_parse(address, &path->to, &path->to_size, NULL))
 		return true;
-	own->to_size = 0;
+	path->to_size = 0;
 	return false;
 }
 
@@ -85,136 +85,138 @@
 {
 	unsigned char byte = (unsigned char)probe;
 
-	if (frame_writer_pending(peer->datagrams.open) + 1 > ROOM)
+	if (frame_writer_pending(peer->datagrams.open) + 1 > PAYLOAD_MAX)
 		datagram_flush(peer);
 	frame_writer_add(peer->datagrams.open, CHANNEL_HELLO, &byte, 1, NULL);
 	peer_flush_later(peer);
 }
 
-static void probe_ask(struct peer *peer)
+static void probe_request(struct peer *peer)
 {
-	struct peer_datagrams *own = &peer->datagrams;
+	struct peer_datagrams *path = &peer->datagrams;
 	int64_t now = clock_now(peer->peers->clock);
 
-	if (own->asking && now - own->tried < PROBE_USEC)
+	if (path->probe_pending && now - path->last_probe < PROBE_RETRY_USEC)
 		return;
-	if (!own->asking && own->proven &&
-	    now - own->heard < peer->peers->settings.proven_usec)
+	if (!path->probe_pending && path->confirmed &&
+	    now - path->last_answer < peer->peers->settings.probe_interval_usec)
 		return;
-	if (!own->asking)
-		own->asked = now;
-	own->asking = true;
-	own->tried = now;
-	probe_add(peer, PROBE_ASK);
+	if (!path->probe_pending)
+		path->pending_since = now;
+	path->probe_pending = true;
+	path->last_probe = now;
+	probe_add(peer, PROBE_REQUEST);
 }
 
-static bool proven(struct peer *peer)
+static bool datagrams_confirmed(struct peer *peer)
 {
-	struct peer_datagrams *own = &peer->datagrams;
+	struct peer_datagrams *path = &peer->datagrams;
 	int64_t now = clock_now(peer->peers->clock);
 
-	if (own->proven && own->asking &&
-	    now - own->asked > peer->peers->settings.answer_usec) {
-		own->proven = false;
+	if (path->confirmed && path->probe_pending &&
+	    now - path->pending_since >
+		    peer->peers->settings.probe_timeout_usec) {
+		path->confirmed = false;
 		log_event(LOG_NOTICE, "peer_datagrams_unanswered",
 			  LOG_X("peer", peer->id));
 	}
-	return own->proven;
+	return path->confirmed;
 }
 
 bool datagram_add(struct peer *peer, enum channel channel, const void *payload,
 		  size_t size)
 {
-	struct peer_datagrams *own = &peer->datagrams;
+	struct peer_datagrams *path = &peer->datagrams;
 
-	if (channel != CHANNEL_LEDGER || size > ROOM || !usable(peer) ||
-	    !address_find(peer))
+	if (channel != CHANNEL_LEDGER || size > PAYLOAD_MAX ||
+	    !datagrams_usable(peer) || !address_resolve(peer))
 		return false;
-	if (frame_writer_pending(own->open) + size > ROOM)
+	if (frame_writer_pending(path->open) + size > PAYLOAD_MAX)
 		datagram_flush(peer);
 	/* A probe is added only when the message fits behind it. */
-	if (frame_writer_pending(own->open) + size + DATAGRAM_MESSAGE_HEADER +
+	if (frame_writer_pending(path->open) + size + DATAGRAM_MESSAGE_HEADER +
 		    1 <=
-	    ROOM)
-		probe_ask(peer);
-	if (!proven(peer))
+	    PAYLOAD_MAX)
+		probe_request(peer);
+	if (!datagrams_confirmed(peer))
 		return false;
-	frame_writer_add(own->open, channel, payload, size, NULL);
-	own->messages++;
+	frame_writer_add(path->open, channel, payload, size, NULL);
+	path->messages++;
 	return true;
 }
 
 static void datagram_send(struct peer *peer)
 {
 	struct peers *peers = peer->peers;
-	struct datagrams *all = &peers->datagrams;
-	struct peer_datagrams *own = &peer->datagrams;
+	struct datagrams *io = &peers->datagrams;
+	struct peer_datagrams *path = &peer->datagrams;
 	ssize_t sent;
 
-	datagram_encode(peers->self.id, peer->link->token_out, own->open,
-			all->out);
-	sent = sendto(h2o_socket_get_fd(all->socket), all->out->data,
-		      all->out->len, MSG_DONTWAIT | MSG_NOSIGNAL,
-		      (const struct sockaddr *)&own->to, own->to_size);
-	if (sent != (ssize_t)all->out->len) {
-		all->dropped[DATAGRAM_DROP_BUSY]->value++;
+	datagram_encode(peers->self.id, peer->link->token_out, path->open,
+			io->out);
+	sent = sendto(h2o_socket_get_fd(io->socket), io->out->data,
+		      io->out->len, MSG_DONTWAIT | MSG_NOSIGNAL,
+		      (const struct sockaddr *)&path->to, path->to_size);
+	if (sent != (ssize_t)io->out->len) {
+		io->dropped[DATAGRAM_DROP_BUSY]->value++;
 		return;
 	}
-	peer->link->used = clock_now(peers->clock);
-	all->sent->value++;
-	all->bytes_sent->value += sent;
-	all->messages_sent->value += own->messages;
+	peer->link->last_used = clock_now(peers->clock);
+	io->sent->value++;
+	io->bytes_sent->value += sent;
+	io->messages_sent->value += path->messages;
 }
 
 void datagram_flush(struct peer *peer)
 {
-	struct peer_datagrams *own = &peer->datagrams;
+	struct peer_datagrams *path = &peer->datagrams;
 
-	if (frame_writer_pending(own->open) == 0)
+	if (frame_writer_pending(path->open) == 0)
 		return;
 	/* The link may have closed since the messages were added. */
-	if (usable(peer) && address_find(peer) &&
-	    (own->messages == 0 || own->proven))
+	if (datagrams_usable(peer) && address_resolve(peer) &&
+	    (path->messages == 0 || path->confirmed))
 		datagram_send(peer);
-	else if (own->messages > 0)
-		frame_writer_take(own->open, peer->queue);
+	else if (path->messages > 0)
+		frame_writer_take(path->open, peer->queue);
 	else
-		datagram_encode(0, 0, own->open, peer->peers->datagrams.out);
-	own->messages = 0;
+		datagram_encode(0, 0, path->open, peer->peers->datagrams.out);
+	path->messages = 0;
 }
 
-static void probe_take(struct peer *peer, const void *payload, size_t size)
+static void probe_receive(struct peer *peer, const void *payload, size_t size)
 {
-	struct peer_datagrams *own = &peer->datagrams;
+	struct peer_datagrams *path = &peer->datagrams;
 	unsigned char probe = size == 1 ? *(const unsigned char *)payload : 255;
 
-	if (probe == PROBE_ASK) {
-		if (usable(peer) && address_find(peer))
+	if (probe == PROBE_REQUEST) {
+		if (datagrams_usable(peer) && address_resolve(peer))
 			probe_add(peer, PROBE_ANSWER);
-	} else if (probe == PROBE_ANSWER && own->asking) {
-		own->proven = true;
-		own->asking = false;
-		own->heard = clock_now(peer->peers->clock);
+	} else if (probe == PROBE_ANSWER && path->probe_pending) {
+		path->confirmed = true;
+		path->probe_pending = false;
+		path->last_answer = clock_now(peer->peers->clock);
 	}
 }
 
 /* Holds the id of the sender, not the peer, which a message handler may free.
  */
-struct taking {
+struct receive_ctx {
 	struct peers *peers;
 	uint64_t sender;
 };
 
-static void message_take(void *ctx, enum channel channel, const void *payload,
-			 size_t size)
+static void message_receive(void *ctx, enum channel channel,
+			    const void *payload, size_t size)
 {
-	const struct taking *taking = ctx;
-	struct peers *peers = taking->peers;
-	struct peer *peer = g_hash_table_lookup(peers->table, &taking->sender);
+	const struct receive_ctx *receive_ctx = ctx;
+	struct peers *peers = receive_ctx->peers;
+	struct peer *peer =
+		g_hash_table_lookup(peers->table, &receive_ctx->sender);
 
 	if (channel == CHANNEL_HELLO) {
 		if (peer)
-			probe_take(peer, payload, size);
+			probe_receive(peer, payload, size);
 		return;
 	}
 	if (channel != CHANNEL_LEDGER) {
@@ -223,11 +225,11 @@
 	}
 	peers->datagrams.messages_received->value++;
 	channel_count(peers, channel, size);
-	peers_dispatch(peers, taking->sender, channel, payload, size);
+	peers_dispatch(peers, receive_ctx->sender, channel, payload, size);
 }
 
-static enum datagram_drop datagram_take(struct peers *peers, const void *data,
-					size_t size)
+static enum datagram_drop datagram_receive(struct peers *peers,
+					   const void *data, size_t size)
 {
 	struct datagram datagram;
 	const struct peer *peer;
@@ -239,10 +241,11 @@
 		return DATAGRAM_DROP_SENDER;
 	if (peer->link->token_in == 0 || peer->link->token_in != datagram.token)
 		return DATAGRAM_DROP_TOKEN;
-	peer->link->used = clock_now(peers->clock);
-	struct taking taking = {.peers = peers, .sender = datagram.sender};
+	peer->link->last_used = clock_now(peers->clock);
+	struct receive_ctx receive_ctx = {.peers = peers,
+					  .sender = datagram.sender};
 
-	if (!datagram_read(&datagram, message_take, &taking, NULL))
+	if (!datagram_read(&datagram, message_receive, &receive_ctx, NULL))
 		return DATAGRAM_DROP_MALFORMED;
 	return DATAGRAM_DROP_COUNT;
 }
@@ -250,34 +253,34 @@
 static void on_datagrams(h2o_socket_t *socket, const char *err)
 {
 	struct peers *peers = socket->data;
-	struct datagrams *all = &peers->datagrams;
+	struct datagrams *io = &peers->datagrams;
 	char data[DATAGRAM_MAX + 1];
 
 	loop_enter(peers->loop);
-	for (int i = 0; i < READ_MAX && !err; i++) {
+	for (int i = 0; i < READ_BATCH_MAX && !err; i++) {
 		ssize_t got = recv(h2o_socket_get_fd(socket), data,
 				   sizeof(data), MSG_DONTWAIT);
 
 		if (got < 0)
 			return;
-		all->received->value++;
-		all->bytes_received->value += got;
+		io->received->value++;
+		io->bytes_received->value += got;
 		enum datagram_drop drop =
-			datagram_take(peers, data, (size_t)got);
+			datagram_receive(peers, data, (size_t)got);
 
 		if (drop != DATAGRAM_DROP_COUNT)
-			all->dropped[drop]->value++;
+			io->dropped[drop]->value++;
 	}
 }
 
-static void counters_fill(struct datagrams *all, struct counter_set *set)
+static void counters_fill(struct datagrams *io, struct counter_set *set)
 {
-	static const char *const ways[] = {"direction=\"sent\"",
-					   "direction=\"received\""};
+	static const char *const directions[] = {"direction=\"sent\"",
+						 "direction=\"received\""};
 	struct counter **counts[][2] = {
-		{&all->sent, &all->received},
-		{&all->bytes_sent, &all->bytes_received},
-		{&all->messages_sent, &all->messages_received},
+		{&io->sent, &io->received},
+		{&io->bytes_sent, &io->bytes_received},
+		{&io->messages_sent, &io->messages_received},
 	};
 	static const char *const names[] = {"jt_peer_datagrams_total",
 					    "jt_peer_datagram_bytes_total",
@@ -288,28 +291,28 @@
 		"Messages in datagrams to and from peers"};
 
 	for (int i = 0; i < 3; i++) {
-		for (int way = 0; way < 2; way++)
-			*counts[i][way] =
-				counter_get(set, names[i], texts[i], ways[way]);
+		for (int direction = 0; direction < 2; direction++)
+			*counts[i][direction] = counter_get(
+				set, names[i], texts[i], directions[direction]);
 	}
 	for (int i = 0; i < DATAGRAM_DROP_COUNT; i++)
-		all->dropped[i] = counter_get(
+		io->dropped[i] = counter_get(
 			set, "jt_peer_datagram_dropped_total",
 			"Datagrams not sent or not taken", drop_labels[i]);
 }
 
 void datagrams_start(struct peers *peers, struct counter_set *counters, int fd)
 {
-	struct datagrams *all = &peers->datagrams;
+	struct datagrams *io = &peers->datagrams;
 
-	counters_fill(all, counters);
-	all->out = g_byte_array_new();
+	counters_fill(io, counters);
+	io->out = g_byte_array_new();
 	if (fd < 0)
 		return;
-	all->socket = h2o_evloop_socket_create(loop_h2o(peers->loop), fd,
-					       H2O_SOCKET_FLAG_DONT_READ);
-	all->socket->data = peers;
-	h2o_socket_read_start(all->socket, on_datagrams);
+	io->socket = h2o_evloop_socket_create(loop_h2o(peers->loop), fd,
+					      H2O_SOCKET_FLAG_DONT_READ);
+	io->socket->data = peers;
+	h2o_socket_read_start(io->socket, on_datagrams);
 }
 
 void datagrams_stop(struct peers *peers)
--- a/entry/peer_greet.c
+++ b/entry/peer_greet.c
@@ -35,45 +35,46 @@
 	peer->attempts = 0;
 	timer_stop(&peer->backoff);
 	link_ready(link);
-	peers->linked->value = peers_links(peers);
+	peers->links_ready->value = peers_links(peers);
 	peer_write(peer);
 }
 
 /* Whether an inbound link replaces the current one. When both sides connect at
  * once, both keep the link that the lower id opened. */
-static bool link_better(const struct link *fresh, const struct link *present)
+static bool link_preferred(const struct link *inbound,
+			   const struct link *current)
 {
-	if (present->state == LINK_CONNECTING)
+	if (current->state == LINK_CONNECTING)
 		return true;
-	return fresh->opener <= present->opener;
+	return inbound->opener <= current->opener;
 }
 
 static void link_replace(struct peers *peers, struct peer *peer)
 {
-	struct link *present = peer->link;
+	struct link *current = peer->link;
 
-	if (present->state != LINK_READY) {
-		link_drop(peers, present);
+	if (current->state != LINK_READY) {
+		link_drop(peers, current);
 		return;
 	}
 	peer->link = NULL;
-	link_retire(present);
+	link_retire(current);
 }
 
 static void hello_inbound(struct peers *peers, struct peer *peer,
 			  struct link *link)
 {
-	struct link *present = peer->link;
+	struct link *current = peer->link;
 
-	if (present && !link_better(link, present)) {
+	if (current && !link_preferred(link, current)) {
 		/* The peer ignores a hello on a link in use. If the peer has
 		 * lost that link, the write makes it fail here as well. */
-		if (present->state == LINK_READY && !link_writing(present))
-			hello_write(peers, present);
+		if (current->state == LINK_READY && !link_writing(current))
+			hello_write(peers, current);
 		link_drop(peers, link);
 		return;
 	}
-	if (present)
+	if (current)
 		link_replace(peers, peer);
 	hello_write(peers, link);
 	link_use(peers, peer, link);
@@ -81,9 +82,9 @@
 
 /* Records the incarnation; false when it is a former one. The hello of a newer
  * incarnation closes the ready link of the former one. */
-static bool incarnation_take(struct peers *peers, struct peer *peer,
-			     const struct link *link,
-			     const struct member *member)
+static bool incarnation_update(struct peers *peers, struct peer *peer,
+			       const struct link *link,
+			       const struct member *member)
 {
 	if (member->incarnation < peer->incarnation)
 		return false;
@@ -94,9 +95,9 @@
 	return true;
 }
 
-static const char *hello_fault(const struct peers *peers,
-			       const struct link *link,
-			       const struct member *member)
+static const char *hello_mismatch(const struct peers *peers,
+				  const struct link *link,
+				  const struct member *member)
 {
 	if (member->id == peers->self.id)
 		return "it has the name of this instance";
@@ -115,8 +116,8 @@
 	link_refuse(peers, link);
 }
 
-void hello_take(struct peers *peers, struct link *link, const void *payload,
-		size_t size)
+void hello_receive(struct peers *peers, struct link *link, const void *payload,
+		   size_t size)
 {
 	struct member member;
 	uint64_t token;
@@ -127,7 +128,7 @@
 		link_refuse(peers, link);
 		return;
 	}
-	fault = hello_fault(peers, link, &member);
+	fault = hello_mismatch(peers, link, &member);
 	if (fault) {
 		hello_refuse(peers, link, &member, fault);
 		return;
@@ -137,7 +138,7 @@
 	if (strcmp(member.data_centre, peers->self.data_centre) == 0)
 		link->token_out = token;
 	peer = peer_get(peers, member.id);
-	if (!incarnation_take(peers, peer, link, &member)) {
+	if (!incarnation_update(peers, peer, link, &member)) {
 		hello_refuse(peers, link, &member, "former incarnation");
 		return;
 	}
--- a/entry/peer_hello.c
+++ b/entry/peer_hello.c
@@ -27,7 +27,7 @@
 		msgpack_pack_uint64(&packer, token);
 }
 
-static bool fields_take(struct member *peer, const msgpack_object_array *array)
+static bool fields_read(struct member *peer, const msgpack_object_array *array)
 {
 	const msgpack_object *field = array->ptr;
 
@@ -47,7 +47,7 @@
 }
 
 /* Ignores an element that is not a token, like those of later versions. */
-static uint64_t token_take(const msgpack_object_array *array)
+static uint64_t token_read(const msgpack_object_array *array)
 {
 	const msgpack_object *field = &array->ptr[HELLO_FIELDS];
 
@@ -67,8 +67,8 @@
 	msgpack_unpacked_init(&unpacked);
 	good = message_unpack(&unpacked, data, size, NULL) &&
 	       unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
-	       fields_take(peer, &unpacked.data.via.array);
-	*token = good ? token_take(&unpacked.data.via.array) : 0;
+	       fields_read(peer, &unpacked.data.via.array);
+	*token = good ? token_read(&unpacked.data.via.array) : 0;
 	msgpack_unpacked_destroy(&unpacked);
 	if (!good)
 		return error_set(err, RESULT_BAD_MESSAGE, "malformed hello");
--- a/entry/peer_link.c
+++ b/entry/peer_link.c
@@ -58,14 +58,14 @@
 	link_end(ctx, link_timed_out);
 }
 
-static void message_take(void *ctx, enum channel channel, const void *payload,
-			 size_t size)
+static void message_receive(void *ctx, enum channel channel,
+			    const void *payload, size_t size)
 {
 	struct link *link = ctx;
 
 	if (link->closed)
 		return;
-	link->used = clock_now(loop_clock(link->loop));
+	link->last_used = clock_now(loop_clock(link->loop));
 	link->ops->message(link->ctx, link, channel, payload, size);
 }
 
@@ -89,7 +89,7 @@
 {
 	if (link->writing)
 		return;
-	if (link->ended)
+	if (link->peer_closed)
 		link_end(link, "ended");
 	else
 		shutdown(h2o_socket_get_fd(link->socket), SHUT_WR);
@@ -100,7 +100,7 @@
 static void read_end(struct link *link, const char *err)
 {
 	h2o_socket_read_stop(link->socket);
-	link->ended = true;
+	link->peer_closed = true;
 	if (err != h2o_socket_error_closed || !link->writing)
 		link_end(link, err == h2o_socket_error_closed ? "ended" : err);
 	else
@@ -195,12 +195,12 @@
 
 	link->loop = loop;
 	link->socket = socket;
-	link->reader = frame_reader_create(message_take, link);
+	link->reader = frame_reader_create(message_receive, link);
 	link->out = g_byte_array_new();
 	link->ops = ops;
 	link->ctx = ctx;
 	link->traffic = traffic;
-	link->used = clock_now(loop_clock(loop));
+	link->last_used = clock_now(loop_clock(loop));
 	socket->data = link;
 	timer_init(&link->timeout, loop_clock(loop), timeout_fire, link);
 	timer_start(&link->timeout, timeout_usec);
@@ -261,7 +261,7 @@
 	*queue = link->out;
 	link->out = bytes;
 	link->writing = true;
-	link->used = clock_now(loop_clock(link->loop));
+	link->last_used = clock_now(loop_clock(link->loop));
 	link->traffic->bytes_sent += bytes->len;
 	link->traffic->writes++;
 	h2o_iovec_t buffer = h2o_iovec_init(bytes->data, bytes->len);
--- a/entry/peer_listen.c
+++ b/entry/peer_listen.c
@@ -13,7 +13,7 @@
 #define LISTEN_BACKLOG 512
 
 /* Further free TCP ports tried until one is free for UDP too. */
-#define PORT_TRIES 16
+#define PORT_ATTEMPTS_MAX 16
 
 static int datagrams_bind(const struct sockaddr_storage *storage,
 			  socklen_t size)
@@ -67,7 +67,8 @@
 	if (!datagrams)
 		return fd;
 	*datagrams = datagrams_bind(&storage, size);
-	for (int i = 0; i < PORT_TRIES && free_port && *datagrams < 0; i++) {
+	for (int i = 0; i < PORT_ATTEMPTS_MAX && free_port && *datagrams < 0;
+	     i++) {
 		int next = listen_at(address, &storage, &size, err);
 
 		if (next < 0)
--- a/entry/peer_queue.c
+++ b/entry/peer_queue.c
@@ -12,7 +12,7 @@
 	peers->writes->value = (int64_t)peers->traffic.writes;
 }
 
-bool peer_waiting(const struct peer *peer)
+bool peer_pending(const struct peer *peer)
 {
 	return peer->queue->len > 0 || frame_writer_pending(peer->open) > 0 ||
 	       peer->datagrams.messages > 0;
@@ -22,7 +22,7 @@
  * are not counted, which would require parsing them. */
 void peer_queue_drop(struct peer *peer, enum drop reason)
 {
-	if (!peer_waiting(peer))
+	if (!peer_pending(peer))
 		return;
 	frame_writer_take(peer->open, peer->queue);
 	frame_writer_take(peer->datagrams.open, peer->queue);
@@ -49,7 +49,7 @@
 	datagram_flush(peer);
 	if (peer->link)
 		peer_write(peer);
-	else if (peer_waiting(peer) && !timer_running(&peer->backoff))
+	else if (peer_pending(peer) && !timer_running(&peer->backoff))
 		peer_connect(peer);
 }
 
@@ -74,7 +74,7 @@
 {
 	struct peer *peer = ctx;
 
-	if (!peer->link && peer_waiting(peer))
+	if (!peer->link && peer_pending(peer))
 		peer_connect(peer);
 }
 
--- a/entry/peers.c
+++ b/entry/peers.c
@@ -10,9 +10,9 @@
 #define CONNECT_USEC (1 * USEC_PER_SEC)
 #define IDLE_USEC (30 * USEC_PER_SEC)
 #define BACKOFF_USEC (50 * USEC_PER_MSEC)
-#define BACKOFF_MAX (2 * USEC_PER_SEC)
-#define PROVEN_USEC (5 * USEC_PER_SEC)
-#define ANSWER_USEC (1 * USEC_PER_SEC)
+#define BACKOFF_MAX_USEC (2 * USEC_PER_SEC)
+#define PROBE_INTERVAL_USEC (5 * USEC_PER_SEC)
+#define PROBE_TIMEOUT_USEC (1 * USEC_PER_SEC)
 #define QUEUE_BYTES_MAX (4u << 20)
 #define LINKS_MAX 1024
 
@@ -55,8 +55,8 @@
 	const struct link *link = peer->link;
 
 	return link && link->state == LINK_READY && !link_writing(link) &&
-	       !peer_waiting(peer) &&
-	       clock_now(peers->clock) - link->used >=
+	       !peer_pending(peer) &&
+	       clock_now(peers->clock) - link->last_used >=
 		       peers->settings.idle_usec;
 }
 
@@ -71,7 +71,7 @@
 		peer->link = NULL;
 		link_retire(link);
 	}
-	return !peer->link && !peer_waiting(peer) &&
+	return !peer->link && !peer_pending(peer) &&
 	       !timer_running(&peer->backoff);
 }
 
@@ -80,7 +80,7 @@
 	struct peers *peers = ctx;
 
 	g_hash_table_foreach_remove(peers->table, peer_sweep, peers);
-	peers->linked->value = peers_links(peers);
+	peers->links_ready->value = peers_links(peers);
 	timer_start(timer, peers->settings.idle_usec / 2);
 }
 
@@ -156,8 +156,8 @@
 	return (struct transport){.send = transport_send, .ctx = peers};
 }
 
-void peers_on(struct peers *peers, enum channel channel, peers_receive_fn fn,
-	      void *ctx)
+void peers_handler_set(struct peers *peers, enum channel channel,
+		       peers_receive_fn fn, void *ctx)
 {
 	if (channel <= CHANNEL_HELLO || channel >= CHANNEL_MAX)
 		return;
@@ -183,7 +183,7 @@
 	return ready;
 }
 
-void peers_measure(struct peers *peers)
+void peers_counters_update(struct peers *peers)
 {
 	uint64_t all_sent = peers->traffic.segments_sent;
 	uint64_t all_received = peers->traffic.segments_received;
@@ -216,7 +216,7 @@
 		const struct peer *peer = value;
 
 		if (peer->link &&
-		    (peer_waiting(peer) || link_writing(peer->link)))
+		    (peer_pending(peer) || link_writing(peer->link)))
 			return false;
 	}
 	return true;
@@ -232,9 +232,11 @@
 	to->connect_usec = default_usec(to->connect_usec, CONNECT_USEC);
 	to->idle_usec = default_usec(to->idle_usec, IDLE_USEC);
 	to->backoff_usec = default_usec(to->backoff_usec, BACKOFF_USEC);
-	to->backoff_max = default_usec(to->backoff_max, BACKOFF_MAX);
-	to->proven_usec = default_usec(to->proven_usec, PROVEN_USEC);
-	to->answer_usec = default_usec(to->answer_usec, ANSWER_USEC);
+	to->backoff_max = default_usec(to->backoff_max, BACKOFF_MAX_USEC);
+	to->probe_interval_usec =
+		default_usec(to->probe_interval_usec, PROBE_INTERVAL_USEC);
+	to->probe_timeout_usec =
+		default_usec(to->probe_timeout_usec, PROBE_TIMEOUT_USEC);
 	if (to->queue_bytes_max == 0)
 		to->queue_bytes_max = QUEUE_BYTES_MAX;
 	if (to->links_max == 0)
@@ -287,7 +289,8 @@
 				      "Links opened from here", NULL);
 	peers->refused = counter_get(set, "jt_peer_refused_total",
 				     "Links refused", NULL);
-	peers->linked = gauge_get(set, "jt_peer_links", "Links in use", NULL);
+	peers->links_ready =
+		gauge_get(set, "jt_peer_links", "Links in use", NULL);
 	channels_fill(peers, set);
 	for (int i = 0; i < DROP_COUNT; i++)
 		peers->dropped[i] = counter_get(
--- a/entry/peers_private.h
+++ b/entry/peers_private.h
@@ -22,11 +22,11 @@
 struct peer_datagrams {
 	struct frame_writer *open; /* probes and messages to be sent */
 	uint32_t messages;	   /* in open, without probes */
-	bool proven;		   /* a probe was answered */
-	bool asking;		   /* a probe has no answer yet */
-	int64_t asked;		   /* first probe without an answer */
-	int64_t tried;		   /* last probe */
-	int64_t heard;		   /* last answer */
+	bool confirmed;		   /* a probe was answered */
+	bool probe_pending;	   /* a probe has no answer yet */
+	int64_t pending_since;	   /* first unanswered probe */
+	int64_t last_probe;
+	int64_t last_answer;
 	struct sockaddr_storage to;
 	socklen_t to_size; /* 0 until resolved for the link in use */
 };
@@ -112,14 +112,14 @@
 	struct counter *channel_messages[CHANNEL_MAX];
 	struct counter *connects;
 	struct counter *refused;
-	struct counter *linked;
+	struct counter *links_ready;
 	struct counter *dropped[DROP_COUNT];
 };
 
 /* entry/peer_queue.c: the send queue of a peer. */
 struct peer *peer_get(struct peers *peers, uint64_t id);
 void peer_free(void *data);
-bool peer_waiting(const struct peer *peer);
+bool peer_pending(const struct peer *peer);
 /* Queues a message; false when it was dropped. */
 bool peer_queue_add(struct peer *peer, enum channel channel,
 		    const void *payload, size_t size);
@@ -144,8 +144,8 @@
 
 /* entry/peer_greet.c: the exchange of hellos. */
 void hello_write(struct peers *peers, struct link *link);
-void hello_take(struct peers *peers, struct link *link, const void *payload,
-		size_t size);
+void hello_receive(struct peers *peers, struct link *link, const void *payload,
+		   size_t size);
 
 /* entry/peer_datagram.c */
 /* fd is a bound UDP socket, or -1 to turn datagrams off. */
--- a/entry/status.c
+++ b/entry/status.c
@@ -251,7 +251,7 @@
 		    NULL)
 		->value = (int64_t)stats.cancels;
 	members_measure(entry);
-	peers_measure(entry->peers);
+	peers_counters_update(entry->peers);
 }
 
 void history_print(const struct entry *entry, GString *out)
--- a/include/entry/peer_link.h
+++ b/include/entry/peer_link.h
@@ -57,9 +57,9 @@
 
 struct link {
 	enum link_state state;
-	uint64_t peer;	 /* 0 on an inbound link before its hello */
-	uint64_t opener; /* the instance that connected */
-	int64_t used;	 /* clock time of the last message or datagram */
+	uint64_t peer;	   /* 0 on an inbound link before its hello */
+	uint64_t opener;   /* the instance that connected */
+	int64_t last_used; /* clock time of the last message or datagram */
 	/* Tokens of datagrams from and to the peer; 0 for no datagrams. */
 	uint64_t token_in;
 	uint64_t token_out;
@@ -70,7 +70,7 @@
 	GByteArray *out;
 	bool writing;
 	bool closed;
-	bool ended; /* the peer has shut down its sending direction */
+	bool peer_closed; /* the peer has shut down its sending direction */
 	struct timer timeout;
 	const struct link_ops *ops;
 	void *ctx;
--- a/include/entry/peers.h
+++ b/include/entry/peers.h
@@ -51,15 +51,15 @@
 	uint64_t incarnation;
 	uint32_t seed;
 	int64_t coalesce_usec;
-	int64_t connect_usec;	/* TCP connect and hello; default 1 s */
-	int64_t idle_usec;	/* default 30 s */
-	int64_t backoff_usec;	/* first reconnect; default 50 ms */
-	int64_t backoff_max;	/* default 2 s */
-	size_t queue_bytes_max; /* default 4 MiB for each peer */
-	uint32_t links_max;	/* default 1,024 */
-	int64_t proven_usec; /* from an answer to the next probe; default 5 s */
-	int64_t answer_usec; /* wait for an answer to a probe; default 1 s */
-	bool datagrams;	     /* small messages of the ledger use UDP */
+	int64_t connect_usec;	     /* TCP connect and hello; default 1 s */
+	int64_t idle_usec;	     /* default 30 s */
+	int64_t backoff_usec;	     /* first reconnect; default 50 ms */
+	int64_t backoff_max;	     /* default 2 s */
+	size_t queue_bytes_max;	     /* default 4 MiB for each peer */
+	uint32_t links_max;	     /* default 1,024 */
+	int64_t probe_interval_usec; /* after an answer; default 5 s */
+	int64_t probe_timeout_usec;  /* of a probe; default 1 s */
+	bool datagrams;		     /* small messages of the ledger use UDP */
 };
 
 struct peers_ops {
@@ -84,8 +84,8 @@
 const char *peers_address(const struct peers *peers);
 /* Sets the handler of a channel. Messages of a channel without a handler (fn
  * NULL) are dropped. */
-void peers_on(struct peers *peers, enum channel channel, peers_receive_fn fn,
-	      void *ctx);
+void peers_handler_set(struct peers *peers, enum channel channel,
+		       peers_receive_fn fn, void *ctx);
 void peers_send(struct peers *peers, uint64_t instance, enum channel channel,
 		const void *payload, size_t size);
 /* peers_send() as a transport of the coordination library. */
@@ -95,7 +95,7 @@
 bool peers_flushed(const struct peers *peers);
 /* Updates the counters of bytes and writes, and those of TCP segments from the
  * kernel's figures for each link. Called before counters are exported. */
-void peers_measure(struct peers *peers);
+void peers_counters_update(struct peers *peers);
 /* Number of links on which both hellos were exchanged. */
 uint32_t peers_links(const struct peers *peers);
 
--- a/tests/entry/peers_world.c
+++ b/tests/entry/peers_world.c
@@ -63,7 +63,7 @@
 	g_assert_nonnull(side->peers);
 	g_strlcpy(side->address, peers_address(side->peers),
 		  sizeof(side->address));
-	peers_on(side->peers, CHANNEL_LEDGER, side_receive, side);
+	peers_handler_set(side->peers, CHANNEL_LEDGER, side_receive, side);
 }
 
 void side_stop(struct world *world, int i)
--- a/tests/entry/test_directory_sync.c
+++ b/tests/entry/test_directory_sync.c
@@ -138,8 +138,8 @@
 {
 }
 
-void peers_on(struct peers *peers, enum channel channel, peers_receive_fn fn,
-	      void *ctx)
+void peers_handler_set(struct peers *peers, enum channel channel,
+		       peers_receive_fn fn, void *ctx)
 {
 	struct node *node = (struct node *)peers;
 
--- a/tests/entry/test_peer_datagrams.c
+++ b/tests/entry/test_peer_datagrams.c
@@ -25,7 +25,7 @@
 
 static const struct peers_settings with = {
 	.datagrams = true,
-	.answer_usec = 5 * USEC_PER_SEC,
+	.probe_timeout_usec = 5 * USEC_PER_SEC,
 };
 
 static int64_t messages(const struct side *side, const char *direction)
@@ -543,8 +543,8 @@
 {
 	struct peers_settings settings = {
 		.datagrams = true,
-		.proven_usec = 100 * USEC_PER_MSEC,
-		.answer_usec = 200 * USEC_PER_MSEC,
+		.probe_interval_usec = 100 * USEC_PER_MSEC,
+		.probe_timeout_usec = 200 * USEC_PER_MSEC,
 	};
 	struct world world;
 	struct fake fake;
@@ -561,7 +561,8 @@
 	for (; sent < 200 && fake.by_datagram < 20; sent++)
 		to_fake(&fake);
 	g_assert_cmpint(fake.by_datagram, ==, 20);
-	/* Probes are sent only every proven_usec, and no message is lost. */
+	/* Probes are sent only every probe_interval_usec, and no message is
+	 * lost. */
 	g_assert_cmpint(fake.by_datagram + fake.by_link, ==, sent);
 	fake.answers = false;
 	int by_link = fake.by_link;
--- a/tests/entry/test_peers.c
+++ b/tests/entry/test_peers.c
@@ -41,7 +41,7 @@
 		counted(&world.sides[0], "jt_peer_sent_bytes_total", NULL), ==,
 		counted(&world.sides[1], "jt_peer_received_bytes_total", NULL));
 	/* The TCP handshake, four writes and their acknowledgements. */
-	peers_measure(world.sides[0].peers);
+	peers_counters_update(world.sides[0].peers);
 	g_assert_cmpint(counted(&world.sides[0], "jt_peer_segments_total",
 				"direction=\"sent\""),
 			>=, 4);
