--- a/tests/entry/fuzz_datagram.c
+++ b/tests/entry/fuzz_datagram.c
@@ -35,18 +35,19 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct digest first = {.writer = frame_writer_create()};
-	struct digest again = {0};
+	struct digest second = {0};
 	struct datagram datagram;
 	struct datagram copy;
 	GByteArray *out = g_byte_array_new();
-	bool sized = datagram_decode(&datagram, data, size, NULL);
+	bool valid_size = datagram_decode(&datagram, data, size, NULL);
 
-	g_assert_cmpint(sized, ==,
+	g_assert_cmpint(valid_size, ==,
 			size > DATAGRAM_HEADER && size <= DATAGRAM_MAX);
-	if (sized && !datagram_read(&datagram, digest_message, &first, NULL))
+	if (valid_size &&
+	    !datagram_read(&datagram, digest_message, &first, NULL))
 		g_assert_cmpuint(first.messages, ==, 0);
-	datagram_encode(sized ? datagram.sender : 0, sized ? datagram.token : 0,
-			first.writer, out);
+	datagram_encode(valid_size ? datagram.sender : 0,
+			valid_size ? datagram.token : 0, first.writer, out);
 	g_assert_cmpint(out->len != 0, ==, first.messages != 0);
 	if (out->len != 0) {
 		g_assert_true(
@@ -54,8 +55,8 @@
 		g_assert_cmpuint(copy.sender, ==, datagram.sender);
 		g_assert_cmpuint(copy.token, ==, datagram.token);
 		g_assert_true(
-			datagram_read(&copy, digest_message, &again, NULL));
-		g_assert_cmpuint(again.value, ==, first.value);
+			datagram_read(&copy, digest_message, &second, NULL));
+		g_assert_cmpuint(second.value, ==, first.value);
 	}
 	g_byte_array_unref(out);
 	frame_writer_destroy(first.writer);
@@ -65,7 +66,7 @@
 #ifndef FUZZ_ENGINE
 #include "mutate.h"
 
-static GByteArray *sound(int messages)
+static GByteArray *valid_datagram(int messages)
 {
 	struct frame_writer *writer = frame_writer_create();
 	GByteArray *out = g_byte_array_new();
@@ -87,7 +88,8 @@
 static void test_mutations(void)
 {
 	for (int i = 0; i < MUTATIONS; i++) {
-		GByteArray *bytes = sound(g_test_rand_int_range(1, 16));
+		GByteArray *bytes =
+			valid_datagram(g_test_rand_int_range(1, 16));
 
 		LLVMFuzzerTestOneInput(bytes->data, bytes->len);
 		bytes_mutate(bytes, 3);
--- a/tests/entry/peers_world.h
+++ b/tests/entry/peers_world.h
@@ -8,44 +8,45 @@
 #include "entry/peers.h"
 #include "run.h"
 
-#define SIDES 3
+#define NODES 3
 #define COALESCE_USEC (2 * USEC_PER_MSEC)
 
-struct side {
+struct node {
 	struct world *world;
 	struct peers *peers;
 	struct counter_set *counters;
 	const char *name;
 	uint64_t id;
 	char address[64];
-	GString *got; /* "SENDER:TEXT " for each message */
+	GString *received; /* "SENDER:TEXT " for each message */
 	int count;
 	int hellos;
-	int wanted;
+	int expected;
 };
 
 struct world {
 	struct run run;
-	struct side sides[SIDES];
+	struct node nodes[NODES];
 	struct peers_settings settings;
-	int apart; /* index of the one in another data centre; 0 for none */
-	/* The address callback returns moved_to for the id moved. */
-	uint64_t moved;
-	const char *moved_to;
+	int remote; /* index of the node in another data centre; 0 for none */
+	/* The address callback returns override_address for override_id. */
+	uint64_t override_id;
+	const char *override_address;
 };
 
-const char *side_address(void *ctx, uint64_t instance);
-void side_start(struct world *world, int i, uint64_t incarnation);
-void side_stop(struct world *world, int i);
+const char *node_address(void *ctx, uint64_t instance);
+void node_start(struct world *world, int i, uint64_t incarnation);
+void node_stop(struct world *world, int i);
 /* settings may be NULL. */
 void world_setup(struct world *world, const struct peers_settings *settings);
 void world_teardown(struct world *world);
-int64_t counted(const struct side *side, const char *name, const char *labels);
+int64_t counter_value(const struct node *node, const char *name,
+		      const char *labels);
 void send_text(struct world *world, int from, int to, const char *text);
-/* Waits until i has received the wanted number of messages; fails when it has
- * received more. */
-void wait_for(struct world *world, int i, int wanted);
-/* Whether the first instance has no ready link. */
-bool no_links(void *ctx);
+/* Waits until node i has received the expected number of messages; fails when
+ * it has received more. */
+void messages_wait(struct world *world, int i, int expected);
+/* Whether node 0 has no ready link. */
+bool links_closed(void *ctx);
 
 #endif
--- a/tests/entry/run.h
+++ b/tests/entry/run.h
@@ -12,11 +12,11 @@
 	struct clock *clock;
 	struct loop *loop;
 	struct counter_set *counters;
-	struct timer look;
+	struct timer poll;
 	bool (*condition)(void *ctx);
 	void *ctx;
 	int64_t deadline;
-	bool held; /* the condition became true */
+	bool met; /* the condition became true */
 };
 
 void run_setup(struct run *run);
--- a/tests/entry/test_peer_datagrams.c
+++ b/tests/entry/test_peer_datagrams.c
@@ -18,36 +18,38 @@
 
 #define FAKE "fake"
 #define FAKE_TOKEN 77
-#define LARGEST 1173 /* payload of a message that is alone in a datagram */
+/* Payload of a message that is alone in a datagram. */
+#define PAYLOAD_MAX 1173
 
 #define SENT "direction=\"sent\""
 #define RECEIVED "direction=\"received\""
 
-static const struct peers_settings with = {
+static const struct peers_settings datagrams_on = {
 	.datagrams = true,
 	.probe_timeout_usec = 5 * USEC_PER_SEC,
 };
 
-static int64_t messages(const struct side *side, const char *direction)
+static int64_t messages(const struct node *node, const char *direction)
 {
-	return counted(side, "jt_peer_datagram_messages_total", direction);
+	return counter_value(node, "jt_peer_datagram_messages_total",
+			     direction);
 }
 
-static int64_t dropped(const struct side *side, const char *reason)
+static int64_t dropped(const struct node *node, const char *reason)
 {
 	g_autofree char *label = g_strdup_printf("reason=\"%s\"", reason);
 
-	return counted(side, "jt_peer_datagram_dropped_total", label);
+	return counter_value(node, "jt_peer_datagram_dropped_total", label);
 }
 
-static int64_t dropped_all(const struct side *side)
+static int64_t dropped_all(const struct node *node)
 {
 	static const char *const reasons[] = {"size",	   "sender",  "token",
 					      "malformed", "channel", "busy"};
 	int64_t sum = 0;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(reasons); i++)
-		sum += dropped(side, reasons[i]);
+		sum += dropped(node, reasons[i]);
 	return sum;
 }
 
@@ -57,44 +59,47 @@
 }
 
 /* Sends from a to b until a message is sent as a datagram. */
-static void prove(struct world *world)
+static void datagrams_confirm(struct world *world)
 {
-	struct side *a = &world->sides[0];
+	struct node *a = &world->nodes[0];
 
 	for (int i = 0; i < 20 && !message_sent(a); i++) {
 		send_text(world, 0, 1, "p");
 		run_for(&world->run, 20 * USEC_PER_MSEC);
 	}
 	g_assert_true(message_sent(a));
-	world->sides[1].count = 0;
-	g_string_truncate(world->sides[1].got, 0);
+	world->nodes[1].count = 0;
+	g_string_truncate(world->nodes[1].received, 0);
 }
 
 static void test_exchange(void)
 {
 	struct world world;
-	struct side *a = &world.sides[0];
-	struct side *b = &world.sides[1];
+	struct node *a = &world.nodes[0];
+	struct node *b = &world.nodes[1];
 
-	world_setup(&world, &with);
-	prove(&world);
+	world_setup(&world, &datagrams_on);
+	datagrams_confirm(&world);
 	int64_t before = messages(a, SENT);
-	int64_t writes = counted(a, "jt_peer_writes_total", NULL);
-	int64_t grams = counted(a, "jt_peer_datagrams_total", SENT);
+	int64_t writes = counter_value(a, "jt_peer_writes_total", NULL);
+	int64_t datagram_count =
+		counter_value(a, "jt_peer_datagrams_total", SENT);
 
 	send_text(&world, 0, 1, "one");
 	send_text(&world, 0, 1, "two");
 	g_assert_false(peers_flushed(a->peers));
-	wait_for(&world, 1, 2);
+	messages_wait(&world, 1, 2);
 	g_assert_true(peers_flushed(a->peers));
-	g_assert_cmpstr(b->got->str, ==, "a:one a:two ");
+	g_assert_cmpstr(b->received->str, ==, "a:one a:two ");
 	g_assert_cmpint(messages(a, SENT), ==, before + 2);
 	g_assert_cmpint(messages(b, RECEIVED), ==, before + 2);
-	g_assert_cmpint(counted(a, "jt_peer_datagrams_total", SENT), ==,
-			grams + 1);
-	g_assert_cmpint(counted(a, "jt_peer_datagram_bytes_total", SENT), ==,
-			counted(b, "jt_peer_datagram_bytes_total", RECEIVED));
-	g_assert_cmpint(counted(a, "jt_peer_writes_total", NULL), ==, writes);
+	g_assert_cmpint(counter_value(a, "jt_peer_datagrams_total", SENT), ==,
+			datagram_count + 1);
+	g_assert_cmpint(
+		counter_value(a, "jt_peer_datagram_bytes_total", SENT), ==,
+		counter_value(b, "jt_peer_datagram_bytes_total", RECEIVED));
+	g_assert_cmpint(counter_value(a, "jt_peer_writes_total", NULL), ==,
+			writes);
 	g_assert_cmpint(dropped_all(a) + dropped_all(b), ==, 0);
 	world_teardown(&world);
 }
@@ -107,34 +112,37 @@
 		size_t size;
 		int count;
 		int64_t messages;
-		int64_t grams; /* at most */
+		int64_t datagram_count; /* sent, at most */
 	} rows[] = {
-		{LARGEST, 1, 1, 1}, {LARGEST + 1, 1, 0, 0}, {LARGEST, 5, 5, 5},
-		{100, 50, 50, 5},   {583, 4, 4, 2},	    {0, 300, 300, 3},
+		{PAYLOAD_MAX, 1, 1, 1}, {PAYLOAD_MAX + 1, 1, 0, 0},
+		{PAYLOAD_MAX, 5, 5, 5}, {100, 50, 50, 5},
+		{583, 4, 4, 2},		{0, 300, 300, 3},
 		{100000, 3, 0, 0},
 	};
 	struct world world;
-	struct side *a = &world.sides[0];
+	struct node *a = &world.nodes[0];
 	char *text = g_malloc0(100000);
 
-	world_setup(&world, &with);
-	prove(&world);
+	world_setup(&world, &datagrams_on);
+	datagrams_confirm(&world);
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
 		int64_t before = messages(a, SENT);
-		int64_t grams = counted(a, "jt_peer_datagrams_total", SENT);
+		int64_t datagram_count =
+			counter_value(a, "jt_peer_datagrams_total", SENT);
 
-		world.sides[1].count = 0;
+		world.nodes[1].count = 0;
 		for (int n = 0; n < rows[i].count; n++)
-			peers_send(a->peers, world.sides[1].id, CHANNEL_LEDGER,
+			peers_send(a->peers, world.nodes[1].id, CHANNEL_LEDGER,
 				   text, rows[i].size);
-		wait_for(&world, 1, rows[i].count);
+		messages_wait(&world, 1, rows[i].count);
 		g_assert_cmpint(messages(a, SENT) - before, ==,
 				rows[i].messages);
-		g_assert_cmpint(counted(a, "jt_peer_datagrams_total", SENT) -
-					grams,
-				<=, rows[i].grams);
+		g_assert_cmpint(
+			counter_value(a, "jt_peer_datagrams_total", SENT) -
+				datagram_count,
+			<=, rows[i].datagram_count);
 	}
-	g_assert_cmpint(dropped_all(&world.sides[1]), ==, 0);
+	g_assert_cmpint(dropped_all(&world.nodes[1]), ==, 0);
 	g_free(text);
 	world_teardown(&world);
 }
@@ -142,51 +150,52 @@
 static void test_other_channels(void)
 {
 	struct world world;
-	struct side *a = &world.sides[0];
+	struct node *a = &world.nodes[0];
 
-	world_setup(&world, &with);
-	prove(&world);
+	world_setup(&world, &datagrams_on);
+	datagrams_confirm(&world);
 	int64_t before = messages(a, SENT);
 
 	for (int channel = CHANNEL_MEMBER; channel < CHANNEL_MAX; channel++) {
 		if (channel != CHANNEL_LEDGER)
-			peers_send(a->peers, world.sides[1].id,
+			peers_send(a->peers, world.nodes[1].id,
 				   (enum channel)channel, "x", 1);
 	}
-	int64_t bytes = counted(a, "jt_peer_sent_bytes_total", NULL);
+	int64_t bytes = counter_value(a, "jt_peer_sent_bytes_total", NULL);
 
 	run_for(&world.run, 20 * USEC_PER_MSEC);
 	g_assert_cmpint(messages(a, SENT), ==, before);
-	g_assert_cmpint(counted(a, "jt_peer_sent_bytes_total", NULL), >, bytes);
+	g_assert_cmpint(counter_value(a, "jt_peer_sent_bytes_total", NULL), >,
+			bytes);
 	world_teardown(&world);
 }
 
 /* No datagrams when the setting is off on either side, nor messages in
  * datagrams to another data centre. */
-static void test_none(gconstpointer data)
+static void test_disabled(gconstpointer data)
 {
 	int row = GPOINTER_TO_INT(data);
 	struct world world;
 
-	world_setup(&world, row == 0 ? NULL : &with);
+	world_setup(&world, row == 0 ? NULL : &datagrams_on);
 	if (row == 1)
 		world.settings.datagrams = false;
 	if (row == 2)
-		world.apart = 1;
-	side_stop(&world, 1);
-	side_start(&world, 1, 11);
+		world.remote = 1;
+	node_stop(&world, 1);
+	node_start(&world, 1, 11);
 	for (int i = 0; i < 5; i++) {
 		send_text(&world, 0, 1, "x");
 		send_text(&world, 1, 0, "y");
 		run_for(&world.run, 20 * USEC_PER_MSEC);
 	}
 	for (int i = 0; i < 2; i++) {
-		g_assert_cmpint(world.sides[i].count, ==, 5);
-		g_assert_cmpint(messages(&world.sides[i], SENT), ==, 0);
+		g_assert_cmpint(world.nodes[i].count, ==, 5);
+		g_assert_cmpint(messages(&world.nodes[i], SENT), ==, 0);
 	}
 	if (row < 2)
-		g_assert_cmpint(counted(&world.sides[0],
-					"jt_peer_datagrams_total", SENT),
+		g_assert_cmpint(counter_value(&world.nodes[0],
+					      "jt_peer_datagrams_total", SENT),
 				==, 0);
 	world_teardown(&world);
 }
@@ -200,21 +209,22 @@
 	struct world world;
 
 	world_setup(&world, &settings);
-	for (int i = 0; i < 20 && !message_sent(&world.sides[0]); i++) {
+	for (int i = 0; i < 20 && !message_sent(&world.nodes[0]); i++) {
 		send_text(&world, 0, 1, "p");
 		run_for(&world.run, 150 * USEC_PER_MSEC);
 	}
-	g_assert_true(message_sent(&world.sides[0]));
-	int64_t before = messages(&world.sides[1], RECEIVED);
+	g_assert_true(message_sent(&world.nodes[0]));
+	int64_t before = messages(&world.nodes[1], RECEIVED);
 
-	world.sides[1].count = 0;
+	world.nodes[1].count = 0;
 	send_text(&world, 0, 1, "late");
-	side_stop(&world, 1);
-	g_assert_true(run_until(&world.run, no_links, &world));
-	side_start(&world, 1, 11);
-	wait_for(&world, 1, 1);
-	g_assert_true(g_str_has_suffix(world.sides[1].got->str, "a:late "));
-	g_assert_cmpint(messages(&world.sides[1], RECEIVED), ==, before);
+	node_stop(&world, 1);
+	g_assert_true(run_until(&world.run, links_closed, &world));
+	node_start(&world, 1, 11);
+	messages_wait(&world, 1, 1);
+	g_assert_true(
+		g_str_has_suffix(world.nodes[1].received->str, "a:late "));
+	g_assert_cmpint(messages(&world.nodes[1], RECEIVED), ==, before);
 	world_teardown(&world);
 }
 
@@ -226,20 +236,20 @@
 	socklen_t size;
 	int fd = socket(AF_INET, SOCK_DGRAM, 0);
 
-	world_setup(&world, &with);
-	side_stop(&world, 1);
+	world_setup(&world, &datagrams_on);
+	node_stop(&world, 1);
 	g_assert_true(
-		address_parse(world.sides[1].address, &storage, &size, NULL));
+		address_parse(world.nodes[1].address, &storage, &size, NULL));
 	g_assert_cmpint(bind(fd, (struct sockaddr *)&storage, size), ==, 0);
-	side_start(&world, 1, 11);
+	node_start(&world, 1, 11);
 	for (int i = 0; i < 5; i++) {
 		send_text(&world, 0, 1, "x");
 		run_for(&world.run, 10 * USEC_PER_MSEC);
 	}
-	wait_for(&world, 1, 5);
+	messages_wait(&world, 1, 5);
 	g_assert_cmpint(
-		counted(&world.sides[0], "jt_peer_datagrams_total", SENT), ==,
-		0);
+		counter_value(&world.nodes[0], "jt_peer_datagrams_total", SENT),
+		==, 0);
 	close(fd);
 	world_teardown(&world);
 }
@@ -376,7 +386,7 @@
 	socklen_t size;
 
 	*fake = (struct fake){.world = world};
-	g_assert_true(address_parse(world->sides[0].address, &fake->to,
+	g_assert_true(address_parse(world->nodes[0].address, &fake->to,
 				    &fake->to_size, NULL));
 	g_assert_true(address_parse("127.0.0.1:0", &own, &size, NULL));
 	fake->udp = socket(AF_INET, SOCK_DGRAM, 0);
@@ -384,8 +394,8 @@
 	g_assert_cmpint(getsockname(fake->udp, (struct sockaddr *)&own, &size),
 			==, 0);
 	address_print(&own, fake->address);
-	world->moved = id_of(FAKE);
-	world->moved_to = fake->address;
+	world->override_id = id_of(FAKE);
+	world->override_address = fake->address;
 	fake_connect(fake, 10);
 }
 
@@ -402,7 +412,7 @@
 	bool own_token;
 	const char *body;
 	size_t size;
-	int taken;
+	int accepted;
 	int times;
 };
 
@@ -438,31 +448,31 @@
 	 1},
 };
 
-static bool datagram_read_all(void *ctx)
+static bool datagrams_received(void *ctx)
 {
-	const struct side *side = ctx;
+	const struct node *node = ctx;
 
-	return counted(side, "jt_peer_datagrams_total", RECEIVED) >=
-	       side->wanted;
+	return counter_value(node, "jt_peer_datagrams_total", RECEIVED) >=
+	       node->expected;
 }
 
-static void datagrams_wait(struct world *world, int wanted)
+static void datagrams_wait(struct world *world, int expected)
 {
-	world->sides[0].wanted = wanted;
+	world->nodes[0].expected = expected;
 	g_assert_true(
-		run_until(&world->run, datagram_read_all, &world->sides[0]));
+		run_until(&world->run, datagrams_received, &world->nodes[0]));
 }
 
 static void test_fault(gconstpointer data)
 {
 	const struct fault *row = data;
 	struct world world;
-	struct side *a = &world.sides[0];
+	struct node *a = &world.nodes[0];
 	struct fake fake;
 	uint64_t header[2];
 	GByteArray *bytes = g_byte_array_new();
 
-	world_setup(&world, &with);
+	world_setup(&world, &datagrams_on);
 	fake_setup(&fake, &world);
 	header[0] = GUINT64_TO_BE(id_of(FAKE) ^ !row->own_sender);
 	header[1] = GUINT64_TO_BE(fake.token ^ !row->own_token);
@@ -471,14 +481,14 @@
 	for (int i = 0; i < row->times; i++)
 		fake_send(&fake, bytes->data, bytes->len);
 	datagrams_wait(&world, row->times);
-	g_assert_cmpint(a->count, ==, row->taken);
+	g_assert_cmpint(a->count, ==, row->accepted);
 	g_assert_cmpint(dropped_all(a), ==, row->reason ? 1 : 0);
 	if (row->reason)
 		g_assert_cmpint(dropped(a, row->reason), ==, 1);
 	/* The link stays open and valid datagrams are still accepted. */
 	fake_message(&fake, id_of(FAKE), fake.token, CHANNEL_LEDGER, "ok", 2);
 	datagrams_wait(&world, row->times + 1);
-	g_assert_cmpint(a->count, ==, row->taken + 1);
+	g_assert_cmpint(a->count, ==, row->accepted + 1);
 	g_assert_cmpuint(peers_links(a->peers), ==, 1);
 	g_byte_array_unref(bytes);
 	fake_teardown(&fake);
@@ -492,12 +502,12 @@
 	struct world world;
 	struct fake fake;
 
-	world_setup(&world, &with);
+	world_setup(&world, &datagrams_on);
 	fake_setup(&fake, &world);
 	for (size_t size = 0; size <= DATAGRAM_HEADER; size++)
 		fake_send(&fake, bytes, size);
 	datagrams_wait(&world, DATAGRAM_HEADER + 1);
-	g_assert_cmpint(dropped(&world.sides[0], "size"), ==,
+	g_assert_cmpint(dropped(&world.nodes[0], "size"), ==,
 			DATAGRAM_HEADER + 1);
 	fake_teardown(&fake);
 	world_teardown(&world);
@@ -507,15 +517,15 @@
 static void test_old_token(void)
 {
 	struct world world;
-	struct side *a = &world.sides[0];
+	struct node *a = &world.nodes[0];
 	struct fake fake;
 
-	world_setup(&world, &with);
+	world_setup(&world, &datagrams_on);
 	fake_setup(&fake, &world);
 	uint64_t old = fake.token;
 
 	fake_disconnect(&fake);
-	g_assert_true(run_until(&world.run, no_links, &world));
+	g_assert_true(run_until(&world.run, links_closed, &world));
 	fake_message(&fake, id_of(FAKE), old, CHANNEL_LEDGER, "x", 1);
 	datagrams_wait(&world, 1);
 	g_assert_cmpint(dropped(a, "sender"), ==, 1);
@@ -529,9 +539,9 @@
 	world_teardown(&world);
 }
 
-static void to_fake(struct fake *fake)
+static void fake_exchange(struct fake *fake)
 {
-	peers_send(fake->world->sides[0].peers, id_of(FAKE), CHANNEL_LEDGER,
+	peers_send(fake->world->nodes[0].peers, id_of(FAKE), CHANNEL_LEDGER,
 		   "x", 1);
 	run_for(&fake->world->run, 10 * USEC_PER_MSEC);
 	fake_read(fake);
@@ -553,13 +563,13 @@
 	world_setup(&world, &settings);
 	fake_setup(&fake, &world);
 	for (; sent < 20; sent++)
-		to_fake(&fake);
+		fake_exchange(&fake);
 	g_assert_cmpint(fake.by_datagram, ==, 0);
 	g_assert_cmpint(fake.by_link, ==, 20);
 	g_assert_cmpint(fake.probes, >=, 2);
 	fake.answers = true;
 	for (; sent < 200 && fake.by_datagram < 20; sent++)
-		to_fake(&fake);
+		fake_exchange(&fake);
 	g_assert_cmpint(fake.by_datagram, ==, 20);
 	/* Probes are sent only every probe_interval_usec, and no message is
 	 * lost. */
@@ -568,12 +578,12 @@
 	int by_link = fake.by_link;
 
 	for (int i = 0; i < 200 && fake.by_link == by_link; i++)
-		to_fake(&fake);
+		fake_exchange(&fake);
 	g_assert_cmpint(fake.by_link, ==, by_link + 1);
 	int by_datagram = fake.by_datagram;
 
 	for (int i = 0; i < 5; i++)
-		to_fake(&fake);
+		fake_exchange(&fake);
 	g_assert_cmpint(fake.by_link, ==, by_link + 6);
 	g_assert_cmpint(fake.by_datagram, ==, by_datagram);
 	fake_teardown(&fake);
@@ -582,22 +592,22 @@
 
 /* An answer without a pending probe does not enable datagrams, and malformed
  * probes are ignored. */
-static void test_unasked(void)
+static void test_unsolicited(void)
 {
 	struct world world;
 	struct fake fake;
 
-	world_setup(&world, &with);
+	world_setup(&world, &datagrams_on);
 	fake_setup(&fake, &world);
 	fake_message(&fake, id_of(FAKE), fake.token, CHANNEL_HELLO, "\1", 1);
 	fake_message(&fake, id_of(FAKE), fake.token, CHANNEL_HELLO, "", 0);
 	fake_message(&fake, id_of(FAKE), fake.token, CHANNEL_HELLO, "\1\1", 2);
 	fake_message(&fake, id_of(FAKE), fake.token, CHANNEL_HELLO, "\2", 1);
 	datagrams_wait(&world, 4);
-	to_fake(&fake);
+	fake_exchange(&fake);
 	g_assert_cmpint(fake.by_link, ==, 1);
 	g_assert_cmpint(fake.by_datagram, ==, 0);
-	g_assert_cmpint(dropped_all(&world.sides[0]), ==, 0);
+	g_assert_cmpint(dropped_all(&world.nodes[0]), ==, 0);
 	fake_teardown(&fake);
 	world_teardown(&world);
 }
@@ -609,17 +619,18 @@
 	g_test_add_func("/datagrams/exchange", test_exchange);
 	g_test_add_func("/datagrams/sizes", test_sizes);
 	g_test_add_func("/datagrams/other-channels", test_other_channels);
-	g_test_add_data_func("/datagrams/off", GINT_TO_POINTER(0), test_none);
+	g_test_add_data_func("/datagrams/off", GINT_TO_POINTER(0),
+			     test_disabled);
 	g_test_add_data_func("/datagrams/off-there", GINT_TO_POINTER(1),
-			     test_none);
+			     test_disabled);
 	g_test_add_data_func("/datagrams/data-centres", GINT_TO_POINTER(2),
-			     test_none);
+			     test_disabled);
 	g_test_add_func("/datagrams/link-lost", test_link_lost);
 	g_test_add_func("/datagrams/port-taken", test_port_taken);
 	g_test_add_func("/datagrams/short", test_short);
 	g_test_add_func("/datagrams/old-token", test_old_token);
 	g_test_add_func("/datagrams/lost", test_lost);
-	g_test_add_func("/datagrams/unasked", test_unasked);
+	g_test_add_func("/datagrams/unasked", test_unsolicited);
 	ROWS_ADD("/datagrams/fault/", faults, test_fault);
 	return g_test_run();
 }
--- a/tests/entry/test_peers.c
+++ b/tests/entry/test_peers.c
@@ -25,31 +25,34 @@
 	send_text(&world, 0, 1, "one");
 	send_text(&world, 0, 1, "two");
 	send_text(&world, 0, 1, "");
-	wait_for(&world, 1, 3);
-	g_assert_cmpstr(world.sides[1].got->str, ==, "a:one a:two a: ");
+	messages_wait(&world, 1, 3);
+	g_assert_cmpstr(world.nodes[1].received->str, ==, "a:one a:two a: ");
 	send_text(&world, 1, 0, "back");
-	wait_for(&world, 0, 1);
-	g_assert_cmpstr(world.sides[0].got->str, ==, "b:back ");
+	messages_wait(&world, 0, 1);
+	g_assert_cmpstr(world.nodes[0].received->str, ==, "b:back ");
 	/* One write for the hello and one frame for the three messages. The
 	 * reply uses the same link. */
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_writes_total", NULL),
-			==, 2);
 	g_assert_cmpint(
-		counted(&world.sides[1], "jt_peer_connects_total", NULL), ==,
-		0);
+		counter_value(&world.nodes[0], "jt_peer_writes_total", NULL),
+		==, 2);
 	g_assert_cmpint(
-		counted(&world.sides[0], "jt_peer_sent_bytes_total", NULL), ==,
-		counted(&world.sides[1], "jt_peer_received_bytes_total", NULL));
+		counter_value(&world.nodes[1], "jt_peer_connects_total", NULL),
+		==, 0);
+	g_assert_cmpint(counter_value(&world.nodes[0],
+				      "jt_peer_sent_bytes_total", NULL),
+			==,
+			counter_value(&world.nodes[1],
+				      "jt_peer_received_bytes_total", NULL));
 	/* The TCP handshake, four writes and their acknowledgements. */
-	peers_counters_update(world.sides[0].peers);
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_segments_total",
-				"direction=\"sent\""),
+	peers_counters_update(world.nodes[0].peers);
+	g_assert_cmpint(counter_value(&world.nodes[0], "jt_peer_segments_total",
+				      "direction=\"sent\""),
 			>=, 4);
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_segments_total",
-				"direction=\"received\""),
+	g_assert_cmpint(counter_value(&world.nodes[0], "jt_peer_segments_total",
+				      "direction=\"received\""),
 			>=, 3);
-	g_assert_cmpint(world.sides[0].hellos, ==, 1);
-	g_assert_true(peers_flushed(world.sides[0].peers));
+	g_assert_cmpint(world.nodes[0].hellos, ==, 1);
+	g_assert_true(peers_flushed(world.nodes[0].peers));
 	world_teardown(&world);
 }
 
@@ -60,17 +63,19 @@
 
 	world_setup(&world, NULL);
 	send_text(&world, 0, 1, "first");
-	wait_for(&world, 1, 1);
-	int64_t before = counted(&world.sides[0], "jt_peer_writes_total", NULL);
+	messages_wait(&world, 1, 1);
+	int64_t before =
+		counter_value(&world.nodes[0], "jt_peer_writes_total", NULL);
 
 	for (int i = 0; i < 100; i++)
 		send_text(&world, 0, 1, "x");
-	g_assert_false(peers_flushed(world.sides[0].peers));
-	wait_for(&world, 1, 101);
+	g_assert_false(peers_flushed(world.nodes[0].peers));
+	messages_wait(&world, 1, 101);
 	send_text(&world, 0, 1, "y");
-	wait_for(&world, 1, 102);
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_writes_total", NULL),
-			==, before + 2);
+	messages_wait(&world, 1, 102);
+	g_assert_cmpint(
+		counter_value(&world.nodes[0], "jt_peer_writes_total", NULL),
+		==, before + 2);
 	world_teardown(&world);
 }
 
@@ -81,13 +86,13 @@
 	world_setup(&world, NULL);
 	send_text(&world, 0, 0, "me");
 	send_text(&world, 0, 0, "again");
-	g_assert_cmpint(world.sides[0].count, ==, 0);
-	g_assert_false(peers_flushed(world.sides[0].peers));
-	wait_for(&world, 0, 2);
-	g_assert_cmpstr(world.sides[0].got->str, ==, "a:me a:again ");
+	g_assert_cmpint(world.nodes[0].count, ==, 0);
+	g_assert_false(peers_flushed(world.nodes[0].peers));
+	messages_wait(&world, 0, 2);
+	g_assert_cmpstr(world.nodes[0].received->str, ==, "a:me a:again ");
 	g_assert_cmpint(
-		counted(&world.sides[0], "jt_peer_connects_total", NULL), ==,
-		0);
+		counter_value(&world.nodes[0], "jt_peer_connects_total", NULL),
+		==, 0);
 	world_teardown(&world);
 }
 
@@ -98,21 +103,22 @@
 
 	world_setup(&world, NULL);
 	send_text(&world, 0, 1, "before");
-	peers_send(world.sides[0].peers, world.sides[1].id, CHANNEL_LEDGER,
+	peers_send(world.nodes[0].peers, world.nodes[1].id, CHANNEL_LEDGER,
 		   large, FRAME_MAX + 1);
 	/* Each of the two messages needs a frame of its own. */
 	memset(large, 'L', FRAME_MAX);
 	for (int i = 0; i < 2; i++)
-		peers_send(world.sides[0].peers, world.sides[1].id,
+		peers_send(world.nodes[0].peers, world.nodes[1].id,
 			   CHANNEL_LEDGER, large, FRAME_MAX / 2 + 100);
 	g_free(large);
 	send_text(&world, 0, 1, "after");
-	wait_for(&world, 1, 4);
+	messages_wait(&world, 1, 4);
+	g_assert_true(g_str_has_prefix(world.nodes[1].received->str,
+				       "a:before a:LLLL"));
 	g_assert_true(
-		g_str_has_prefix(world.sides[1].got->str, "a:before a:LLLL"));
-	g_assert_true(g_str_has_suffix(world.sides[1].got->str, "a:after "));
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_dropped_total",
-				"reason=\"oversize\""),
+		g_str_has_suffix(world.nodes[1].received->str, "a:after "));
+	g_assert_cmpint(counter_value(&world.nodes[0], "jt_peer_dropped_total",
+				      "reason=\"oversize\""),
 			==, 1);
 	world_teardown(&world);
 }
@@ -136,14 +142,14 @@
 				run_for(&world.run,
 					round * 100); /* microseconds */
 		}
-		wait_for(&world, 0, 100);
-		wait_for(&world, 1, 100);
+		messages_wait(&world, 0, 100);
+		messages_wait(&world, 1, 100);
 		run_for(&world.run, 20 * USEC_PER_MSEC);
-		g_assert_cmpint(world.sides[0].count, ==, 100);
-		g_assert_cmpint(world.sides[1].count, ==, 100);
-		g_assert_cmpstr(world.sides[0].got->str, ==, want->str);
-		g_assert_cmpuint(peers_links(world.sides[0].peers), ==, 1);
-		g_assert_cmpuint(peers_links(world.sides[1].peers), ==, 1);
+		g_assert_cmpint(world.nodes[0].count, ==, 100);
+		g_assert_cmpint(world.nodes[1].count, ==, 100);
+		g_assert_cmpstr(world.nodes[0].received->str, ==, want->str);
+		g_assert_cmpuint(peers_links(world.nodes[0].peers), ==, 1);
+		g_assert_cmpuint(peers_links(world.nodes[1].peers), ==, 1);
 		g_string_free(want, TRUE);
 		world_teardown(&world);
 	}
@@ -155,24 +161,25 @@
 
 	world_setup(&world, NULL);
 	send_text(&world, 0, 1, "old");
-	wait_for(&world, 1, 1);
-	side_stop(&world, 1);
-	g_assert_true(run_until(&world.run, no_links, &world));
-	side_start(&world, 1, 11);
+	messages_wait(&world, 1, 1);
+	node_stop(&world, 1);
+	g_assert_true(run_until(&world.run, links_closed, &world));
+	node_start(&world, 1, 11);
 	send_text(&world, 0, 1, "new");
-	wait_for(&world, 1, 2);
-	g_assert_cmpstr(world.sides[1].got->str, ==, "a:old a:new ");
+	messages_wait(&world, 1, 2);
+	g_assert_cmpstr(world.nodes[1].received->str, ==, "a:old a:new ");
 	/* A hello of the former incarnation is refused. */
-	side_stop(&world, 1);
-	g_assert_true(run_until(&world.run, no_links, &world));
-	side_start(&world, 1, 10);
+	node_stop(&world, 1);
+	g_assert_true(run_until(&world.run, links_closed, &world));
+	node_start(&world, 1, 10);
 	send_text(&world, 0, 1, "stale");
 	send_text(&world, 1, 0, "stale");
 	run_for(&world.run, 100 * USEC_PER_MSEC);
-	g_assert_cmpint(world.sides[0].count, ==, 0);
-	g_assert_cmpint(world.sides[1].count, ==, 2);
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_refused_total", NULL),
-			>, 0);
+	g_assert_cmpint(world.nodes[0].count, ==, 0);
+	g_assert_cmpint(world.nodes[1].count, ==, 2);
+	g_assert_cmpint(
+		counter_value(&world.nodes[0], "jt_peer_refused_total", NULL),
+		>, 0);
 	world_teardown(&world);
 }
 
@@ -183,18 +190,19 @@
 	struct world world;
 
 	world_setup(&world, NULL);
-	world.moved = world.sides[1].id;
-	world.moved_to = world.sides[2].address;
+	world.override_id = world.nodes[1].id;
+	world.override_address = world.nodes[2].address;
 	send_text(&world, 0, 1, "for b");
 	run_for(&world.run, 50 * USEC_PER_MSEC);
-	g_assert_cmpint(world.sides[1].count, ==, 0);
-	g_assert_cmpint(world.sides[2].count, ==, 0);
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_refused_total", NULL),
-			>, 0);
-	world.moved = 0;
+	g_assert_cmpint(world.nodes[1].count, ==, 0);
+	g_assert_cmpint(world.nodes[2].count, ==, 0);
+	g_assert_cmpint(
+		counter_value(&world.nodes[0], "jt_peer_refused_total", NULL),
+		>, 0);
+	world.override_id = 0;
 	send_text(&world, 0, 1, "again");
-	wait_for(&world, 1, 1);
-	g_assert_cmpstr(world.sides[1].got->str, ==, "a:again ");
+	messages_wait(&world, 1, 1);
+	g_assert_cmpstr(world.nodes[1].received->str, ==, "a:again ");
 	world_teardown(&world);
 }
 
@@ -203,20 +211,20 @@
 	struct world world;
 
 	world_setup(&world, NULL);
-	side_stop(&world, 1);
+	node_stop(&world, 1);
 	send_text(&world, 0, 1, "nobody");
-	peers_send(world.sides[0].peers, 4711, CHANNEL_LEDGER, "x", 1);
+	peers_send(world.nodes[0].peers, 4711, CHANNEL_LEDGER, "x", 1);
 	run_for(&world.run, 20 * USEC_PER_MSEC);
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_dropped_total",
-				"reason=\"unreachable\""),
+	g_assert_cmpint(counter_value(&world.nodes[0], "jt_peer_dropped_total",
+				      "reason=\"unreachable\""),
 			==, 1);
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_dropped_total",
-				"reason=\"unknown\""),
+	g_assert_cmpint(counter_value(&world.nodes[0], "jt_peer_dropped_total",
+				      "reason=\"unknown\""),
 			==, 1);
-	side_start(&world, 1, 11);
+	node_start(&world, 1, 11);
 	send_text(&world, 0, 1, "somebody");
-	wait_for(&world, 1, 1);
-	g_assert_cmpstr(world.sides[1].got->str, ==, "a:somebody ");
+	messages_wait(&world, 1, 1);
+	g_assert_cmpstr(world.nodes[1].received->str, ==, "a:somebody ");
 	world_teardown(&world);
 }
 
@@ -229,13 +237,13 @@
 	memset(text, 'x', sizeof(text));
 	world_setup(&world, &settings);
 	for (int i = 0; i < 20; i++)
-		peers_send(world.sides[0].peers, world.sides[1].id,
+		peers_send(world.nodes[0].peers, world.nodes[1].id,
 			   CHANNEL_LEDGER, text, sizeof(text));
-	int64_t dropped = counted(&world.sides[0], "jt_peer_dropped_total",
-				  "reason=\"full\"");
+	int64_t dropped = counter_value(
+		&world.nodes[0], "jt_peer_dropped_total", "reason=\"full\"");
 
 	g_assert_cmpint(dropped, >, 10);
-	wait_for(&world, 1, 20 - (int)dropped);
+	messages_wait(&world, 1, 20 - (int)dropped);
 	world_teardown(&world);
 }
 
@@ -246,11 +254,11 @@
 
 	world_setup(&world, &settings);
 	send_text(&world, 0, 1, "one");
-	wait_for(&world, 1, 1);
-	g_assert_cmpuint(peers_links(world.sides[0].peers), ==, 1);
-	g_assert_true(run_until(&world.run, no_links, &world));
+	messages_wait(&world, 1, 1);
+	g_assert_cmpuint(peers_links(world.nodes[0].peers), ==, 1);
+	g_assert_true(run_until(&world.run, links_closed, &world));
 	send_text(&world, 1, 0, "two");
-	wait_for(&world, 0, 1);
+	messages_wait(&world, 0, 1);
 	world_teardown(&world);
 }
 
@@ -319,15 +327,15 @@
 
 	world_setup(&world, NULL);
 	send_text(&world, 1, 0, "one");
-	wait_for(&world, 0, 1);
-	struct raw raw = {.fd = raw_connect(world.sides[0].address)};
+	messages_wait(&world, 0, 1);
+	struct raw raw = {.fd = raw_connect(world.nodes[0].address)};
 
 	g_assert_cmpint(send(raw.fd, row->bytes, row->size, MSG_NOSIGNAL), ==,
 			(ssize_t)row->size);
 	g_assert_true(run_until(&world.run, raw_closed, &raw));
 	send_text(&world, 1, 0, "two");
-	wait_for(&world, 0, 2);
-	g_assert_cmpstr(world.sides[0].got->str, ==, "b:one b:two ");
+	messages_wait(&world, 0, 2);
+	g_assert_cmpstr(world.nodes[0].received->str, ==, "b:one b:two ");
 	close(raw.fd);
 	world_teardown(&world);
 }
@@ -339,7 +347,7 @@
 	struct world world;
 
 	world_setup(&world, &settings);
-	struct raw raw = {.fd = raw_connect(world.sides[0].address)};
+	struct raw raw = {.fd = raw_connect(world.nodes[0].address)};
 
 	g_assert_true(run_until(&world.run, raw_closed, &raw));
 	close(raw.fd);
@@ -355,10 +363,11 @@
 
 	world_setup(&world, &settings);
 	for (int i = 0; i < 3; i++)
-		raws[i].fd = raw_connect(world.sides[0].address);
+		raws[i].fd = raw_connect(world.nodes[0].address);
 	g_assert_true(run_until(&world.run, raw_closed, &raws[2]));
-	g_assert_cmpint(counted(&world.sides[0], "jt_peer_refused_total", NULL),
-			==, 1);
+	g_assert_cmpint(
+		counter_value(&world.nodes[0], "jt_peer_refused_total", NULL),
+		==, 1);
 	for (int i = 0; i < 3; i++)
 		close(raws[i].fd);
 	world_teardown(&world);
@@ -375,7 +384,7 @@
 	struct world world;
 
 	world_setup(&world, NULL);
-	int fd = raw_connect(world.sides[0].address);
+	int fd = raw_connect(world.nodes[0].address);
 
 	for (size_t i = 0; i < sizeof(hello) - 1; i++) {
 		g_assert_cmpint(send(fd, &hello[i], 1, MSG_NOSIGNAL), ==, 1);
@@ -385,15 +394,15 @@
 		g_assert_cmpint(send(fd, &message[i], 1, MSG_NOSIGNAL), ==, 1);
 		run_for(&world.run, 0);
 	}
-	wait_for(&world, 0, 1);
-	g_assert_cmpstr(world.sides[0].got->str, ==, "c:hi ");
+	messages_wait(&world, 0, 1);
+	g_assert_cmpstr(world.nodes[0].received->str, ==, "c:hi ");
 	close(fd);
 	world_teardown(&world);
 }
 
 static void test_listen_error(void)
 {
-	struct peers_ops ops = {.address = side_address};
+	struct peers_ops ops = {.address = node_address};
 	struct world world;
 	struct error err = {0};
 
@@ -401,13 +410,13 @@
 	struct peers_settings settings = {
 		.name = "z",
 		.data_centre = "d1",
-		.listen = world.sides[0].address,
+		.listen = world.nodes[0].address,
 	};
 
 	g_assert_null(peers_create(world.run.loop, world.run.counters,
-				   &settings, &ops, &world.sides[0], &err));
+				   &settings, &ops, &world.nodes[0], &err));
 	g_assert_cmpint(err.code, ==, RESULT_IO);
-	g_assert_nonnull(strstr(err.text, world.sides[0].address));
+	g_assert_nonnull(strstr(err.text, world.nodes[0].address));
 	world_teardown(&world);
 }
 
