--- a/entry/peer_datagram_codec.c
+++ b/entry/peer_datagram_codec.c
@@ -44,10 +44,10 @@
 {
 	struct frame_reader *reader = frame_reader_create(fn, ctx);
 	uint32_t length = GUINT32_TO_BE((uint32_t)datagram->size);
-	bool good =
+	bool ok =
 		frame_reader_feed(reader, &length, sizeof(length), err) &&
 		frame_reader_feed(reader, datagram->body, datagram->size, err);
 
 	frame_reader_destroy(reader);
-	return good;
+	return ok;
 }
--- a/entry/peer_greet.c
+++ b/entry/peer_greet.c
@@ -28,7 +28,8 @@
 	frame_writer_destroy(writer);
 }
 
-static void link_use(struct peers *peers, struct peer *peer, struct link *link)
+static void link_activate(struct peers *peers, struct peer *peer,
+			  struct link *link)
 {
 	peer->link = link;
 	datagram_reset(peer);
@@ -77,7 +78,7 @@
 	if (current)
 		link_replace(peers, peer);
 	hello_write(peers, link);
-	link_use(peers, peer, link);
+	link_activate(peers, peer, link);
 }
 
 /* Records the incarnation; false when it is a former one. The hello of a newer
@@ -147,7 +148,7 @@
 		link->opener = member.id;
 		hello_inbound(peers, peer, link);
 	} else {
-		link_use(peers, peer, link);
+		link_activate(peers, peer, link);
 	}
 	if (peers->ops.hello)
 		peers->ops.hello(peers->ctx, &member);
--- a/entry/peer_hello.c
+++ b/entry/peer_hello.c
@@ -61,16 +61,16 @@
 		  size_t size, struct error *err)
 {
 	msgpack_unpacked unpacked;
-	bool good;
+	bool ok;
 
 	*peer = (struct member){.state = MEMBER_ALIVE};
 	msgpack_unpacked_init(&unpacked);
-	good = message_unpack(&unpacked, data, size, NULL) &&
-	       unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
-	       fields_read(peer, &unpacked.data.via.array);
-	*token = good ? token_read(&unpacked.data.via.array) : 0;
+	ok = message_unpack(&unpacked, data, size, NULL) &&
+	     unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
+	     fields_read(peer, &unpacked.data.via.array);
+	*token = ok ? token_read(&unpacked.data.via.array) : 0;
 	msgpack_unpacked_destroy(&unpacked);
-	if (!good)
+	if (!ok)
 		return error_set(err, RESULT_BAD_MESSAGE, "malformed hello");
 	peer->id = id_of(peer->name);
 	return true;
--- a/entry/peer_link.c
+++ b/entry/peer_link.c
@@ -78,11 +78,11 @@
 	if (size == 0)
 		return true;
 	link->traffic->bytes_received += size;
-	bool good = frame_reader_feed(link->reader, socket->input->bytes, size,
-				      &err);
+	bool ok = frame_reader_feed(link->reader, socket->input->bytes, size,
+				    &err);
 	if (!link->closed)
 		h2o_buffer_consume(&socket->input, size);
-	return good;
+	return ok;
 }
 
 static void link_finish(struct link *link)
--- a/entry/peer_listen.c
+++ b/entry/peer_listen.c
@@ -15,8 +15,7 @@
 /* Further free TCP ports tried until one is free for UDP too. */
 #define PORT_ATTEMPTS_MAX 16
 
-static int datagrams_bind(const struct sockaddr_storage *storage,
-			  socklen_t size)
+static int udp_bind(const struct sockaddr_storage *storage, socklen_t size)
 {
 	int fd = socket(storage->ss_family,
 			SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
@@ -53,7 +52,7 @@
 	return fd;
 }
 
-int peer_listen(const char *address, char *bound, int *datagrams,
+int peer_listen(const char *address, char *bound, int *udp_fd,
 		struct error *err)
 {
 	bool free_port = g_str_has_suffix(address, ":0");
@@ -64,10 +63,10 @@
 	if (fd < 0)
 		return -1;
 	address_print(&storage, bound);
-	if (!datagrams)
+	if (!udp_fd)
 		return fd;
-	*datagrams = datagrams_bind(&storage, size);
-	for (int i = 0; i < PORT_ATTEMPTS_MAX && free_port && *datagrams < 0;
+	*udp_fd = udp_bind(&storage, size);
+	for (int i = 0; i < PORT_ATTEMPTS_MAX && free_port && *udp_fd < 0;
 	     i++) {
 		int next = listen_at(address, &storage, &size, err);
 
@@ -76,9 +75,9 @@
 		close(fd);
 		fd = next;
 		address_print(&storage, bound);
-		*datagrams = datagrams_bind(&storage, size);
+		*udp_fd = udp_bind(&storage, size);
 	}
-	if (*datagrams < 0)
+	if (*udp_fd < 0)
 		log_event(LOG_WARNING, "peer_datagrams_off",
 			  LOG_S("address", bound),
 			  LOG_S("reason", "the UDP port is in use"));
--- a/entry/peers.c
+++ b/entry/peers.c
@@ -317,9 +317,9 @@
 			   struct error *err)
 {
 	char bound[ADDRESS_TEXT_MAX];
-	int datagrams = -1;
+	int udp_fd = -1;
 	int fd = peer_listen(settings->listen, bound,
-			     settings->datagrams ? &datagrams : NULL, err);
+			     settings->datagrams ? &udp_fd : NULL, err);
 
 	if (fd < 0)
 		return NULL;
@@ -345,7 +345,7 @@
 						   H2O_SOCKET_FLAG_DONT_READ);
 	peers->listener->data = peers;
 	h2o_socket_read_start(peers->listener, on_accept);
-	datagrams_start(peers, counters, datagrams);
+	datagrams_start(peers, counters, udp_fd);
 	return peers;
 }
 
--- a/entry/peers_private.h
+++ b/entry/peers_private.h
@@ -165,9 +165,9 @@
 
 /* entry/peer_listen.c */
 /* Returns a listening TCP socket, or -1 on failure; bound receives its address.
- * When datagrams is not NULL, it receives a UDP socket bound to the same
+ * When udp_fd is not NULL, it receives a UDP socket bound to the same
  * address, or -1 when that is in use. */
-int peer_listen(const char *address, char *bound, int *datagrams,
+int peer_listen(const char *address, char *bound, int *udp_fd,
 		struct error *err);
 
 #endif
