--- a/entry/peer_greet.c
+++ b/entry/peer_greet.c
@@ -1,5 +1,5 @@
 /*
- * peer_greet.c - what a hello leads to: which link to a peer is kept
+ * peer_greet.c - exchange of hellos, and which link to a peer is kept
  */
 #include "peers_private.h"
 
@@ -28,59 +28,64 @@
 	frame_writer_destroy(writer);
 }
 
-static void link_use(struct peers *peers, struct peer *peer, struct link *link)
+static void link_activate(struct peers *peers, struct peer *peer,
+			  struct link *link)
 {
 	peer->link = link;
 	datagram_reset(peer);
 	peer->attempts = 0;
 	timer_stop(&peer->backoff);
 	link_ready(link);
-	peers->linked->value = peers_links(peers);
+	peers->links_ready->value = peers_links(peers);
 	peer_write(peer);
 }
 
-/* Whether an inbound link takes the place of the present one. */
-static bool link_better(const struct link *fresh, const struct link *present)
+/* Whether an inbound link replaces the current one. When both sides connect at
+ * once, both keep the link that the lower id opened. */
+static bool link_preferred(const struct link *inbound,
+			   const struct link *current)
 {
-	if (present->state == LINK_CONNECTING)
+	if (current->state == LINK_CONNECTING)
 		return true;
-	return fresh->opener <= present->opener;
+	return inbound->opener <= current->opener;
 }
 
 static void link_replace(struct peers *peers, struct peer *peer)
 {
-	struct link *present = peer->link;
+	struct link *current = peer->link;
 
-	if (present->state != LINK_READY) {
-		link_drop(peers, present);
+	if (current->state != LINK_READY) {
+		link_drop(peers, current);
 		return;
 	}
 	peer->link = NULL;
-	link_retire(present);
+	link_retire(current);
 }
 
 static void hello_inbound(struct peers *peers, struct peer *peer,
 			  struct link *link)
 {
-	struct link *present = peer->link;
+	struct link *current = peer->link;
 
-	if (present && !link_better(link, present)) {
-		/* A link that the other side has lost is found out by this. */
-		if (present->state == LINK_READY && !link_writing(present))
-			hello_write(peers, present);
+	if (current && !link_preferred(link, current)) {
+		/* The peer ignores a hello on a link in use. If the peer has
+		 * lost that link, the write makes it fail here as well. */
+		if (current->state == LINK_READY && !link_writing(current))
+			hello_write(peers, current);
 		link_drop(peers, link);
 		return;
 	}
-	if (present)
+	if (current)
 		link_replace(peers, peer);
 	hello_write(peers, link);
-	link_use(peers, peer, link);
+	link_activate(peers, peer, link);
 }
 
-/* A new incarnation's first word ends the links of the former one. */
-static bool incarnation_take(struct peers *peers, struct peer *peer,
-			     const struct link *link,
-			     const struct member *member)
+/* Records the incarnation; false when it is a former one. The hello of a newer
+ * incarnation closes the ready link of the former one. */
+static bool incarnation_update(struct peers *peers, struct peer *peer,
+			       const struct link *link,
+			       const struct member *member)
 {
 	if (member->incarnation < peer->incarnation)
 		return false;
@@ -91,14 +96,14 @@
 	return true;
 }
 
-static const char *hello_fault(const struct peers *peers,
-			       const struct link *link,
-			       const struct member *member)
+static const char *hello_mismatch(const struct peers *peers,
+				  const struct link *link,
+				  const struct member *member)
 {
 	if (member->id == peers->self.id)
-		return "own name";
+		return "it has the name of this instance";
 	if (link->peer != 0 && link->peer != member->id)
-		return "another instance";
+		return "another instance answered at the address of the peer";
 	return NULL;
 }
 
@@ -112,8 +117,8 @@
 	link_refuse(peers, link);
 }
 
-void hello_take(struct peers *peers, struct link *link, const void *payload,
-		size_t size)
+void hello_receive(struct peers *peers, struct link *link, const void *payload,
+		   size_t size)
 {
 	struct member member;
 	uint64_t token;
@@ -124,17 +129,17 @@
 		link_refuse(peers, link);
 		return;
 	}
-	fault = hello_fault(peers, link, &member);
+	fault = hello_mismatch(peers, link, &member);
 	if (fault) {
 		hello_refuse(peers, link, &member, fault);
 		return;
 	}
-	/* Between data centres some messages are told once only, so they go
-	 * over the link. */
+	/* Between data centres some messages are sent only once and must not be
+	 * lost, so datagrams are used within a data centre only. */
 	if (strcmp(member.data_centre, peers->self.data_centre) == 0)
 		link->token_out = token;
 	peer = peer_get(peers, member.id);
-	if (!incarnation_take(peers, peer, link, &member)) {
+	if (!incarnation_update(peers, peer, link, &member)) {
 		hello_refuse(peers, link, &member, "former incarnation");
 		return;
 	}
@@ -143,7 +148,7 @@
 		link->opener = member.id;
 		hello_inbound(peers, peer, link);
 	} else {
-		link_use(peers, peer, link);
+		link_activate(peers, peer, link);
 	}
 	if (peers->ops.hello)
 		peers->ops.hello(peers->ctx, &member);
--- a/entry/peer_hello.c
+++ b/entry/peer_hello.c
@@ -1,5 +1,5 @@
 /*
- * peer_hello.c - the first message of a link, as MessagePack
+ * peer_hello.c - codec of the hello, the first message of a link
  */
 #include "entry/peer_hello.h"
 
@@ -27,7 +27,7 @@
 		msgpack_pack_uint64(&packer, token);
 }
 
-static bool fields_take(struct member *peer, const msgpack_object_array *array)
+static bool fields_read(struct member *peer, const msgpack_object_array *array)
 {
 	const msgpack_object *field = array->ptr;
 
@@ -46,8 +46,8 @@
 			   sizeof(peer->peer_address));
 }
 
-/* What is no token is passed over, as any element added later. */
-static uint64_t token_take(const msgpack_object_array *array)
+/* Ignores an element that is not a token, like those of later versions. */
+static uint64_t token_read(const msgpack_object_array *array)
 {
 	const msgpack_object *field = &array->ptr[HELLO_FIELDS];
 
@@ -61,16 +61,16 @@
 		  size_t size, struct error *err)
 {
 	msgpack_unpacked unpacked;
-	bool good;
+	bool ok;
 
 	*peer = (struct member){.state = MEMBER_ALIVE};
 	msgpack_unpacked_init(&unpacked);
-	good = message_unpack(&unpacked, data, size, NULL) &&
-	       unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
-	       fields_take(peer, &unpacked.data.via.array);
-	*token = good ? token_take(&unpacked.data.via.array) : 0;
+	ok = message_unpack(&unpacked, data, size, NULL) &&
+	     unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
+	     fields_read(peer, &unpacked.data.via.array);
+	*token = ok ? token_read(&unpacked.data.via.array) : 0;
 	msgpack_unpacked_destroy(&unpacked);
-	if (!good)
+	if (!ok)
 		return error_set(err, RESULT_BAD_MESSAGE, "malformed hello");
 	peer->id = id_of(peer->name);
 	return true;
--- a/entry/peer_link.c
+++ b/entry/peer_link.c
@@ -1,5 +1,5 @@
 /*
- * peer_link.c - one TCP connection to another instance, on h2o's sockets
+ * peer_link.c - one TCP connection to another instance, on h2o sockets
  */
 #include "entry/peer_link.h"
 
@@ -10,7 +10,8 @@
 #include "common/address.h"
 #include "common/error.h"
 
-/* Unacknowledged data older than this ends a link. */
+/* Closes a link whose data stays unacknowledged for this long. Also bounds the
+ * time that a retired link may take to close. */
 #define USER_TIMEOUT_MSEC 3000
 
 const char link_timed_out[] = "timed out";
@@ -57,14 +58,14 @@
 	link_end(ctx, link_timed_out);
 }
 
-static void message_take(void *ctx, enum channel channel, const void *payload,
-			 size_t size)
+static void message_receive(void *ctx, enum channel channel,
+			    const void *payload, size_t size)
 {
 	struct link *link = ctx;
 
 	if (link->closed)
 		return;
-	link->used = clock_now(loop_clock(link->loop));
+	link->last_used = clock_now(loop_clock(link->loop));
 	link->ops->message(link->ctx, link, channel, payload, size);
 }
 
@@ -77,35 +78,37 @@
 	if (size == 0)
 		return true;
 	link->traffic->bytes_received += size;
-	bool good = frame_reader_feed(link->reader, socket->input->bytes, size,
-				      &err);
+	bool ok = frame_reader_feed(link->reader, socket->input->bytes, size,
+				    &err);
 	if (!link->closed)
 		h2o_buffer_consume(&socket->input, size);
-	return good;
+	return ok;
 }
 
 static void link_finish(struct link *link)
 {
 	if (link->writing)
 		return;
-	if (link->ended)
+	if (link->peer_closed)
 		link_end(link, "ended");
 	else
 		shutdown(h2o_socket_get_fd(link->socket), SHUT_WR);
 }
 
-/* The other side has ended: what waits is still written, then the link goes. */
+/* At the end of the stream a write in progress is finished before the link is
+ * closed; a read error closes it at once. */
 static void read_end(struct link *link, const char *err)
 {
 	h2o_socket_read_stop(link->socket);
-	link->ended = true;
+	link->peer_closed = true;
 	if (err != h2o_socket_error_closed || !link->writing)
 		link_end(link, err == h2o_socket_error_closed ? "ended" : err);
 	else
 		link_retire(link);
 }
 
-/* Timers that the clock fires on entry may close the link, so it is held. */
+/* Holds a reference until link_leave(), since timers run by loop_enter() may
+ * close the link. */
 static void link_enter(struct link *link)
 {
 	g_rc_box_acquire(link);
@@ -192,12 +195,12 @@
 
 	link->loop = loop;
 	link->socket = socket;
-	link->reader = frame_reader_create(message_take, link);
+	link->reader = frame_reader_create(message_receive, link);
 	link->out = g_byte_array_new();
 	link->ops = ops;
 	link->ctx = ctx;
 	link->traffic = traffic;
-	link->used = clock_now(loop_clock(loop));
+	link->last_used = clock_now(loop_clock(loop));
 	socket->data = link;
 	timer_init(&link->timeout, loop_clock(loop), timeout_fire, link);
 	timer_start(&link->timeout, timeout_usec);
@@ -258,7 +261,7 @@
 	*queue = link->out;
 	link->out = bytes;
 	link->writing = true;
-	link->used = clock_now(loop_clock(link->loop));
+	link->last_used = clock_now(loop_clock(link->loop));
 	link->traffic->bytes_sent += bytes->len;
 	link->traffic->writes++;
 	h2o_iovec_t buffer = h2o_iovec_init(bytes->data, bytes->len);
