--- a/ctl/admin.c
+++ b/ctl/admin.c
@@ -8,7 +8,7 @@
 #include "web/loop.h"
 
 #define ANSWER_MAX (64u << 20)
-/* An apply is answered when the daemon has read it back from the log. */
+/* A daemon answers an apply only after reading it back from the log. */
 #define HEAD_USEC (15 * USEC_PER_SEC)
 #define STATUS_OK 200
 
@@ -35,7 +35,7 @@
 	loop_stop(call->loop);
 }
 
-/* The code that the daemon names, else one that fits the status. */
+/* The result code in the answer, else one derived from the HTTP status. */
 static enum result_code answer_code(const json_t *answer, int status)
 {
 	enum result_code code = (enum result_code)answer_number(answer, "code");
@@ -95,7 +95,8 @@
 	return "cannot connect";
 }
 
-/* Whether the next address may be tried. */
+/* Sets err. Returns whether the next address may be tried: a POST that may have
+ * reached the daemon is not repeated. */
 static bool call_failed(const struct call *call, const char *address,
 			const struct admin_request *request, struct error *err)
 {
--- a/ctl/apply.c
+++ b/ctl/apply.c
@@ -10,7 +10,8 @@
 
 #define AUTHOR_MAX 63u
 
-/* Appends who put the revision in force, as far as the audit trail tells. */
+/* Replaces the error by one with the author and time of the revision in force,
+ * if the audit trail has them. */
 static void stale_explain(struct ctl *ctl, const char *addresses, uint64_t base,
 			  struct error *err)
 {
@@ -77,7 +78,7 @@
 	return true;
 }
 
-/* What the audit trail can hold. */
+/* The audit trail stores authors of 1 to AUTHOR_MAX bytes of UTF-8. */
 static bool author_check(const char *author, struct error *err)
 {
 	if (!author || (*author && strlen(author) <= AUTHOR_MAX &&
--- a/ctl/arguments.c
+++ b/ctl/arguments.c
@@ -53,7 +53,7 @@
 	OPTION_APPLY,
 };
 
-/* One run of argp, over the words before or after the command's name. */
+/* State of one argp_parse(), over the arguments before or after the command. */
 struct reading {
 	struct ctl *ctl;
 	const struct command *command; /* NULL before the name is known */
@@ -61,8 +61,8 @@
 	struct arguments *args;
 	struct error *err;
 	char *program;
-	int next; /* index of the command's name */
-	bool printed;
+	int next;     /* index in argv of the command's name */
+	bool printed; /* help or the version */
 };
 
 static bool base_parse(struct arguments *args, const char *text,
@@ -191,7 +191,7 @@
 	}
 }
 
-/* The options that the command takes, ended by an empty one. */
+/* Copies the options that the command takes, terminated by an empty one. */
 static void options_choose(struct argp_option *options, unsigned int bits)
 {
 	size_t used = 0;
@@ -225,7 +225,7 @@
 			    reading);
 	if (!failed)
 		return true;
-	/* An unknown option was reported by argp itself. */
+	/* argp has already reported an unknown option. */
 	if (reading->err->code == RESULT_OK)
 		error_set(reading->err, RESULT_USAGE, "see %s --help",
 			  reading->program);
--- a/ctl/command_measures.c
+++ b/ctl/command_measures.c
@@ -8,10 +8,10 @@
 #include "ctl/report.h"
 #include "web/loop.h"
 
-/* What is printed: one report, or two side by side. */
+/* The reports to print: one, or two side by side. */
 struct pair {
 	json_t *before;
-	json_t *after; /* may be NULL */
+	json_t *after; /* NULL: only one */
 };
 
 static void on_window_end(struct timer *timer, void *ctx)
@@ -47,7 +47,8 @@
 	return window;
 }
 
-/* Between the windows the operator, or --apply, swaps the file. */
+/* Applies the file of --apply between the windows. Without it the operator
+ * applies one, and is told when. */
 static bool swap(struct ctl *ctl, const struct arguments *args,
 		 struct error *err)
 {
--- a/ctl/command_status.c
+++ b/ctl/command_status.c
@@ -46,7 +46,7 @@
 	return strcmp(answer_text(*left, "name"), answer_text(*right, "name"));
 }
 
-/* Borrowed entries of the list, by name. */
+/* The list's entries sorted by name; they still belong to the list. */
 static GPtrArray *sorted(const json_t *list)
 {
 	GPtrArray *entries = g_ptr_array_new();
--- a/ctl/command_validate.c
+++ b/ctl/command_validate.c
@@ -26,7 +26,7 @@
 	return count;
 }
 
-/* Backend servers that the file would leave without a pool. */
+/* Counts backend servers whose pool is not in the file. */
 static json_int_t servers_left(const json_t *status,
 			       const struct config *config)
 {
--- a/ctl/completion.c
+++ b/ctl/completion.c
@@ -123,7 +123,7 @@
 		     "_jtctl \"$@\"\n");
 }
 
-/* The names of all commands that take the option. */
+/* Writes the names of all commands that take the option. */
 static void fish_users(FILE *out, const struct option_text *option)
 {
 	size_t count;
--- a/ctl/explain.c
+++ b/ctl/explain.c
@@ -44,8 +44,8 @@
 	return g_strndup(at, (gsize)(end - at));
 }
 
-/* The lines of one request, or of the ends of servers under one work, are
- * looked for in one file. */
+/* Selects lines of one file: those of a request, or the server_ended lines of a
+ * request fingerprint (the field work) when request is NULL. */
 struct search {
 	struct explanation *explanation;
 	const char *request;
@@ -121,7 +121,7 @@
 	return (x->time > y->time) - (x->time < y->time);
 }
 
-/* The newest line of an event; NULL when there is none. */
+/* The latest line of an event; NULL when there is none. */
 static const char *last_of(const struct explanation *explanation,
 			   const char *event)
 {
@@ -172,7 +172,8 @@
 		g_string_append_printf(cause, " (status %s)", status);
 }
 
-/* The servers that ended under the same work, as far as the logs say. */
+/* Appends the servers that ended while running a request of the same
+ * fingerprint. Each incarnation of a server is listed once. */
 static void servers_add(GString *cause, const struct explanation *explanation)
 {
 	g_autoptr(GHashTable) seen =
--- a/ctl/field_diff.c
+++ b/ctl/field_diff.c
@@ -13,7 +13,8 @@
 	return node ? node->text : NULL;
 }
 
-/* What names the list's entry at the path, or NULL. */
+/* The key of the list entry at path: its name, or "from>to" for a link. NULL
+ * when it has neither. */
 static char *entry_name(const struct outline *outline, const char *path)
 {
 	const char *name = text_below(outline, path, "name");
@@ -27,7 +28,7 @@
 	return NULL;
 }
 
-/* The path with the positions of named entries replaced by their names. */
+/* The path with list indices replaced by the keys of their entries. */
 static char *named_path(const struct outline *outline, const char *path)
 {
 	GString *named = g_string_new(NULL);
@@ -55,7 +56,7 @@
 	return g_string_free(named, FALSE);
 }
 
-/* Named path to text, of all scalars. */
+/* Maps the named path of each scalar to its text. */
 static GHashTable *fields_of(const char *name, const char *data, size_t size,
 			     struct error *err)
 {
--- a/ctl/losses.c
+++ b/ctl/losses.c
@@ -45,7 +45,7 @@
 	g_hash_table_destroy(losses->seconds);
 }
 
-/* The number of a field; -1 when the line does not have it. */
+/* The integer value of a field; -1 when the line lacks it. */
 static int64_t number_of(const char *line, const char *key)
 {
 	g_autofree char *text = explain_value(line, key);
@@ -70,7 +70,8 @@
 	return why && (strstr(why, "time limit") || strstr(why, "timed out"));
 }
 
-/* Where most of the time until the first event of a late stream went. */
+/* The longest of the phases of a late stream up to its first event: waiting for
+ * a server, prefill, or the start of the run. */
 static enum loss lateness_of(const char *line)
 {
 	int64_t placed = number_of(line, "placed_ms");
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -1,5 +1,5 @@
 /*
- * main.c - jtctl: applies operators' files and reads what a site does
+ * main.c - jtctl: applies configuration files and reports on a running site
  */
 #include <stdlib.h>
 
--- a/ctl/report.c
+++ b/ctl/report.c
@@ -191,7 +191,7 @@
 	return error_set(err, RESULT_IO, "%s: cannot be written", file);
 }
 
-/* Counts of an instance that was started anew began at zero again. */
+/* Whether no instance was restarted in between, which resets its counts. */
 static bool same_run(const json_t *before, const json_t *after)
 {
 	return json_equal(json_object_get(before, "instances"),
--- a/ctl/report_print.c
+++ b/ctl/report_print.c
@@ -4,11 +4,11 @@
 #include "ctl/print.h"
 #include "ctl/report.h"
 
-/* One line of the text: how to read a figure from an object of a report. */
+/* One row of the table: where in a report's object its value is found. */
 struct figure {
 	const char *label;
 	const char *field;
-	const char *below; /* field of a latency, or NULL */
+	const char *below; /* field within the field's object, or NULL */
 	bool is_share;
 };
 
@@ -41,7 +41,7 @@
 
 	if (!figure->below)
 		return value;
-	/* No request had one: its quantiles say nothing. */
+	/* Quantiles of zero samples have no meaning. */
 	if (json_is_object(value) && json_object_get(value, "count") &&
 	    answer_number(value, "count") == 0)
 		return NULL;
@@ -131,7 +131,7 @@
 	text_add(columns, "period", first, second, two);
 }
 
-/* Refusals and failures by result, of one class. */
+/* Adds the refusals and failures of one class, by result. */
 static void results_add(struct columns *columns, const char *group,
 			const json_t *before, const json_t *after, bool two)
 {
--- a/include/ctl/admin.h
+++ b/include/ctl/admin.h
@@ -1,12 +1,13 @@
 /*
- * admin.h - calls to the admin address of a daemon
+ * admin.h - requests to the admin address of a daemon
  *
  * DESCRIPTION
- *	An address list is tried in order until one daemon answers. A request
- *	that may have reached a daemon is not sent to the next.
+ *	The addresses of a list, separated by commas, are tried in order until
+ *	one daemon answers. Of the requests that may have reached a daemon, only
+ *	a GET is sent to the next address.
  *
  * ERRORS
- *	The code that the daemon gives in its answer; RESULT_IO when none was
+ *	The result code in the daemon's answer; RESULT_IO when no daemon was
  *	reached, RESULT_LOG_UNKNOWN when a POST was sent and not answered.
  */
 #ifndef CTL_ADMIN_H
@@ -24,13 +25,13 @@
 	size_t body_size;
 };
 
-/* The answer's JSON, or NULL; free with json_decref(). */
+/* Return the JSON of the answer, or NULL; free with json_decref(). */
 json_t *admin_call(struct ctl *ctl, const char *addresses,
 		   const struct admin_request *request, struct error *err);
 json_t *admin_get(struct ctl *ctl, const char *addresses, const char *path,
 		  struct error *err);
 
-/* Fields of an answer, with a plain value when they are not there. */
+/* A string or integer field of a JSON object; "" or 0 when it is absent. */
 const char *answer_text(const json_t *answer, const char *name);
 json_int_t answer_number(const json_t *answer, const char *name);
 
--- a/include/ctl/apply.h
+++ b/include/ctl/apply.h
@@ -1,5 +1,5 @@
 /*
- * apply.h - puts a file in force and waits until it was read back
+ * apply.h - applies a configuration file
  */
 #ifndef CTL_APPLY_H
 #define CTL_APPLY_H
@@ -13,8 +13,9 @@
 	uint64_t revision;
 };
 
-/* Checks the file here first. Based on args->base, else on the revision in
- * force. RESULT_STALE_REVISION says who changed it meanwhile. */
+/* Validates the file, sends it, and waits until the daemon has read it back
+ * from the log. It is based on args->base, else on the revision in force. The
+ * text of RESULT_STALE_REVISION names the author of the newer revision. */
 bool apply_file(struct ctl *ctl, const struct arguments *args, const char *name,
 		struct apply_result *result, struct error *err);
 
--- a/include/ctl/command.h
+++ b/include/ctl/command.h
@@ -1,10 +1,10 @@
 /*
- * command.h - the interface of a sub-command
+ * command.h - interface of a sub-command
  *
  * DESCRIPTION
- *	Each sub-command is a file of its own, ctl/command_NAME.c, that defines
- *	one struct command; ctl/command.c lists them sorted by name. run()
- *	returns false with err filled; what it has printed stands.
+ *	Each sub-command has its own file, ctl/command_NAME.c, that defines one
+ *	struct command; ctl/command.c lists them sorted by name. run() returns
+ *	false with err set when it fails, possibly after some output.
  */
 #ifndef CTL_COMMAND_H
 #define CTL_COMMAND_H
@@ -13,7 +13,7 @@
 
 #include "ctl/ctl.h"
 
-/* Options that a sub-command takes besides those that all take. */
+/* Options of single sub-commands, in addition to the common ones. */
 enum option_bit {
 	OPTION_REMOTE = 1 << 0,
 	OPTION_BASE = 1 << 1,
@@ -53,7 +53,7 @@
 extern const struct command command_status;
 extern const struct command command_validate;
 
-/* NULL when there is none of that name. */
+/* NULL when no command has that name. */
 const struct command *command_find(const char *name);
 /* All commands, sorted by name. */
 const struct command *const *command_all(size_t *count);
--- a/include/ctl/completion.h
+++ b/include/ctl/completion.h
@@ -1,5 +1,5 @@
 /*
- * completion.h - completions for shells, made from the table of commands
+ * completion.h - generates shell completions from the table of commands
  */
 #ifndef CTL_COMPLETION_H
 #define CTL_COMPLETION_H
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <stdio.h>
 
-/* False when the shell is not known; bash, zsh and fish are. */
+/* False when the shell is not bash, zsh or fish. */
 bool completion_print(FILE *out, const char *shell);
 
 #endif
--- a/include/ctl/ctl.h
+++ b/include/ctl/ctl.h
@@ -1,10 +1,11 @@
 /*
- * ctl.h - the operators' command, as a function that tests call too
+ * ctl.h - the operator's command line as a function
  *
  * DESCRIPTION
- *	ctl_run() does what one call of jtctl does: it finds the sub-command by
- *	name, reads its arguments, runs it on the given loop and writes to the
- *	given streams. It returns the exit code (include/ctl/exit_code.h).
+ *	ctl_run() performs one invocation of jtctl, for main() and for tests: it
+ *	finds the sub-command by name, parses its arguments, runs it on the
+ *	given loop and writes to the given streams. It returns the exit code
+ *	(include/ctl/exit_code.h).
  */
 #ifndef CTL_CTL_H
 #define CTL_CTL_H
@@ -16,7 +17,7 @@
 #include "common/error.h"
 
 #define CTL_ADMIN_DEFAULT "127.0.0.1:8081"
-/* A request and the logs of a site of 360 instances, and some. */
+/* A request id and 400 logs; a site has up to 360 instances. */
 #define CTL_OPERANDS_MAX 401
 
 struct loop;
@@ -27,13 +28,13 @@
 	struct web_client *client;
 	FILE *out;
 	FILE *err;
-	/* From the environment; NULL when not set. */
+	/* From the environment; NULL: not set. */
 	const char *admin;
 	const char *author;
-	int exit_code; /* of a run that went well */
+	int exit_code; /* of a run without an error */
 };
 
-/* What the command line gave. Strings belong to argv. */
+/* The parsed command line. Strings belong to argv. */
 struct arguments {
 	const char *admin; /* "IP:port", several separated by commas */
 	const char *author;
--- a/include/ctl/exit_code.h
+++ b/include/ctl/exit_code.h
@@ -1,8 +1,9 @@
 /*
- * exit_code.h - one small number for each kind of result
+ * exit_code.h - maps result codes to exit codes
  *
  * DESCRIPTION
- *	Exit codes have eight bits, result codes have not. jtctl(1) lists them.
+ *	An exit code has only eight bits, fewer than a result code needs, so
+ *	several result codes share one. jtctl(1) lists them.
  */
 #ifndef CTL_EXIT_CODE_H
 #define CTL_EXIT_CODE_H
@@ -15,9 +16,9 @@
 	EXIT_CODE_USAGE = 2,
 	EXIT_CODE_BAD_CONFIG = 3,
 	EXIT_CODE_STALE_REVISION = 4,
-	EXIT_CODE_IO = 5,	/* a file, or no daemon reached */
+	EXIT_CODE_IO = 5,	/* file access failed, or no daemon reached */
 	EXIT_CODE_LOG_DOWN = 6, /* not applied */
-	EXIT_CODE_UNKNOWN = 7,	/* may have been applied or not */
+	EXIT_CODE_UNKNOWN = 7,	/* may or may not have been applied */
 	EXIT_CODE_NO_CONFIG = 8,
 	EXIT_CODE_REFUSED = 9, /* any other refusal by the daemon */
 	EXIT_CODE_DEFECT = 70,
--- a/include/ctl/explain.h
+++ b/include/ctl/explain.h
@@ -1,13 +1,13 @@
 /*
- * explain.h - the story of one request, out of the logs of many processes
+ * explain.h - traces one request through the logs of many processes
  *
  * DESCRIPTION
- *	Collects from log files the lines that bear a request's id, puts them in
- *	order of their time, and names the cause of the request's end from its
- *	last line and the failed step before it, and from the servers that ended
- *	under the same work. Lines that are no log lines are passed over; what
- *	stands before the "<" of a line's priority, as log collectors add it,
- *	does not matter.
+ *	Collects the lines with a request's id from log files, sorts them by
+ *	time, and derives the cause of the request's end from the last
+ *	request_end line, the latest failed step, and the servers that ended
+ *	while running a request of the same fingerprint. Other lines are
+ *	skipped. Text before the "<" of a line's priority, as log collectors
+ *	add it, is ignored.
  */
 #ifndef CTL_EXPLAIN_H
 #define CTL_EXPLAIN_H
@@ -18,8 +18,8 @@
 struct error;
 
 struct explain_line {
-	double time;  /* seconds since 1970, by the clock of that process */
-	char *source; /* the file's name without folder */
+	double time;  /* seconds since 1970, by that process's clock */
+	char *source; /* base name of the file */
 	char *text;   /* from event= on */
 };
 
@@ -30,22 +30,24 @@
 
 void explanation_init(struct explanation *explanation);
 void explanation_clear(struct explanation *explanation);
-/* Takes the request's lines of a file. False with RESULT_IO. */
+/* Adds the lines of the request from a file. False with RESULT_IO. */
 bool explanation_read(struct explanation *explanation, const char *request,
 		      const char *file, struct error *err);
-/* What the request is the same work as, from the lines taken so far; to be
- * freed. NULL when no line says so: no server was lost under it. */
+/* The request's fingerprint (the field work) from the lines added so far; free
+ * with g_free(). NULL when no line has it: no server was lost while running
+ * such a request. */
 char *explanation_work(const struct explanation *explanation);
-/* Takes the lines of servers that ended under that work, whichever request it
- * was then. False with RESULT_IO. */
+/* Adds the server_ended lines with that fingerprint, whichever request the
+ * server was running. False with RESULT_IO. */
 bool explanation_read_work(struct explanation *explanation, const char *work,
 			   const char *file, struct error *err);
-/* Orders the lines and names the cause. False with RESULT_NOT_FOUND when there
- * is no line. */
+/* Sorts the lines and sets the cause. False with RESULT_NOT_FOUND when there
+ * are no lines. */
 bool explanation_finish(struct explanation *explanation, const char *request,
 			struct error *err);
 
-/* The value of key in a log line, without quotes; NULL when it is not there. */
+/* The value of a field of a log line, without quotes; free with g_free(). NULL
+ * when the line lacks it. */
 char *explain_value(const char *line, const char *key);
 
 #endif
--- a/include/ctl/field_diff.h
+++ b/include/ctl/field_diff.h
@@ -1,10 +1,10 @@
 /*
- * field_diff.h - what differs between two files, field by field
+ * field_diff.h - compares two configuration files field by field
  *
  * DESCRIPTION
- *	Entries of a list are paired by name (a link by its two ends), so that
- *	an entry that moved is no difference. Only what the files say is
- *	compared: a default that is written out is a difference.
+ *	List entries are paired by name (links by their two ends), so an entry
+ *	that moved within its list is no difference. Defaults are not filled in:
+ *	a field that states its default differs from one left out.
  */
 #ifndef CTL_FIELD_DIFF_H
 #define CTL_FIELD_DIFF_H
@@ -19,7 +19,8 @@
 	char *after;  /* NULL: removed */
 };
 
-/* Changes sorted by path; NULL when a file is no YAML. */
+/* The struct field_change of all fields that differ, sorted by path; NULL when
+ * a file is not valid YAML. */
 GPtrArray *field_diff(const char *before_name, const char *before,
 		      size_t before_size, const char *after_name,
 		      const char *after, size_t after_size, struct error *err);
--- a/include/ctl/file.h
+++ b/include/ctl/file.h
@@ -1,5 +1,5 @@
 /*
- * file.h - an operators' file that was read and checked
+ * file.h - reads and validates a configuration file
  */
 #ifndef CTL_FILE_H
 #define CTL_FILE_H
@@ -17,8 +17,8 @@
 	struct config *config;
 };
 
-/* Checks what a daemon checks, too: shape, meaning, the policy and its
- * parameters. Nothing is left to free when it fails. */
+/* Makes the checks of a daemon: syntax, semantics, the policy and its
+ * parameters. Nothing needs to be freed after a failure. */
 bool file_read(struct file *file, const char *name, struct error *err);
 void file_clear(struct file *file);
 
--- a/tests/ctl/fake_admin.c
+++ b/tests/ctl/fake_admin.c
@@ -41,7 +41,7 @@
 	" \"requests\": [{}, {}], \"ledger\": {\"waiting\": 3, \"grants\": 4,"
 	" \"held\": 5, \"records\": 6}}";
 
-/* Counts rise by the same at each reading. */
+/* Counts rise by a fixed amount with each request. */
 static const char measures[] =
 	"{\"instance\": \"entry-1\", \"since_us\": %u, \"until_us\": %u,"
 	" \"revision\": 7, \"policy\": \"reserve\", \"classes\": ["
--- a/tests/ctl/fake_admin.h
+++ b/tests/ctl/fake_admin.h
@@ -10,18 +10,18 @@
 enum fake_mode {
 	FAKE_FINE,
 	FAKE_EMPTY,    /* no file was applied yet */
-	FAKE_STALE,    /* another operator was faster */
+	FAKE_STALE,    /* another revision is in force */
 	FAKE_BAD,      /* the daemon refuses the file */
-	FAKE_LOG_DOWN, /* the log has an outage */
-	FAKE_CUT,      /* the answer to an apply is lost */
+	FAKE_LOG_DOWN, /* the log is down */
+	FAKE_CUT,      /* the connection breaks during the answer to an apply */
 	FAKE_NOT_JSON,
-	FAKE_RESTART, /* started anew before each second reading */
+	FAKE_RESTART, /* restarts before every second report */
 };
 
 struct fake_admin {
 	enum fake_mode mode;
 	struct web_server *server;
-	GString *seen; /* "METHOD path?query bytes\n" each */
+	GString *seen; /* "METHOD path?query\n" for each request */
 	unsigned int readings;
 	char *content;
 };
--- a/tests/ctl/test_ctl.c
+++ b/tests/ctl/test_ctl.c
@@ -1,6 +1,6 @@
-/* Whole runs of jtctl against a scripted daemon, as golden files: what was
- * printed, the exit code, and what the daemon saw. JT_GOLDEN_WRITE=1 writes
- * the files anew. */
+/* Compares sessions of jtctl against a scripted daemon with golden files: the
+ * output, the exit code, and the requests that the daemon received.
+ * JT_GOLDEN_WRITE=1 rewrites the files. */
 #include <glib.h>
 #include <glib/gstdio.h>
 #include <stdlib.h>
@@ -20,8 +20,8 @@
 #define ROOT SOURCE_ROOT "/"
 #define TESTS ROOT "tests/ctl/"
 
-/* In the command line, BASE is a good file, CHANGED an edit of it, BAD and
- * CONTROL files with faults, A and B saved reports, SAVED a file to write. */
+/* In the command line, BASE is a valid file, CHANGED an edit of it, BAD and
+ * CONTROL files with errors, A and B saved reports, SAVED a file to write. */
 struct session {
 	const char *name;
 	enum fake_mode mode;
@@ -162,7 +162,7 @@
 		argv[i] = word_expand(run, word);
 		g_free(word);
 	}
-	/* argp moves the words about. */
+	/* argp reorders argv. */
 	arguments = g_memdup2(argv, (count + 1) * sizeof(*argv));
 	code = ctl_run(&ctl, (int)count, arguments);
 	web_client_destroy(ctl.client);
@@ -180,7 +180,7 @@
 	return whole;
 }
 
-/* The whole session as text, without what differs between runs. */
+/* The transcript of a session, with what differs between runs replaced. */
 static char *session_run(const struct session *session)
 {
 	struct run run = {.clock = clock_create_system()};
@@ -240,7 +240,7 @@
 	}
 }
 
-/* Not a golden file: the list grows with policy/. */
+/* No golden file: the list changes with each policy that is added. */
 static void test_policies(void)
 {
 	static const struct session text_session = {.command = "policies"};
@@ -296,7 +296,7 @@
 	g_assert_cmpint(exit_code_of(RESULT_QUEUE_FULL), ==, EXIT_CODE_REFUSED);
 }
 
-/* The row of the manual's table for an exit code, up to the next row. */
+/* The row for an exit code in the table of the manual page. */
 static char *manual_row(const char *page, enum exit_code code)
 {
 	g_autofree char *start = g_strdup_printf("|  %d\n", (int)code);
