--- a/ctl/admin.c
+++ b/ctl/admin.c
@@ -7,9 +7,9 @@
 #include "web/client.h"
 #include "web/loop.h"
 
-#define ANSWER_MAX (64u << 20)
+#define ANSWER_MAX_BYTES (64u << 20)
 /* A daemon answers an apply only after reading it back from the log. */
-#define HEAD_USEC (15 * USEC_PER_SEC)
+#define HEAD_TIMEOUT_USEC (15 * USEC_PER_SEC)
 #define STATUS_OK 200
 
 struct call {
@@ -38,7 +38,7 @@
 /* The result code in the answer, else one derived from the HTTP status. */
 static enum result_code answer_code(const json_t *answer, int status)
 {
-	enum result_code code = (enum result_code)answer_number(answer, "code");
+	enum result_code code = (enum result_code)object_number(answer, "code");
 
 	if (code != RESULT_OK && strcmp(result_label(code), "unknown") != 0)
 		return code;
@@ -53,7 +53,7 @@
 			   struct error *err)
 {
 	json_t *answer = json_loadb(call->body->str, call->body->len, 0, NULL);
-	const char *text = answer_text(answer, "error");
+	const char *text = object_text(answer, "error");
 
 	if (call->status == STATUS_OK && json_is_object(answer))
 		return answer;
@@ -78,11 +78,11 @@
 		.path = request->path,
 		.body = request->body,
 		.body_size = request->body_size,
-		.head_usec = HEAD_USEC,
+		.head_usec = HEAD_TIMEOUT_USEC,
 		.fresh = true,
 	};
 
-	web_fetch(ctl->client, &spec, ANSWER_MAX, on_answer, call);
+	web_fetch(ctl->client, &spec, ANSWER_MAX_BYTES, on_answer, call);
 	loop_run(ctl->loop);
 }
 
@@ -97,8 +97,9 @@
 
 /* Sets err. Returns whether the next address may be tried: a POST that may have
  * reached the daemon is not repeated. */
-static bool call_failed(const struct call *call, const char *address,
-			const struct admin_request *request, struct error *err)
+static bool failure_report(const struct call *call, const char *address,
+			   const struct admin_request *request,
+			   struct error *err)
 {
 	const char *reason = failure_text(call);
 
@@ -128,7 +129,7 @@
 			answer = answer_read(&call, *address, err);
 			next = false;
 		} else {
-			next = call_failed(&call, *address, request, err);
+			next = failure_report(&call, *address, request, err);
 		}
 		g_string_free(call.body, TRUE);
 	}
@@ -143,14 +144,14 @@
 	return admin_call(ctl, addresses, &request, err);
 }
 
-const char *answer_text(const json_t *answer, const char *name)
+const char *object_text(const json_t *object, const char *name)
 {
-	const char *text = json_string_value(json_object_get(answer, name));
+	const char *text = json_string_value(json_object_get(object, name));
 
 	return text ? text : "";
 }
 
-json_int_t answer_number(const json_t *answer, const char *name)
+json_int_t object_number(const json_t *object, const char *name)
 {
-	return json_integer_value(json_object_get(answer, name));
+	return json_integer_value(json_object_get(object, name));
 }
--- a/ctl/arguments.c
+++ b/ctl/arguments.c
@@ -54,15 +54,15 @@
 };
 
 /* State of one argp_parse(), over the arguments before or after the command. */
-struct reading {
+struct parse {
 	struct ctl *ctl;
 	const struct command *command; /* NULL before the name is known */
 	const struct argp *argp;
 	struct arguments *args;
 	struct error *err;
 	char *program;
-	int next;     /* index in argv of the command's name */
-	bool printed; /* help or the version */
+	int command_index; /* in argv; 0: not found */
+	bool printed;	   /* help or the version */
 };
 
 static bool base_parse(struct arguments *args, const char *text,
@@ -93,51 +93,51 @@
 			 text, WINDOW_MAX_S);
 }
 
-static bool operand_add(struct reading *reading, const char *text)
+static bool operand_add(struct parse *parse, const char *text)
 {
-	struct arguments *args = reading->args;
-	const struct command *command = reading->command;
+	struct arguments *args = parse->args;
+	const struct command *command = parse->command;
 
 	if (args->operand_count == command->operands_max)
-		return error_set(reading->err, RESULT_USAGE,
+		return error_set(parse->err, RESULT_USAGE,
 				 "%s: \"%s\" is one argument too many",
 				 command->name, text);
 	args->operands[args->operand_count++] = text;
 	return true;
 }
 
-static void help_print(struct reading *reading)
+static void help_print(struct parse *parse)
 {
 	size_t count;
 	const struct command *const *commands = command_all(&count);
 
-	reading->printed = true;
-	argp_help(reading->argp, reading->ctl->out, ARGP_HELP_STD_HELP,
-		  reading->program);
-	if (reading->command)
+	parse->printed = true;
+	argp_help(parse->argp, parse->ctl->out, ARGP_HELP_STD_HELP,
+		  parse->program);
+	if (parse->command)
 		return;
-	fprintf(reading->ctl->out, "\nCommands:\n");
+	fprintf(parse->ctl->out, "\nCommands:\n");
 	for (size_t i = 0; i < count; i++)
-		fprintf(reading->ctl->out, "  %-12s %s\n", commands[i]->name,
+		fprintf(parse->ctl->out, "  %-12s %s\n", commands[i]->name,
 			commands[i]->summary);
 }
 
-static void version_print(struct reading *reading)
+static void version_print(struct parse *parse)
 {
-	reading->printed = true;
-	fprintf(reading->ctl->out, "jtctl %s\n", JT_VERSION);
+	parse->printed = true;
+	fprintf(parse->ctl->out, "jtctl %s\n", JT_VERSION);
 }
 
-static bool option_read(struct reading *reading, int key, char *text)
+static bool option_parse(struct parse *parse, int key, char *text)
 {
-	struct arguments *args = reading->args;
+	struct arguments *args = parse->args;
 
 	switch (key) {
 	case KEY_HELP:
-		help_print(reading);
+		help_print(parse);
 		return true;
 	case KEY_VERSION:
-		version_print(reading);
+		version_print(parse);
 		return true;
 	case KEY_ADMIN:
 		args->admin = text;
@@ -149,12 +149,12 @@
 		args->remote = true;
 		return true;
 	case KEY_BASE:
-		return base_parse(args, text, reading->err);
+		return base_parse(args, text, parse->err);
 	case KEY_AUTHOR:
 		args->author = text;
 		return true;
 	case KEY_WINDOW:
-		return window_parse(args, text, reading->err);
+		return window_parse(args, text, parse->err);
 	case KEY_SAVE:
 		args->save_file = text;
 		return true;
@@ -164,19 +164,19 @@
 	}
 }
 
-static error_t read_word(int key, char *text, struct argp_state *state)
+static error_t on_argp_key(int key, char *text, struct argp_state *state)
 {
-	struct reading *reading = state->input;
+	struct parse *parse = state->input;
 
 	switch (key) {
 	case ARGP_KEY_INIT:
-		state->err_stream = reading->ctl->err;
-		state->out_stream = reading->ctl->out;
+		state->err_stream = parse->ctl->err;
+		state->out_stream = parse->ctl->out;
 		return 0;
 	case ARGP_KEY_ARG:
-		if (reading->command)
-			return operand_add(reading, text) ? 0 : EINVAL;
-		reading->next = state->next - 1;
+		if (parse->command)
+			return operand_add(parse, text) ? 0 : EINVAL;
+		parse->command_index = state->next - 1;
 		state->next = state->argc;
 		return 0;
 	case ARGP_KEY_ARGS:
@@ -187,12 +187,12 @@
 	case ARGP_KEY_FINI:
 		return ARGP_ERR_UNKNOWN;
 	default:
-		return option_read(reading, key, text) ? 0 : EINVAL;
+		return option_parse(parse, key, text) ? 0 : EINVAL;
 	}
 }
 
 /* Copies the options that the command takes, terminated by an empty one. */
-static void options_choose(struct argp_option *options, unsigned int bits)
+static void options_select(struct argp_option *options, unsigned int bits)
 {
 	size_t used = 0;
 
@@ -203,13 +203,13 @@
 	options[used] = (struct argp_option){0};
 }
 
-static bool words_read(struct reading *reading, int argc, char **argv)
+static bool words_parse(struct parse *parse, int argc, char **argv)
 {
-	const struct command *command = reading->command;
+	const struct command *command = parse->command;
 	struct argp_option options[OPTIONS_MAX];
 	struct argp argp = {
 		.options = options,
-		.parser = read_word,
+		.parser = on_argp_key,
 		.args_doc = command ? command->args_doc : "COMMAND [ARGS...]",
 		.doc = command ? command->summary
 			       : "Puts files in force on a running site and "
@@ -217,86 +217,87 @@
 	};
 	error_t failed;
 
-	options_choose(options, command ? command->options : 0);
-	reading->argp = &argp;
-	argv[0] = reading->program;
+	options_select(options, command ? command->options : 0);
+	parse->argp = &argp;
+	argv[0] = parse->program;
 	failed = argp_parse(&argp, argc, argv,
 			    ARGP_IN_ORDER | ARGP_NO_EXIT | ARGP_NO_HELP, NULL,
-			    reading);
+			    parse);
 	if (!failed)
 		return true;
 	/* argp has already reported an unknown option. */
-	if (reading->err->code == RESULT_OK)
-		error_set(reading->err, RESULT_USAGE, "see %s --help",
-			  reading->program);
+	if (parse->err->code == RESULT_OK)
+		error_set(parse->err, RESULT_USAGE, "see %s --help",
+			  parse->program);
 	return false;
 }
 
-static bool operands_enough(const struct reading *reading)
+static bool operands_check(const struct parse *parse)
 {
-	const struct command *command = reading->command;
+	const struct command *command = parse->command;
 
-	if (reading->args->operand_count >= command->operands_min)
+	if (parse->args->operand_count >= command->operands_min)
 		return true;
-	return error_set(reading->err, RESULT_USAGE, "%s: %s is missing",
+	return error_set(parse->err, RESULT_USAGE, "%s: %s is missing",
 			 command->name, command->args_doc);
 }
 
-static bool command_read(struct reading *reading, int argc, char **argv)
+static bool command_parse(struct parse *parse, int argc, char **argv)
 {
-	const char *name = argv[reading->next];
+	const char *name = argv[parse->command_index];
 
-	reading->command = command_find(name);
-	if (!reading->command)
-		return error_set(reading->err, RESULT_USAGE,
+	parse->command = command_find(name);
+	if (!parse->command)
+		return error_set(parse->err, RESULT_USAGE,
 				 "unknown command \"%s\"; see jtctl --help",
 				 name);
-	g_free(reading->program);
-	reading->program = g_strdup_printf("jtctl %s", name);
-	return words_read(reading, argc - reading->next,
-			  argv + reading->next) &&
-	       (reading->printed || operands_enough(reading));
+	g_free(parse->program);
+	parse->program = g_strdup_printf("jtctl %s", name);
+	return words_parse(parse, argc - parse->command_index,
+			   argv + parse->command_index) &&
+	       (parse->printed || operands_check(parse));
 }
 
-bool arguments_read(struct ctl *ctl, int argc, char **argv,
-		    const struct command **command, struct arguments *args,
-		    struct error *err)
+bool arguments_parse(struct ctl *ctl, int argc, char **argv,
+		     const struct command **command, struct arguments *args,
+		     struct error *err)
 {
-	struct reading reading = {
+	struct parse parse = {
 		.ctl = ctl,
 		.args = args,
 		.err = err,
 		.program = g_strdup("jtctl"),
 	};
-	bool ok = words_read(&reading, argc, argv);
+	bool ok = words_parse(&parse, argc, argv);
 
-	if (ok && !reading.printed && reading.next == 0)
+	if (ok && !parse.printed && parse.command_index == 0)
 		ok = error_set(err, RESULT_USAGE,
 			       "a command is missing; see jtctl --help");
-	if (ok && !reading.printed)
-		ok = command_read(&reading, argc, argv);
-	*command = reading.printed ? NULL : reading.command;
-	g_free(reading.program);
+	if (ok && !parse.printed)
+		ok = command_parse(&parse, argc, argv);
+	*command = parse.printed ? NULL : parse.command;
+	g_free(parse.program);
 	return ok;
 }
 
-const struct option_text *arguments_options(size_t *count)
+const struct option_info *arguments_options(size_t *count)
 {
-	static struct option_text texts[G_N_ELEMENTS(all_options)];
+	static struct option_info infos[G_N_ELEMENTS(all_options)];
 
 	*count = G_N_ELEMENTS(all_options);
 	for (size_t i = 0; i < *count; i++) {
 		const struct argp_option *option = &all_options[i];
 
-		texts[i] = (struct option_text){
+		infos[i] = (struct option_info){
 			.name = option->name,
-			.letter = option->key < 256 && option->key != KEY_HELP
-					  ? (char)option->key
-					  : 0,
+			.short_name =
+				option->key < 256 && option->key != KEY_HELP
+					? (char)option->key
+					: 0,
 			.arg = option->arg,
 			.doc = option->doc,
 			.bit = option_bits[i],
 		};
 	}
-	return texts;
+	return infos;
 }
--- a/ctl/command_diff.c
+++ b/ctl/command_diff.c
@@ -7,14 +7,14 @@
 #include "ctl/field_diff.h"
 #include "ctl/print.h"
 
-static bool in_force_read(struct ctl *ctl, const struct arguments *args,
-			  char **data, size_t *size, struct error *err)
+static bool config_fetch(struct ctl *ctl, const struct arguments *args,
+			 char **data, size_t *size, struct error *err)
 {
 	json_t *config = admin_get(ctl, args->admin, "/config", err);
 
 	if (!config)
 		return false;
-	*data = g_strdup(answer_text(config, "content"));
+	*data = g_strdup(object_text(config, "content"));
 	*size = strlen(*data);
 	json_decref(config);
 	if (*size > 0)
@@ -94,7 +94,7 @@
 	bool ok;
 
 	if (args->operand_count == 1)
-		ok = in_force_read(ctl, args, &before, &size, err);
+		ok = config_fetch(ctl, args, &before, &size, err);
 	else
 		ok = config_read(args->operands[0], &before, &size, err);
 	if (!ok)
--- a/ctl/command_explain.c
+++ b/ctl/command_explain.c
@@ -39,16 +39,16 @@
 static bool files_read(struct explanation *explanation,
 		       const struct arguments *args, struct error *err)
 {
-	g_autofree char *work = NULL;
+	g_autofree char *fingerprint = NULL;
 
 	for (unsigned int i = 1; i < args->operand_count; i++)
 		if (!explanation_read(explanation, args->operands[0],
 				      args->operands[i], err))
 			return false;
-	work = explanation_work(explanation);
-	for (unsigned int i = 1; work && i < args->operand_count; i++)
-		if (!explanation_read_work(explanation, work, args->operands[i],
-					   err))
+	fingerprint = explanation_fingerprint(explanation);
+	for (unsigned int i = 1; fingerprint && i < args->operand_count; i++)
+		if (!explanation_read_fingerprint(explanation, fingerprint,
+						  args->operands[i], err))
 			return false;
 	return true;
 }
--- a/ctl/command_history.c
+++ b/ctl/command_history.c
@@ -6,19 +6,19 @@
 
 static void change_add(struct columns *columns, const json_t *change)
 {
-	g_autofree char *time = print_time(answer_number(change, "unix_us"));
+	g_autofree char *time = print_time(object_number(change, "unix_us"));
 	g_autofree char *revision = g_strdup_printf(
-		"%" JSON_INTEGER_FORMAT, answer_number(change, "revision"));
+		"%" JSON_INTEGER_FORMAT, object_number(change, "revision"));
 	g_autofree char *base = g_strdup_printf("%" JSON_INTEGER_FORMAT,
-						answer_number(change, "base"));
+						object_number(change, "base"));
 	g_autofree char *size = g_strdup_printf("%" JSON_INTEGER_FORMAT,
-						answer_number(change, "size"));
-	bool accepted = answer_number(change, "code") == RESULT_OK;
+						object_number(change, "size"));
+	bool accepted = object_number(change, "code") == RESULT_OK;
 
 	columns_add(columns, time, revision, base,
-		    answer_text(change, "author"), size,
-		    accepted ? "accepted" : answer_text(change, "result"),
-		    answer_text(change, "reason"));
+		    object_text(change, "author"), size,
+		    accepted ? "accepted" : object_text(change, "result"),
+		    object_text(change, "reason"));
 }
 
 static bool run(struct ctl *ctl, const struct arguments *args,
--- a/ctl/command_measures.c
+++ b/ctl/command_measures.c
@@ -9,7 +9,7 @@
 #include "web/loop.h"
 
 /* The reports to print: one, or two side by side. */
-struct pair {
+struct report_pair {
 	json_t *before;
 	json_t *after; /* NULL: only one */
 };
@@ -49,8 +49,8 @@
 
 /* Applies the file of --apply between the windows. Without it the operator
  * applies one, and is told when. */
-static bool swap(struct ctl *ctl, const struct arguments *args,
-		 struct error *err)
+static bool window_switch(struct ctl *ctl, const struct arguments *args,
+			  struct error *err)
 {
 	struct apply_result result;
 
@@ -68,17 +68,17 @@
 }
 
 static bool windows_measure(struct ctl *ctl, const struct arguments *args,
-			    struct pair *pair, struct error *err)
+			    struct report_pair *pair, struct error *err)
 {
 	pair->before = window_measure(ctl, args, err);
-	if (!pair->before || !swap(ctl, args, err))
+	if (!pair->before || !window_switch(ctl, args, err))
 		return false;
 	pair->after = window_measure(ctl, args, err);
 	return pair->after != NULL;
 }
 
 static bool pair_read(struct ctl *ctl, const struct arguments *args,
-		      struct pair *pair, struct error *err)
+		      struct report_pair *pair, struct error *err)
 {
 	if (args->window_s > 0)
 		return windows_measure(ctl, args, pair, err);
@@ -95,7 +95,7 @@
 	return pair->after != NULL;
 }
 
-static void pair_print(FILE *out, const struct pair *pair, bool json)
+static void pair_print(FILE *out, const struct report_pair *pair, bool json)
 {
 	json_t *both;
 
@@ -127,7 +127,7 @@
 static bool run(struct ctl *ctl, const struct arguments *args,
 		struct error *err)
 {
-	struct pair pair = {0};
+	struct report_pair pair = {0};
 	bool ok;
 
 	if (!arguments_check(args, err))
--- a/ctl/command_show.c
+++ b/ctl/command_show.c
@@ -6,11 +6,11 @@
 		struct error *err)
 {
 	json_t *config = admin_get(ctl, args->admin, "/config", err);
-	const char *content = answer_text(config, "content");
+	const char *content = object_text(config, "content");
 
 	if (!config)
 		return false;
-	if (answer_number(config, "revision") == 0) {
+	if (object_number(config, "revision") == 0) {
 		json_decref(config);
 		return error_set(err, RESULT_NO_CONFIG,
 				 "no file has been applied yet");
--- a/ctl/command_status.c
+++ b/ctl/command_status.c
@@ -7,12 +7,12 @@
 
 #define USEC_PER_SEC_REAL 1e6
 
-static double seconds(const json_t *object, const char *name)
+static double object_seconds(const json_t *object, const char *name)
 {
-	return (double)answer_number(object, name) / USEC_PER_SEC_REAL;
+	return (double)object_number(object, name) / USEC_PER_SEC_REAL;
 }
 
-static bool flag(const json_t *object, const char *name)
+static bool object_flag(const json_t *object, const char *name)
 {
 	return json_is_true(json_object_get(object, name));
 }
@@ -21,16 +21,17 @@
 {
 	const json_t *self = json_object_get(status, "instance");
 	const json_t *platform = json_object_get(status, "platform");
-	double age = seconds(platform, "list_age_us");
+	double age = object_seconds(platform, "list_age_us");
 
 	fprintf(out, "instance %s in %s, version %s, up %.0f s%s\n",
-		answer_text(self, "name"), answer_text(self, "data_centre"),
-		answer_text(status, "version"), seconds(self, "uptime_us"),
-		flag(self, "draining") ? ", draining" : "");
+		object_text(self, "name"), object_text(self, "data_centre"),
+		object_text(status, "version"),
+		object_seconds(self, "uptime_us"),
+		object_flag(self, "draining") ? ", draining" : "");
 	fprintf(out, "revision %" JSON_INTEGER_FORMAT ", policy %s\n",
-		answer_number(status, "revision"),
-		answer_text(status, "policy"));
-	if (!flag(platform, "configured"))
+		object_number(status, "revision"),
+		object_text(status, "policy"));
+	if (!object_flag(platform, "configured"))
 		fprintf(out, "platform: none configured\n");
 	else if (age < 0)
 		fprintf(out, "platform: its list was not read yet\n");
@@ -43,11 +44,11 @@
 	json_t *const *left = a;
 	json_t *const *right = b;
 
-	return strcmp(answer_text(*left, "name"), answer_text(*right, "name"));
+	return strcmp(object_text(*left, "name"), object_text(*right, "name"));
 }
 
 /* The list's entries sorted by name; they still belong to the list. */
-static GPtrArray *sorted(const json_t *list)
+static GPtrArray *sorted_by_name(const json_t *list)
 {
 	GPtrArray *entries = g_ptr_array_new();
 	json_t *entry;
@@ -62,18 +63,18 @@
 static void members_print(FILE *out, const json_t *members)
 {
 	struct columns *columns = columns_create(5);
-	GPtrArray *entries = sorted(members);
+	GPtrArray *entries = sorted_by_name(members);
 
 	columns_add(columns, "MEMBER", "DATA CENTRE", "STATE", "PEER ADDRESS",
 		    "ADDRESS");
 	for (guint i = 0; i < entries->len; i++) {
 		const json_t *member = entries->pdata[i];
 
-		columns_add(columns, answer_text(member, "name"),
-			    answer_text(member, "data_centre"),
-			    answer_text(member, "state"),
-			    answer_text(member, "peer_address"),
-			    answer_text(member, "address"));
+		columns_add(columns, object_text(member, "name"),
+			    object_text(member, "data_centre"),
+			    object_text(member, "state"),
+			    object_text(member, "peer_address"),
+			    object_text(member, "address"));
 	}
 	g_ptr_array_free(entries, TRUE);
 	fputc('\n', out);
@@ -89,14 +90,14 @@
 	columns_add(columns, "BACKEND SERVER", "POOL", "DATA CENTRE", "ADDRESS",
 		    "STATE", "HOME");
 	json_array_foreach (runners, i, runner)
-		columns_add(columns, answer_text(runner, "name"),
-			    answer_text(runner, "pool"),
-			    answer_text(runner, "data_centre"),
-			    answer_text(runner, "address"),
-			    flag(runner, "leaving")  ? "leaving"
-			    : flag(runner, "listed") ? "live"
-						     : "unlisted",
-			    flag(runner, "home") ? "here" : "");
+		columns_add(columns, object_text(runner, "name"),
+			    object_text(runner, "pool"),
+			    object_text(runner, "data_centre"),
+			    object_text(runner, "address"),
+			    object_flag(runner, "leaving")  ? "leaving"
+			    : object_flag(runner, "listed") ? "live"
+							    : "unlisted",
+			    object_flag(runner, "home") ? "here" : "");
 	fputc('\n', out);
 	columns_print(columns, out);
 }
@@ -111,9 +112,9 @@
 		", grants held %" JSON_INTEGER_FORMAT
 		", records %" JSON_INTEGER_FORMAT "\n",
 		json_array_size(json_object_get(status, "requests")),
-		answer_number(ledger, "waiting"),
-		answer_number(ledger, "grants"), answer_number(ledger, "held"),
-		answer_number(ledger, "records"));
+		object_number(ledger, "waiting"),
+		object_number(ledger, "grants"), object_number(ledger, "held"),
+		object_number(ledger, "records"));
 }
 
 static bool run(struct ctl *ctl, const struct arguments *args,
--- a/ctl/completion.c
+++ b/ctl/completion.c
@@ -7,13 +7,13 @@
 
 #define SHELLS "bash zsh fish"
 
-static bool option_taken(const struct option_text *option,
-			 const struct command *command)
+static bool option_applies(const struct option_info *option,
+			   const struct command *command)
 {
 	return (option->bit & command->options) == option->bit;
 }
 
-static bool option_is_file(const struct option_text *option)
+static bool option_is_file(const struct option_info *option)
 {
 	return option->arg && strcmp(option->arg, "FILE") == 0;
 }
@@ -21,11 +21,11 @@
 static void bash_words(FILE *out, const struct command *command)
 {
 	size_t count;
-	const struct option_text *options = arguments_options(&count);
+	const struct option_info *options = arguments_options(&count);
 
 	fprintf(out, "\t%s) words=\"", command->name);
 	for (size_t i = 0; i < count; i++) {
-		if (option_taken(&options[i], command))
+		if (option_applies(&options[i], command))
 			fprintf(out, "%s--%s", i > 0 ? " " : "",
 				options[i].name);
 	}
@@ -70,12 +70,12 @@
 static void zsh_options(FILE *out, const struct command *command)
 {
 	size_t count;
-	const struct option_text *options = arguments_options(&count);
+	const struct option_info *options = arguments_options(&count);
 
 	for (size_t i = 0; i < count; i++) {
-		const struct option_text *option = &options[i];
+		const struct option_info *option = &options[i];
 
-		if (!option_taken(option, command))
+		if (!option_applies(option, command))
 			continue;
 		fprintf(out, "\t\t\t'--%s%s[%s]", option->name,
 			option->arg ? "=" : "", option->doc);
@@ -124,28 +124,28 @@
 }
 
 /* Writes the names of all commands that take the option. */
-static void fish_users(FILE *out, const struct option_text *option)
+static void fish_option_commands(FILE *out, const struct option_info *option)
 {
 	size_t count;
 	const struct command *const *commands = command_all(&count);
 
 	for (size_t i = 0; i < count; i++) {
-		if (option_taken(option, commands[i]))
+		if (option_applies(option, commands[i]))
 			fprintf(out, " %s", commands[i]->name);
 	}
 }
 
-static void fish_option(FILE *out, const struct option_text *option)
+static void fish_option(FILE *out, const struct option_info *option)
 {
 	fprintf(out, "complete -c jtctl");
 	if (option->bit) {
 		fprintf(out, " -n '__fish_seen_subcommand_from");
-		fish_users(out, option);
+		fish_option_commands(out, option);
 		fprintf(out, "'");
 	}
 	fprintf(out, " -l %s", option->name);
-	if (option->letter)
-		fprintf(out, " -s %c", option->letter);
+	if (option->short_name)
+		fprintf(out, " -s %c", option->short_name);
 	if (option->arg)
 		fprintf(out, option_is_file(option) ? " -r -F" : " -x");
 	fprintf(out, " -d '%s'\n", option->doc);
@@ -174,7 +174,7 @@
 {
 	size_t count;
 	const struct command *const *commands = command_all(&count);
-	const struct option_text *options;
+	const struct option_info *options;
 
 	fprintf(out, "# Written by \"jtctl completions fish\".\n"
 		     "complete -c jtctl -f\n");
--- a/ctl/ctl.c
+++ b/ctl/ctl.c
@@ -37,7 +37,7 @@
 	struct error err = {0};
 
 	ctl->exit_code = EXIT_CODE_OK;
-	if (!arguments_read(ctl, argc, argv, &command, &args, &err) ||
+	if (!arguments_parse(ctl, argc, argv, &command, &args, &err) ||
 	    (command && !command->run(ctl, &args, &err))) {
 		error_report(ctl, args.json, &err);
 		return (int)exit_code_of(err.code);
--- a/ctl/explain.c
+++ b/ctl/explain.c
@@ -27,15 +27,15 @@
 	g_free(explanation->cause);
 }
 
-char *explain_value(const char *line, const char *key)
+char *log_line_value(const char *line, const char *key)
 {
-	g_autofree char *mark = g_strdup_printf(" %s=", key);
-	const char *at = strstr(line, mark);
+	g_autofree char *pattern = g_strdup_printf(" %s=", key);
+	const char *at = strstr(line, pattern);
 	const char *end;
 
 	if (!at)
 		return NULL;
-	at += strlen(mark);
+	at += strlen(pattern);
 	if (*at != '"')
 		return g_strndup(at, strcspn(at, " \r\n"));
 	for (end = ++at; *end && *end != '"'; end++)
@@ -49,32 +49,32 @@
 struct search {
 	struct explanation *explanation;
 	const char *request;
-	const char *work;
+	const char *fingerprint;
 	const char *file;
 };
 
-static bool line_wanted(const struct search *search, const char *text,
-			const char *event)
+static bool line_matches(const struct search *search, const char *text,
+			 const char *event)
 {
-	g_autofree char *id = explain_value(text, "request");
-	g_autofree char *work = NULL;
+	g_autofree char *id = log_line_value(text, "request");
+	g_autofree char *fingerprint = NULL;
 
 	if (search->request)
 		return g_strcmp0(id, search->request) == 0;
 	if (!g_str_has_prefix(event, " event=server_ended "))
 		return false;
-	work = explain_value(text, "work");
-	return g_strcmp0(work, search->work) == 0;
+	fingerprint = log_line_value(text, "work");
+	return g_strcmp0(fingerprint, search->fingerprint) == 0;
 }
 
-static void line_take(void *ctx, const char *text)
+static void line_add(void *ctx, const char *text)
 {
 	const struct search *search = ctx;
 	const char *event = strstr(text, " event=");
 	const char *time = strstr(text, ">time=");
 	struct explain_line *line;
 
-	if (!event || !time || !line_wanted(search, text, event))
+	if (!event || !time || !line_matches(search, text, event))
 		return;
 	line = g_new0(struct explain_line, 1);
 	line->time = g_ascii_strtod(time + strlen(">time="), NULL);
@@ -89,28 +89,30 @@
 	struct search search = {
 		.explanation = explanation, .request = request, .file = file};
 
-	return log_file_read(file, line_take, &search, err);
+	return log_file_read(file, line_add, &search, err);
 }
 
-char *explanation_work(const struct explanation *explanation)
+char *explanation_fingerprint(const struct explanation *explanation)
 {
 	for (guint i = 0; i < explanation->lines->len; i++) {
 		const struct explain_line *line = explanation->lines->pdata[i];
-		char *work = explain_value(line->text, "work");
+		char *fingerprint = log_line_value(line->text, "work");
 
-		if (work)
-			return work;
+		if (fingerprint)
+			return fingerprint;
 	}
 	return NULL;
 }
 
-bool explanation_read_work(struct explanation *explanation, const char *work,
-			   const char *file, struct error *err)
+bool explanation_read_fingerprint(struct explanation *explanation,
+				  const char *fingerprint, const char *file,
+				  struct error *err)
 {
-	struct search search = {
-		.explanation = explanation, .work = work, .file = file};
+	struct search search = {.explanation = explanation,
+				.fingerprint = fingerprint,
+				.file = file};
 
-	return log_file_read(file, line_take, &search, err);
+	return log_file_read(file, line_add, &search, err);
 }
 
 static gint line_compare(gconstpointer a, gconstpointer b)
@@ -122,16 +124,16 @@
 }
 
 /* The latest line of an event; NULL when there is none. */
-static const char *last_of(const struct explanation *explanation,
-			   const char *event)
+static const char *last_line(const struct explanation *explanation,
+			     const char *event)
 {
-	g_autofree char *mark = g_strconcat("event=", event, " ", NULL);
+	g_autofree char *prefix = g_strconcat("event=", event, " ", NULL);
 
 	for (guint i = explanation->lines->len; i > 0; i--) {
 		const struct explain_line *line =
 			explanation->lines->pdata[i - 1];
 
-		if (g_str_has_prefix(line->text, mark))
+		if (g_str_has_prefix(line->text, prefix))
 			return line->text;
 	}
 	return NULL;
@@ -140,7 +142,7 @@
 static const struct {
 	const char *outcome;
 	const char *text;
-} ends[] = {
+} outcomes[] = {
 	{"answered", "a server answered it whole"},
 	{"refused", "it was refused and has not run"},
 	{"failed", "it failed, and may have run"},
@@ -149,20 +151,20 @@
 	{"denied", "it is not for this site, or malformed"},
 };
 
-static const char *end_text(const char *outcome)
+static const char *outcome_text(const char *outcome)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(ends); i++)
-		if (g_strcmp0(ends[i].outcome, outcome) == 0)
-			return ends[i].text;
+	for (size_t i = 0; i < G_N_ELEMENTS(outcomes); i++)
+		if (g_strcmp0(outcomes[i].outcome, outcome) == 0)
+			return outcomes[i].text;
 	return "it ended in a way that is not known here";
 }
 
 static void step_add(GString *cause, const char *line)
 {
-	g_autofree char *step = explain_value(line, "step");
-	g_autofree char *backend = explain_value(line, "backend");
-	g_autofree char *why = explain_value(line, "why");
-	g_autofree char *status = explain_value(line, "status");
+	g_autofree char *step = log_line_value(line, "step");
+	g_autofree char *backend = log_line_value(line, "backend");
+	g_autofree char *why = log_line_value(line, "why");
+	g_autofree char *status = log_line_value(line, "status");
 
 	g_string_append_printf(cause, "; before that %s at %s failed: %s",
 			       step ? step : "the call",
@@ -181,48 +183,52 @@
 
 	for (guint i = 0; i < explanation->lines->len; i++) {
 		const struct explain_line *line = explanation->lines->pdata[i];
-		g_autofree char *backend = explain_value(line->text, "backend");
-		g_autofree char *born = explain_value(line->text, "born");
-		char *life;
+		g_autofree char *backend =
+			log_line_value(line->text, "backend");
+		g_autofree char *started_ms =
+			log_line_value(line->text, "born");
+		char *incarnation;
 
 		if (!g_str_has_prefix(line->text, "event=server_ended "))
 			continue;
-		life = g_strdup_printf("%s started at %s", backend, born);
-		if (!g_hash_table_add(seen, life))
+		incarnation = g_strdup_printf("%s started at %s", backend,
+					      started_ms);
+		if (!g_hash_table_add(seen, incarnation))
 			continue;
 		g_string_append_printf(
 			cause, "%s%s",
 			g_hash_table_size(seen) == 1
 				? "; servers that ended under the same work: "
 				: ", ",
-			g_strcmp0(born, "0") == 0 ? backend : life);
+			g_strcmp0(started_ms, "0") == 0 ? backend
+							: incarnation);
 	}
 }
 
-static char *cause_name(const struct explanation *explanation)
+static char *cause_text(const struct explanation *explanation)
 {
-	const char *end = last_of(explanation, "request_end");
-	const char *step = last_of(explanation, "step_failed");
+	const char *end = last_line(explanation, "request_end");
+	const char *step = last_line(explanation, "step_failed");
 	GString *cause = g_string_new(NULL);
 
 	if (!step)
-		step = last_of(explanation, "send_failed");
+		step = last_line(explanation, "send_failed");
 	if (!end) {
 		g_string_append(cause, "no process logged its end: the process "
 				       "died with it, or it is under way");
 	} else {
-		g_autofree char *outcome = explain_value(end, "outcome");
-		g_autofree char *why = explain_value(end, "why");
-		g_autofree char *status = explain_value(end, "status");
-		g_autofree char *backend = explain_value(end, "backend");
-		g_autofree char *whole = explain_value(end, "whole_ms");
+		g_autofree char *outcome = log_line_value(end, "outcome");
+		g_autofree char *why = log_line_value(end, "why");
+		g_autofree char *status = log_line_value(end, "status");
+		g_autofree char *backend = log_line_value(end, "backend");
+		g_autofree char *whole_ms = log_line_value(end, "whole_ms");
 
 		g_string_append_printf(cause,
 				       "%s: %s (status %s, after %s ms, last "
 				       "server %s)",
-				       end_text(outcome), why ? why : "",
+				       outcome_text(outcome), why ? why : "",
 				       status ? status : "?",
-				       whole ? whole : "?",
+				       whole_ms ? whole_ms : "?",
 				       backend && *backend ? backend : "none");
 	}
 	if (step)
@@ -239,6 +245,6 @@
 				 "no line of these logs names request %s",
 				 request);
 	g_ptr_array_sort(explanation->lines, line_compare);
-	explanation->cause = cause_name(explanation);
+	explanation->cause = cause_text(explanation);
 	return true;
 }
--- a/ctl/field_diff.c
+++ b/ctl/field_diff.c
@@ -4,7 +4,7 @@
 
 #include "config/outline.h"
 
-static const char *text_below(const struct outline *outline, const char *path,
+static const char *child_text(const struct outline *outline, const char *path,
 			      const char *field)
 {
 	g_autofree char *below = g_strdup_printf("%s.%s", path, field);
@@ -15,11 +15,11 @@
 
 /* The key of the list entry at path: its name, or "from>to" for a link. NULL
  * when it has neither. */
-static char *entry_name(const struct outline *outline, const char *path)
+static char *entry_key(const struct outline *outline, const char *path)
 {
-	const char *name = text_below(outline, path, "name");
-	const char *from = text_below(outline, path, "from");
-	const char *to = text_below(outline, path, "to");
+	const char *name = child_text(outline, path, "name");
+	const char *from = child_text(outline, path, "from");
+	const char *to = child_text(outline, path, "to");
 
 	if (name)
 		return g_strdup(name);
@@ -43,7 +43,7 @@
 		if (!start || !end)
 			break;
 		entry = g_strndup(path, end + 1 - path);
-		name = entry_name(outline, entry);
+		name = entry_key(outline, entry);
 		if (name) {
 			g_string_append_len(named, at, start + 1 - at);
 			g_string_append_printf(named, "%s]", name);
@@ -57,8 +57,8 @@
 }
 
 /* Maps the named path of each scalar to its text. */
-static GHashTable *fields_of(const char *name, const char *data, size_t size,
-			     struct error *err)
+static GHashTable *fields_read(const char *name, const char *data, size_t size,
+			       struct error *err)
 {
 	struct outline *outline = outline_create(name, data, size, err);
 	const struct outline_node *const *nodes;
@@ -135,13 +135,13 @@
 		      size_t before_size, const char *after_name,
 		      const char *after, size_t after_size, struct error *err)
 {
-	GHashTable *old = fields_of(before_name, before, before_size, err);
+	GHashTable *old = fields_read(before_name, before, before_size, err);
 	GPtrArray *changes = NULL;
 	GHashTable *new;
 
 	if (!old)
 		return NULL;
-	new = fields_of(after_name, after, after_size, err);
+	new = fields_read(after_name, after, after_size, err);
 	if (new) {
 		changes = compare(old, new);
 		g_hash_table_destroy(new);
--- a/ctl/file.c
+++ b/ctl/file.c
@@ -5,9 +5,10 @@
 #include "config/config.h"
 #include "policy/policy.h"
 
-bool file_read(struct file *file, const char *name, struct error *err)
+bool config_file_read(struct config_file *file, const char *name,
+		      struct error *err)
 {
-	*file = (struct file){0};
+	*file = (struct config_file){0};
 	if (!config_read(name, &file->data, &file->size, err))
 		return false;
 	file->config = config_parse(name, file->data, file->size, err);
@@ -15,13 +16,13 @@
 		return true;
 	if (file->config)
 		error_prefix(err, "%s", name);
-	file_clear(file);
+	config_file_clear(file);
 	return false;
 }
 
-void file_clear(struct file *file)
+void config_file_clear(struct config_file *file)
 {
 	config_destroy(file->config);
 	g_free(file->data);
-	*file = (struct file){0};
+	*file = (struct config_file){0};
 }
--- a/ctl/print.c
+++ b/ctl/print.c
@@ -3,15 +3,15 @@
 #include <glib.h>
 
 struct columns {
-	unsigned int width;
+	unsigned int column_count;
 	GPtrArray *cells;
 };
 
-struct columns *columns_create(unsigned int width)
+struct columns *columns_create(unsigned int column_count)
 {
 	struct columns *columns = g_new0(struct columns, 1);
 
-	columns->width = width;
+	columns->column_count = column_count;
 	columns->cells = g_ptr_array_new_with_free_func(g_free);
 	return columns;
 }
@@ -22,10 +22,9 @@
 	GString *out = g_string_new(NULL);
 
 	for (const char *c = safe; *c; c = g_utf8_next_char(c)) {
-		gunichar letter = g_utf8_get_char(c);
+		gunichar ch = g_utf8_get_char(c);
 
-		g_string_append_unichar(
-			out, g_unichar_iscntrl(letter) ? '?' : letter);
+		g_string_append_unichar(out, g_unichar_iscntrl(ch) ? '?' : ch);
 	}
 	g_free(safe);
 	return g_string_free(out, FALSE);
@@ -33,7 +32,7 @@
 
 void columns_add_row(struct columns *columns, const char *const *row)
 {
-	for (unsigned int i = 0; i < columns->width; i++)
+	for (unsigned int i = 0; i < columns->column_count; i++)
 		g_ptr_array_add(columns->cells, print_safe(row[i]));
 }
 
@@ -44,11 +43,12 @@
 	return text && *text ? text : "-";
 }
 
-static int column_size(const struct columns *columns, unsigned int column)
+static int column_width(const struct columns *columns, unsigned int column)
 {
 	glong size = 0;
 
-	for (guint i = column; i < columns->cells->len; i += columns->width)
+	for (guint i = column; i < columns->cells->len;
+	     i += columns->column_count)
 		size = MAX(size, g_utf8_strlen(cell(columns, i), -1));
 	return (int)size;
 }
@@ -59,7 +59,7 @@
 	const char *text = cell(columns, i);
 	int pad = size - (int)g_utf8_strlen(text, -1);
 
-	if ((i + 1) % columns->width == 0)
+	if ((i + 1) % columns->column_count == 0)
 		fprintf(out, "%s\n", text);
 	else
 		fprintf(out, "%s%*s", text, pad + 2, "");
@@ -67,12 +67,12 @@
 
 void columns_print(struct columns *columns, FILE *out)
 {
-	int *sizes = g_new0(int, columns->width);
+	int *sizes = g_new0(int, columns->column_count);
 
-	for (unsigned int i = 0; i < columns->width; i++)
-		sizes[i] = column_size(columns, i);
+	for (unsigned int i = 0; i < columns->column_count; i++)
+		sizes[i] = column_width(columns, i);
 	for (guint i = 0; i < columns->cells->len; i++)
-		cell_print(columns, i, sizes[i % columns->width], out);
+		cell_print(columns, i, sizes[i % columns->column_count], out);
 	g_free(sizes);
 	g_ptr_array_free(columns->cells, TRUE);
 	g_free(columns);
--- a/ctl/report.c
+++ b/ctl/report.c
@@ -32,8 +32,8 @@
 	size_t i;
 
 	json_array_foreach (json_object_get(report, "classes"), i, row) {
-		if (strcmp(answer_text(row, "service"), service) == 0 &&
-		    strcmp(answer_text(row, "class"), class) == 0)
+		if (strcmp(object_text(row, "service"), service) == 0 &&
+		    strcmp(object_text(row, "class"), class) == 0)
 			return row;
 	}
 	return NULL;
@@ -43,7 +43,7 @@
 		      int sign)
 {
 	json_int_t sum =
-		answer_number(into, name) + sign * answer_number(from, name);
+		object_number(into, name) + sign * object_number(from, name);
 
 	json_object_set_new(into, name, json_integer(sum));
 }
@@ -51,11 +51,11 @@
 static void share_set(json_t *object, const char *name, const char *part,
 		      const char *whole)
 {
-	json_int_t all = answer_number(object, whole);
+	json_int_t all = object_number(object, whole);
 	double share = 0;
 
 	if (all > 0)
-		share = (double)answer_number(object, part) / (double)all;
+		share = (double)object_number(object, part) / (double)all;
 	json_object_set_new(object, name, json_real(share));
 }
 
@@ -88,7 +88,7 @@
 	share_set(into, "goodput", "within_targets", "requests");
 }
 
-static void latency_worsen(json_t *into, const json_t *from, const char *name)
+static void latency_merge(json_t *into, const json_t *from, const char *name)
 {
 	json_t *worst = json_object_get(into, name);
 	json_t *other = json_object_get(from, name);
@@ -105,14 +105,14 @@
 	}
 }
 
-static void report_add(json_t *into, const json_t *from)
+static void report_merge(json_t *into, const json_t *from)
 {
 	json_t *row;
 	size_t i;
 
 	json_array_foreach (json_object_get(from, "classes"), i, row) {
-		json_t *known = report_class(into, answer_text(row, "service"),
-					     answer_text(row, "class"));
+		json_t *known = report_class(into, object_text(row, "service"),
+					     object_text(row, "class"));
 
 		if (!known) {
 			json_array_append(json_object_get(into, "classes"),
@@ -121,7 +121,7 @@
 		}
 		class_add(known, row, 1);
 		for (size_t j = 0; j < G_N_ELEMENTS(latencies); j++)
-			latency_worsen(known, row, latencies[j]);
+			latency_merge(known, row, latencies[j]);
 	}
 	prefill_add(into, from, 1);
 }
@@ -135,10 +135,10 @@
 	return error_set(err, RESULT_IO, "%s: not a report of measures", name);
 }
 
-static json_t *instance_of(const json_t *report)
+static json_t *instance_json(const json_t *report)
 {
-	return json_pack("{s:s, s:I}", "name", answer_text(report, "instance"),
-			 "since_us", answer_number(report, "since_us"));
+	return json_pack("{s:s, s:I}", "name", object_text(report, "instance"),
+			 "since_us", object_number(report, "since_us"));
 }
 
 json_t *report_fetch(struct ctl *ctl, const char *addresses, struct error *err)
@@ -156,12 +156,12 @@
 			json_decref(instances);
 			return NULL;
 		}
-		json_array_append_new(instances, instance_of(report));
+		json_array_append_new(instances, instance_json(report));
 		if (!sum) {
 			sum = report;
 			continue;
 		}
-		report_add(sum, report);
+		report_merge(sum, report);
 		json_decref(report);
 	}
 	json_object_set_new(sum, "instances", instances);
@@ -192,7 +192,7 @@
 }
 
 /* Whether no instance was restarted in between, which resets its counts. */
-static bool same_run(const json_t *before, const json_t *after)
+static bool same_incarnations(const json_t *before, const json_t *after)
 {
 	return json_equal(json_object_get(before, "instances"),
 			  json_object_get(after, "instances"));
@@ -205,7 +205,7 @@
 	json_t *row;
 	size_t i;
 
-	if (!same_run(before, after)) {
+	if (!same_incarnations(before, after)) {
 		error_set(err, RESULT_IO,
 			  "an instance was started anew within the window");
 		return NULL;
@@ -213,8 +213,8 @@
 	window = json_deep_copy(after);
 	json_array_foreach (json_object_get(window, "classes"), i, row) {
 		const json_t *old =
-			report_class(before, answer_text(row, "service"),
-				     answer_text(row, "class"));
+			report_class(before, object_text(row, "service"),
+				     object_text(row, "class"));
 
 		class_add(row, old, -1);
 		for (size_t j = 0; j < G_N_ELEMENTS(latencies); j++)
--- a/ctl/report_print.c
+++ b/ctl/report_print.c
@@ -8,7 +8,7 @@
 struct figure {
 	const char *label;
 	const char *field;
-	const char *below; /* field within the field's object, or NULL */
+	const char *subfield; /* field within the field's object, or NULL */
 	bool is_share;
 };
 
@@ -39,13 +39,13 @@
 {
 	const json_t *value = json_object_get(object, figure->field);
 
-	if (!figure->below)
+	if (!figure->subfield)
 		return value;
 	/* Quantiles of zero samples have no meaning. */
 	if (json_is_object(value) && json_object_get(value, "count") &&
-	    answer_number(value, "count") == 0)
+	    object_number(value, "count") == 0)
 		return NULL;
-	return json_object_get(value, figure->below);
+	return json_object_get(value, figure->subfield);
 }
 
 static char *figure_text(const json_t *value, const struct figure *figure)
@@ -77,7 +77,7 @@
 
 static void figure_add(struct columns *columns, const char *group,
 		       const struct figure *figure, const json_t *before,
-		       const json_t *after, bool two)
+		       const json_t *after, bool compare)
 {
 	const json_t *old = figure_find(before, figure);
 	const json_t *new = figure_find(after, figure);
@@ -87,17 +87,17 @@
 
 	if (!old && !new)
 		return;
-	if (two)
+	if (compare)
 		columns_add(columns, group, figure->label, first, second,
 			    change);
 	else
 		columns_add(columns, group, figure->label, first);
 }
 
-static void text_add(struct columns *columns, const char *label,
-		     const char *before, const char *after, bool two)
+static void site_row_add(struct columns *columns, const char *label,
+			 const char *before, const char *after, bool compare)
 {
-	if (two)
+	if (compare)
 		columns_add(columns, "site", label, before, after, "");
 	else
 		columns_add(columns, "site", label, before);
@@ -105,8 +105,8 @@
 
 static char *period(const json_t *report)
 {
-	double usec = (double)(answer_number(report, "until_us") -
-			       answer_number(report, "since_us"));
+	double usec = (double)(object_number(report, "until_us") -
+			       object_number(report, "since_us"));
 
 	return g_strdup_printf("%.1f s", usec / G_USEC_PER_SEC);
 }
@@ -114,26 +114,27 @@
 static char *revision(const json_t *report)
 {
 	return g_strdup_printf("%" JSON_INTEGER_FORMAT,
-			       answer_number(report, "revision"));
+			       object_number(report, "revision"));
 }
 
-static void head_add(struct columns *columns, const json_t *before,
-		     const json_t *after, bool two)
+static void site_rows_add(struct columns *columns, const json_t *before,
+			  const json_t *after, bool compare)
 {
 	g_autofree char *first = period(before);
 	g_autofree char *second = period(after);
 	g_autofree char *first_revision = revision(before);
 	g_autofree char *second_revision = revision(after);
 
-	text_add(columns, "policy", answer_text(before, "policy"),
-		 answer_text(after, "policy"), two);
-	text_add(columns, "revision", first_revision, second_revision, two);
-	text_add(columns, "period", first, second, two);
+	site_row_add(columns, "policy", object_text(before, "policy"),
+		     object_text(after, "policy"), compare);
+	site_row_add(columns, "revision", first_revision, second_revision,
+		     compare);
+	site_row_add(columns, "period", first, second, compare);
 }
 
 /* Adds the refusals and failures of one class, by result. */
 static void results_add(struct columns *columns, const char *group,
-			const json_t *before, const json_t *after, bool two)
+			const json_t *before, const json_t *after, bool compare)
 {
 	json_t *labels = json_object();
 	const char *label;
@@ -145,57 +146,57 @@
 		g_autofree char *text = g_strdup_printf("result %s", label);
 		struct figure figure = {text, "results", label, false};
 
-		figure_add(columns, group, &figure, before, after, two);
+		figure_add(columns, group, &figure, before, after, compare);
 	}
 	json_decref(labels);
 }
 
 static void class_add(struct columns *columns, const json_t *row,
-		      const json_t *before, const json_t *after, bool two)
+		      const json_t *before, const json_t *after, bool compare)
 {
 	g_autofree char *group =
-		g_strdup_printf("%s %s", answer_text(row, "service"),
-				answer_text(row, "class"));
+		g_strdup_printf("%s %s", object_text(row, "service"),
+				object_text(row, "class"));
 
 	for (size_t i = 0; i < G_N_ELEMENTS(class_figures); i++)
 		figure_add(columns, group, &class_figures[i], before, after,
-			   two);
-	results_add(columns, group, before, after, two);
+			   compare);
+	results_add(columns, group, before, after, compare);
 }
 
 static void classes_add(struct columns *columns, const json_t *before,
-			const json_t *after, bool two)
+			const json_t *after, bool compare)
 {
 	json_t *row;
 	size_t i;
 
 	json_array_foreach (json_object_get(before, "classes"), i, row)
 		class_add(columns, row, row,
-			  report_class(after, answer_text(row, "service"),
-				       answer_text(row, "class")),
-			  two);
+			  report_class(after, object_text(row, "service"),
+				       object_text(row, "class")),
+			  compare);
 	json_array_foreach (json_object_get(after, "classes"), i, row) {
-		if (!report_class(before, answer_text(row, "service"),
-				  answer_text(row, "class")))
-			class_add(columns, row, NULL, row, two);
+		if (!report_class(before, object_text(row, "service"),
+				  object_text(row, "class")))
+			class_add(columns, row, NULL, row, compare);
 	}
 }
 
 void report_print(FILE *out, const json_t *before, const json_t *after)
 {
-	bool two = after != NULL;
-	struct columns *columns = columns_create(two ? 5 : 3);
+	bool compare = after != NULL;
+	struct columns *columns = columns_create(compare ? 5 : 3);
 
-	if (two)
+	if (compare)
 		columns_add(columns, "OF", "MEASURE", "BEFORE", "AFTER",
 			    "CHANGE");
 	else
 		columns_add(columns, "OF", "MEASURE", "VALUE");
-	head_add(columns, before, after, two);
-	classes_add(columns, before, after, two);
+	site_rows_add(columns, before, after, compare);
+	classes_add(columns, before, after, compare);
 	for (size_t i = 0; i < G_N_ELEMENTS(prefill_figures); i++)
 		figure_add(columns, "prefill", &prefill_figures[i],
 			   json_object_get(before, "prefill"),
-			   json_object_get(after, "prefill"), two);
+			   json_object_get(after, "prefill"), compare);
 	columns_print(columns, out);
 }
--- a/include/ctl/admin.h
+++ b/include/ctl/admin.h
@@ -32,7 +32,7 @@
 		  struct error *err);
 
 /* A string or integer field of a JSON object; "" or 0 when it is absent. */
-const char *answer_text(const json_t *answer, const char *name);
-json_int_t answer_number(const json_t *answer, const char *name);
+const char *object_text(const json_t *object, const char *name);
+json_int_t object_number(const json_t *object, const char *name);
 
 #endif
--- a/include/ctl/explain.h
+++ b/include/ctl/explain.h
@@ -36,11 +36,12 @@
 /* The request's fingerprint (the field work) from the lines added so far; free
  * with g_free(). NULL when no line has it: no server was lost while running
  * such a request. */
-char *explanation_work(const struct explanation *explanation);
+char *explanation_fingerprint(const struct explanation *explanation);
 /* Adds the server_ended lines with that fingerprint, whichever request the
  * server was running. False with RESULT_IO. */
-bool explanation_read_work(struct explanation *explanation, const char *work,
-			   const char *file, struct error *err);
+bool explanation_read_fingerprint(struct explanation *explanation,
+				  const char *fingerprint, const char *file,
+				  struct error *err);
 /* Sorts the lines and sets the cause. False with RESULT_NOT_FOUND when there
  * are no lines. */
 bool explanation_finish(struct explanation *explanation, const char *request,
@@ -48,6 +49,6 @@
 
 /* The value of a field of a log line, without quotes; free with g_free(). NULL
  * when the line lacks it. */
-char *explain_value(const char *line, const char *key);
+char *log_line_value(const char *line, const char *key);
 
 #endif
--- a/include/ctl/file.h
+++ b/include/ctl/file.h
@@ -11,7 +11,7 @@
 
 struct config;
 
-struct file {
+struct config_file {
 	char *data;
 	size_t size;
 	struct config *config;
@@ -19,7 +19,8 @@
 
 /* Makes the checks of a daemon: syntax, semantics, the policy and its
  * parameters. Nothing needs to be freed after a failure. */
-bool file_read(struct file *file, const char *name, struct error *err);
-void file_clear(struct file *file);
+bool config_file_read(struct config_file *file, const char *name,
+		      struct error *err);
+void config_file_clear(struct config_file *file);
 
 #endif
--- a/include/ctl/losses.h
+++ b/include/ctl/losses.h
@@ -26,11 +26,11 @@
 	LOSS_SERVER_LOST,    /* a server failed before or during its answer */
 	LOSS_TIME_OVER,	     /* over its time limit */
 	LOSS_CALLER_LEFT,
-	LOSS_PAUSED,	     /* its stream paused for longer than allowed */
-	LOSS_WAITED,	     /* late, mostly from waiting for a server */
-	LOSS_PREFILL_QUEUED, /* late, mostly from the prefill */
-	LOSS_BEGAN_LATE,     /* late, mostly from the start of the run */
-	LOSS_ANSWERED_LATE,  /* late, and not a stream */
+	LOSS_PAUSED,	   /* its stream paused for longer than allowed */
+	LOSS_LATE_WAITED,  /* late, mostly from waiting for a server */
+	LOSS_LATE_PREFILL, /* late, mostly from the prefill */
+	LOSS_LATE_BEGIN,   /* late, mostly from the start of the run */
+	LOSS_LATE_ANSWER,  /* late, and not a stream */
 	LOSS_UNKNOWN,
 	LOSS_COUNT,
 };
@@ -41,7 +41,7 @@
 	uint32_t causes[LOSS_COUNT];
 	GHashTable *routes;  /* route name to count */
 	GHashTable *seconds; /* second since the first line, to count */
-	double first;	     /* time of the first line; 0: none yet */
+	double first_time;   /* time of the first line; 0: none yet */
 };
 
 void losses_init(struct losses *losses);
@@ -50,7 +50,7 @@
  * the first line of the first file and are negative before it. */
 bool losses_read(struct losses *losses, const char *file, struct error *err);
 /* The cause of the loss of one request, from its request_end line. */
-enum loss loss_of(const char *line);
+enum loss loss_cause(const char *line);
 const char *loss_name(enum loss loss);
 
 #endif
--- a/include/ctl/print.h
+++ b/include/ctl/print.h
@@ -10,8 +10,8 @@
 
 struct columns;
 
-struct columns *columns_create(unsigned int width);
-/* Adds a row of width strings. They are copied. */
+struct columns *columns_create(unsigned int column_count);
+/* Adds a row of column_count strings. They are copied. */
 #define columns_add(columns, ...)                                              \
 	columns_add_row(columns, (const char *const[]){__VA_ARGS__})
 void columns_add_row(struct columns *columns, const char *const *row);
--- a/tests/ctl/fake_admin.c
+++ b/tests/ctl/fake_admin.c
@@ -6,7 +6,7 @@
 #include "config/config.h"
 
 #define REVISION 7
-#define TYPE "application/json"
+#define JSON_TYPE "application/json"
 
 static const char history[] =
 	"{\"revision\": 7, \"changes\": ["
@@ -57,13 +57,14 @@
 	" \"cached_tokens\": %u, \"wasted_tokens\": %u,"
 	" \"wasted_share\": 0.02}}";
 
-static void note(struct fake_admin *fake, const struct web_request *request)
+static void request_record(struct fake_admin *fake,
+			   const struct web_request *request)
 {
 	struct web_text method = web_request_method(request);
 	struct web_text path = web_request_path(request);
 	struct web_text query = web_request_query(request);
 
-	g_string_append_printf(fake->seen, "%.*s %.*s%s%.*s\n",
+	g_string_append_printf(fake->requests, "%.*s %.*s%s%.*s\n",
 			       (int)method.size, method.data, (int)path.size,
 			       path.data, query.size > 0 ? "?" : "",
 			       (int)query.size, query.data);
@@ -71,7 +72,7 @@
 
 static void reply_text(struct web_request *request, int code, const char *text)
 {
-	web_reply(request, code, TYPE, text, strlen(text));
+	web_reply(request, code, JSON_TYPE, text, strlen(text));
 }
 
 static void reply_result(struct web_request *request, enum result_code code,
@@ -89,26 +90,26 @@
 {
 	struct fake_admin *fake = ctx;
 
-	note(fake, request);
+	request_record(fake, request);
 	reply_text(request, 200, fake->mode == FAKE_NOT_JSON ? "busy" : status);
 }
 
 static void on_history(void *ctx, struct web_request *request)
 {
-	note(ctx, request);
+	request_record(ctx, request);
 	reply_text(request, 200, history);
 }
 
 static void on_measures(void *ctx, struct web_request *request)
 {
 	struct fake_admin *fake = ctx;
-	unsigned int n = ++fake->readings;
+	unsigned int n = ++fake->report_count;
 	g_autofree char *body = g_strdup_printf(
 		measures, fake->mode == FAKE_RESTART && n % 2 == 0 ? n : 0,
 		n * 1500000, n * 100, n * 95, n * 90, n * 950, n * 95, n * 5,
 		n * 1000, n * 800, n * 200, n * 16);
 
-	note(fake, request);
+	request_record(fake, request);
 	reply_text(request, 200, body);
 }
 
@@ -127,8 +128,8 @@
 		reply_result(request, RESULT_LOG_DOWN, REVISION,
 			     "no answer from the log");
 		return;
-	case FAKE_CUT:
-		web_reply_start(request, 200, TYPE);
+	case FAKE_ABORTED:
+		web_reply_start(request, 200, JSON_TYPE);
 		web_reply_piece(request, "{", 1);
 		web_reply_abort(request);
 		return;
@@ -144,7 +145,7 @@
 	g_autofree char *escaped = NULL;
 	g_autofree char *body = NULL;
 
-	note(fake, request);
+	request_record(fake, request);
 	if (web_request_method(request).data[0] == 'P') {
 		config_post(fake, request);
 		return;
@@ -171,7 +172,7 @@
 	struct fake_admin *fake = g_new0(struct fake_admin, 1);
 
 	fake->mode = mode;
-	fake->seen = g_string_new(NULL);
+	fake->requests = g_string_new(NULL);
 	g_assert_true(g_file_get_contents(SOURCE_ROOT "/tests/config/base.yaml",
 					  &fake->content, NULL, NULL));
 	fake->server = web_server_create(loop, "127.0.0.1:0", &limits, NULL);
@@ -186,7 +187,7 @@
 void fake_admin_destroy(struct fake_admin *fake)
 {
 	web_server_destroy(fake->server);
-	g_string_free(fake->seen, TRUE);
+	g_string_free(fake->requests, TRUE);
 	g_free(fake->content);
 	g_free(fake);
 }
--- a/tests/ctl/fake_admin.h
+++ b/tests/ctl/fake_admin.h
@@ -8,12 +8,12 @@
 #include "web/server.h"
 
 enum fake_mode {
-	FAKE_FINE,
+	FAKE_OK,
 	FAKE_EMPTY,    /* no file was applied yet */
 	FAKE_STALE,    /* another revision is in force */
 	FAKE_BAD,      /* the daemon refuses the file */
 	FAKE_LOG_DOWN, /* the log is down */
-	FAKE_CUT,      /* the connection breaks during the answer to an apply */
+	FAKE_ABORTED,  /* the connection breaks during the answer to an apply */
 	FAKE_NOT_JSON,
 	FAKE_RESTART, /* restarts before every second report */
 };
@@ -21,8 +21,8 @@
 struct fake_admin {
 	enum fake_mode mode;
 	struct web_server *server;
-	GString *seen; /* "METHOD path?query\n" for each request */
-	unsigned int readings;
+	GString *requests; /* "METHOD path?query\n" for each request */
+	unsigned int report_count;
 	char *content;
 };
 
--- a/tests/ctl/test_ctl.c
+++ b/tests/ctl/test_ctl.c
@@ -29,75 +29,75 @@
 };
 
 static const struct session sessions[] = {
-	{"validate", FAKE_FINE, "validate BASE"},
-	{"validate-json", FAKE_FINE, "validate --json BASE"},
-	{"validate-remote", FAKE_FINE, "validate --remote BASE"},
-	{"validate-bad", FAKE_FINE, "validate BAD"},
-	{"validate-bad-json", FAKE_FINE, "--json validate BAD"},
-	{"validate-control", FAKE_FINE, "validate CONTROL"},
-	{"diff-control", FAKE_FINE, "diff BASE CONTROL"},
-	{"validate-policy", FAKE_FINE, "validate POLICY"},
-	{"validate-parameter", FAKE_FINE, "validate PARAMETER"},
-	{"validate-range", FAKE_FINE, "validate RANGE"},
-	{"validate-missing", FAKE_FINE, "validate /nowhere"},
-	{"apply", FAKE_FINE, "apply --author ana BASE"},
-	{"apply-base", FAKE_FINE, "apply --base 7 --author a&b BASE"},
-	{"apply-author", FAKE_FINE,
+	{"validate", FAKE_OK, "validate BASE"},
+	{"validate-json", FAKE_OK, "validate --json BASE"},
+	{"validate-remote", FAKE_OK, "validate --remote BASE"},
+	{"validate-bad", FAKE_OK, "validate BAD"},
+	{"validate-bad-json", FAKE_OK, "--json validate BAD"},
+	{"validate-control", FAKE_OK, "validate CONTROL"},
+	{"diff-control", FAKE_OK, "diff BASE CONTROL"},
+	{"validate-policy", FAKE_OK, "validate POLICY"},
+	{"validate-parameter", FAKE_OK, "validate PARAMETER"},
+	{"validate-range", FAKE_OK, "validate RANGE"},
+	{"validate-missing", FAKE_OK, "validate /nowhere"},
+	{"apply", FAKE_OK, "apply --author ana BASE"},
+	{"apply-base", FAKE_OK, "apply --base 7 --author a&b BASE"},
+	{"apply-author", FAKE_OK,
 	 "apply --author "
 	 "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa "
 	 "BASE"},
 	{"apply-first", FAKE_EMPTY, "apply BASE"},
-	{"apply-json", FAKE_FINE, "apply --json BASE"},
+	{"apply-json", FAKE_OK, "apply --json BASE"},
 	{"apply-stale", FAKE_STALE, "apply --base 5 BASE"},
-	{"apply-bad", FAKE_FINE, "apply BAD"},
+	{"apply-bad", FAKE_OK, "apply BAD"},
 	{"apply-refused", FAKE_BAD, "apply BASE"},
 	{"apply-log-down", FAKE_LOG_DOWN, "apply BASE"},
-	{"apply-cut", FAKE_CUT, "apply BASE"},
-	{"show", FAKE_FINE, "show"},
+	{"apply-cut", FAKE_ABORTED, "apply BASE"},
+	{"show", FAKE_OK, "show"},
 	{"show-empty", FAKE_EMPTY, "show"},
-	{"diff", FAKE_FINE, "diff BASE CHANGED"},
-	{"diff-json", FAKE_FINE, "diff --json BASE CHANGED"},
-	{"diff-in-force", FAKE_FINE, "diff CHANGED"},
-	{"diff-same", FAKE_FINE, "diff BASE"},
+	{"diff", FAKE_OK, "diff BASE CHANGED"},
+	{"diff-json", FAKE_OK, "diff --json BASE CHANGED"},
+	{"diff-in-force", FAKE_OK, "diff CHANGED"},
+	{"diff-same", FAKE_OK, "diff BASE"},
 	{"diff-empty", FAKE_EMPTY, "diff BASE"},
-	{"explain", FAKE_FINE, "explain r1 LOG"},
-	{"explain-json", FAKE_FINE, "explain --json r1 LOG"},
-	{"explain-open", FAKE_FINE, "explain r2 LOG"},
-	{"explain-work", FAKE_FINE, "explain r9 LOG"},
-	{"explain-nobody", FAKE_FINE, "explain r3 LOG"},
-	{"explain-no-file", FAKE_FINE, "explain r1 /nowhere"},
-	{"explain-no-log", FAKE_FINE, "explain r1"},
-	{"losses", FAKE_FINE, "losses LOSSES"},
-	{"losses-json", FAKE_FINE, "losses --json LOSSES"},
-	{"losses-no-file", FAKE_FINE, "losses LOSSES /nowhere"},
-	{"losses-no-log", FAKE_FINE, "losses"},
-	{"history", FAKE_FINE, "history"},
-	{"history-json", FAKE_FINE, "history --json"},
-	{"status", FAKE_FINE, "status"},
-	{"status-next", FAKE_FINE, "status --admin 127.0.0.1:1,ADMIN"},
-	{"status-unreached", FAKE_FINE, "status --admin 127.0.0.1:1"},
+	{"explain", FAKE_OK, "explain r1 LOG"},
+	{"explain-json", FAKE_OK, "explain --json r1 LOG"},
+	{"explain-open", FAKE_OK, "explain r2 LOG"},
+	{"explain-work", FAKE_OK, "explain r9 LOG"},
+	{"explain-nobody", FAKE_OK, "explain r3 LOG"},
+	{"explain-no-file", FAKE_OK, "explain r1 /nowhere"},
+	{"explain-no-log", FAKE_OK, "explain r1"},
+	{"losses", FAKE_OK, "losses LOSSES"},
+	{"losses-json", FAKE_OK, "losses --json LOSSES"},
+	{"losses-no-file", FAKE_OK, "losses LOSSES /nowhere"},
+	{"losses-no-log", FAKE_OK, "losses"},
+	{"history", FAKE_OK, "history"},
+	{"history-json", FAKE_OK, "history --json"},
+	{"status", FAKE_OK, "status"},
+	{"status-next", FAKE_OK, "status --admin 127.0.0.1:1,ADMIN"},
+	{"status-unreached", FAKE_OK, "status --admin 127.0.0.1:1"},
 	{"status-not-json", FAKE_NOT_JSON, "status"},
-	{"measures", FAKE_FINE, "measures"},
-	{"measures-two", FAKE_FINE, "measures --admin ADMIN,ADMIN"},
-	{"measures-window", FAKE_FINE,
+	{"measures", FAKE_OK, "measures"},
+	{"measures-two", FAKE_OK, "measures --admin ADMIN,ADMIN"},
+	{"measures-window", FAKE_OK,
 	 "measures --window 0.001 --apply BASE --save SAVED"},
 	{"measures-restart", FAKE_RESTART, "measures --window 0.001"},
 	{"measures-restart-second", FAKE_RESTART,
 	 "measures --admin ADMIN,ADMIN --window 0.001"},
-	{"measures-files", FAKE_FINE, "measures A B"},
-	{"measures-file-bad", FAKE_FINE, "measures BASE"},
-	{"measures-apply", FAKE_FINE, "measures --apply BASE"},
-	{"help", FAKE_FINE, "--help"},
-	{"help-apply", FAKE_FINE, "apply --help"},
-	{"no-command", FAKE_FINE, ""},
-	{"unknown-command", FAKE_FINE, "remove"},
-	{"missing-file", FAKE_FINE, "apply"},
-	{"bad-base", FAKE_FINE, "apply --base x BASE"},
-	{"bad-window", FAKE_FINE, "measures --window 0"},
-	{"completions-other", FAKE_FINE, "completions tcsh"},
+	{"measures-files", FAKE_OK, "measures A B"},
+	{"measures-file-bad", FAKE_OK, "measures BASE"},
+	{"measures-apply", FAKE_OK, "measures --apply BASE"},
+	{"help", FAKE_OK, "--help"},
+	{"help-apply", FAKE_OK, "apply --help"},
+	{"no-command", FAKE_OK, ""},
+	{"unknown-command", FAKE_OK, "remove"},
+	{"missing-file", FAKE_OK, "apply"},
+	{"bad-base", FAKE_OK, "apply --base x BASE"},
+	{"bad-window", FAKE_OK, "measures --window 0"},
+	{"completions-other", FAKE_OK, "completions tcsh"},
 };
 
-static const char *const words[][2] = {
+static const char *const substitutions[][2] = {
 	{"BASE", ROOT "tests/config/base.yaml"},
 	{"CHANGED", TESTS "changed.yaml"},
 	{"BAD", TESTS "bad.yaml"},
@@ -123,9 +123,9 @@
 	const char *address = web_server_address(run->fake->server);
 	g_auto(GStrv) parts = NULL;
 
-	for (size_t i = 0; i < G_N_ELEMENTS(words); i++) {
-		if (strcmp(words[i][0], word) == 0)
-			return g_strdup(words[i][1]);
+	for (size_t i = 0; i < G_N_ELEMENTS(substitutions); i++) {
+		if (strcmp(substitutions[i][0], word) == 0)
+			return g_strdup(substitutions[i][1]);
 	}
 	if (strcmp(word, "SAVED") == 0)
 		return g_strdup(run->saved);
@@ -133,7 +133,7 @@
 	return g_strjoinv(address, parts);
 }
 
-static char *replaced(char *text, const char *from, const char *to)
+static char *text_replace(char *text, const char *from, const char *to)
 {
 	g_auto(GStrv) parts = g_strsplit(text, from, -1);
 
@@ -169,7 +169,7 @@
 	return code;
 }
 
-static char *with_file(char *text, const char *file)
+static char *file_append(char *text, const char *file)
 {
 	g_autofree char *content = NULL;
 	char *whole;
@@ -196,13 +196,14 @@
 	fprintf(out, "$ jtctl%s%s\n", *session->command ? " " : "",
 		session->command);
 	code = ctl_call(&run, session->command, out);
-	fprintf(out, "exit code %d\n%s", code, run.fake->seen->str);
+	fprintf(out, "exit code %d\n%s", code, run.fake->requests->str);
 	fclose(out);
-	text = replaced(text, web_server_address(run.fake->server), "ADMIN");
-	text = replaced(text, SOURCE_ROOT "/", "");
+	text = text_replace(text, web_server_address(run.fake->server),
+			    "ADMIN");
+	text = text_replace(text, SOURCE_ROOT "/", "");
 	if (strstr(session->command, "SAVED")) {
-		text = replaced(text, run.saved, "SAVED");
-		text = with_file(text, run.saved);
+		text = text_replace(text, run.saved, "SAVED");
+		text = file_append(text, run.saved);
 	}
 	g_unlink(run.saved);
 	g_free(run.saved);
