--- a/ctl/command_measures.c
+++ b/ctl/command_measures.c
@@ -47,8 +47,8 @@
 	return window;
 }
 
-/* Applies the file of --apply between the windows. Without it the operator
- * applies one, and is told when. */
+/* Applies the file of --apply between the windows. Without --apply, tells the
+ * operator that the first window has ended. */
 static bool window_switch(struct ctl *ctl, const struct arguments *args,
 			  struct error *err)
 {
