--- a/config/check.c
+++ b/config/check.c
@@ -19,7 +19,7 @@
 			      document->version, CONFIG_FORMAT);
 }
 
-/* Libcyaml stops at the first character that is not part of a number. */
+/* libcyaml parses a number's prefix and ignores what follows it. */
 static bool real_check(const struct check *check, const char *path,
 		       double value)
 {
--- a/config/check_services.c
+++ b/config/check_services.c
@@ -77,7 +77,7 @@
 	GHashTable *names;
 	GHashTable *models;
 	GHashTable *routes;
-	GHashTable *decode_of; /* prefill pool to its decode pool */
+	GHashTable *decode_of; /* prefill pool name to decode pool name */
 	GHashTable *prefill_of;
 };
 
@@ -104,7 +104,7 @@
 	return NULL;
 }
 
-/* One prefill and one decode pool form a cell: neither has a second partner. */
+/* Refuses a pool of a cell that already has another partner pool. */
 static bool pair_check(const struct subject *subject, GHashTable *partners,
 		       const char *field, const char *name, const char *other)
 {
@@ -148,7 +148,7 @@
 	return true;
 }
 
-/* The longest request must fit into the memory of one empty runner. */
+/* Checks that the longest request allowed fits into one empty decode runner. */
 static bool memory_check(const struct subject *subject,
 			 const struct config *config,
 			 const struct config_service *service)
@@ -268,7 +268,8 @@
 static void defaults_set(const struct subject *subject,
 			 struct config_service *service)
 {
-	/* A call of an unknown service is taken as one not to be repeated. */
+	/* Calls of a plain service may have side effects, so by default they
+	 * are not repeated. */
 	if (!field_given(subject, "idempotent"))
 		service->idempotent = service->kind == SERVICE_MODEL;
 	if (!field_given(subject, "class"))
--- a/config/config.c
+++ b/config/config.c
@@ -85,7 +85,7 @@
 	return NULL;
 }
 
-/* Host names compare without case and without the port. */
+/* Compares host names regardless of case; the port in host is ignored. */
 static bool host_matches(const struct config_service *service, const char *host)
 {
 	size_t size;
--- a/config/outline.c
+++ b/config/outline.c
@@ -13,12 +13,12 @@
 	GHashTable *by_path;
 };
 
-/* A mapping or sequence that is still open. */
+/* A mapping or sequence whose end event has not been parsed yet. */
 struct level {
 	enum outline_kind kind;
 	size_t path_size;
 	uint32_t entries;
-	bool has_key; /* a mapping's key was read, its value not yet */
+	bool has_key; /* in a mapping, between a key and its value */
 };
 
 struct scan {
@@ -82,7 +82,7 @@
 	return true;
 }
 
-/* Gives the node that starts now its path and its mark. */
+/* Extends the path to the node that starts; returns the node's position. */
 static yaml_mark_t scan_enter(struct scan *scan, const yaml_event_t *event)
 {
 	struct level *level;
@@ -96,7 +96,7 @@
 	return event->start_mark;
 }
 
-/* The node that started last has ended: its parent awaits the next. */
+/* Truncates the path to the parent of the node that ended. */
 static void scan_leave(struct scan *scan)
 {
 	struct level *level;
@@ -210,7 +210,7 @@
 	}
 }
 
-/* The reader reports an offset in bytes and no mark. */
+/* Converts a byte offset to a mark: libyaml's reader errors have no mark. */
 static yaml_mark_t mark_at(const struct scan *scan, size_t offset)
 {
 	yaml_mark_t mark = {0};
@@ -271,8 +271,8 @@
 		return NULL;
 	}
 	yaml_parser_set_input_string(&parser, data, size);
-	/* Else a byte order mark could make it UTF-16, which JSON cannot hold.
-	 */
+	/* A byte order mark could otherwise select UTF-16, and the text of a
+	 * file must be UTF-8 to be embedded in JSON. */
 	yaml_parser_set_encoding(&parser, YAML_UTF8_ENCODING);
 	scan.path = g_string_new(NULL);
 	ok = scan_run(&scan, &parser);
@@ -307,7 +307,7 @@
 	return (const struct outline_node *const *)outline->nodes->pdata;
 }
 
-/* The node at the path or the closest one around it. */
+/* The node at the path or, if there is none, its closest ancestor. */
 static const struct outline_node *node_around(const struct outline *outline,
 					      const char *path)
 {
--- a/config/read.c
+++ b/config/read.c
@@ -12,7 +12,8 @@
 	char chunk[16384];
 	ssize_t got;
 
-	/* One byte past the limit tells a file that is too large. */
+	/* Reads past the limit, so that a file that is too large is detected.
+	 */
 	while (text->len <= CONFIG_FILE_MAX) {
 		got = read(fd, chunk, sizeof(chunk));
 		if (got == 0)
--- a/config/rule.c
+++ b/config/rule.c
@@ -41,7 +41,8 @@
 
 	if (!text)
 		return true;
-	/* libcyaml reads 010 as eight and stops at the first other letter. */
+	/* libcyaml parses 010 as octal 8 and ignores what follows the digits.
+	 */
 	if (strspn(text, "0123456789") == strlen(text) &&
 	    (text[0] != '0' || text[1] == '\0'))
 		return true;
@@ -128,7 +129,7 @@
 	return true;
 }
 
-/* Libcyaml takes any other word for true. */
+/* libcyaml takes any unknown word for true. */
 static bool flag_check(const struct subject *subject,
 		       const struct flag_rule *rule)
 {
--- a/config/schema.c
+++ b/config/schema.c
@@ -78,7 +78,7 @@
 	CYAML_FIELD_END,
 };
 
-/* The array of a service's targets, as a mapping by class. */
+/* Lays the array of a service's targets out as a mapping keyed by class. */
 struct class_targets {
 	struct config_targets of[CLASS_COUNT];
 };
@@ -193,8 +193,8 @@
 			    document_fields),
 };
 
-/* What libcyaml logs for one failure: the reason, then the fields around it,
- * innermost first, each as "  in KIND 'NAME' (line: N, column: N)". */
+/* A load error, parsed from libcyaml's log: the reason, then the enclosing
+ * fields, innermost first, each as "  in KIND 'NAME' (line: N, column: N)". */
 struct report {
 	char reason[LOG_LINE_MAX];
 	GString *path;
@@ -241,7 +241,7 @@
 		g_strlcpy(report->reason, text, sizeof(report->reason));
 }
 
-/* The rest of the reason after a prefix of libcyaml's, or NULL. */
+/* The part of the reason after prefix, or NULL if it begins otherwise. */
 static const char *reason_after(const struct report *report, const char *prefix)
 {
 	if (!g_str_has_prefix(report->reason, prefix))
@@ -258,7 +258,8 @@
 	g_autofree char *reason = NULL;
 	GString *path = report->path;
 
-	/* Of a missing field, the innermost is the last that was there. */
+	/* For a missing field, the innermost field logged is the last one of
+	 * the mapping that was parsed, which is not part of the path. */
 	if (missing && report->innermost_is_field)
 		g_string_truncate(path, path->len - report->innermost_size);
 	if (missing || unknown)
--- a/include/config/config.h
+++ b/include/config/config.h
@@ -1,12 +1,12 @@
 /*
- * config.h - the operators' file: pools, services and the policy in force
+ * config.h - configuration file: pools, services and the scheduling policy
  *
  * DESCRIPTION
- *	A file is read whole and checked whole: shape by libcyaml, which names
- *	line, column and the path of the field, then meaning, each error naming
- *	file, line and field. A struct config is immutable once made. Pools and
- *	services are found by index; indexes hold for one config only, names
- *	across configs.
+ *	A file is parsed and validated as a whole: first its schema by libcyaml,
+ *	then the values. Each error names the file, line, column and path of the
+ *	field. A struct config is immutable after parsing. An index of a pool or
+ *	service is valid in one config only; its name identifies it across
+ *	configs.
  */
 #ifndef CONFIG_CONFIG_H
 #define CONFIG_CONFIG_H
@@ -31,7 +31,8 @@
 	SERVICE_PLAIN,
 };
 
-/* Urgent goes first; deferrable waits, ages and is never dropped. */
+/* Urgent requests are served first. Deferrable ones wait, gain priority with
+ * age and are never dropped. */
 enum request_class {
 	CLASS_URGENT,
 	CLASS_DEFERRABLE,
@@ -43,7 +44,8 @@
 	const char *region;
 };
 
-/* Capacity between two data centres, one way; from may equal to. */
+/* Capacity in one direction between two data centres, or inside one when from
+ * equals to. */
 struct config_link {
 	const char *from;
 	const char *to;
@@ -54,17 +56,16 @@
 struct config_pool {
 	const char *name;
 	enum pool_role role;
-	uint32_t piece_tokens; /* tokens in a piece of engine memory */
-	uint32_t pieces;       /* pieces of decode memory a runner has */
-	uint32_t slots;	       /* requests a runner takes at once */
+	uint32_t piece_tokens; /* tokens per piece of KV cache */
+	uint32_t pieces;       /* KV cache of a decode runner, in pieces */
+	uint32_t slots;	       /* concurrent requests of a runner */
 	uint32_t kv_bytes_per_token;
-	uint64_t link_bytes_per_s; /* out of (prefill) or into (decode) a runner
-				    */
+	uint64_t link_bytes_per_s; /* per runner: out (prefill), in (decode) */
 	uint32_t prefill_tokens_per_s;
-	uint32_t decode_tokens_per_s; /* for one stream at full batch */
-	uint32_t hold_ms;	      /* how long a prefill's result is kept */
+	uint32_t decode_tokens_per_s; /* per stream at a full batch */
+	uint32_t hold_ms;	      /* retention of a prefill result */
 	bool checks_fencing;
-	bool swaps_role; /* its runners accept orders to change role */
+	bool swaps_role; /* runners can be told to change role */
 };
 
 struct config_targets {
@@ -76,25 +77,25 @@
 struct config_service {
 	const char *name;
 	enum service_kind kind;
-	const char *model; /* kind model: the name callers give */
+	const char *model; /* kind model: the name in requests */
 	const char *prefill_pool;
 	const char *decode_pool;
-	const char *path_prefix; /* kind plain: NULL when chosen by host */
+	const char *path_prefix; /* kind plain: NULL if routed by host */
 	const char *host;
 	const char *pool;	  /* kind plain */
-	enum request_class class; /* when the request names none */
-	bool idempotent;	  /* when the request does not say */
+	enum request_class class; /* of a request that names none */
+	bool idempotent;	  /* of a request that does not say */
 	struct config_targets targets[CLASS_COUNT];
-	uint32_t queue_max; /* waiting requests a data centre */
+	uint32_t queue_max; /* waiting requests per data centre */
 	uint32_t prompt_tokens_max;
 	uint32_t output_tokens_max;
 	uint32_t body_bytes_max;
-	uint32_t deadline_ms;	 /* when the request names none */
-	uint32_t concurrency;	 /* plain: calls in flight a server */
-	uint32_t requests_per_s; /* over the whole site; 0: no limit */
-	uint32_t organisation_requests_per_s; /* each; 0: no limit */
-	uint32_t retry_percent; /* retries as a share of requests */
-	uint32_t record_ms;	/* how long a key's record is kept */
+	uint32_t deadline_ms;	 /* of a request that names none */
+	uint32_t concurrency;	 /* kind plain: calls in flight per server */
+	uint32_t requests_per_s; /* of the whole site; 0: no limit */
+	uint32_t organisation_requests_per_s; /* of each; 0: no limit */
+	uint32_t retry_percent; /* retry budget, as a share of requests */
+	uint32_t record_ms;	/* retention of an idempotency key */
 };
 
 struct config_param {
@@ -121,13 +122,14 @@
 	struct config_policy policy;
 };
 
-/* Parses and checks a whole file; file names it in errors only. */
+/* Parses and validates a file's contents; file is its name in errors. Returns
+ * NULL and sets err on failure. */
 struct config *config_parse(const char *file, const void *data, size_t size,
 			    struct error *err);
-/* Reads the file, then as config_parse(). */
+/* Reads the file and parses it with config_parse(). */
 struct config *config_load(const char *file, struct error *err);
-/* Reads a file of at most CONFIG_FILE_MAX bytes, unchecked; free with g_free().
- */
+/* Reads a file of at most CONFIG_FILE_MAX bytes without parsing it. The caller
+ * frees data with g_free(). */
 bool config_read(const char *file, char **data, size_t *size,
 		 struct error *err);
 void config_destroy(struct config *config);
@@ -136,12 +138,12 @@
 				      const char *name);
 const struct config_service *config_service(const struct config *config,
 					    const char *name);
-/* The service of kind model for the model's name, or NULL. */
+/* Returns the service of kind model that serves the model, or NULL. */
 const struct config_service *config_model(const struct config *config,
 					  const char *model);
-/* The service of kind plain for host (may be NULL; a port is ignored) and path:
- * one that names the host goes before one that names none, then the longest
- * prefix of whole path segments wins. */
+/* Returns the service of kind plain for a host and path, or NULL. The host may
+ * be NULL and its port is ignored. A service with that host takes precedence
+ * over one without a host, then the longest prefix of whole path segments. */
 const struct config_service *config_route(const struct config *config,
 					  const char *host, const char *path);
 bool class_parse(const char *text, size_t size, enum request_class *class);
--- a/include/config/document.h
+++ b/include/config/document.h
@@ -1,9 +1,9 @@
 /*
- * document.h - the file as libcyaml loads it, before and after its checks
+ * document.h - the parsed file as libcyaml loads it, and its validation
  *
  * DESCRIPTION
- *	Private to config/. The schema writes straight into a struct config;
- *	the version of the file's format is read and dropped.
+ *	Private to config/. The schema loads directly into a struct config; the
+ *	format version is validated but is not part of it.
  */
 #ifndef CONFIG_DOCUMENT_H
 #define CONFIG_DOCUMENT_H
@@ -20,18 +20,18 @@
 	struct config config;
 };
 
-/* What a check needs: the file's outline and where to put the error. */
+/* Context of a check: the outline that locates fields, and the error to set. */
 struct check {
 	const struct outline *outline;
 	struct error *err;
 };
 
-/* Loads the shape; strings and lists belong to the document. */
+/* Loads the file by the schema; the document owns its strings and lists. */
 struct document *document_load(const struct outline *outline, const void *data,
 			       size_t size, struct error *err);
 void document_free(struct document *document);
 
-/* Each fills in defaults and refuses what has no meaning. */
+/* Validate the values, set defaults and refuse fields that do not apply. */
 bool document_check(const struct check *check, struct document *document);
 bool pools_check(const struct check *check, struct config *config);
 bool services_check(const struct check *check, struct config *config);
--- a/include/config/outline.h
+++ b/include/config/outline.h
@@ -1,13 +1,13 @@
 /*
- * outline.h - where each field of a YAML file stands
+ * outline.h - position of each field in a YAML file
  *
  * DESCRIPTION
- *	An outline maps the path of every field ("pools[1].pieces") to its line,
- *	column and text, so that errors found after parsing can name them, and
- *	so that two files can be compared by field. It is made in one pass over
- *	libyaml's events and refuses what a configuration never needs:
- *	aliases, duplicate fields, a second document, deep nesting, field names
- *	outside [A-Za-z0-9_-].
+ *	An outline maps the path of each field ("pools[1].pieces") to its line,
+ *	column and text. Validation errors take the position from it, and two
+ *	files can be compared field by field. It is built in one pass over
+ *	libyaml's events, which refuses YAML that a configuration does not need:
+ *	anchors, aliases, duplicate fields, a second document, deep nesting and
+ *	field names outside [A-Za-z0-9_-].
  *
  * ERRORS
  *	RESULT_BAD_CONFIG, with the text "file:line:column: what".
@@ -34,7 +34,7 @@
 	const char *path;
 	enum outline_kind kind;
 	const char *text; /* of a scalar, else NULL */
-	uint32_t line;	  /* both from 1 */
+	uint32_t line;	  /* line and column count from 1 */
 	uint32_t column;
 };
 
@@ -43,14 +43,14 @@
 struct outline *outline_create(const char *file, const void *data, size_t size,
 			       struct error *err);
 void outline_destroy(struct outline *outline);
-/* NULL when the file does not give the field. */
+/* Returns NULL when the file does not have the field. */
 const struct outline_node *outline_find(const struct outline *outline,
 					const char *path);
-/* All nodes in the order of the file; the root, with path "", is first. */
+/* Returns all nodes in file order, the root (path "") first. */
 const struct outline_node *const *outline_nodes(const struct outline *outline,
 						size_t *count);
-/* Sets "file:line:column: path: text" at the field or, when the file does not
- * give it, at the closest field around it. Always returns false. */
+/* Sets the error "file:line:column: path: text". A field that the file does not
+ * have gets the position of its closest ancestor. Always returns false. */
 bool outline_refuse(const struct outline *outline, struct error *err,
 		    const char *path, const char *fmt, ...)
 	__attribute__((format(printf, 4, 5)));
--- a/include/config/rule.h
+++ b/include/config/rule.h
@@ -1,10 +1,10 @@
 /*
- * rule.h - tables of what each field of a pool or service may hold
+ * rule.h - validation rules for the fields of pools and services
  *
  * DESCRIPTION
- *	Private to config/. A rule says for which kinds of object a field has a
- *	meaning, for which it must be given, its range and its default. Kinds
- *	are bits, 1 << enum pool_role or 1 << enum service_kind.
+ *	Private to config/. A rule holds the kinds of object that may have a
+ *	field, those that must have it, its range and its default. Kinds are
+ *	bit masks of 1 << enum pool_role or 1 << enum service_kind.
  */
 #ifndef CONFIG_RULE_H
 #define CONFIG_RULE_H
@@ -38,7 +38,7 @@
 	unsigned int allowed;
 };
 
-/* The object of one check, its path in the file and its kind. */
+/* The pool, service or link being validated, its path in the file and kind. */
 struct subject {
 	const struct check *check;
 	const char *path;
@@ -53,15 +53,15 @@
 		 size_t count);
 bool flags_check(const struct subject *subject, const struct flag_rule *rules,
 		 size_t count);
-/* Refuses a field that the file gives though it has no meaning here. */
+/* Refuses a field that the file has but that does not apply to the kind. */
 bool field_absent(const struct subject *subject, const char *field);
 bool field_given(const struct subject *subject, const char *field);
-/* Sets an error at a field of the subject; always returns false. */
+/* Sets an error at a field of the subject. Always returns false. */
 bool field_refuse(const struct subject *subject, const char *field,
 		  const char *fmt, ...) __attribute__((format(printf, 3, 4)));
-/* Letters, digits and "._-", not starting with one of the three. */
+/* Allows letters, digits and "._-", with a letter or digit first. */
 bool name_check(const struct check *check, const char *path, const char *name);
-/* False when text, other than decimal digits only, was given as a number. */
+/* Refuses a number that is not written in decimal digits. */
 bool decimal_check(const struct check *check, const char *path);
 
 #endif
