--- a/config/check_services.c
+++ b/config/check_services.c
@@ -104,7 +104,7 @@
 	return NULL;
 }
 
-/* Refuses a pool of a cell that already has another partner pool. */
+/* A cell pairs one prefill with one decode pool: refuses a second partner. */
 static bool pair_check(const struct subject *subject, GHashTable *partners,
 		       const char *field, const char *name, const char *other)
 {
--- a/config/read.c
+++ b/config/read.c
@@ -12,8 +12,7 @@
 	char chunk[16384];
 	ssize_t got;
 
-	/* Reads past the limit, so that a file that is too large is detected.
-	 */
+	/* Reads past the limit to detect a file that is too large. */
 	while (text->len <= CONFIG_FILE_MAX) {
 		got = read(fd, chunk, sizeof(chunk));
 		if (got == 0)
--- a/include/config/config.h
+++ b/include/config/config.h
@@ -95,7 +95,7 @@
 	uint32_t requests_per_s; /* of the whole site; 0: no limit */
 	uint32_t organisation_requests_per_s; /* of each; 0: no limit */
 	uint32_t retry_percent; /* retry budget, as a share of requests */
-	uint32_t record_ms;	/* retention of an idempotency key */
+	uint32_t record_ms;	/* retention of a request key's record */
 };
 
 struct config_param {
--- a/tests/config/files.h
+++ b/tests/config/files.h
@@ -1,4 +1,4 @@
-/* Files of the source tree and edits of them, for the tests of config/. */
+/* Helpers of the tests of config/: source files and replacements in them. */
 #ifndef TESTS_CONFIG_FILES_H
 #define TESTS_CONFIG_FILES_H
 
@@ -14,7 +14,7 @@
 	return text;
 }
 
-/* The text with the first occurrence of from, which must be there, replaced. */
+/* Replaces the first occurrence of from, which must exist. */
 static inline char *edited(const char *text, const char *from, const char *to)
 {
 	g_auto(GStrv) parts = g_strsplit(text, from, 2);
--- a/tests/config/fuzz_config.c
+++ b/tests/config/fuzz_config.c
@@ -1,4 +1,5 @@
-/* The parser of the operators' file against bytes of any kind. */
+/* Fuzzes config_parse() with mutations of valid files: it must not crash, and
+ * an error must name the file. */
 #include <glib.h>
 #include <stdint.h>
 
--- a/tests/config/test_docs.c
+++ b/tests/config/test_docs.c
@@ -1,4 +1,4 @@
-/* The pages name every field that the schema knows. */
+/* Guards against fields of the schema missing in the documentation. */
 #include <glib.h>
 
 #include "config/config.h"
@@ -10,7 +10,7 @@
 
 static const struct {
 	const char *file;
-	const char *mark; /* around each field's name */
+	const char *mark; /* that encloses a field's name */
 } pages[] = {
 	{"docs/CONFIGURATION.md", "`"},
 	{"config/jacinthtrestle-config.5.scd", "*"},
@@ -47,7 +47,7 @@
 	g_regex_unref(regex);
 }
 
-/* The example of the manual page is a valid file. */
+/* The example in the manual page is a valid configuration. */
 static void test_example(void)
 {
 	g_autofree char *page = source_file(pages[1].file);
--- a/tests/config/test_lookups.c
+++ b/tests/config/test_lookups.c
@@ -1,4 +1,4 @@
-/* The examples and the base file as the rest of the program sees them. */
+/* Loading of the example and base files, defaults, lookups and routes. */
 #include <glib.h>
 
 #include "common/error.h"
--- a/tests/config/test_refusals.c
+++ b/tests/config/test_refusals.c
@@ -1,4 +1,4 @@
-/* Files with one fault each, and the exact text of the refusal. */
+/* Files with one error each, and the exact text of the error. */
 #include <glib.h>
 
 #include "common/error.h"
@@ -6,7 +6,7 @@
 #include "files.h"
 
 struct refusal {
-	const char *from; /* of base.yaml; NULL: the whole file is "to" */
+	const char *from; /* in base.yaml; NULL: the whole file is "to" */
 	const char *to;
 	const char *text;
 };
