--- a/bench/drive.c
+++ b/bench/drive.c
@@ -75,7 +75,7 @@
 		if (drive->result->failures++ == 0)
 			g_printerr("first failure: status %d, %s\n",
 				   caller->status,
-				   result->text ? result->text : "whole");
+				   result->text ? result->text : "complete");
 		return;
 	}
 	drive->result->calls++;
@@ -134,7 +134,7 @@
 		process_cpu_usec(drive->spec->pid) - drive->cpu_began;
 }
 
-/* Callers that start in one step of the ramp. */
+/* Returns the number of callers to start per step of the ramp. */
 static unsigned int step_size(const struct drive_spec *spec)
 {
 	return (unsigned int)(spec->callers * STEP_USEC /
--- a/bench/drive.h
+++ b/bench/drive.h
@@ -1,5 +1,6 @@
 /*
- * drive.h - callers that each send the next call when the last is answered
+ * drive.h - closed-loop load: each caller sends its next call when the previous
+ * one is answered
  */
 #ifndef BENCH_DRIVE_H
 #define BENCH_DRIVE_H
@@ -22,23 +23,23 @@
 	const char *path;
 	const char *body;
 	unsigned int callers;
-	int64_t ramp_usec;    /* over which the callers start */
-	int64_t warm_usec;    /* after that */
-	int64_t measure_usec; /* after that */
-	int pid;	      /* whose processor time is taken */
+	int64_t ramp_usec;    /* time over which the callers start */
+	int64_t warm_usec;    /* warm-up after the ramp */
+	int64_t measure_usec; /* measurement after the warm-up */
+	int pid;	      /* process whose CPU time is measured */
 };
 
 struct drive_result {
-	uint64_t calls; /* answered with 200 while measured */
+	uint64_t calls; /* answered with 200 during the measurement */
 	uint64_t failures;
-	int64_t usec;	   /* that the measurement took */
-	int64_t cpu_usec;  /* of the process meanwhile */
-	GArray *latencies; /* int64_t microseconds, sorted */
+	int64_t usec;	   /* duration of the measurement */
+	int64_t cpu_usec;  /* CPU time of the process in it */
+	GArray *latencies; /* int64_t, microseconds, ascending */
 };
 
 void bench_open(struct bench *bench);
 void bench_close(struct bench *bench);
-/* Runs the loop for so long. */
+/* Runs the event loop for usec. */
 void bench_wait(struct bench *bench, int64_t usec);
 void drive_run(struct bench *bench, const struct drive_spec *spec,
 	       struct drive_result *result);
--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -1,6 +1,8 @@
-/* What a decision of the ledger costs: one instance that is home and holder,
- * with runners full and requests waiting. Each cycle releases one request,
- * grants the next and asks for one more. Compare rows of one run only.
+/* Cost of a decision of the ledger. One instance is home and holder, its
+ * runners are full and requests wait. Each cycle releases one request, which
+ * grants the next, and submits a new one. Rows of different runs are not
+ * comparable.
+ *
  * Usage: bench-ledger [CYCLES]
  */
 #include <glib.h>
@@ -15,7 +17,7 @@
 
 #define CYCLES_DEFAULT 3000
 #define PIECES 20
-#define PREFILL_PART 3 /* one runner of so many is for prefill */
+#define PREFILL_PART 3 /* one runner in this many is a prefill runner */
 #define BLOCKS 16
 #define TURN_USEC 1000
 
@@ -32,7 +34,7 @@
 	GQueue messages;
 	GQueue held;
 	uint64_t next;
-	uint64_t key; /* of the next request; 0: without keys */
+	uint64_t key; /* of the next request; 0: requests have no key */
 	uint32_t runners;
 };
 
@@ -112,7 +114,7 @@
 			       .services = &service,
 			       .service_count = 1};
 
-/* Delivers until all is quiet. */
+/* Delivers messages until none are pending, then advances the clock. */
 static void turn(struct bench *bench)
 {
 	struct ledger *ledger = bench->ledger;
@@ -271,7 +273,7 @@
 	bench_destroy(bench);
 }
 
-/* Bytes of state for each of count things that add() makes. */
+/* Prints the heap bytes per runner or, without runners, per ended request. */
 static void state_size(const char *what, uint32_t runners, uint32_t waiting,
 		       bool keyed)
 {
--- a/bench/memory.c
+++ b/bench/memory.c
@@ -23,7 +23,7 @@
 	return fd;
 }
 
-/* One call; its answer fits into one read of a loopback connection. */
+/* Makes one call. The response fits into one read on a loopback connection. */
 static void connection_use(int fd, const char *path)
 {
 	char text[256];
--- a/bench/process.h
+++ b/bench/process.h
@@ -1,16 +1,16 @@
 /*
- * process.h - what a running process has used so far, from /proc
+ * process.h - CPU time and memory of a running process, from /proc
  */
 #ifndef BENCH_PROCESS_H
 #define BENCH_PROCESS_H
 
 #include <stdint.h>
 
-/* Microseconds on a processor, of the process's first thread. */
+/* Returns the CPU time of the process's main thread in microseconds. */
 int64_t process_cpu_usec(int pid);
-/* Resident bytes. */
+/* Returns the resident set size in bytes. */
 int64_t process_memory(int pid);
-/* The machine's load average over the last minute, times 100. */
+/* Returns the load average of the last minute, times 100. */
 int machine_load(void);
 
 #endif
--- a/bench/relay.c
+++ b/bench/relay.c
@@ -1,7 +1,7 @@
 /*
- * relay.c - what the daemon adds to a call, beside the call without it
+ * relay.c - overhead of the daemon, compared with direct calls
  *
- * Started by scripts/bench, which starts the site. Prints tables in Markdown.
+ * Run by scripts/bench, which starts the site. Prints tables in Markdown.
  */
 #include <argp.h>
 #include <stdio.h>
@@ -17,8 +17,8 @@
 #define BODY "{\"item\":\"0123456789abcdef\"}"
 #define MEASURE_USEC (3 * USEC_PER_SEC)
 #define WARM_USEC (500 * USEC_PER_MSEC)
-/* The sweep over calls in flight: calls a second that the callers ask for, and
- * the stand-in's time for one call when it is not slowed. */
+/* Sweep over calls in flight: target rate in calls per second, and the service
+ * time of the stand-in without a slow fault. */
 #define SWEEP_RATE 2500
 #define SWEEP_WORK_USEC (4 * USEC_PER_MSEC)
 #define IDLE_CONNECTIONS 5000
@@ -89,11 +89,11 @@
 	struct bench *bench = ctx;
 
 	if (!result->ok || status != 200)
-		g_error("a stand-in took no fault: %d", status);
+		g_error("stand-in refused the fault: status %d", status);
 	loop_stop(bench->loop);
 }
 
-/* Makes a stand-in take so many times its time for everything. */
+/* Sets a fault that multiplies the service time of a stand-in. */
 static void slow_down(struct bench *bench, const char *address,
 		      const char *path, int times)
 {
@@ -208,10 +208,10 @@
 struct flight_case {
 	const char *path;
 	unsigned int callers;
-	unsigned int served; /* of them at once, the rest waits */
+	unsigned int served; /* of the callers at once; the rest wait */
 };
 
-/* The service's time is such that SWEEP_RATE calls a second pass. */
+/* Sets the service time so that the throughput is SWEEP_RATE calls a second. */
 static void flight_row(struct bench *bench, const struct args *args,
 		       const struct flight_case *c)
 {
@@ -257,7 +257,7 @@
 	slow_down(bench, args->slow, "/-/faults", 0);
 }
 
-/* Waits until all streams have begun, or a bound. */
+/* Waits for the first token of all streams, for at most 10 s. */
 static bool streams_wait(struct bench *bench, const struct streams *streams,
 			 unsigned int count)
 {
@@ -356,7 +356,7 @@
 		.parser = option_parse,
 		.doc = "Measures a running daemon; see scripts/bench.",
 	};
-	/* Memory first: later it would come from what the heap kept. */
+	/* Memory first: other parts leave free heap that it would reuse. */
 	static const struct {
 		const char *name;
 		void (*run)(struct bench *bench, const struct args *args);
--- a/bench/stream.c
+++ b/bench/stream.c
@@ -33,7 +33,7 @@
 	stream->status = status;
 }
 
-/* Each token is one event, and an event ends with an empty line. */
+/* Counts line ends: a token is an event, which ends with an empty line. */
 static void on_body(void *ctx, const void *data, size_t size)
 {
 	struct stream *stream = ctx;
@@ -117,7 +117,7 @@
 void streams_count(const struct streams *streams, struct stream_counts *counts)
 {
 	*counts = streams->counts;
-	/* Two line ends an event. */
+	/* An event has two line ends. */
 	counts->tokens /= 2;
 }
 
--- a/bench/stream.h
+++ b/bench/stream.h
@@ -1,5 +1,5 @@
 /*
- * stream.h - token streams that are opened, counted and closed
+ * stream.h - concurrent token streams and their counts
  */
 #ifndef BENCH_STREAM_H
 #define BENCH_STREAM_H
@@ -11,15 +11,15 @@
 struct stream_counts {
 	uint64_t tokens;
 	unsigned int open;
-	unsigned int begun; /* have got their first token */
+	unsigned int begun; /* have received their first token */
 	unsigned int failed;
 };
 
-/* Opens count streams over some time, each renewed when it ends. */
+/* Opens count streams, a few at a time. A stream that ends is started again. */
 struct streams *streams_open(struct bench *bench, const char *address,
 			     unsigned int count, unsigned int tokens);
 void streams_count(const struct streams *streams, struct stream_counts *counts);
-/* Hangs up on all. */
+/* Cancels all streams and frees them. */
 void streams_close(struct streams *streams);
 
 #endif
