--- a/examples/embed.c
+++ b/examples/embed.c
@@ -2,12 +2,12 @@
  * embed.c - two instances that use the coordination library, in one process
  *
  * DESCRIPTION
- *	What an embedder has to bring is a clock, a transport between instances
- *	and the platform's log. Here the transport is a queue and the log an
- *	array (memory_log.c); a daemon would put sockets in their place, and
- *	call clock_follow() once a turn of its loop, not clock_advance().
- *	The instances find each other, claim the same key, and one of them
- *	takes a lease.
+ *	An embedder provides a clock, a transport between instances and the
+ *	platform's log. Here the transport is a queue and the log an array
+ *	(memory_log.c). A daemon would use sockets instead, and call
+ *	clock_follow() once per iteration of its event loop in place of
+ *	clock_advance(). The instances discover each other and claim the same
+ *	key; then the first holds a lease and passes it on to the second.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -21,8 +21,8 @@
 
 #define INSTANCES 2
 #define RUN_USEC (5 * USEC_PER_SEC)
-#define BOOKING 42   /* the key of a request that may run once */
-#define LOAD_MODEL 7 /* a task that one instance at a time may do */
+#define BOOKING 42   /* key of a request that may run only once */
+#define LOAD_MODEL 7 /* task of one instance at a time */
 
 struct instance {
 	struct member self;
@@ -31,7 +31,7 @@
 	struct leases *leases;
 };
 
-/* A message under way. */
+/* A message in flight. */
 struct message {
 	struct instance *from;
 	uint64_t to;
@@ -44,7 +44,7 @@
 static struct memory_log *records;
 static GQueue messages = G_QUEUE_INIT;
 
-/* The transport: never delivers within send(). */
+/* Transport: queues the message, as send() must not deliver it. */
 static void message_send(void *ctx, uint64_t to, enum channel channel,
 			 const void *payload, size_t size)
 {
@@ -72,7 +72,7 @@
 	}
 }
 
-/* What the modules say. */
+/* Callbacks of the modules. */
 static void member_changed(void *ctx, const struct member *member,
 			   const enum member_state *old)
 {
@@ -128,7 +128,7 @@
 		&lease_ops, instance);
 }
 
-/* One turn a millisecond: messages first, then timers. */
+/* One iteration per millisecond: messages first, then timers. */
 static void run(int64_t usec)
 {
 	int64_t end = clock_now(time_now) + usec;
@@ -152,7 +152,7 @@
 		claims_destroy(instances[i].claims);
 		membership_destroy(instances[i].membership);
 	}
-	run(USEC_PER_SEC); /* the log's last answers come to nobody */
+	run(USEC_PER_SEC); /* the log's last answers are ignored */
 }
 
 int main(void)
@@ -162,7 +162,7 @@
 	records = memory_log_create(time_now);
 	instance_create(&instances[0], "first");
 	instance_create(&instances[1], "second");
-	/* The platform's list names one to the other. */
+	/* The platform's list of instances tells the first about the second. */
 	membership_hint(instances[0].membership, &instances[1].self);
 	for (int i = 0; i < INSTANCES; i++) {
 		membership_start(instances[i].membership);
--- a/examples/memory_log.c
+++ b/examples/memory_log.c
@@ -6,10 +6,10 @@
 
 struct memory_log {
 	struct clock *clock;
-	GHashTable *streams; /* name to GArray of struct log_record */
+	GHashTable *streams; /* stream name to GArray of struct log_record */
 };
 
-/* An answer may not come within the call: a timer brings it. */
+/* An answer must not be given within the call, so a timer delivers it. */
 struct answer {
 	struct timer timer;
 	const GArray *records;
--- a/examples/memory_log.h
+++ b/examples/memory_log.h
@@ -1,5 +1,5 @@
 /*
- * memory_log.h - a log in memory, in place of the platform's
+ * memory_log.h - in-memory replacement for the platform's log
  */
 #ifndef EXAMPLES_MEMORY_LOG_H
 #define EXAMPLES_MEMORY_LOG_H
@@ -10,7 +10,7 @@
 struct memory_log;
 
 struct memory_log *memory_log_create(struct clock *clock);
-/* All answers must have been given. */
+/* No call may be unanswered. */
 void memory_log_destroy(struct memory_log *log);
 struct log_store memory_log_store(struct memory_log *log);
 
