--- a/config/check.c
+++ b/config/check.c
@@ -12,16 +12,16 @@
 {
 	if (!decimal_check(check, "version"))
 		return false;
-	if (document->version == CONFIG_FORMAT)
+	if (document->version == CONFIG_FORMAT_VERSION)
 		return true;
 	return outline_refuse(check->outline, check->err, "version",
 			      "format %u is not known, only %u",
-			      document->version, CONFIG_FORMAT);
+			      document->version, CONFIG_FORMAT_VERSION);
 }
 
 /* libcyaml parses a number's prefix and ignores what follows it. */
-static bool real_check(const struct check *check, const char *path,
-		       double value)
+static bool float_check(const struct check *check, const char *path,
+			double value)
 {
 	const struct outline_node *node = outline_find(check->outline, path);
 	char *end;
@@ -52,8 +52,8 @@
 	return true;
 }
 
-static bool end_check(const struct check *check, GHashTable *names, size_t i,
-		      const char *field, const char *name)
+static bool endpoint_check(const struct check *check, GHashTable *names,
+			   size_t i, const char *field, const char *name)
 {
 	char path[PATH_SIZE];
 
@@ -83,7 +83,7 @@
 
 	g_snprintf(path, sizeof(path), "links[%zu]", i);
 	g_snprintf(field, sizeof(field), "%s.latency_ms", path);
-	if (!real_check(check, field, link->latency_ms))
+	if (!float_check(check, field, link->latency_ms))
 		return false;
 	if (link->latency_ms < 0 || link->latency_ms > LATENCY_MS_MAX)
 		return field_refuse(&subject, "latency_ms",
@@ -102,8 +102,8 @@
 		struct config_link *link =
 			(struct config_link *)&config->links[i];
 
-		if (!end_check(check, names, i, "from", link->from) ||
-		    !end_check(check, names, i, "to", link->to) ||
+		if (!endpoint_check(check, names, i, "from", link->from) ||
+		    !endpoint_check(check, names, i, "to", link->to) ||
 		    !link_check(check, link, i))
 			return false;
 		g_snprintf(path, sizeof(path), "links[%zu]", i);
@@ -139,7 +139,7 @@
 					      param->name);
 		g_snprintf(path, sizeof(path), "policy.parameters[%zu].value",
 			   i);
-		if (!real_check(check, path, param->value))
+		if (!float_check(check, path, param->value))
 			return false;
 	}
 	return true;
--- a/config/check_pools.c
+++ b/config/check_pools.c
@@ -11,11 +11,11 @@
 #define PIECES_MAX 1000000u
 #define HOLD_MS_MAX 600000u
 
-#define NUMBER(member, min, max, fallback, allowed, required)                  \
+#define NUMBER(member, min, max, default_value, allowed, required)             \
 	{                                                                      \
 #member, offsetof(struct config_pool, member),                 \
 			sizeof(((struct config_pool *)NULL)->member), min,     \
-			max, fallback, allowed, required                       \
+			max, default_value, allowed, required                  \
 	}
 
 static const struct number_rule rules[] = {
--- a/config/check_services.c
+++ b/config/check_services.c
@@ -13,11 +13,11 @@
 #define TARGET_MS_MAX DAY_MS
 #define BODY_BYTES_MAX (64u << 20)
 
-#define NUMBER(member, min, max, fallback, allowed, required)                  \
+#define NUMBER(member, min, max, default_value, allowed, required)             \
 	{                                                                      \
 #member, offsetof(struct config_service, member),              \
 			sizeof(((struct config_service *)NULL)->member), min,  \
-			max, fallback, allowed, required                       \
+			max, default_value, allowed, required                  \
 	}
 
 #define TARGET(class, label, member, allowed)                                  \
@@ -66,7 +66,7 @@
 	{"idempotent", EITHER},
 };
 
-static const char *const own_paths[] = {
+static const char *const reserved_paths[] = {
 	"/v1/completions",
 	"/v1/chat/completions",
 	"/v1/models",
@@ -77,8 +77,8 @@
 	GHashTable *names;
 	GHashTable *models;
 	GHashTable *routes;
-	GHashTable *decode_of; /* prefill pool name to decode pool name */
-	GHashTable *prefill_of;
+	GHashTable *decode_by_prefill; /* names of pools */
+	GHashTable *prefill_by_decode;
 };
 
 static bool unique(GHashTable *set, char *key)
@@ -135,9 +135,9 @@
 			      service->decode_pool, POOL_DECODE, "decode");
 	if (!decode)
 		return false;
-	if (!pair_check(subject, services->decode_of, "prefill_pool",
+	if (!pair_check(subject, services->decode_by_prefill, "prefill_pool",
 			service->prefill_pool, service->decode_pool) ||
-	    !pair_check(subject, services->prefill_of, "decode_pool",
+	    !pair_check(subject, services->prefill_by_decode, "decode_pool",
 			service->decode_pool, service->prefill_pool))
 		return false;
 	if (prefill->kv_bytes_per_token != decode->kv_bytes_per_token)
@@ -190,8 +190,8 @@
 		return field_refuse(subject, "path_prefix",
 				    "must start with \"/\", not end with it, "
 				    "and have no empty part, query or space");
-	for (size_t i = 0; i < G_N_ELEMENTS(own_paths); i++) {
-		if (strcmp(prefix, own_paths[i]) == 0)
+	for (size_t i = 0; i < G_N_ELEMENTS(reserved_paths); i++) {
+		if (strcmp(prefix, reserved_paths[i]) == 0)
 			return field_refuse(subject, "path_prefix",
 					    "\"%s\" is the path of model "
 					    "services",
@@ -330,15 +330,15 @@
 		.models = g_hash_table_new(g_str_hash, g_str_equal),
 		.routes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 						NULL),
-		.decode_of = g_hash_table_new(g_str_hash, g_str_equal),
-		.prefill_of = g_hash_table_new(g_str_hash, g_str_equal),
+		.decode_by_prefill = g_hash_table_new(g_str_hash, g_str_equal),
+		.prefill_by_decode = g_hash_table_new(g_str_hash, g_str_equal),
 	};
 	bool ok = services_walk(&services, check);
 
 	g_hash_table_destroy(services.names);
 	g_hash_table_destroy(services.models);
 	g_hash_table_destroy(services.routes);
-	g_hash_table_destroy(services.decode_of);
-	g_hash_table_destroy(services.prefill_of);
+	g_hash_table_destroy(services.decode_by_prefill);
+	g_hash_table_destroy(services.prefill_by_decode);
 	return ok;
 }
--- a/config/outline.c
+++ b/config/outline.c
@@ -225,7 +225,7 @@
 	return mark;
 }
 
-static bool scan_syntax(struct scan *scan, const yaml_parser_t *parser)
+static bool scan_syntax_error(struct scan *scan, const yaml_parser_t *parser)
 {
 	yaml_mark_t mark = parser->problem_mark;
 	const char *problem = parser->problem;
@@ -243,7 +243,7 @@
 
 	while (ok && !end) {
 		if (!yaml_parser_parse(parser, &event))
-			return scan_syntax(scan, parser);
+			return scan_syntax_error(scan, parser);
 		ok = scan_event(scan, &event);
 		end = event.type == YAML_STREAM_END_EVENT;
 		yaml_event_delete(&event);
@@ -308,19 +308,20 @@
 }
 
 /* The node at the path or, if there is none, its closest ancestor. */
-static const struct outline_node *node_around(const struct outline *outline,
-					      const char *path)
+static const struct outline_node *node_enclosing(const struct outline *outline,
+						 const char *path)
 {
-	g_autofree char *around = g_strdup(path);
-	const struct outline_node *node = outline_find(outline, around);
+	g_autofree char *ancestor = g_strdup(path);
+	const struct outline_node *node = outline_find(outline, ancestor);
 
-	while (!node && *around) {
-		size_t size = strlen(around) - 1;
+	while (!node && *ancestor) {
+		size_t size = strlen(ancestor) - 1;
 
-		while (size > 0 && around[size] != '.' && around[size] != '[')
+		while (size > 0 && ancestor[size] != '.' &&
+		       ancestor[size] != '[')
 			size--;
-		around[size] = '\0';
-		node = outline_find(outline, around);
+		ancestor[size] = '\0';
+		node = outline_find(outline, ancestor);
 	}
 	return node;
 }
@@ -328,7 +329,7 @@
 bool outline_refuse(const struct outline *outline, struct error *err,
 		    const char *path, const char *fmt, ...)
 {
-	const struct outline_node *node = node_around(outline, path);
+	const struct outline_node *node = node_enclosing(outline, path);
 	g_autofree char *text = NULL;
 	va_list args;
 
--- a/config/rule.c
+++ b/config/rule.c
@@ -26,7 +26,7 @@
 	return outline_find(subject->check->outline, path) != NULL;
 }
 
-bool field_absent(const struct subject *subject, const char *field)
+bool absent_check(const struct subject *subject, const char *field)
 {
 	if (!field_given(subject, field))
 		return true;
@@ -85,11 +85,11 @@
 	uint64_t value;
 
 	if (!(rule->allowed & subject->kind))
-		return field_absent(subject, rule->field);
+		return absent_check(subject, rule->field);
 	if (!outline_find(subject->check->outline, path)) {
 		if (rule->required & subject->kind)
 			return field_refuse(subject, rule->field, "missing");
-		number_store(subject, rule, rule->fallback);
+		number_store(subject, rule, rule->default_value);
 		return true;
 	}
 	if (!decimal_check(subject->check, path))
@@ -119,7 +119,7 @@
 		const struct text_rule *rule = &rules[i];
 
 		if (!(rule->allowed & subject->kind)) {
-			if (!field_absent(subject, rule->field))
+			if (!absent_check(subject, rule->field))
 				return false;
 		} else if ((rule->required & subject->kind) &&
 			   !field_given(subject, rule->field)) {
@@ -149,7 +149,7 @@
 {
 	for (size_t i = 0; i < count; i++) {
 		if (!(rules[i].allowed & subject->kind)) {
-			if (!field_absent(subject, rules[i].field))
+			if (!absent_check(subject, rules[i].field))
 				return false;
 		} else if (!flag_check(subject, &rules[i])) {
 			return false;
--- a/config/schema.c
+++ b/config/schema.c
@@ -203,7 +203,7 @@
 	size_t innermost_size;
 };
 
-static void report_part(struct report *report, const char *line)
+static void report_location(struct report *report, const char *line)
 {
 	char name[OUTLINE_KEY_MAX + 1] = "";
 	unsigned int entry;
@@ -236,7 +236,7 @@
 	if (g_str_has_prefix(text, "Load: "))
 		text += strlen("Load: ");
 	if (g_str_has_prefix(text, "  in "))
-		report_part(report, text);
+		report_location(report, text);
 	else if (*report->reason == '\0')
 		g_strlcpy(report->reason, text, sizeof(report->reason));
 }
--- a/include/config/config.h
+++ b/include/config/config.h
@@ -18,7 +18,7 @@
 struct error;
 
 #define CONFIG_FILE_MAX (256u << 10)
-#define CONFIG_FORMAT 1
+#define CONFIG_FORMAT_VERSION 1
 
 enum pool_role {
 	POOL_PREFILL,
--- a/include/config/rule.h
+++ b/include/config/rule.h
@@ -21,7 +21,7 @@
 	size_t size; /* of the member: 4 or 8 bytes */
 	uint64_t min;
 	uint64_t max;
-	uint64_t fallback;
+	uint64_t default_value;
 	unsigned int allowed;
 	unsigned int required;
 };
@@ -54,7 +54,7 @@
 bool flags_check(const struct subject *subject, const struct flag_rule *rules,
 		 size_t count);
 /* Refuses a field that the file has but that does not apply to the kind. */
-bool field_absent(const struct subject *subject, const char *field);
+bool absent_check(const struct subject *subject, const char *field);
 bool field_given(const struct subject *subject, const char *field);
 /* Sets an error at a field of the subject. Always returns false. */
 bool field_refuse(const struct subject *subject, const char *field,
--- a/tests/config/files.h
+++ b/tests/config/files.h
@@ -15,7 +15,8 @@
 }
 
 /* Replaces the first occurrence of from, which must exist. */
-static inline char *edited(const char *text, const char *from, const char *to)
+static inline char *text_replace(const char *text, const char *from,
+				 const char *to)
 {
 	g_auto(GStrv) parts = g_strsplit(text, from, 2);
 
--- a/tests/config/fuzz_config.c
+++ b/tests/config/fuzz_config.c
@@ -60,7 +60,7 @@
 	"99999999999999999999",
 };
 
-static void double_span(GByteArray *bytes, guint at, guint span)
+static void span_duplicate(GByteArray *bytes, guint at, guint span)
 {
 	g_autofree guint8 *copy = g_memdup2(&bytes->data[at], span);
 
@@ -90,7 +90,7 @@
 			       MIN(strlen(token), bytes->len - at));
 			break;
 		default:
-			double_span(bytes, at, span);
+			span_duplicate(bytes, at, span);
 			break;
 		}
 	}
@@ -98,8 +98,9 @@
 
 static void test_mutations(void)
 {
-	const char *given = g_getenv("JT_TEST_SEED");
-	guint32 seed = given ? (guint32)strtoul(given, NULL, 10) : SEED_DEFAULT;
+	const char *seed_text = g_getenv("JT_TEST_SEED");
+	guint32 seed = seed_text ? (guint32)strtoul(seed_text, NULL, 10)
+				 : SEED_DEFAULT;
 	GRand *rand = g_rand_new_with_seed(seed);
 
 	g_test_message("seed %u", seed);
--- a/tests/config/test_lookups.c
+++ b/tests/config/test_lookups.c
@@ -116,9 +116,9 @@
 	};
 	g_autofree char *base = source_file("tests/config/base.yaml");
 	g_autofree char *text =
-		edited(base, "policy:\n",
-		       "  - {name: host, kind: plain, host: h.example, "
-		       "pool: s}\npolicy:\n");
+		text_replace(base, "policy:\n",
+			     "  - {name: host, kind: plain, host: h.example, "
+			     "pool: s}\npolicy:\n");
 	struct config *config = config_parse("f", text, strlen(text), NULL);
 
 	g_assert_nonnull(config);
--- a/tests/config/test_refusals.c
+++ b/tests/config/test_refusals.c
@@ -221,7 +221,7 @@
 {
 	if (!row->from)
 		return g_strdup(row->to);
-	return edited(base, row->from, row->to);
+	return text_replace(base, row->from, row->to);
 }
 
 static void test_refusals(void)
