--- a/bench/drive.c
+++ b/bench/drive.c
@@ -15,13 +15,13 @@
 	unsigned int running;
 	bool measuring;
 	bool ending;
-	int64_t began;
-	int64_t cpu_began;
+	int64_t start_usec;
+	int64_t cpu_start_usec;
 };
 
 struct caller {
 	struct drive *drive;
-	int64_t began;
+	int64_t start_usec;
 	int status;
 };
 
@@ -39,7 +39,7 @@
 	clock_destroy(bench->clock);
 }
 
-static void on_waited(struct timer *timer, void *ctx)
+static void on_wait_end(struct timer *timer, void *ctx)
 {
 	loop_stop(ctx);
 }
@@ -48,7 +48,7 @@
 {
 	struct timer timer;
 
-	timer_init(&timer, bench->clock, on_waited, bench->loop);
+	timer_init(&timer, bench->clock, on_wait_end, bench->loop);
 	timer_start(&timer, usec);
 	loop_run(bench->loop);
 }
@@ -63,11 +63,11 @@
 	caller->status = status;
 }
 
-static void call_count(struct caller *caller, const struct web_result *result)
+static void call_record(struct caller *caller, const struct web_result *result)
 {
 	bool ok = result->ok && caller->status == 200;
 	struct drive *drive = caller->drive;
-	int64_t usec = clock_now(drive->bench->clock) - caller->began;
+	int64_t usec = clock_now(drive->bench->clock) - caller->start_usec;
 
 	if (!drive->measuring)
 		return;
@@ -87,7 +87,7 @@
 	struct caller *caller = ctx;
 	struct drive *drive = caller->drive;
 
-	call_count(caller, result);
+	call_record(caller, result);
 	if (!drive->ending) {
 		caller_start(caller);
 		return;
@@ -110,7 +110,7 @@
 		.head_usec = 60 * USEC_PER_SEC,
 	};
 
-	caller->began = clock_now(caller->drive->bench->clock);
+	caller->start_usec = clock_now(caller->drive->bench->clock);
 	caller->status = 0;
 	web_call(caller->drive->bench->client, &call, &ops, caller);
 }
@@ -118,8 +118,8 @@
 static void measure_begin(struct drive *drive)
 {
 	drive->measuring = true;
-	drive->began = clock_now(drive->bench->clock);
-	drive->cpu_began = process_cpu_usec(drive->spec->pid);
+	drive->start_usec = clock_now(drive->bench->clock);
+	drive->cpu_start_usec = process_cpu_usec(drive->spec->pid);
 	timer_start(&drive->timer, drive->spec->measure_usec);
 }
 
@@ -129,9 +129,9 @@
 
 	drive->measuring = false;
 	drive->ending = true;
-	result->usec = clock_now(drive->bench->clock) - drive->began;
+	result->usec = clock_now(drive->bench->clock) - drive->start_usec;
 	result->cpu_usec =
-		process_cpu_usec(drive->spec->pid) - drive->cpu_began;
+		process_cpu_usec(drive->spec->pid) - drive->cpu_start_usec;
 }
 
 /* Returns the number of callers to start per step of the ramp. */
--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -17,9 +17,9 @@
 
 #define CYCLES_DEFAULT 3000
 #define PIECES 20
-#define PREFILL_PART 3 /* one runner in this many is a prefill runner */
+#define RUNNERS_PER_PREFILL 3 /* one of them is a prefill runner */
 #define BLOCKS 16
-#define TURN_USEC 1000
+#define ITERATION_USEC 1000
 
 struct message {
 	size_t size;
@@ -28,11 +28,11 @@
 
 struct bench {
 	struct clock *clock;
-	struct clock *watch;
+	struct clock *system_clock;
 	struct membership *membership;
 	struct ledger *ledger;
 	GQueue messages;
-	GQueue held;
+	GQueue granted_requests;
 	uint64_t next;
 	uint64_t key; /* of the next request; 0: requests have no key */
 	uint32_t runners;
@@ -56,7 +56,8 @@
 {
 	struct bench *bench = ctx;
 
-	g_queue_push_tail(&bench->held, GSIZE_TO_POINTER(grant->request));
+	g_queue_push_tail(&bench->granted_requests,
+			  GSIZE_TO_POINTER(grant->request));
 }
 
 static void on_refused(void *ctx, const struct ledger_refusal *refusal)
@@ -76,7 +77,7 @@
 {
 }
 
-static void on_homes(void *ctx)
+static void on_homes_changed(void *ctx)
 {
 }
 
@@ -86,7 +87,7 @@
 	.duplicate = on_duplicate,
 	.revoked = on_revoked,
 	.cancel = on_cancel,
-	.homes_changed = on_homes,
+	.homes_changed = on_homes_changed,
 };
 
 static const struct config_pool pools[] = {
@@ -115,7 +116,7 @@
 			       .service_count = 1};
 
 /* Delivers messages until none are pending, then advances the clock. */
-static void turn(struct bench *bench)
+static void iteration_run(struct bench *bench)
 {
 	struct ledger *ledger = bench->ledger;
 	uint64_t self = membership_self(bench->membership)->id;
@@ -129,10 +130,10 @@
 		}
 		clock_advance(bench->clock, clock_now(bench->clock) + 1);
 	} while (!g_queue_is_empty(&bench->messages));
-	clock_advance(bench->clock, clock_now(bench->clock) + TURN_USEC);
+	clock_advance(bench->clock, clock_now(bench->clock) + ITERATION_USEC);
 }
 
-static void ask(struct bench *bench)
+static void request_submit(struct bench *bench)
 {
 	struct ledger_request request = {
 		.request = ++bench->next,
@@ -170,10 +171,11 @@
 	for (uint32_t i = 0; i < bench->runners; i++)
 		list[i] = (struct ledger_runner){
 			.id = id_mix(i, 1),
-			.pool = i % PREFILL_PART == 0 ? "prefill" : "decode",
+			.pool = i % RUNNERS_PER_PREFILL == 0 ? "prefill"
+							     : "decode",
 			.data_centre = "hall-a"};
 	ledger_runners(bench->ledger, list, bench->runners);
-	turn(bench);
+	iteration_run(bench);
 	for (uint32_t i = 0; i < bench->runners; i++)
 		report(bench, list[i].id);
 	g_free(list);
@@ -190,7 +192,7 @@
 	self.id = id_of(self.name);
 	config.policy.name = policy;
 	bench->clock = clock_create(0);
-	bench->watch = clock_create_system();
+	bench->system_clock = clock_create_system();
 	bench->runners = runners;
 	bench->membership = membership_create(bench->clock, &self, NULL,
 					      &transport, &none, NULL);
@@ -198,7 +200,7 @@
 				      &transport, &ops, bench);
 	ledger_configure(bench->ledger, &config, NULL);
 	add_runners(bench);
-	turn(bench);
+	iteration_run(bench);
 	return bench;
 }
 
@@ -207,42 +209,44 @@
 	ledger_destroy(bench->ledger);
 	membership_destroy(bench->membership);
 	g_queue_clear_full(&bench->messages, g_free);
-	g_queue_clear(&bench->held);
+	g_queue_clear(&bench->granted_requests);
 	clock_destroy(bench->clock);
-	clock_destroy(bench->watch);
+	clock_destroy(bench->system_clock);
 	g_free(bench);
 }
 
-static size_t memory(void)
+static size_t heap_used(void)
 {
 	return mallinfo2().uordblks;
 }
 
 static uint32_t capacity(const struct bench *bench)
 {
-	uint32_t prefill = (bench->runners + PREFILL_PART - 1) / PREFILL_PART;
+	uint32_t prefill = (bench->runners + RUNNERS_PER_PREFILL - 1) /
+			   RUNNERS_PER_PREFILL;
 
 	return (bench->runners - prefill) * PIECES;
 }
 
-static void ask_many(struct bench *bench, uint32_t count)
+static void requests_submit(struct bench *bench, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++) {
-		ask(bench);
+		request_submit(bench);
 		if (i % 64 == 0)
-			turn(bench);
+			iteration_run(bench);
 	}
-	turn(bench);
-	turn(bench);
+	iteration_run(bench);
+	iteration_run(bench);
 }
 
 static void cycle(struct bench *bench)
 {
-	uint64_t request = GPOINTER_TO_SIZE(g_queue_pop_head(&bench->held));
+	uint64_t request =
+		GPOINTER_TO_SIZE(g_queue_pop_head(&bench->granted_requests));
 
 	ledger_release(bench->ledger, request, RELEASE_DONE);
-	ask(bench);
-	turn(bench);
+	request_submit(bench);
+	iteration_run(bench);
 }
 
 static void run(const char *policy, uint32_t runners, uint32_t waiting,
@@ -250,26 +254,26 @@
 {
 	struct bench *bench = bench_create(policy, runners);
 	struct ledger_stats before, after;
-	size_t at_rest, loaded;
+	size_t heap_idle, heap_loaded;
 	int64_t start;
 
 	bench->key = keyed;
-	ask_many(bench, capacity(bench));
-	at_rest = memory();
-	ask_many(bench, waiting);
-	loaded = memory();
+	requests_submit(bench, capacity(bench));
+	heap_idle = heap_used();
+	requests_submit(bench, waiting);
+	heap_loaded = heap_used();
 	ledger_stats(bench->ledger, &before);
-	clock_follow(bench->watch);
-	start = clock_now(bench->watch);
+	clock_follow(bench->system_clock);
+	start = clock_now(bench->system_clock);
 	for (uint32_t i = 0; i < cycles; i++)
 		cycle(bench);
-	clock_follow(bench->watch);
+	clock_follow(bench->system_clock);
 	ledger_stats(bench->ledger, &after);
 	printf("%-12s %7u %7u %7u %9.0f %9.0f %9.0f\n", policy, runners,
 	       before.waiting, before.grants,
-	       (double)(clock_now(bench->watch) - start) * 1000 / cycles,
+	       (double)(clock_now(bench->system_clock) - start) * 1000 / cycles,
 	       (double)(after.sent_bytes - before.sent_bytes) / cycles,
-	       waiting > 0 ? (double)(loaded - at_rest) / waiting : 0);
+	       waiting > 0 ? (double)(heap_loaded - heap_idle) / waiting : 0);
 	bench_destroy(bench);
 }
 
@@ -278,7 +282,7 @@
 		       bool keyed)
 {
 	struct bench *bench = bench_create("reserve", 3);
-	size_t before = memory();
+	size_t before = heap_used();
 	uint32_t count = 0;
 
 	bench->key = keyed;
@@ -288,18 +292,18 @@
 		count = runners;
 	}
 	for (uint32_t i = 0; i < waiting; i++) {
-		ask(bench);
-		turn(bench);
-		while (!g_queue_is_empty(&bench->held))
+		request_submit(bench);
+		iteration_run(bench);
+		while (!g_queue_is_empty(&bench->granted_requests))
 			ledger_release(bench->ledger,
-				       GPOINTER_TO_SIZE(
-					       g_queue_pop_head(&bench->held)),
+				       GPOINTER_TO_SIZE(g_queue_pop_head(
+					       &bench->granted_requests)),
 				       RELEASE_DONE);
-		turn(bench);
+		iteration_run(bench);
 		count++;
 	}
 	printf("%-34s %9.0f bytes\n", what,
-	       (double)(memory() - before) / count);
+	       (double)(heap_used() - before) / count);
 	bench_destroy(bench);
 }
 
--- a/bench/memory.c
+++ b/bench/memory.c
@@ -24,7 +24,7 @@
 }
 
 /* Makes one call. The response fits into one read on a loopback connection. */
-static void connection_use(int fd, const char *path)
+static void connection_call(int fd, const char *path)
 {
 	char text[256];
 	char answer[4096];
@@ -48,11 +48,11 @@
 	int64_t after;
 
 	fds[0] = connection_open(address);
-	connection_use(fds[0], path);
+	connection_call(fds[0], path);
 	before = process_memory(pid);
 	for (unsigned int i = 1; i < count; i++) {
 		fds[i] = connection_open(address);
-		connection_use(fds[i], path);
+		connection_call(fds[i], path);
 	}
 	after = process_memory(pid);
 	for (unsigned int i = 0; i < count; i++)
--- a/bench/process.c
+++ b/bench/process.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <unistd.h>
 
-static int64_t first_number(const char *path, int skip)
+static int64_t file_number(const char *path, int skip)
 {
 	FILE *file = fopen(path, "r");
 	long long number = 0;
@@ -23,7 +23,7 @@
 	char path[64];
 
 	g_snprintf(path, sizeof(path), "/proc/%d/schedstat", pid);
-	return first_number(path, 0) / 1000;
+	return file_number(path, 0) / 1000;
 }
 
 int64_t process_memory(int pid)
@@ -31,10 +31,10 @@
 	char path[64];
 
 	g_snprintf(path, sizeof(path), "/proc/%d/statm", pid);
-	return first_number(path, 1) * sysconf(_SC_PAGESIZE);
+	return file_number(path, 1) * sysconf(_SC_PAGESIZE);
 }
 
-int machine_load(void)
+int load_average(void)
 {
 	FILE *file = fopen("/proc/loadavg", "r");
 	double load = 0;
--- a/bench/process.h
+++ b/bench/process.h
@@ -11,6 +11,6 @@
 /* Returns the resident set size in bytes. */
 int64_t process_memory(int pid);
 /* Returns the load average of the last minute, times 100. */
-int machine_load(void);
+int load_average(void);
 
 #endif
--- a/bench/relay.c
+++ b/bench/relay.c
@@ -20,7 +20,7 @@
 /* Sweep over calls in flight: target rate in calls per second, and the service
  * time of the stand-in without a slow fault. */
 #define SWEEP_RATE 2500
-#define SWEEP_WORK_USEC (4 * USEC_PER_MSEC)
+#define SWEEP_SERVICE_USEC (4 * USEC_PER_MSEC)
 #define IDLE_CONNECTIONS 5000
 #define MEMORY_STREAMS 1000
 #define TOKEN_STREAMS 300
@@ -83,8 +83,8 @@
 	}
 }
 
-static void on_fault(void *ctx, const struct web_result *result, int status,
-		     const void *body, size_t size)
+static void on_fault_reply(void *ctx, const struct web_result *result,
+			   int status, const void *body, size_t size)
 {
 	struct bench *bench = ctx;
 
@@ -94,8 +94,8 @@
 }
 
 /* Sets a fault that multiplies the service time of a stand-in. */
-static void slow_down(struct bench *bench, const char *address,
-		      const char *path, int times)
+static void slow_fault_set(struct bench *bench, const char *address,
+			   const char *path, int times)
 {
 	char body[64];
 	const struct web_call_spec spec = {
@@ -108,17 +108,17 @@
 			"{\"fault\":\"slow\",\"value\":%d,\"times\":0}", times),
 	};
 
-	web_fetch(bench->client, &spec, 4096, on_fault, bench);
+	web_fetch(bench->client, &spec, 4096, on_fault_reply, bench);
 	loop_run(bench->loop);
 }
 
-static void engines_slow_down(struct bench *bench, const struct args *args,
-			      int times)
+static void engines_slow_fault_set(struct bench *bench, const struct args *args,
+				   int times)
 {
 	char **list = g_strsplit(args->engines, ",", 0);
 
 	for (char **at = list; *at; at++)
-		slow_down(bench, *at, "/faults", times);
+		slow_fault_set(bench, *at, "/faults", times);
 	g_strfreev(list);
 }
 
@@ -128,7 +128,7 @@
 			     : 0;
 }
 
-static double rate_of(const struct drive_result *result)
+static double call_rate(const struct drive_result *result)
 {
 	return (double)result->calls * USEC_PER_SEC / (double)result->usec;
 }
@@ -187,7 +187,7 @@
 	drive_run(bench, &spec, &result);
 	cpu = cpu_per_call(&result);
 	printf("| %s | %.0f | %.0f%% | %.1f | %.0f | %" PRIu64 " |\n", name,
-	       rate_of(&result),
+	       call_rate(&result),
 	       100.0 * (double)result.cpu_usec / (double)result.usec, cpu,
 	       cpu > 0 ? USEC_PER_SEC / cpu : 0, result.failures);
 	drive_result_clear(&result);
@@ -205,20 +205,20 @@
 		       args->entry_pid);
 }
 
-struct flight_case {
+struct in_flight_case {
 	const char *path;
 	unsigned int callers;
 	unsigned int served; /* of the callers at once; the rest wait */
 };
 
 /* Sets the service time so that the throughput is SWEEP_RATE calls a second. */
-static void flight_row(struct bench *bench, const struct args *args,
-		       const struct flight_case *c)
+static void in_flight_row(struct bench *bench, const struct args *args,
+			  const struct in_flight_case *c)
 {
-	int times =
-		(int)(c->served * USEC_PER_SEC / SWEEP_RATE / SWEEP_WORK_USEC);
-	int64_t work = times * SWEEP_WORK_USEC;
-	int64_t ramp = work * c->callers / c->served;
+	int times = (int)(c->served * USEC_PER_SEC / SWEEP_RATE /
+			  SWEEP_SERVICE_USEC);
+	int64_t service_usec = times * SWEEP_SERVICE_USEC;
+	int64_t ramp = service_usec * c->callers / c->served;
 	const struct drive_spec spec = {.address = args->entry,
 					.path = c->path,
 					.body = BODY,
@@ -229,10 +229,10 @@
 					.pid = args->entry_pid};
 	struct drive_result result;
 
-	slow_down(bench, args->slow, "/-/faults", times);
+	slow_fault_set(bench, args->slow, "/-/faults", times);
 	drive_run(bench, &spec, &result);
 	printf("| %u | %u | %.0f | %.1f | %.1f | %.1f | %.1f | %" PRIu64 " |\n",
-	       c->callers, c->callers - c->served, rate_of(&result),
+	       c->callers, c->callers - c->served, call_rate(&result),
 	       cpu_per_call(&result), (double)ramp / USEC_PER_MSEC,
 	       (double)(drive_quantile(&result, 0.5) - ramp) / USEC_PER_MSEC,
 	       (double)(drive_quantile(&result, 0.99) - ramp) / USEC_PER_MSEC,
@@ -241,9 +241,9 @@
 	drive_result_clear(&result);
 }
 
-static void flight(struct bench *bench, const struct args *args)
+static void in_flight(struct bench *bench, const struct args *args)
 {
-	static const struct flight_case cases[] = {
+	static const struct in_flight_case cases[] = {
 		{"/slow", 10, 10},     {"/slow", 100, 100},
 		{"/slow", 1000, 1000}, {"/slow", 5000, 5000},
 		{"/slow", 9500, 9500}, {"/queue", 10000, 2000},
@@ -253,8 +253,8 @@
 	       "call | least time, ms | p50 above it | p99 above it | failures "
 	       "|\n|---|---|---|---|---|---|---|---|\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
-		flight_row(bench, args, &cases[i]);
-	slow_down(bench, args->slow, "/-/faults", 0);
+		in_flight_row(bench, args, &cases[i]);
+	slow_fault_set(bench, args->slow, "/-/faults", 0);
 }
 
 /* Waits for the first token of all streams, for at most 10 s. */
@@ -276,22 +276,22 @@
 	struct streams *streams;
 	struct stream_counts before;
 	struct stream_counts after;
-	int64_t began;
+	int64_t start_usec;
 	int64_t cpu;
 	int64_t usec;
 	double rate;
 	bool begun;
 
-	engines_slow_down(bench, args, slow);
+	engines_slow_fault_set(bench, args, slow);
 	streams = streams_open(bench, args->entry, TOKEN_STREAMS, 2000);
 	begun = streams_wait(bench, streams, TOKEN_STREAMS);
-	began = clock_now(bench->clock);
+	start_usec = clock_now(bench->clock);
 	cpu = process_cpu_usec(args->entry_pid);
 	streams_count(streams, &before);
 	bench_wait(bench, MEASURE_USEC);
 	streams_count(streams, &after);
 	cpu = process_cpu_usec(args->entry_pid) - cpu;
-	usec = clock_now(bench->clock) - began;
+	usec = clock_now(bench->clock) - start_usec;
 	rate = (double)(after.tokens - before.tokens) * USEC_PER_SEC /
 	       (double)usec;
 	printf("| %s%s | %.0f | %.0f%% | %.1f | %.0f | %u |\n", name,
@@ -323,13 +323,13 @@
 	bool begun;
 
 	bench_wait(bench, WARM_USEC);
-	engines_slow_down(bench, args, 50);
+	engines_slow_fault_set(bench, args, 50);
 	before = process_memory(args->entry_pid);
 	streams = streams_open(bench, args->entry, MEMORY_STREAMS, 2000);
 	begun = streams_wait(bench, streams, MEMORY_STREAMS);
 	after = process_memory(args->entry_pid);
 	streams_close(streams);
-	engines_slow_down(bench, args, 0);
+	engines_slow_fault_set(bench, args, 0);
 	bench_wait(bench, WARM_USEC);
 	printf("\n| resident memory of the daemon | KiB each |\n|---|---|\n"
 	       "| idle connection (of %d) | %.1f |\n"
@@ -339,7 +339,7 @@
 	       (double)(after - before) / MEMORY_STREAMS / 1024);
 }
 
-static void files_raise(void)
+static void fd_limit_raise(void)
 {
 	struct rlimit limit;
 
@@ -362,21 +362,21 @@
 		void (*run)(struct bench *bench, const struct args *args);
 	} parts[] = {
 		{"memory", memory},	    {"latency", latency},
-		{"throughput", throughput}, {"flight", flight},
+		{"throughput", throughput}, {"flight", in_flight},
 		{"tokens", tokens},
 	};
 	struct args args = {0};
 	struct bench bench;
 
 	argp_parse(&argp, argc, argv, 0, NULL, &args);
-	files_raise();
+	fd_limit_raise();
 	bench_open(&bench);
 	for (size_t i = 0; i < G_N_ELEMENTS(parts); i++) {
 		if (args.part && strcmp(args.part, parts[i].name) != 0)
 			continue;
 		parts[i].run(&bench, &args);
 		printf("\nLoad of the machine after this: %.2f.\n",
-		       machine_load() / 100.0);
+		       load_average() / 100.0);
 		fflush(stdout);
 	}
 	bench_close(&bench);
