--- a/examples/embed.c
+++ b/examples/embed.c
@@ -21,8 +21,8 @@
 
 #define INSTANCES 2
 #define RUN_USEC (5 * USEC_PER_SEC)
-#define BOOKING 42   /* key of a request that may run only once */
-#define LOAD_MODEL 7 /* task of one instance at a time */
+#define BOOKING_KEY 42	  /* key of a request that may run only once */
+#define MODEL_LOAD_TASK 7 /* task of one instance at a time */
 
 struct instance {
 	struct member self;
@@ -39,7 +39,7 @@
 	GBytes *payload;
 };
 
-static struct clock *time_now;
+static struct clock *shared_clock;
 static struct instance instances[INSTANCES];
 static struct memory_log *records;
 static GQueue messages = G_QUEUE_INIT;
@@ -118,22 +118,23 @@
 	g_snprintf(self->name, sizeof(self->name), "%s", name);
 	g_snprintf(self->data_centre, sizeof(self->data_centre), "hall-a");
 	self->id = id_of(name);
-	self->incarnation = (uint64_t)clock_unix(time_now);
+	self->incarnation = (uint64_t)clock_unix(shared_clock);
 	instance->membership = membership_create(
-		time_now, self, NULL, &transport, &member_ops, instance);
-	instance->claims = claims_create(time_now, instance->membership, &store,
-					 &transport, claim_answered, instance);
+		shared_clock, self, NULL, &transport, &member_ops, instance);
+	instance->claims =
+		claims_create(shared_clock, instance->membership, &store,
+			      &transport, claim_answered, instance);
 	instance->leases = leases_create(
-		time_now, &(struct owner){self->id, self->incarnation}, &store,
-		&lease_ops, instance);
+		shared_clock, &(struct owner){self->id, self->incarnation},
+		&store, &lease_ops, instance);
 }
 
 /* One iteration per millisecond: messages first, then timers. */
 static void run(int64_t usec)
 {
-	int64_t end = clock_now(time_now) + usec;
+	int64_t end = clock_now(shared_clock) + usec;
 
-	while (clock_now(time_now) < end) {
+	while (clock_now(shared_clock) < end) {
 		struct message *message = g_queue_pop_head(&messages);
 
 		for (; message; message = g_queue_pop_head(&messages)) {
@@ -141,7 +142,8 @@
 			g_bytes_unref(message->payload);
 			g_free(message);
 		}
-		clock_advance(time_now, clock_now(time_now) + USEC_PER_MSEC);
+		clock_advance(shared_clock,
+			      clock_now(shared_clock) + USEC_PER_MSEC);
 	}
 }
 
@@ -158,8 +160,8 @@
 int main(void)
 {
 	log_setup(NULL, "embed", LOG_ERR);
-	time_now = clock_create(1700000000 * USEC_PER_SEC);
-	records = memory_log_create(time_now);
+	shared_clock = clock_create(1700000000 * USEC_PER_SEC);
+	records = memory_log_create(shared_clock);
 	instance_create(&instances[0], "first");
 	instance_create(&instances[1], "second");
 	/* The platform's list of instances tells the first about the second. */
@@ -170,17 +172,17 @@
 	}
 	run(RUN_USEC);
 
-	claims_submit(instances[0].claims, 1, BOOKING, USEC_PER_SEC);
+	claims_submit(instances[0].claims, 1, BOOKING_KEY, USEC_PER_SEC);
 	run(RUN_USEC);
-	claims_submit(instances[1].claims, 2, BOOKING, USEC_PER_SEC);
-	lease_acquire(instances[0].leases, LOAD_MODEL);
+	claims_submit(instances[1].claims, 2, BOOKING_KEY, USEC_PER_SEC);
+	lease_acquire(instances[0].leases, MODEL_LOAD_TASK);
 	run(RUN_USEC);
-	lease_acquire(instances[1].leases, LOAD_MODEL);
-	lease_release(instances[0].leases, LOAD_MODEL);
+	lease_acquire(instances[1].leases, MODEL_LOAD_TASK);
+	lease_release(instances[0].leases, MODEL_LOAD_TASK);
 	run(RUN_USEC);
 
 	instances_destroy();
 	memory_log_destroy(records);
-	clock_destroy(time_now);
+	clock_destroy(shared_clock);
 	return 0;
 }
--- a/examples/memory_log.c
+++ b/examples/memory_log.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-#define ANSWER_USEC USEC_PER_MSEC
+#define ANSWER_DELAY_USEC USEC_PER_MSEC
 
 struct memory_log {
 	struct clock *clock;
@@ -41,7 +41,7 @@
 	return records;
 }
 
-static void answer_give(struct timer *timer, void *ctx)
+static void answer_deliver(struct timer *timer, void *ctx)
 {
 	struct answer *answer = ctx;
 	uint64_t next = answer->records->len;
@@ -70,8 +70,8 @@
 	answer->records = records;
 	answer->offset = offset;
 	answer->fn_ctx = fn_ctx;
-	timer_init(&answer->timer, log->clock, answer_give, answer);
-	timer_start(&answer->timer, ANSWER_USEC);
+	timer_init(&answer->timer, log->clock, answer_deliver, answer);
+	timer_start(&answer->timer, ANSWER_DELAY_USEC);
 	return answer;
 }
 
