--- a/config/outline.c
+++ b/config/outline.c
@@ -266,7 +266,8 @@
 	outline->nodes = g_ptr_array_new_with_free_func(node_free);
 	outline->by_path = g_hash_table_new(g_str_hash, g_str_equal);
 	if (!yaml_parser_initialize(&parser)) {
-		error_set(err, RESULT_DEFECT, "no memory for a parser");
+		error_set(err, RESULT_DEFECT,
+			  "out of memory for the YAML parser");
 		outline_destroy(outline);
 		return NULL;
 	}
