--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -62,7 +62,7 @@
 
 static void on_refused(void *ctx, const struct ledger_refusal *refusal)
 {
-	g_error("refused: %s", result_label(refusal->code));
+	g_error("request refused: %s", result_label(refusal->code));
 }
 
 static void on_duplicate(void *ctx, const struct ledger_duplicate *duplicate)
--- a/bench/memory.c
+++ b/bench/memory.c
@@ -35,9 +35,9 @@
 
 	if (send(fd, text, (size_t)size, MSG_NOSIGNAL) != size ||
 	    recv(fd, answer, sizeof(answer), 0) <= 0)
-		g_error("a call to %s was not answered", path);
+		g_error("no response from %s", path);
 	if (strncmp(answer, "HTTP/1.1 200", 12) != 0)
-		g_error("%s: %.40s", path, answer);
+		g_error("%s: not a 200 response: %.40s", path, answer);
 }
 
 double memory_of_idle(const char *address, const char *path, int pid,
--- a/bench/relay.c
+++ b/bench/relay.c
@@ -36,11 +36,11 @@
 };
 
 static const struct argp_option options[] = {
-	{"entry", 'e', "IP:PORT", 0, "the daemon, towards callers", 0},
-	{"entry-pid", 'E', "PID", 0, "its process", 0},
-	{"echo", 's', "IP:PORT", 0, "a plain service that answers at once", 0},
-	{"echo-pid", 'S', "PID", 0, "its process", 0},
-	{"slow", 'w', "IP:PORT", 0, "one that takes 4 ms", 0},
+	{"entry", 'e', "IP:PORT", 0, "address of the daemon for callers", 0},
+	{"entry-pid", 'E', "PID", 0, "process of the daemon", 0},
+	{"echo", 's', "IP:PORT", 0, "a plain service that responds at once", 0},
+	{"echo-pid", 'S', "PID", 0, "process of the echo service", 0},
+	{"slow", 'w', "IP:PORT", 0, "a plain service that takes 4 ms", 0},
 	{"engines", 'd', "IP:PORT,...", 0, "the decode engines", 0},
 	{"part", 'p', "NAME", 0,
 	 "only memory, latency, throughput, flight or tokens", 0},
@@ -76,7 +76,7 @@
 	case ARGP_KEY_END:
 		if (!args->entry || !args->echo || !args->slow ||
 		    !args->engines || !args->entry_pid || !args->echo_pid)
-			argp_error(state, "an address or process is missing");
+			argp_error(state, "an address or PID is missing");
 		return 0;
 	default:
 		return ARGP_ERR_UNKNOWN;
