--- a/examples/memory_log.h
+++ b/examples/memory_log.h
@@ -10,7 +10,7 @@
 struct memory_log;
 
 struct memory_log *memory_log_create(struct clock *clock);
-/* No call may be unanswered. */
+/* All calls must have been answered. */
 void memory_log_destroy(struct memory_log *log);
 struct log_store memory_log_store(struct memory_log *log);
 
