--- a/bench/memory.c
+++ b/bench/memory.c
@@ -23,8 +23,8 @@
 	return fd;
 }
 
-/* One call; its answer fits into one read of a loopback connection. */
-static void connection_use(int fd, const char *path)
+/* Makes one call. The response fits into one read on a loopback connection. */
+static void connection_call(int fd, const char *path)
 {
 	char text[256];
 	char answer[4096];
@@ -35,9 +35,9 @@
 
 	if (send(fd, text, (size_t)size, MSG_NOSIGNAL) != size ||
 	    recv(fd, answer, sizeof(answer), 0) <= 0)
-		g_error("a call to %s was not answered", path);
+		g_error("no response from %s", path);
 	if (strncmp(answer, "HTTP/1.1 200", 12) != 0)
-		g_error("%s: %.40s", path, answer);
+		g_error("%s: not a 200 response: %.40s", path, answer);
 }
 
 double memory_of_idle(const char *address, const char *path, int pid,
@@ -48,11 +48,11 @@
 	int64_t after;
 
 	fds[0] = connection_open(address);
-	connection_use(fds[0], path);
+	connection_call(fds[0], path);
 	before = process_memory(pid);
 	for (unsigned int i = 1; i < count; i++) {
 		fds[i] = connection_open(address);
-		connection_use(fds[i], path);
+		connection_call(fds[i], path);
 	}
 	after = process_memory(pid);
 	for (unsigned int i = 0; i < count; i++)
--- a/config/outline.c
+++ b/config/outline.c
@@ -13,12 +13,12 @@
 	GHashTable *by_path;
 };
 
-/* A mapping or sequence that is still open. */
+/* A mapping or sequence whose end event has not been parsed yet. */
 struct level {
 	enum outline_kind kind;
 	size_t path_size;
 	uint32_t entries;
-	bool has_key; /* a mapping's key was read, its value not yet */
+	bool has_key; /* in a mapping, between a key and its value */
 };
 
 struct scan {
@@ -82,7 +82,7 @@
 	return true;
 }
 
-/* Gives the node that starts now its path and its mark. */
+/* Extends the path to the node that starts; returns the node's position. */
 static yaml_mark_t scan_enter(struct scan *scan, const yaml_event_t *event)
 {
 	struct level *level;
@@ -96,7 +96,7 @@
 	return event->start_mark;
 }
 
-/* The node that started last has ended: its parent awaits the next. */
+/* Truncates the path to the parent of the node that ended. */
 static void scan_leave(struct scan *scan)
 {
 	struct level *level;
@@ -210,7 +210,7 @@
 	}
 }
 
-/* The reader reports an offset in bytes and no mark. */
+/* Converts a byte offset to a mark: libyaml's reader errors have no mark. */
 static yaml_mark_t mark_at(const struct scan *scan, size_t offset)
 {
 	yaml_mark_t mark = {0};
@@ -225,7 +225,7 @@
 	return mark;
 }
 
-static bool scan_syntax(struct scan *scan, const yaml_parser_t *parser)
+static bool scan_syntax_error(struct scan *scan, const yaml_parser_t *parser)
 {
 	yaml_mark_t mark = parser->problem_mark;
 	const char *problem = parser->problem;
@@ -243,7 +243,7 @@
 
 	while (ok && !end) {
 		if (!yaml_parser_parse(parser, &event))
-			return scan_syntax(scan, parser);
+			return scan_syntax_error(scan, parser);
 		ok = scan_event(scan, &event);
 		end = event.type == YAML_STREAM_END_EVENT;
 		yaml_event_delete(&event);
@@ -266,13 +266,14 @@
 	outline->nodes = g_ptr_array_new_with_free_func(node_free);
 	outline->by_path = g_hash_table_new(g_str_hash, g_str_equal);
 	if (!yaml_parser_initialize(&parser)) {
-		error_set(err, RESULT_DEFECT, "no memory for a parser");
+		error_set(err, RESULT_DEFECT,
+			  "out of memory for the YAML parser");
 		outline_destroy(outline);
 		return NULL;
 	}
 	yaml_parser_set_input_string(&parser, data, size);
-	/* Else a byte order mark could make it UTF-16, which JSON cannot hold.
-	 */
+	/* A byte order mark could otherwise select UTF-16, and the text of a
+	 * file must be UTF-8 to be embedded in JSON. */
 	yaml_parser_set_encoding(&parser, YAML_UTF8_ENCODING);
 	scan.path = g_string_new(NULL);
 	ok = scan_run(&scan, &parser);
@@ -307,20 +308,21 @@
 	return (const struct outline_node *const *)outline->nodes->pdata;
 }
 
-/* The node at the path or the closest one around it. */
-static const struct outline_node *node_around(const struct outline *outline,
-					      const char *path)
+/* The node at the path or, if there is none, its closest ancestor. */
+static const struct outline_node *node_enclosing(const struct outline *outline,
+						 const char *path)
 {
-	g_autofree char *around = g_strdup(path);
-	const struct outline_node *node = outline_find(outline, around);
+	g_autofree char *ancestor = g_strdup(path);
+	const struct outline_node *node = outline_find(outline, ancestor);
 
-	while (!node && *around) {
-		size_t size = strlen(around) - 1;
+	while (!node && *ancestor) {
+		size_t size = strlen(ancestor) - 1;
 
-		while (size > 0 && around[size] != '.' && around[size] != '[')
+		while (size > 0 && ancestor[size] != '.' &&
+		       ancestor[size] != '[')
 			size--;
-		around[size] = '\0';
-		node = outline_find(outline, around);
+		ancestor[size] = '\0';
+		node = outline_find(outline, ancestor);
 	}
 	return node;
 }
@@ -328,7 +330,7 @@
 bool outline_refuse(const struct outline *outline, struct error *err,
 		    const char *path, const char *fmt, ...)
 {
-	const struct outline_node *node = node_around(outline, path);
+	const struct outline_node *node = node_enclosing(outline, path);
 	g_autofree char *text = NULL;
 	va_list args;
 
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -2,12 +2,12 @@
  * embed.c - two instances that use the coordination library, in one process
  *
  * DESCRIPTION
- *	What an embedder has to bring is a clock, a transport between instances
- *	and the platform's log. Here the transport is a queue and the log an
- *	array (memory_log.c); a daemon would put sockets in their place, and
- *	call clock_follow() once a turn of its loop, not clock_advance().
- *	The instances find each other, claim the same key, and one of them
- *	takes a lease.
+ *	An embedder provides a clock, a transport between instances and the
+ *	platform's log. Here the transport is a queue and the log an array
+ *	(memory_log.c). A daemon would use sockets instead, and call
+ *	clock_follow() once per iteration of its event loop in place of
+ *	clock_advance(). The instances discover each other and claim the same
+ *	key; then the first holds a lease and passes it on to the second.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -21,8 +21,8 @@
 
 #define INSTANCES 2
 #define RUN_USEC (5 * USEC_PER_SEC)
-#define BOOKING 42   /* the key of a request that may run once */
-#define LOAD_MODEL 7 /* a task that one instance at a time may do */
+#define BOOKING_KEY 42	  /* key of a request that may run only once */
+#define MODEL_LOAD_TASK 7 /* task of one instance at a time */
 
 struct instance {
 	struct member self;
@@ -31,7 +31,7 @@
 	struct leases *leases;
 };
 
-/* A message under way. */
+/* A message in flight. */
 struct message {
 	struct instance *from;
 	uint64_t to;
@@ -39,12 +39,12 @@
 	GBytes *payload;
 };
 
-static struct clock *time_now;
+static struct clock *shared_clock;
 static struct instance instances[INSTANCES];
 static struct memory_log *records;
 static GQueue messages = G_QUEUE_INIT;
 
-/* The transport: never delivers within send(). */
+/* Transport: queues the message, as send() must not deliver it. */
 static void message_send(void *ctx, uint64_t to, enum channel channel,
 			 const void *payload, size_t size)
 {
@@ -72,7 +72,7 @@
 	}
 }
 
-/* What the modules say. */
+/* Callbacks of the modules. */
 static void member_changed(void *ctx, const struct member *member,
 			   const enum member_state *old)
 {
@@ -118,22 +118,23 @@
 	g_snprintf(self->name, sizeof(self->name), "%s", name);
 	g_snprintf(self->data_centre, sizeof(self->data_centre), "hall-a");
 	self->id = id_of(name);
-	self->incarnation = (uint64_t)clock_unix(time_now);
+	self->incarnation = (uint64_t)clock_unix(shared_clock);
 	instance->membership = membership_create(
-		time_now, self, NULL, &transport, &member_ops, instance);
-	instance->claims = claims_create(time_now, instance->membership, &store,
-					 &transport, claim_answered, instance);
+		shared_clock, self, NULL, &transport, &member_ops, instance);
+	instance->claims =
+		claims_create(shared_clock, instance->membership, &store,
+			      &transport, claim_answered, instance);
 	instance->leases = leases_create(
-		time_now, &(struct owner){self->id, self->incarnation}, &store,
-		&lease_ops, instance);
+		shared_clock, &(struct owner){self->id, self->incarnation},
+		&store, &lease_ops, instance);
 }
 
-/* One turn a millisecond: messages first, then timers. */
+/* One iteration per millisecond: messages first, then timers. */
 static void run(int64_t usec)
 {
-	int64_t end = clock_now(time_now) + usec;
+	int64_t end = clock_now(shared_clock) + usec;
 
-	while (clock_now(time_now) < end) {
+	while (clock_now(shared_clock) < end) {
 		struct message *message = g_queue_pop_head(&messages);
 
 		for (; message; message = g_queue_pop_head(&messages)) {
@@ -141,7 +142,8 @@
 			g_bytes_unref(message->payload);
 			g_free(message);
 		}
-		clock_advance(time_now, clock_now(time_now) + USEC_PER_MSEC);
+		clock_advance(shared_clock,
+			      clock_now(shared_clock) + USEC_PER_MSEC);
 	}
 }
 
@@ -152,17 +154,17 @@
 		claims_destroy(instances[i].claims);
 		membership_destroy(instances[i].membership);
 	}
-	run(USEC_PER_SEC); /* the log's last answers come to nobody */
+	run(USEC_PER_SEC); /* the log's last answers are ignored */
 }
 
 int main(void)
 {
 	log_setup(NULL, "embed", LOG_ERR);
-	time_now = clock_create(1700000000 * USEC_PER_SEC);
-	records = memory_log_create(time_now);
+	shared_clock = clock_create(1700000000 * USEC_PER_SEC);
+	records = memory_log_create(shared_clock);
 	instance_create(&instances[0], "first");
 	instance_create(&instances[1], "second");
-	/* The platform's list names one to the other. */
+	/* The platform's list of instances tells the first about the second. */
 	membership_hint(instances[0].membership, &instances[1].self);
 	for (int i = 0; i < INSTANCES; i++) {
 		membership_start(instances[i].membership);
@@ -170,17 +172,17 @@
 	}
 	run(RUN_USEC);
 
-	claims_submit(instances[0].claims, 1, BOOKING, USEC_PER_SEC);
+	claims_submit(instances[0].claims, 1, BOOKING_KEY, USEC_PER_SEC);
 	run(RUN_USEC);
-	claims_submit(instances[1].claims, 2, BOOKING, USEC_PER_SEC);
-	lease_acquire(instances[0].leases, LOAD_MODEL);
+	claims_submit(instances[1].claims, 2, BOOKING_KEY, USEC_PER_SEC);
+	lease_acquire(instances[0].leases, MODEL_LOAD_TASK);
 	run(RUN_USEC);
-	lease_acquire(instances[1].leases, LOAD_MODEL);
-	lease_release(instances[0].leases, LOAD_MODEL);
+	lease_acquire(instances[1].leases, MODEL_LOAD_TASK);
+	lease_release(instances[0].leases, MODEL_LOAD_TASK);
 	run(RUN_USEC);
 
 	instances_destroy();
 	memory_log_destroy(records);
-	clock_destroy(time_now);
+	clock_destroy(shared_clock);
 	return 0;
 }
--- a/tests/config/test_refusals.c
+++ b/tests/config/test_refusals.c
@@ -1,4 +1,4 @@
-/* Files with one fault each, and the exact text of the refusal. */
+/* Files with one error each, and the exact text of the error. */
 #include <glib.h>
 
 #include "common/error.h"
@@ -6,7 +6,7 @@
 #include "files.h"
 
 struct refusal {
-	const char *from; /* of base.yaml; NULL: the whole file is "to" */
+	const char *from; /* in base.yaml; NULL: the whole file is "to" */
 	const char *to;
 	const char *text;
 };
@@ -221,7 +221,7 @@
 {
 	if (!row->from)
 		return g_strdup(row->to);
-	return edited(base, row->from, row->to);
+	return text_replace(base, row->from, row->to);
 }
 
 static void test_refusals(void)
