--- a/entry/admin.c
+++ b/entry/admin.c
@@ -15,10 +15,10 @@
 #include "entry/entry.h"
 #include "entry/measures.h"
 
-#define APPLY_USEC (10 * USEC_PER_SEC)
+#define APPLY_TIMEOUT_USEC (10 * USEC_PER_SEC)
 #define CONNECTIONS_MAX 256
-#define IDLE_USEC (60 * USEC_PER_SEC)
-#define REQUEST_USEC (10 * USEC_PER_SEC)
+#define IDLE_TIMEOUT_USEC (60 * USEC_PER_SEC)
+#define REQUEST_TIMEOUT_USEC (10 * USEC_PER_SEC)
 #define REVISION_TEXT_MAX 24
 
 #define TYPE_JSON "application/json"
@@ -74,7 +74,7 @@
 }
 
 /* Answers by itself when the method is another. */
-static bool method_get(struct web_request *request)
+static bool method_require_get(struct web_request *request)
 {
 	if (method_is(request, "GET") || method_is(request, "HEAD"))
 		return true;
@@ -87,7 +87,7 @@
 	const struct admin *admin = ctx;
 	const char *state = "ready\n";
 
-	if (!method_get(request))
+	if (!method_require_get(request))
 		return;
 	if (admin->entry->draining)
 		state = "draining\n";
@@ -105,7 +105,7 @@
 	const struct admin *admin = ctx;
 	GString *text;
 
-	if (!method_get(request))
+	if (!method_require_get(request))
 		return;
 	status_measure(admin->entry);
 	text = g_string_new(NULL);
@@ -118,7 +118,7 @@
 	const struct admin *admin = ctx;
 	GString *text;
 
-	if (!method_get(request))
+	if (!method_require_get(request))
 		return;
 	text = g_string_new(NULL);
 	status_print(admin->entry, text);
@@ -130,7 +130,7 @@
 	const struct admin *admin = ctx;
 	GString *text;
 
-	if (!method_get(request))
+	if (!method_require_get(request))
 		return;
 	text = g_string_new(NULL);
 	history_print(admin->entry, text);
@@ -142,7 +142,7 @@
 	const struct admin *admin = ctx;
 	GString *text;
 
-	if (!method_get(request))
+	if (!method_require_get(request))
 		return;
 	text = g_string_new(NULL);
 	measures_print(admin->entry->measures, text);
@@ -160,7 +160,7 @@
 			     content ? content : "", size));
 }
 
-static void apply_gone(void *ctx)
+static void apply_request_gone(void *ctx)
 {
 	struct apply *apply = ctx;
 
@@ -210,9 +210,9 @@
 	apply->admin = admin;
 	apply->request = request;
 	g_hash_table_add(admin->applies, apply);
-	web_request_on_gone(request, apply_gone, apply);
+	web_request_on_gone(request, apply_request_gone, apply);
 	fold_apply(admin->entry->fold, base, author, body.data, body.size,
-		   APPLY_USEC, apply_done, apply);
+		   APPLY_TIMEOUT_USEC, apply_done, apply);
 }
 
 static void on_config(void *ctx, struct web_request *request)
@@ -238,8 +238,8 @@
 	struct web_limits limits = {
 		.body_bytes = CONFIG_FILE_MAX + 1,
 		.connections = CONNECTIONS_MAX,
-		.idle_usec = IDLE_USEC,
-		.request_usec = REQUEST_USEC,
+		.idle_usec = IDLE_TIMEOUT_USEC,
+		.request_usec = REQUEST_TIMEOUT_USEC,
 	};
 	struct web_server *server = web_server_create(
 		entry->loop, entry->settings.admin_listen, &limits, err);
--- a/entry/component_link.c
+++ b/entry/component_link.c
@@ -306,8 +306,8 @@
 	static const struct platform_list_ops ops = {
 		.member = listed_member,
 		.backend = listed_backend,
-		.swept = listed_sweep_end,
-		.every = list_every,
+		.read_complete = listed_sweep_end,
+		.periods_per_read = list_every,
 	};
 	struct entry *entry = ctx;
 	struct platform_self self = {
--- a/entry/drain.c
+++ b/entry/drain.c
@@ -8,15 +8,15 @@
 #include "entry/requests.h"
 
 /* How often the end of requests and of writing to peers is looked for. */
-#define CHECK_USEC (10 * USEC_PER_MSEC)
+#define CHECK_INTERVAL_USEC (10 * USEC_PER_MSEC)
 /* Longest wait for what is still to be written to peers. */
-#define FLUSH_USEC (1 * USEC_PER_SEC)
+#define FLUSH_TIMEOUT_USEC (1 * USEC_PER_SEC)
 
 struct drain {
 	struct entry *entry;
 	struct timer close; /* ends the accepting of connections */
 	struct timer check;
-	struct timer limit;
+	struct timer deadline;
 	int64_t started_at;
 	int64_t answered_at; /* -1 until all is answered */
 	bool closed;
@@ -29,7 +29,7 @@
 
 	timer_stop(&drain->close);
 	timer_stop(&drain->check);
-	timer_stop(&drain->limit);
+	timer_stop(&drain->deadline);
 	log_event(
 		left ? LOG_WARNING : LOG_NOTICE, "drained",
 		LOG_S("result", result), LOG_D("requests_left", left),
@@ -54,7 +54,7 @@
 		drain->answered_at = now;
 		return false;
 	}
-	if (now - drain->answered_at >= FLUSH_USEC)
+	if (now - drain->answered_at >= FLUSH_TIMEOUT_USEC)
 		return true;
 	return !entry->peers || peers_flushed(entry->peers);
 }
@@ -68,7 +68,7 @@
 		drain_finish(drain, "complete");
 		return;
 	}
-	timer_start(timer, CHECK_USEC);
+	timer_start(timer, CHECK_INTERVAL_USEC);
 }
 
 static void close_fire(struct timer *timer, void *ctx)
@@ -81,7 +81,7 @@
 	timer_start(&drain->check, 0);
 }
 
-static void limit_fire(struct timer *timer, void *ctx)
+static void deadline_fire(struct timer *timer, void *ctx)
 {
 	drain_finish(ctx, "timed out");
 }
@@ -112,7 +112,7 @@
 	drain_announce(entry);
 	timer_start(&drain->close, entry->settings.drain_delay_usec);
 	if (entry->settings.drain_usec > 0)
-		timer_start(&drain->limit, entry->settings.drain_usec);
+		timer_start(&drain->deadline, entry->settings.drain_usec);
 }
 
 void entry_drained(struct entry *entry)
@@ -129,7 +129,7 @@
 	drain->answered_at = -1;
 	timer_init(&drain->close, entry->clock, close_fire, drain);
 	timer_init(&drain->check, entry->clock, check_fire, drain);
-	timer_init(&drain->limit, entry->clock, limit_fire, drain);
+	timer_init(&drain->deadline, entry->clock, deadline_fire, drain);
 	return drain;
 }
 
@@ -137,6 +137,6 @@
 {
 	timer_stop(&drain->close);
 	timer_stop(&drain->check);
-	timer_stop(&drain->limit);
+	timer_stop(&drain->deadline);
 	g_free(drain);
 }
--- a/entry/handler_model.c
+++ b/entry/handler_model.c
@@ -10,8 +10,8 @@
 	return method.size == 4 && memcmp(method.data, "POST", 4) == 0;
 }
 
-static void handle(struct requests *requests, struct web_request *web,
-		   bool chat)
+static void completions_handle(struct requests *requests,
+			       struct web_request *web, bool chat)
 {
 	struct error err = {0};
 	struct request *request;
@@ -41,10 +41,10 @@
 
 void handler_completions(void *ctx, struct web_request *web)
 {
-	handle(ctx, web, false);
+	completions_handle(ctx, web, false);
 }
 
 void handler_chat(void *ctx, struct web_request *web)
 {
-	handle(ctx, web, true);
+	completions_handle(ctx, web, true);
 }
--- a/entry/main.c
+++ b/entry/main.c
@@ -18,7 +18,7 @@
 #define RESTART_WINDOW_USEC (30 * USEC_PER_SEC)
 #define RESTART_DELAY_USEC (200 * USEC_PER_MSEC)
 
-static void files_raise(void)
+static void fd_limit_raise(void)
 {
 	struct rlimit limit;
 
@@ -33,11 +33,12 @@
 	return code <= EXIT_CODE_MAX ? (int)code : EXIT_FAILURE;
 }
 
-static void on_gave_up(void *ctx, const char *name, const struct error *why)
+static void on_gave_up(void *ctx, const char *name, const struct error *cause)
 {
 	struct entry *entry = ctx;
 
-	entry->exit_code = why->code != RESULT_OK ? why->code : RESULT_DEFECT;
+	entry->exit_code =
+		cause->code != RESULT_OK ? cause->code : RESULT_DEFECT;
 	loop_stop(entry->loop);
 }
 
@@ -59,7 +60,7 @@
 	log_flush();
 }
 
-static uint32_t seed_take(const struct entry *entry)
+static uint32_t seed_choose(const struct entry *entry)
 {
 	if (entry->settings.random_seed != 0)
 		return entry->settings.random_seed;
@@ -68,7 +69,7 @@
 
 static void entry_setup(struct entry *entry)
 {
-	uint32_t seed = seed_take(entry);
+	uint32_t seed = seed_choose(entry);
 
 	entry->rand = g_rand_new_with_seed(seed);
 	entry->loop = loop_create(entry->clock);
@@ -115,7 +116,7 @@
 	struct error err;
 
 	signal(SIGPIPE, SIG_IGN);
-	files_raise();
+	fd_limit_raise();
 	entry.clock = clock_create_system();
 	log_setup(entry.clock, PROGRAM, LOG_INFO);
 	log_to(STDOUT_FILENO);
--- a/entry/measures.c
+++ b/entry/measures.c
@@ -21,7 +21,7 @@
 	int64_t within_targets;
 	int64_t output_tokens;
 	GHashTable *codes; /* enum result_code to count */
-	struct counter *good;
+	struct counter *within_targets_counter;
 	struct histogram *first_token;
 	struct histogram *between_tokens;
 	struct histogram *total;
@@ -73,7 +73,7 @@
 	series->service = g_strdup(service);
 	series->class = class;
 	series->codes = g_hash_table_new(NULL, NULL);
-	series->good =
+	series->within_targets_counter =
 		counter_get(set, "jt_requests_within_targets_total",
 			    "Requests completed within all targets", labels);
 	series->first_token = histogram_get(set, "jt_first_token_usec",
@@ -137,7 +137,7 @@
 	series->completed++;
 	if (measure->within_targets) {
 		series->within_targets++;
-		series->good->value++;
+		series->within_targets_counter->value++;
 	}
 	latency_add(series->first_token, measure->first_token_usec);
 	latency_add(series->between_tokens, measure->between_tokens_usec);
@@ -161,14 +161,14 @@
 	static const struct {
 		const char *name;
 		double q;
-	} wanted[] = {{"p50", 0.5}, {"p95", 0.95}, {"p99", 0.99}};
+	} quantiles[] = {{"p50", 0.5}, {"p95", 0.95}, {"p99", 0.99}};
 	json_t *json = json_object();
 
-	for (size_t i = 0; i < G_N_ELEMENTS(wanted); i++) {
-		int64_t usec = histogram_quantile(histogram, wanted[i].q);
+	for (size_t i = 0; i < G_N_ELEMENTS(quantiles); i++) {
+		int64_t usec = histogram_quantile(histogram, quantiles[i].q);
 
 		json_object_set_new(
-			json, wanted[i].name,
+			json, quantiles[i].name,
 			json_real((double)usec / (double)USEC_PER_MSEC));
 	}
 	json_object_set_new(
@@ -194,7 +194,7 @@
 	return json;
 }
 
-static double share(int64_t part, int64_t whole)
+static double ratio(int64_t part, int64_t whole)
 {
 	return whole > 0 ? (double)part / (double)whole : 0;
 }
@@ -207,7 +207,7 @@
 		"requests", (json_int_t)series->requests, "completed",
 		(json_int_t)series->completed, "within_targets",
 		(json_int_t)series->within_targets, "goodput",
-		share(series->within_targets, series->requests),
+		ratio(series->within_targets, series->requests),
 		"output_tokens", (json_int_t)series->output_tokens, "results",
 		codes_json(series), "first_token_ms",
 		quantiles_json(series->first_token), "between_tokens_ms",
@@ -224,7 +224,7 @@
 	return json_pack("{s:I, s:I, s:I, s:I, s:f}", "asked_tokens",
 			 computed + cached, "computed_tokens", computed,
 			 "cached_tokens", cached, "wasted_tokens", wasted,
-			 "wasted_share", share(wasted, computed));
+			 "wasted_share", ratio(wasted, computed));
 }
 
 void measures_print(const struct measures *measures, GString *out)
--- a/entry/own_platform.c
+++ b/entry/own_platform.c
@@ -5,8 +5,8 @@
 
 #include "own_platform_private.h"
 
-#define CALL_USEC (2 * USEC_PER_SEC)
-#define LIST_USEC (1 * USEC_PER_SEC)
+#define CALL_TIMEOUT_DEFAULT_USEC (2 * USEC_PER_SEC)
+#define LIST_INTERVAL_DEFAULT_USEC (1 * USEC_PER_SEC)
 
 struct platform *platform_create(struct loop *loop, struct web_client *client,
 				 struct counter_set *counters,
@@ -19,10 +19,10 @@
 	platform->client = client;
 	platform->rand = g_rand_new_with_seed(settings->seed);
 	platform->address = g_strdup(settings->address);
-	platform->call_usec =
-		settings->call_usec ? settings->call_usec : CALL_USEC;
-	platform->list_usec =
-		settings->list_usec ? settings->list_usec : LIST_USEC;
+	platform->call_usec = settings->call_usec ? settings->call_usec
+						  : CALL_TIMEOUT_DEFAULT_USEC;
+	platform->list_usec = settings->list_usec ? settings->list_usec
+						  : LIST_INTERVAL_DEFAULT_USEC;
 	platform_log_init(platform, counters);
 	platform_list_init(platform, counters);
 	return platform;
--- a/entry/own_platform_list.c
+++ b/entry/own_platform_list.c
@@ -12,23 +12,23 @@
 #include "common/hex.h"
 #include "common/log.h"
 
-#define LIST_ANSWER_MAX (8u << 20)
-#define PUT_ANSWER_MAX 4096
+#define LIST_ANSWER_BYTES_MAX (8u << 20)
+#define PUT_ANSWER_BYTES_MAX 4096
 #define PATH_MAX_BYTES 256
 #define STATUS_OK 200
 #define STATUS_NOT_MODIFIED 304
-#define TAG_HEADER "etag"
-#define TAG_ASK_HEADER "if-none-match"
+#define ETAG_HEADER "etag"
+#define IF_NONE_MATCH_HEADER "if-none-match"
 
-static bool text_take(const json_t *item, const char *name, char *to,
-		      size_t size)
+static bool text_get(const json_t *item, const char *name, char *to,
+		     size_t size)
 {
 	const char *text = json_string_value(json_object_get(item, name));
 
 	return text && g_strlcpy(to, text, size) < size;
 }
 
-static uint64_t id_take(const json_t *item, const char *name)
+static uint64_t id_get(const json_t *item, const char *name)
 {
 	const char *text = json_string_value(json_object_get(item, name));
 	uint64_t id = 0;
@@ -38,29 +38,29 @@
 	return id;
 }
 
-static bool leaving_take(const json_t *item)
+static bool item_is_leaving(const json_t *item)
 {
 	const char *state = json_string_value(json_object_get(item, "state"));
 
 	return state && strcmp(state, "leaving") == 0;
 }
 
-static bool member_take(struct platform *platform, const json_t *item)
+static bool member_handle(struct platform *platform, const json_t *item)
 {
 	struct platform_list *list = &platform->list;
 	struct member member = {.state = MEMBER_ALIVE};
 
-	if (!text_take(item, "name", member.name, sizeof(member.name)) ||
-	    !text_take(item, "data_centre", member.data_centre,
-		       sizeof(member.data_centre)) ||
-	    !text_take(item, "address", member.http_address,
-		       sizeof(member.http_address)) ||
-	    !text_take(item, "peer_address", member.peer_address,
-		       sizeof(member.peer_address)))
+	if (!text_get(item, "name", member.name, sizeof(member.name)) ||
+	    !text_get(item, "data_centre", member.data_centre,
+		      sizeof(member.data_centre)) ||
+	    !text_get(item, "address", member.http_address,
+		      sizeof(member.http_address)) ||
+	    !text_get(item, "peer_address", member.peer_address,
+		      sizeof(member.peer_address)))
 		return false;
 	member.id = id_of(member.name);
-	member.incarnation = id_take(item, "incarnation");
-	if (leaving_take(item))
+	member.incarnation = id_get(item, "incarnation");
+	if (item_is_leaving(item))
 		member.state = MEMBER_LEAVING;
 	if (strcmp(member.name, list->self.name) != 0) {
 		list->ops.member(list->ctx, &member);
@@ -68,39 +68,39 @@
 	}
 	if (member.incarnation == list->self.incarnation &&
 	    (member.state == MEMBER_LEAVING) == list->leaving)
-		list->seen = true;
+		list->self_current = true;
 	return true;
 }
 
-static bool backend_take(struct platform *platform, const json_t *item)
+static bool backend_handle(struct platform *platform, const json_t *item)
 {
 	struct platform_list *list = &platform->list;
 	struct backend backend = {.listed = true};
 
-	if (!text_take(item, "name", backend.name, sizeof(backend.name)) ||
-	    !text_take(item, "pool", backend.pool, sizeof(backend.pool)) ||
-	    !text_take(item, "data_centre", backend.data_centre,
-		       sizeof(backend.data_centre)) ||
-	    !text_take(item, "address", backend.address,
-		       sizeof(backend.address)))
+	if (!text_get(item, "name", backend.name, sizeof(backend.name)) ||
+	    !text_get(item, "pool", backend.pool, sizeof(backend.pool)) ||
+	    !text_get(item, "data_centre", backend.data_centre,
+		      sizeof(backend.data_centre)) ||
+	    !text_get(item, "address", backend.address,
+		      sizeof(backend.address)))
 		return false;
 	backend.id = id_of(backend.name);
-	backend.incarnation = id_take(item, "incarnation");
-	backend.leaving = leaving_take(item);
+	backend.incarnation = id_get(item, "incarnation");
+	backend.leaving = item_is_leaving(item);
 	list->ops.backend(list->ctx, &backend);
 	return true;
 }
 
-static bool item_take(struct platform *platform, const json_t *item)
+static bool item_handle(struct platform *platform, const json_t *item)
 {
 	const char *kind = json_string_value(json_object_get(item, "kind"));
 
 	if (!kind)
 		return false;
 	if (strcmp(kind, "entry") == 0)
-		return member_take(platform, item);
+		return member_handle(platform, item);
 	if (strcmp(kind, "runner") == 0 || strcmp(kind, "server") == 0)
-		return backend_take(platform, item);
+		return backend_handle(platform, item);
 	return false;
 }
 
@@ -116,7 +116,7 @@
 			  LOG_S("reason", result->text ? result->text : ""));
 }
 
-static char *self_print(const struct platform_list *list)
+static char *self_format(const struct platform_list *list)
 {
 	char incarnation[HEX_ID_SIZE];
 
@@ -134,11 +134,11 @@
 	return text;
 }
 
-static void self_put(struct platform *platform)
+static void self_register(struct platform *platform)
 {
 	struct platform_list *list = &platform->list;
 	char path[PATH_MAX_BYTES];
-	char *body = self_print(list);
+	char *body = self_format(list);
 
 	if (list->put)
 		web_call_cancel(list->put);
@@ -154,26 +154,26 @@
 	};
 
 	list->registrations->value++;
-	list->put = web_fetch(platform->client, &spec, PUT_ANSWER_MAX, put_done,
-			      platform);
+	list->put = web_fetch(platform->client, &spec, PUT_ANSWER_BYTES_MAX,
+			      put_done, platform);
 	free(body);
 }
 
-static void items_take(struct platform *platform, const json_t *items)
+static void items_handle(struct platform *platform, const json_t *items)
 {
 	struct platform_list *list = &platform->list;
 	const json_t *item;
 	size_t i;
 
-	list->seen = false;
+	list->self_current = false;
 	json_array_foreach (items, i, item) {
-		if (!item_take(platform, item))
+		if (!item_handle(platform, item))
 			list->malformed->value++;
 	}
 	list->listed_at = clock_now(platform->clock);
-	list->ops.swept(list->ctx);
-	if (!list->seen)
-		self_put(platform);
+	list->ops.read_complete(list->ctx);
+	if (!list->self_current)
+		self_register(platform);
 }
 
 static void read_failed(struct platform_list *list, const char *reason)
@@ -183,7 +183,7 @@
 		  LOG_S("reason", reason));
 }
 
-static void body_take(struct platform *platform)
+static void body_handle(struct platform *platform)
 {
 	struct platform_list *list = &platform->list;
 	json_t *json = json_loadb((const char *)list->body->data,
@@ -191,9 +191,9 @@
 	const json_t *items = json_object_get(json, "instances");
 
 	if (json_is_array(items)) {
-		g_free(list->tag);
-		list->tag = g_steal_pointer(&list->next_tag);
-		items_take(platform, items);
+		g_free(list->etag);
+		list->etag = g_steal_pointer(&list->next_etag);
+		items_handle(platform, items);
 	} else {
 		read_failed(list, "malformed");
 	}
@@ -201,13 +201,13 @@
 }
 
 /* Nothing has changed but the time. */
-static void unchanged_take(struct platform *platform)
+static void unchanged_handle(struct platform *platform)
 {
 	struct platform_list *list = &platform->list;
 
 	list->listed_at = clock_now(platform->clock);
-	if (!list->seen)
-		self_put(platform);
+	if (!list->self_current)
+		self_register(platform);
 }
 
 static void on_head(void *ctx, int status, const struct web_header *headers,
@@ -220,9 +220,9 @@
 	for (size_t i = 0; i < count; i++) {
 		const struct web_header *header = &headers[i];
 
-		if (web_text_is(header->name, TAG_HEADER))
-			list->next_tag = g_strndup(header->value.data,
-						   header->value.size);
+		if (web_text_is(header->name, ETAG_HEADER))
+			list->next_etag = g_strndup(header->value.data,
+						    header->value.size);
 	}
 }
 
@@ -233,7 +233,7 @@
 	struct platform_list *list = &platform->list;
 
 	list->bytes->value += (int64_t)size;
-	if (list->body->len + size <= LIST_ANSWER_MAX)
+	if (list->body->len + size <= LIST_ANSWER_BYTES_MAX)
 		g_byte_array_append(list->body, data, (guint)size);
 }
 
@@ -244,21 +244,22 @@
 
 	list->read = NULL;
 	if (result->ok && list->status == STATUS_OK)
-		body_take(platform);
-	else if (result->ok && list->status == STATUS_NOT_MODIFIED && list->tag)
-		unchanged_take(platform);
+		body_handle(platform);
+	else if (result->ok && list->status == STATUS_NOT_MODIFIED &&
+		 list->etag)
+		unchanged_handle(platform);
 	else
 		read_failed(list, result->text ? result->text : "refused");
 	g_byte_array_set_size(list->body, 0);
-	g_clear_pointer(&list->next_tag, g_free);
+	g_clear_pointer(&list->next_etag, g_free);
 }
 
 /* A quarter of the period either way, so that instances spread out. */
 static int64_t list_delay(struct platform *platform)
 {
-	double share = g_rand_double_range(platform->rand, 0.75, 1.25);
+	double factor = g_rand_double_range(platform->rand, 0.75, 1.25);
 
-	return (int64_t)((double)platform->list_usec * share);
+	return (int64_t)((double)platform->list_usec * factor);
 }
 
 static void list_read(struct platform *platform)
@@ -269,16 +270,16 @@
 		.done = on_done,
 	};
 	struct platform_list *list = &platform->list;
-	struct web_header tag = {
-		.name = {TAG_ASK_HEADER, strlen(TAG_ASK_HEADER)},
-		.value = {list->tag, list->tag ? strlen(list->tag) : 0},
+	struct web_header etag = {
+		.name = {IF_NONE_MATCH_HEADER, strlen(IF_NONE_MATCH_HEADER)},
+		.value = {list->etag, list->etag ? strlen(list->etag) : 0},
 	};
 	struct web_call_spec spec = {
 		.address = platform->address,
 		.method = "GET",
 		.path = "/instances",
-		.headers = &tag,
-		.header_count = list->tag ? 1 : 0,
+		.headers = &etag,
+		.header_count = list->etag ? 1 : 0,
 		.head_usec = platform->call_usec,
 		.idle_usec = platform->call_usec,
 	};
@@ -292,10 +293,12 @@
 {
 	struct platform *platform = ctx;
 	struct platform_list *list = &platform->list;
-	uint32_t every = list->ops.every ? list->ops.every(list->ctx) : 1;
+	uint32_t periods = list->ops.periods_per_read
+				   ? list->ops.periods_per_read(list->ctx)
+				   : 1;
 
 	timer_start(timer, list_delay(platform));
-	if (list->read || ++list->skipped < every)
+	if (list->read || ++list->skipped < periods)
 		return;
 	list->skipped = 0;
 	list_read(platform);
@@ -335,7 +338,7 @@
 	list->started = true;
 	if (!platform->address)
 		return;
-	self_put(platform);
+	self_register(platform);
 	timer_start(&list->timer, 0);
 }
 
@@ -352,8 +355,8 @@
 	list->read = NULL;
 	list->put = NULL;
 	g_byte_array_set_size(list->body, 0);
-	g_clear_pointer(&list->next_tag, g_free);
-	g_clear_pointer(&list->tag, g_free);
+	g_clear_pointer(&list->next_etag, g_free);
+	g_clear_pointer(&list->etag, g_free);
 }
 
 void platform_list_finish(struct platform *platform)
@@ -366,7 +369,7 @@
 {
 	platform->list.leaving = true;
 	if (platform->list.started && platform->address)
-		self_put(platform);
+		self_register(platform);
 }
 
 int64_t platform_listed_at(const struct platform *platform)
--- a/entry/own_platform_log.c
+++ b/entry/own_platform_log.c
@@ -11,10 +11,10 @@
 #include "common/log.h"
 
 #define PATH_MAX_BYTES 256
-#define APPEND_ANSWER_MAX 4096
+#define APPEND_ANSWER_BYTES_MAX 4096
 /* Records a reading may hold, so that its answer stays below the limit. */
 #define READ_RECORDS_MAX 32
-#define READ_ANSWER_MAX (24u << 20)
+#define READ_ANSWER_BYTES_MAX (24u << 20)
 
 enum {
 	STATUS_OK = 200,
@@ -26,7 +26,7 @@
 struct log_call {
 	struct platform *platform;
 	struct web_call *call;
-	struct timer later; /* for what is answered without a call */
+	struct timer deferred; /* for what is answered without a call */
 	log_append_fn append;
 	log_read_fn read;
 	void *ctx;
@@ -48,12 +48,12 @@
 
 static void call_free(struct log_call *call)
 {
-	timer_stop(&call->later);
+	timer_stop(&call->deferred);
 	g_hash_table_remove(call->platform->calls, call);
 	g_free(call);
 }
 
-static void later_fire(struct timer *timer, void *ctx)
+static void deferred_fire(struct timer *timer, void *ctx)
 {
 	struct log_call call = *(struct log_call *)ctx;
 
@@ -70,21 +70,21 @@
 
 	call->platform = platform;
 	call->ctx = fn_ctx;
-	timer_init(&call->later, platform->clock, later_fire, call);
+	timer_init(&call->deferred, platform->clock, deferred_fire, call);
 	g_hash_table_add(platform->calls, call);
 	return call;
 }
 
-static bool offset_read(const void *body, size_t size, uint64_t *offset)
+static bool offset_parse(const void *body, size_t size, uint64_t *offset)
 {
 	json_t *json = json_loadb(body, size, 0, NULL);
 	const json_t *field = json_object_get(json, "offset");
-	bool good = json_is_integer(field) && json_integer_value(field) >= 0;
+	bool valid = json_is_integer(field) && json_integer_value(field) >= 0;
 
-	if (good)
+	if (valid)
 		*offset = (uint64_t)json_integer_value(field);
 	json_decref(json);
-	return good;
+	return valid;
 }
 
 static void append_done(void *ctx, const struct web_result *result, int status,
@@ -92,13 +92,13 @@
 {
 	struct log_call call = *(struct log_call *)ctx;
 	uint64_t offset = 0;
-	bool found = result->ok && offset_read(body, size, &offset);
+	bool found = result->ok && offset_parse(body, size, &offset);
 	enum result_code code = platform_append_code(result, status, found);
 
 	if (code == RESULT_LOG_DOWN)
-		call.platform->append_downs->value++;
+		call.platform->appends_not_run->value++;
 	else if (code == RESULT_LOG_UNKNOWN)
-		call.platform->append_unknowns->value++;
+		call.platform->appends_unknown->value++;
 	if (code != RESULT_OK)
 		log_event(LOG_NOTICE, "log_append_failed",
 			  LOG_S("result", result_label(code)),
@@ -118,7 +118,7 @@
 	call->append = fn;
 	platform->appends->value++;
 	if (!platform->address || size > PLATFORM_RECORD_MAX) {
-		timer_start(&call->later, 0);
+		timer_start(&call->deferred, 0);
 		return;
 	}
 	(void)snprintf(path, sizeof(path), "/log/%s", stream);
@@ -132,11 +132,11 @@
 		.idle_usec = platform->call_usec,
 	};
 
-	call->call = web_fetch(platform->client, &spec, APPEND_ANSWER_MAX,
+	call->call = web_fetch(platform->client, &spec, APPEND_ANSWER_BYTES_MAX,
 			       append_done, call);
 }
 
-static bool record_take(const json_t *item, struct log_record *record)
+static bool record_parse(const json_t *item, struct log_record *record)
 {
 	const json_t *offset = json_object_get(item, "offset");
 	const json_t *data = json_object_get(item, "data");
@@ -157,7 +157,7 @@
 }
 
 /* Hands on the page; false when the answer is none. */
-static bool page_take(const struct log_call *call, const json_t *json)
+static bool page_deliver(const struct log_call *call, const json_t *json)
 {
 	const json_t *list = json_object_get(json, "records");
 	const json_t *first = json_object_get(json, "first");
@@ -174,14 +174,14 @@
 		.records = records,
 		.count = count,
 	};
-	bool good = true;
+	bool valid = true;
 
-	for (size_t i = 0; i < count && good; i++)
-		good = record_take(json_array_get(list, i), &records[i]);
-	if (good)
+	for (size_t i = 0; i < count && valid; i++)
+		valid = record_parse(json_array_get(list, i), &records[i]);
+	if (valid)
 		call->read(call->ctx, RESULT_OK, &page);
 	records_free(records, count);
-	return good;
+	return valid;
 }
 
 static void read_done(void *ctx, const struct web_result *result, int status,
@@ -193,7 +193,7 @@
 	call_free(ctx);
 	if (result->ok && status == STATUS_OK)
 		json = json_loadb(body, size, 0, NULL);
-	if (!page_take(&call, json)) {
+	if (!page_deliver(&call, json)) {
 		call.platform->log_read_failures->value++;
 		log_event(LOG_NOTICE, "log_read_failed",
 			  LOG_D("status", status),
@@ -213,7 +213,7 @@
 	call->read = fn;
 	platform->log_reads->value++;
 	if (!platform->address) {
-		timer_start(&call->later, MAX(wait_us, 0));
+		timer_start(&call->deferred, MAX(wait_us, 0));
 		return;
 	}
 	(void)snprintf(path, sizeof(path),
@@ -228,7 +228,7 @@
 		.idle_usec = platform->call_usec,
 	};
 
-	call->call = web_fetch(platform->client, &spec, READ_ANSWER_MAX,
+	call->call = web_fetch(platform->client, &spec, READ_ANSWER_BYTES_MAX,
 			       read_done, call);
 }
 
@@ -242,10 +242,10 @@
 	platform->calls = g_hash_table_new(NULL, NULL);
 	platform->appends = counter_get(counters, "jt_log_appends_total",
 					"Appends to the log", NULL);
-	platform->append_downs =
+	platform->appends_not_run =
 		counter_get(counters, "jt_log_append_failures_total",
 			    "Appends that failed", "outcome=\"not-run\"");
-	platform->append_unknowns =
+	platform->appends_unknown =
 		counter_get(counters, "jt_log_append_failures_total",
 			    "Appends that failed", "outcome=\"unknown\"");
 	platform->log_reads = counter_get(counters, "jt_log_reads_total",
@@ -257,9 +257,9 @@
 
 /* Whoever asked has ended before the platform, and frees what it kept for the
  * answer when that comes. */
-static void call_end(struct log_call *call)
+static void call_abort(struct log_call *call)
 {
-	timer_stop(&call->later);
+	timer_stop(&call->deferred);
 	if (call->call)
 		web_call_cancel(call->call);
 	if (call->append)
@@ -275,7 +275,7 @@
 
 	g_hash_table_remove_all(platform->calls);
 	for (GList *at = calls; at; at = at->next)
-		call_end(at->data);
+		call_abort(at->data);
 	g_list_free(calls);
 	g_hash_table_destroy(platform->calls);
 }
--- a/entry/own_platform_private.h
+++ b/entry/own_platform_private.h
@@ -15,12 +15,12 @@
 	struct web_call *put;
 	bool started;
 	bool leaving;
-	bool seen;	  /* the own entry, as it should be, in this reading */
-	uint32_t skipped; /* periods without a reading */
-	int status;	  /* of the answer being read */
+	bool self_current; /* the own entry, as it should be, in this reading */
+	uint32_t skipped;  /* periods without a reading */
+	int status;	   /* of the answer being read */
 	GByteArray *body;
-	char *tag;	/* of the last whole reading; NULL: none */
-	char *next_tag; /* of the answer being read */
+	char *etag;	 /* of the last whole reading; NULL: none */
+	char *next_etag; /* of the answer being read */
 	int64_t listed_at;
 	struct counter *reads;
 	struct counter *failures;
@@ -40,8 +40,8 @@
 	struct log_store store;
 	GHashTable *calls; /* set of struct log_call */
 	struct counter *appends;
-	struct counter *append_downs;
-	struct counter *append_unknowns;
+	struct counter *appends_not_run;
+	struct counter *appends_unknown;
 	struct counter *log_reads;
 	struct counter *log_read_failures;
 	struct platform_list list;
--- a/entry/plain.c
+++ b/entry/plain.c
@@ -78,17 +78,17 @@
 }
 
 /* Instances of the own data centre that share its servers. */
-static uint32_t sharers(const struct plain *plain)
+static uint32_t instances_sharing(const struct plain *plain)
 {
 	const struct membership *members = plain->entry->membership;
-	const char *here = plain->entry->settings.data_centre;
+	const char *data_centre = plain->entry->settings.data_centre;
 	const struct member *member;
 	uint32_t cursor = 0;
 	uint32_t count = 0;
 
 	while ((member = membership_next(members, &cursor)))
 		if (member->state != MEMBER_DEAD &&
-		    strcmp(member->data_centre, here) == 0)
+		    strcmp(member->data_centre, data_centre) == 0)
 			count++;
 	return count ? count : 1;
 }
@@ -104,7 +104,7 @@
 	       now >= server->circuit.until;
 }
 
-struct choice {
+struct sample {
 	const struct backend *first;
 	const struct backend *second;
 	uint32_t seen;
@@ -112,21 +112,21 @@
 };
 
 /* Keeps two of the candidates, each pair equally likely. */
-static void choice_add(struct choice *choice, GRand *rand,
+static void sample_add(struct sample *sample, GRand *rand,
 		       const struct backend *backend)
 {
-	uint32_t at = g_rand_int_range(rand, 0, (int)++choice->seen);
+	uint32_t at = g_rand_int_range(rand, 0, (int)++sample->seen);
 
 	if (at == 0) {
-		choice->second = choice->first;
-		choice->first = backend;
-	} else if (at == 1 || !choice->second) {
-		choice->second = backend;
+		sample->second = sample->first;
+		sample->first = backend;
+	} else if (at == 1 || !sample->second) {
+		sample->second = backend;
 	}
 }
 
-static void choice_scan(struct plain *plain, const struct request *request,
-			bool here, uint32_t share, struct choice *choice)
+static void sample_fill(struct plain *plain, const struct request *request,
+			bool want_local, uint32_t share, struct sample *sample)
 {
 	struct entry *entry = plain->entry;
 	const struct backend *backend;
@@ -137,41 +137,42 @@
 		bool local = strcmp(backend->data_centre,
 				    entry->settings.data_centre) == 0;
 
-		if (local != here || backend->leaving || !backend->listed ||
+		if (local != want_local || backend->leaving ||
+		    !backend->listed ||
 		    strcmp(backend->pool, request->service.pool) != 0)
 			continue;
-		choice->listed++;
+		sample->listed++;
 		if (server_ready(server_get(plain, backend), now, share))
-			choice_add(choice, entry->rand, backend);
+			sample_add(sample, entry->rand, backend);
 	}
 }
 
 /* The less loaded of two random ready servers; near ones first. */
-uint64_t plain_pick(struct plain *plain, const struct request *request,
-		    bool *any)
+uint64_t plain_acquire(struct plain *plain, const struct request *request,
+		       bool *any)
 {
-	uint32_t count = sharers(plain);
+	uint32_t count = instances_sharing(plain);
 	uint32_t share = (request->service.concurrency + count - 1) / count;
-	struct choice choice = {0};
+	struct sample sample = {0};
 	const struct backend *best;
 
-	choice_scan(plain, request, true, share, &choice);
-	if (!choice.seen)
-		choice_scan(plain, request, false, share, &choice);
-	*any = choice.listed > 0;
-	best = choice.first;
+	sample_fill(plain, request, true, share, &sample);
+	if (!sample.seen)
+		sample_fill(plain, request, false, share, &sample);
+	*any = sample.listed > 0;
+	best = sample.first;
 	if (!best)
 		return 0;
-	if (choice.second && server_get(plain, choice.second)->in_flight <
+	if (sample.second && server_get(plain, sample.second)->in_flight <
 				     server_get(plain, best)->in_flight)
-		best = choice.second;
+		best = sample.second;
 	server_get(plain, best)->in_flight++;
 	circuit_allow(&server_get(plain, best)->circuit,
 		      clock_now(plain->entry->clock));
 	return best->id;
 }
 
-void plain_put(struct plain *plain, uint64_t id, enum plain_use use)
+void plain_release(struct plain *plain, uint64_t id, enum plain_result result)
 {
 	struct plain_server *server = g_hash_table_lookup(plain->servers, &id);
 
@@ -179,12 +180,12 @@
 		return;
 	if (server->in_flight)
 		server->in_flight--;
-	if (use == PLAIN_GOOD)
+	if (result == PLAIN_SUCCESS)
 		circuit_success(&server->circuit);
-	if (use == PLAIN_BAD)
+	if (result == PLAIN_FAILURE)
 		circuit_failure(&server->circuit, plain->entry->rand,
 				clock_now(plain->entry->clock));
-	plain_wake(plain);
+	plain_dispatch(plain);
 }
 
 static struct plain_queue *queue_get(struct plain *plain, const char *service)
@@ -199,14 +200,14 @@
 	return queue;
 }
 
-static bool goes_before(const struct request *a, const struct request *b)
+static bool request_precedes(const struct request *a, const struct request *b)
 {
 	if (a->class != b->class)
 		return a->class < b->class;
 	return a->arrived < b->arrived;
 }
 
-bool plain_wait(struct plain *plain, struct request *request)
+bool plain_enqueue(struct plain *plain, struct request *request)
 {
 	struct plain_queue *queue = queue_get(plain, request->service.name);
 	GQueue *requests = &queue->requests;
@@ -216,7 +217,7 @@
 	    requests->length >= request->service.queue_max)
 		return false;
 	/* Most come last: look from the end. */
-	while (at && goes_before(request, at->data))
+	while (at && request_precedes(request, at->data))
 		at = at->prev;
 	request->queued = true;
 	if (at)
@@ -226,7 +227,7 @@
 	return true;
 }
 
-void plain_unwait(struct plain *plain, struct request *request)
+void plain_dequeue(struct plain *plain, struct request *request)
 {
 	if (!request->queued)
 		return;
@@ -248,8 +249,8 @@
 
 		if (queue->blocked || !queue->requests.head)
 			continue;
-		if (!best || goes_before(queue->requests.head->data,
-					 best->requests.head->data))
+		if (!best || request_precedes(queue->requests.head->data,
+					      best->requests.head->data))
 			best = queue;
 	}
 	return best;
@@ -265,7 +266,7 @@
 		((struct plain_queue *)value)->blocked = false;
 }
 
-void plain_wake(struct plain *plain)
+void plain_dispatch(struct plain *plain)
 {
 	struct plain_queue *queue;
 
@@ -273,7 +274,7 @@
 	while ((queue = queue_next(plain))) {
 		struct request *request = queue->requests.head->data;
 		bool any;
-		uint64_t id = plain_pick(plain, request, &any);
+		uint64_t id = plain_acquire(plain, request, &any);
 
 		if (!id) {
 			queue->blocked = true;
--- a/entry/poller.c
+++ b/entry/poller.c
@@ -13,9 +13,9 @@
 
 static int64_t poll_delay(const struct entry *entry)
 {
-	double share = g_rand_double_range(entry->rand, 0.75, 1.25);
+	double factor = g_rand_double_range(entry->rand, 0.75, 1.25);
 
-	return (int64_t)((double)entry->settings.poll_usec * share);
+	return (int64_t)((double)entry->settings.poll_usec * factor);
 }
 
 static void target_fire(struct timer *timer, void *ctx)
@@ -23,7 +23,7 @@
 	struct target *target = ctx;
 
 	timer_start(timer, poll_delay(target->poller->entry));
-	target_read(target);
+	target_poll(target);
 }
 
 static struct target *target_create(struct poller *poller, uint64_t id)
@@ -49,17 +49,17 @@
 	g_free(target);
 }
 
-static const struct config_pool *pool_of(const struct entry *entry,
-					 const struct backend *backend)
+static const struct config_pool *backend_pool(const struct entry *entry,
+					      const struct backend *backend)
 {
 	if (!entry->config)
 		return NULL;
 	return config_pool(entry->config, backend->pool);
 }
 
-static bool backend_home(const struct entry *entry,
-			 const struct backend *backend,
-			 const struct config_pool *pool)
+static bool backend_is_home(const struct entry *entry,
+			    const struct backend *backend,
+			    const struct config_pool *pool)
 {
 	const struct member *self = membership_self(entry->membership);
 
@@ -70,15 +70,15 @@
 			       id_of(backend->pool), 0) == self->id;
 }
 
-static bool backend_polled(const struct entry *entry,
-			   const struct backend *backend)
+static bool backend_is_polled(const struct entry *entry,
+			      const struct backend *backend)
 {
-	const struct config_pool *pool = pool_of(entry, backend);
+	const struct config_pool *pool = backend_pool(entry, backend);
 
-	return pool && backend->listed && backend_home(entry, backend, pool);
+	return pool && backend->listed && backend_is_home(entry, backend, pool);
 }
 
-static void target_want(struct poller *poller, const struct backend *backend)
+static void target_ensure(struct poller *poller, const struct backend *backend)
 {
 	struct target *target =
 		g_hash_table_lookup(poller->targets, &backend->id);
@@ -88,7 +88,7 @@
 		g_hash_table_insert(poller->targets, &target->id, target);
 	}
 	target->wanted = true;
-	target->role = pool_of(poller->entry, backend)->role;
+	target->role = backend_pool(poller->entry, backend)->role;
 }
 
 static gboolean target_unwanted(void *key, void *value, void *ctx)
@@ -107,12 +107,12 @@
 	uint32_t cursor = 0;
 
 	while ((backend = directory_next(poller->entry->directory, &cursor))) {
-		if (backend_polled(poller->entry, backend))
-			target_want(poller, backend);
+		if (backend_is_polled(poller->entry, backend))
+			target_ensure(poller, backend);
 	}
 	g_hash_table_foreach_remove(poller->targets, target_unwanted, NULL);
 	poller->polled->value = g_hash_table_size(poller->targets);
-	timer_start(timer, REFRESH_USEC);
+	timer_start(timer, REFRESH_INTERVAL_USEC);
 }
 
 void poller_refresh(struct poller *poller)
--- a/entry/poller_private.h
+++ b/entry/poller_private.h
@@ -14,7 +14,7 @@
 #include "web/client.h"
 
 /* How often homes are looked at anew when nothing tells of a change. */
-#define REFRESH_USEC (1 * USEC_PER_SEC)
+#define REFRESH_INTERVAL_USEC (1 * USEC_PER_SEC)
 
 struct entry;
 struct target;
@@ -38,7 +38,7 @@
 	bool wanted;
 	struct timer timer;
 	struct report_call calls[REPORT_COUNT];
-	uint64_t events_from;
+	uint64_t events_offset;
 };
 
 struct poller {
@@ -52,6 +52,6 @@
 };
 
 /* Asks for all reports of the target. */
-void target_read(struct target *target);
+void target_poll(struct target *target);
 
 #endif
--- a/entry/poller_read.c
+++ b/entry/poller_read.c
@@ -14,21 +14,21 @@
 #include "poller_private.h"
 
 /* Of a load report that does not tell its age. */
-#define AGE_UNKNOWN_USEC (500 * USEC_PER_MSEC)
-#define CALL_USEC (1 * USEC_PER_SEC)
+#define AGE_DEFAULT_USEC (500 * USEC_PER_MSEC)
+#define CALL_TIMEOUT_USEC (1 * USEC_PER_SEC)
 #define AGE_MS_MAX 3600000u
-#define ANSWER_MAX (1u << 20)
+#define ANSWER_BYTES_MAX (1u << 20)
 #define PATH_MAX_BYTES 64
 #define STATUS_OK 200
 
-static uint64_t number_take(const json_t *json, const char *name)
+static uint64_t number_get(const json_t *json, const char *name)
 {
 	json_int_t value = json_integer_value(json_object_get(json, name));
 
 	return value > 0 ? (uint64_t)value : 0;
 }
 
-static uint64_t id_take(const json_t *json, const char *name)
+static uint64_t id_get(const json_t *json, const char *name)
 {
 	const char *text = json_string_value(json_object_get(json, name));
 	uint64_t id = 0;
@@ -38,28 +38,28 @@
 	return id;
 }
 
-static int64_t age_take(const json_t *json)
+static int64_t age_get(const json_t *json)
 {
 	if (!json_is_integer(json_object_get(json, "age_ms")))
-		return AGE_UNKNOWN_USEC;
-	return (int64_t)MIN(number_take(json, "age_ms"), AGE_MS_MAX) *
+		return AGE_DEFAULT_USEC;
+	return (int64_t)MIN(number_get(json, "age_ms"), AGE_MS_MAX) *
 	       USEC_PER_MSEC;
 }
 
-static void load_take(struct target *target, const json_t *json)
+static void load_handle(struct target *target, const json_t *json)
 {
 	struct entry *entry = target->poller->entry;
 	struct ledger_report report = {
 		.runner = target->id,
 		.reachable = json_is_object(json),
 		.leaving = json_is_true(json_object_get(json, "leaving")),
-		.pieces_used = (uint32_t)number_take(json, "pieces_used"),
-		.running = (uint32_t)number_take(json, "running"),
-		.waiting = (uint32_t)number_take(json, "waiting"),
-		.queue_tokens = number_take(json, "queue_tokens"),
+		.pieces_used = (uint32_t)number_get(json, "pieces_used"),
+		.running = (uint32_t)number_get(json, "running"),
+		.waiting = (uint32_t)number_get(json, "waiting"),
+		.queue_tokens = number_get(json, "queue_tokens"),
 		.tokens_per_s = json_number_value(
 			json_object_get(json, "tokens_per_s")),
-		.age = age_take(json),
+		.age = age_get(json),
 	};
 
 	if (report.leaving)
@@ -68,8 +68,8 @@
 		ledger_report(entry->ledger, &report);
 }
 
-static bool stream_take(const struct target *target, const json_t *item,
-			struct ledger_stream *stream)
+static bool stream_parse(const struct target *target, const json_t *item,
+			 struct ledger_stream *stream)
 {
 	const char *name = json_string_value(json_object_get(item, "stream"));
 
@@ -77,15 +77,15 @@
 			     sizeof(stream->stream))
 		return false;
 	stream->runner = target->id;
-	stream->owner.instance = id_take(item, "owner");
-	stream->owner.incarnation = id_take(item, "incarnation");
-	stream->request = id_take(item, "request");
-	stream->attempt = (uint32_t)number_take(item, "attempt");
-	stream->pieces = (uint32_t)number_take(item, "pieces");
+	stream->owner.instance = id_get(item, "owner");
+	stream->owner.incarnation = id_get(item, "incarnation");
+	stream->request = id_get(item, "request");
+	stream->attempt = (uint32_t)number_get(item, "attempt");
+	stream->pieces = (uint32_t)number_get(item, "pieces");
 	return true;
 }
 
-static void streams_take(struct target *target, const json_t *json)
+static void streams_handle(struct target *target, const json_t *json)
 {
 	struct entry *entry = target->poller->entry;
 	const json_t *list = json_object_get(json, "streams");
@@ -97,24 +97,24 @@
 	struct ledger_stream *streams = g_new0(struct ledger_stream, count);
 
 	for (size_t i = 0; i < count; i++) {
-		if (stream_take(target, json_array_get(list, i),
-				&streams[filled]))
+		if (stream_parse(target, json_array_get(list, i),
+				 &streams[filled]))
 			filled++;
 	}
 	ledger_streams(entry->ledger, target->id, streams, filled);
 	g_free(streams);
 }
 
-static void event_take(struct target *target, const json_t *item)
+static void event_handle(struct target *target, const json_t *item)
 {
-	uint64_t block = id_take(item, "block");
+	uint64_t block = id_get(item, "block");
 	bool stored = json_is_true(json_object_get(item, "stored"));
 
 	ledger_cache_event(target->poller->entry->ledger, target->id, &block, 1,
 			   stored);
 }
 
-static void events_take(struct target *target, const json_t *json)
+static void events_handle(struct target *target, const json_t *json)
 {
 	const json_t *list = json_object_get(json, "events");
 	const json_t *item;
@@ -122,19 +122,19 @@
 
 	if (!json_is_array(list))
 		return;
-	target->events_from = number_take(json, "next");
+	target->events_offset = number_get(json, "next");
 	if (json_is_true(json_object_get(json, "gap")))
 		target->poller->gaps->value++;
 	if (!ledger_is_home(target->poller->entry->ledger, target->id))
 		return;
 	json_array_foreach (list, i, item)
-		event_take(target, item);
+		event_handle(target, item);
 }
 
-static void report_take(struct report_call *call,
-			const struct web_result *result, int status,
-			const void *body, size_t size,
-			void (*take)(struct target *target, const json_t *json))
+static void
+report_handle(struct report_call *call, const struct web_result *result,
+	      int status, const void *body, size_t size,
+	      void (*handle)(struct target *target, const json_t *json))
 {
 	json_t *json = NULL;
 
@@ -143,49 +143,49 @@
 		json = json_loadb(body, size, 0, NULL);
 	if (!json)
 		call->target->poller->failures->value++;
-	take(call->target, json);
+	handle(call->target, json);
 	json_decref(json);
 }
 
 static void load_done(void *ctx, const struct web_result *result, int status,
 		      const void *body, size_t size)
 {
-	report_take(ctx, result, status, body, size, load_take);
+	report_handle(ctx, result, status, body, size, load_handle);
 }
 
 static void streams_done(void *ctx, const struct web_result *result, int status,
 			 const void *body, size_t size)
 {
-	report_take(ctx, result, status, body, size, streams_take);
+	report_handle(ctx, result, status, body, size, streams_handle);
 }
 
 static void events_done(void *ctx, const struct web_result *result, int status,
 			const void *body, size_t size)
 {
-	report_take(ctx, result, status, body, size, events_take);
+	report_handle(ctx, result, status, body, size, events_handle);
 }
 
-static void report_read(struct target *target, const char *address,
-			enum report report, const char *path, web_answer_fn fn)
+static void report_fetch(struct target *target, const char *address,
+			 enum report report, const char *path, web_answer_fn fn)
 {
 	struct report_call *call = &target->calls[report];
 	struct web_call_spec spec = {
 		.address = address,
 		.method = "GET",
 		.path = path,
-		.head_usec = CALL_USEC,
-		.idle_usec = CALL_USEC,
+		.head_usec = CALL_TIMEOUT_USEC,
+		.idle_usec = CALL_TIMEOUT_USEC,
 	};
 
 	if (call->call)
 		return;
 	target->poller->reads->value++;
 	call->target = target;
-	call->call = web_fetch(target->poller->entry->client, &spec, ANSWER_MAX,
-			       fn, call);
+	call->call = web_fetch(target->poller->entry->client, &spec,
+			       ANSWER_BYTES_MAX, fn, call);
 }
 
-void target_read(struct target *target)
+void target_poll(struct target *target)
 {
 	const struct backend *backend =
 		directory_find(target->poller->entry->directory, target->id);
@@ -194,15 +194,16 @@
 	if (!backend)
 		return;
 	if (target->role == POOL_PLAIN) {
-		report_read(target, backend->address, REPORT_LOAD, "/-/load",
-			    load_done);
+		report_fetch(target, backend->address, REPORT_LOAD, "/-/load",
+			     load_done);
 		return;
 	}
-	report_read(target, backend->address, REPORT_LOAD, "/load", load_done);
+	report_fetch(target, backend->address, REPORT_LOAD, "/load", load_done);
 	if (target->role == POOL_DECODE)
-		report_read(target, backend->address, REPORT_STREAMS,
-			    "/streams", streams_done);
+		report_fetch(target, backend->address, REPORT_STREAMS,
+			     "/streams", streams_done);
 	(void)snprintf(path, sizeof(path), "/events?from=%" PRIu64,
-		       target->events_from);
-	report_read(target, backend->address, REPORT_EVENTS, path, events_done);
+		       target->events_offset);
+	report_fetch(target, backend->address, REPORT_EVENTS, path,
+		     events_done);
 }
--- a/entry/request_plain.c
+++ b/entry/request_plain.c
@@ -94,13 +94,13 @@
 	g_string_append_len(request->answer_body, data, (gssize)size);
 }
 
-static void server_release(struct request *request, enum plain_use use)
+static void server_release(struct request *request, enum plain_result use)
 {
 	uint64_t id = request->server;
 
 	request->server = 0;
 	if (id)
-		plain_put(request->entry->requests->plain, id, use);
+		plain_release(request->entry->requests->plain, id, use);
 }
 
 /* Retries after a backoff, or fails the request. */
@@ -148,12 +148,12 @@
 	}
 	if (!result->ok) {
 		request->reached |= result->sent;
-		server_release(request, PLAIN_BAD);
+		server_release(request, PLAIN_FAILURE);
 		call_retry(request, failure_code(result), result->text);
 		return;
 	}
 	request->reached = true;
-	server_release(request, PLAIN_GOOD);
+	server_release(request, PLAIN_SUCCESS);
 	if (request->too_long) {
 		request_fail(request, RESULT_BACKEND_FAILED, 0,
 			     "the server's answer is too long");
@@ -241,7 +241,7 @@
 			     "the deadline passed before a server was free");
 		return;
 	}
-	server = plain_pick(plain, request, &any);
+	server = plain_acquire(plain, request, &any);
 	request->state = REQUEST_CALLING;
 	if (server) {
 		plain_start(request, server);
@@ -252,7 +252,7 @@
 			     "the service has no server to call");
 		return;
 	}
-	if (!plain_wait(plain, request)) {
+	if (!plain_enqueue(plain, request)) {
 		request_fail(request, RESULT_QUEUE_FULL, USEC_PER_SEC,
 			     "the service's queue is full");
 		return;
@@ -269,14 +269,14 @@
 		plain_run(request);
 		return;
 	}
-	plain_unwait(plain, request);
+	plain_dequeue(plain, request);
 	request_fail(request, RESULT_DEADLINE, USEC_PER_SEC,
 		     "the deadline passed before a server was free");
 }
 
 void plain_drop(struct request *request)
 {
-	plain_unwait(request->entry->requests->plain, request);
+	plain_dequeue(request->entry->requests->plain, request);
 	if (request->web_call) {
 		web_call_cancel(request->web_call);
 		request->web_call = NULL;
--- a/entry/requests.c
+++ b/entry/requests.c
@@ -112,7 +112,7 @@
 
 void requests_configured(struct requests *requests)
 {
-	plain_wake(requests->plain);
+	plain_dispatch(requests->plain);
 }
 
 uint32_t requests_count(const struct requests *requests)
--- a/entry/status.c
+++ b/entry/status.c
@@ -124,11 +124,11 @@
 }
 
 /* The newest changes, oldest first. */
-static json_t *changes_json(const struct entry *entry, size_t most)
+static json_t *changes_json(const struct entry *entry, size_t count_max)
 {
 	const struct fold_audit *entries = NULL;
 	size_t count = fold_history(entry->fold, &entries);
-	size_t from = count > most ? count - most : 0;
+	size_t from = count > count_max ? count - count_max : 0;
 	json_t *list = json_array();
 
 	for (size_t i = from; i < count; i++)
--- a/entry/supervisor.c
+++ b/entry/supervisor.c
@@ -12,7 +12,7 @@
 struct child {
 	bool running;
 	bool failed; /* to be stopped by the next turn's timer */
-	struct error why;
+	struct error cause;
 };
 
 struct supervisor {
@@ -49,7 +49,7 @@
 		child_stop(s, i - 1);
 }
 
-static void failures_forget(struct supervisor *s)
+static void failures_expire(struct supervisor *s)
 {
 	int64_t oldest = clock_now(s->clock) - s->settings.window_usec;
 
@@ -58,38 +58,38 @@
 		g_array_remove_index(s->failures, 0);
 }
 
-static bool failure_mendable(const struct supervisor *s,
-			     const struct error *why)
+static bool restart_allowed(const struct supervisor *s,
+			    const struct error *cause)
 {
-	return why->code != RESULT_BAD_SETTING &&
-	       why->code != RESULT_BAD_CONFIG &&
+	return cause->code != RESULT_BAD_SETTING &&
+	       cause->code != RESULT_BAD_CONFIG &&
 	       s->failures->len <= s->settings.restarts_max;
 }
 
 static void supervisor_give_up(struct supervisor *s, size_t index)
 {
 	const char *name = s->components[index].name;
-	struct error why = s->children[index].why;
+	struct error cause = s->children[index].cause;
 
 	log_event(LOG_ERR, "supervisor_gave_up", LOG_S("component", name),
-		  LOG_D("code", why.code), LOG_S("reason", why.text),
+		  LOG_D("code", cause.code), LOG_S("reason", cause.text),
 		  LOG_D("restarts", s->restarts));
 	supervisor_stop(s);
-	s->gave_up(s->ctx, name, &why);
+	s->gave_up(s->ctx, name, &cause);
 }
 
 /* Records the failure of the component and plans the restart. */
-static void failure_note(struct supervisor *s, size_t index)
+static void failure_handle(struct supervisor *s, size_t index)
 {
-	const struct error *why = &s->children[index].why;
+	const struct error *cause = &s->children[index].cause;
 	int64_t now = clock_now(s->clock);
 
 	log_event(LOG_ERR, "component_failed",
 		  LOG_S("component", s->components[index].name),
-		  LOG_D("code", why->code), LOG_S("reason", why->text));
-	failures_forget(s);
+		  LOG_D("code", cause->code), LOG_S("reason", cause->text));
+	failures_expire(s);
 	g_array_append_val(s->failures, now);
-	if (!failure_mendable(s, why)) {
+	if (!restart_allowed(s, cause)) {
 		supervisor_give_up(s, index);
 		return;
 	}
@@ -101,8 +101,8 @@
 	const struct component *component = &s->components[index];
 	struct child *child = &s->children[index];
 
-	child->why = (struct error){.code = RESULT_OK};
-	if (!component->start(s->ctx, &child->why))
+	child->cause = (struct error){.code = RESULT_OK};
+	if (!component->start(s->ctx, &child->cause))
 		return false;
 	child->running = true;
 	log_event(LOG_INFO, "component_started",
@@ -117,7 +117,7 @@
 			continue;
 		if (child_start(s, i))
 			continue;
-		failure_note(s, i);
+		failure_handle(s, i);
 		return;
 	}
 }
@@ -141,7 +141,7 @@
 			child_stop(s, i);
 		else
 			children_stop(s, i);
-		failure_note(s, i);
+		failure_handle(s, i);
 	}
 }
 
@@ -183,7 +183,7 @@
 }
 
 void supervisor_fail(struct supervisor *s, const char *name,
-		     const struct error *why)
+		     const struct error *cause)
 {
 	for (size_t i = 0; i < s->count; i++) {
 		if (strcmp(s->components[i].name, name) != 0)
@@ -191,7 +191,7 @@
 		if (!s->children[i].running || s->children[i].failed)
 			return;
 		s->children[i].failed = true;
-		s->children[i].why = *why;
+		s->children[i].cause = *cause;
 		timer_start(&s->sweep, 0);
 		return;
 	}
--- a/include/entry/own_platform.h
+++ b/include/entry/own_platform.h
@@ -61,9 +61,9 @@
 	void (*member)(void *ctx, const struct member *member);
 	void (*backend)(void *ctx, const struct backend *backend);
 	/* All of one reading was given. */
-	void (*swept)(void *ctx);
+	void (*read_complete)(void *ctx);
 	/* The list is to be read once in so many periods; NULL: each time. */
-	uint32_t (*every)(void *ctx);
+	uint32_t (*periods_per_read)(void *ctx);
 };
 
 /* The own entry in the list. */
--- a/include/entry/plain.h
+++ b/include/entry/plain.h
@@ -18,9 +18,9 @@
 struct plain;
 struct request;
 
-enum plain_use {
-	PLAIN_GOOD,
-	PLAIN_BAD,
+enum plain_result {
+	PLAIN_SUCCESS,
+	PLAIN_FAILURE,
 	PLAIN_UNKNOWN, /* nothing was learnt: the caller hung up */
 };
 
@@ -28,15 +28,15 @@
 void plain_destroy(struct plain *plain);
 /* Takes a place at a server; 0 when none is free. any tells whether there is
  * a server at all that is not leaving. */
-uint64_t plain_pick(struct plain *plain, const struct request *request,
-		    bool *any);
+uint64_t plain_acquire(struct plain *plain, const struct request *request,
+		       bool *any);
 /* Gives the place back, and starts what waits for one. */
-void plain_put(struct plain *plain, uint64_t id, enum plain_use use);
+void plain_release(struct plain *plain, uint64_t id, enum plain_result result);
 /* Queues the request; false when the service's queue is full. */
-bool plain_wait(struct plain *plain, struct request *request);
-void plain_unwait(struct plain *plain, struct request *request);
+bool plain_enqueue(struct plain *plain, struct request *request);
+void plain_dequeue(struct plain *plain, struct request *request);
 /* Starts what can be: a place or a server has become free. */
-void plain_wake(struct plain *plain);
+void plain_dispatch(struct plain *plain);
 /* Claims where needed, then sends the request (entry/request_plain.c). */
 void plain_start(struct request *request, uint64_t server);
 
--- a/include/entry/supervisor.h
+++ b/include/entry/supervisor.h
@@ -40,7 +40,7 @@
 
 /* The component that failed last, and why. */
 typedef void (*supervisor_gave_up_fn)(void *ctx, const char *name,
-				      const struct error *why);
+				      const struct error *cause);
 
 /* The table must outlive the supervisor; ctx is handed to all callbacks. */
 struct supervisor *supervisor_create(struct clock *clock,
@@ -56,7 +56,7 @@
  * so it may call this from within its own callbacks. Unknown names and
  * components that do not run are ignored. */
 void supervisor_fail(struct supervisor *supervisor, const char *name,
-		     const struct error *why);
+		     const struct error *cause);
 /* Stops all in reverse order; nothing is started again. */
 void supervisor_stop(struct supervisor *supervisor);
 /* Whether every component runs. */
--- a/tests/entry/test_own_platform.c
+++ b/tests/entry/test_own_platform.c
@@ -9,18 +9,19 @@
 #include "run.h"
 #include "web/server.h"
 
-#define CALL_USEC (50 * USEC_PER_MSEC)
+#define CALL_TIMEOUT_USEC (50 * USEC_PER_MSEC)
 /* Where a call must still be under way when it is looked at, also if the test's
- * own process was paused meanwhile: 80 ms of that ended one of CALL_USEC. */
-#define LONG_CALL_USEC (1 * USEC_PER_SEC)
-#define LIST_USEC (20 * USEC_PER_MSEC)
+ * own process was paused meanwhile: 80 ms of that ended one of
+ * CALL_TIMEOUT_USEC. */
+#define LONG_CALL_TIMEOUT_USEC (1 * USEC_PER_SEC)
+#define LIST_INTERVAL_USEC (20 * USEC_PER_MSEC)
 
 enum behaviour {
 	ANSWER,
-	CUT,	/* the call arrived, the answer does not */
-	HANG,	/* no answer until the caller gives up */
-	ABSENT, /* nobody listens */
-	NONE,	/* no address was given */
+	ABORT,	       /* the call arrived, the answer does not */
+	HANG,	       /* no answer until the caller gives up */
+	NOT_LISTENING, /* nobody listens */
+	NO_ADDRESS,    /* no address was given */
 };
 
 struct fake {
@@ -31,10 +32,11 @@
 	enum behaviour behaviour;
 	int status;
 	const char *body;
-	const char *list; /* body of GET /instances */
-	const char *tag;  /* its ETag; NULL: none */
-	int unchanged;	  /* times that 304 was answered */
-	uint32_t every;	  /* what the list's reader is told; 0: nothing */
+	const char *list;	   /* body of GET /instances */
+	const char *tag;	   /* its ETag; NULL: none */
+	int unchanged;		   /* times that 304 was answered */
+	uint32_t periods_per_read; /* what the list's reader is told; 0: nothing
+				    */
 	int reads;
 	GString *calls; /* "METHOD path body\n" */
 	int hung;
@@ -47,7 +49,7 @@
 	int sweeps;
 };
 
-static void call_note(struct fake *fake, const struct web_request *request)
+static void call_record(struct fake *fake, const struct web_request *request)
 {
 	struct web_text method = web_request_method(request);
 	struct web_text path = web_request_path(request);
@@ -70,13 +72,13 @@
 {
 	struct fake *fake = ctx;
 
-	call_note(fake, request);
+	call_record(fake, request);
 	if (fake->behaviour == HANG) {
 		fake->hung++;
 		web_request_on_gone(request, hung_gone, fake);
 		return;
 	}
-	if (fake->behaviour == CUT) {
+	if (fake->behaviour == ABORT) {
 		web_reply_start(request, fake->status, "application/json");
 		web_reply_piece(request, "{\"off", 5);
 		web_reply_abort(request);
@@ -100,7 +102,7 @@
 	const char *body = "{}";
 
 	if (web_request_method(request).data[0] != 'G') {
-		call_note(fake, request);
+		call_record(fake, request);
 	} else if (list_known(fake, request)) {
 		fake->unchanged++;
 		web_reply(request, 304, "application/json", "", 0);
@@ -137,14 +139,14 @@
 	fake->records = g_string_new(NULL);
 	fake->listed = g_string_new(NULL);
 	g_autofree char *address = g_strdup(web_server_address(fake->server));
-	if (behaviour == ABSENT) {
+	if (behaviour == NOT_LISTENING) {
 		web_server_destroy(fake->server);
 		fake->server = NULL;
 	}
 	struct platform_settings settings = {
-		.address = behaviour == NONE ? NULL : address,
+		.address = behaviour == NO_ADDRESS ? NULL : address,
 		.call_usec = call_usec,
-		.list_usec = LIST_USEC,
+		.list_usec = LIST_INTERVAL_USEC,
 		.seed = 1,
 	};
 
@@ -154,7 +156,7 @@
 
 static void fake_setup(struct fake *fake, enum behaviour behaviour)
 {
-	fake_setup_limit(fake, behaviour, CALL_USEC);
+	fake_setup_limit(fake, behaviour, CALL_TIMEOUT_USEC);
 }
 
 static void fake_teardown(struct fake *fake)
@@ -206,10 +208,10 @@
 	{"defect", ANSWER, 500, "{}", RESULT_LOG_UNKNOWN, true},
 	{"bad-gateway", ANSWER, 502, "{}", RESULT_LOG_UNKNOWN, true},
 	{"outage", ANSWER, 503, "{}", RESULT_LOG_DOWN, true},
-	{"lost-answer", CUT, 200, "", RESULT_LOG_UNKNOWN, true},
+	{"lost-answer", ABORT, 200, "", RESULT_LOG_UNKNOWN, true},
 	{"timeout", HANG, 200, "", RESULT_LOG_UNKNOWN, true},
-	{"absent", ABSENT, 200, "", RESULT_LOG_DOWN, false},
-	{"no-platform", NONE, 200, "", RESULT_LOG_DOWN, false},
+	{"absent", NOT_LISTENING, 200, "", RESULT_LOG_DOWN, false},
+	{"no-platform", NO_ADDRESS, 200, "", RESULT_LOG_DOWN, false},
 };
 
 static void test_append(gconstpointer data)
@@ -225,7 +227,7 @@
 	store->append(store->ctx, "claims", "abc", 3, on_appended, &fake);
 	g_assert_cmpint(fake.answers, ==, 0);
 	g_assert_true(run_until(&fake.run, answered, &fake));
-	run_for(&fake.run, 2 * CALL_USEC);
+	run_for(&fake.run, 2 * CALL_TIMEOUT_USEC);
 	g_assert_cmpint(fake.answers, ==, 1);
 	g_assert_cmpstr(result_label(fake.code), ==, result_label(row->code));
 	if (row->code == RESULT_OK)
@@ -292,10 +294,10 @@
 	 "{\"first\": 0, \"next\": 1, \"records\": [{\"offset\": 0}]}", NULL},
 	{"garbage", ANSWER, 200, "[", NULL},
 	{"outage", ANSWER, 503, "{}", NULL},
-	{"lost-answer", CUT, 200, "", NULL},
+	{"lost-answer", ABORT, 200, "", NULL},
 	{"timeout", HANG, 200, "", NULL},
-	{"absent", ABSENT, 200, "", NULL},
-	{"no-platform", NONE, 200, "", NULL},
+	{"absent", NOT_LISTENING, 200, "", NULL},
+	{"no-platform", NO_ADDRESS, 200, "", NULL},
 };
 
 static void test_read(gconstpointer data)
@@ -331,7 +333,7 @@
 		const struct log_store *store;
 		struct fake fake;
 
-		fake_setup_limit(&fake, HANG, LONG_CALL_USEC);
+		fake_setup_limit(&fake, HANG, LONG_CALL_TIMEOUT_USEC);
 		store = platform_log(fake.platform);
 		if (reads)
 			store->read(store->ctx, "claims", 0, 1, 0, on_page,
@@ -346,7 +348,7 @@
 		g_assert_cmpint(fake.answers, ==, 1);
 		g_assert_cmpint(fake.code, ==,
 				reads ? RESULT_LOG_DOWN : RESULT_LOG_UNKNOWN);
-		run_for(&fake.run, LONG_CALL_USEC + CALL_USEC);
+		run_for(&fake.run, LONG_CALL_TIMEOUT_USEC + CALL_TIMEOUT_USEC);
 		g_assert_cmpint(fake.answers, ==, 1);
 		g_assert_cmpint(fake.hung, ==, 0);
 		fake_teardown(&fake);
@@ -377,7 +379,7 @@
 			       backend->leaving ? " leaving" : "");
 }
 
-static void on_swept(void *ctx)
+static void on_read_complete(void *ctx)
 {
 	struct fake *fake = ctx;
 
@@ -385,18 +387,18 @@
 	g_string_append(fake->listed, "swept\n");
 }
 
-static uint32_t on_every(void *ctx)
+static uint32_t on_periods_per_read(void *ctx)
 {
 	const struct fake *fake = ctx;
 
-	return fake->every ? fake->every : 1;
+	return fake->periods_per_read ? fake->periods_per_read : 1;
 }
 
 static const struct platform_list_ops list_ops = {
 	.member = on_member,
 	.backend = on_backend,
-	.swept = on_swept,
-	.every = on_every,
+	.read_complete = on_read_complete,
+	.periods_per_read = on_periods_per_read,
 };
 
 static const struct platform_self self = {
@@ -535,12 +537,12 @@
 	struct fake fake;
 
 	fake_setup(&fake, ANSWER);
-	fake.every = 1000;
+	fake.periods_per_read = 1000;
 	fake.list = "{\"instances\": [" SELF_ITEM("live") "]}";
 	platform_list_start(fake.platform, &self, &list_ops, &fake);
-	run_for(&fake.run, 10 * LIST_USEC);
+	run_for(&fake.run, 10 * LIST_INTERVAL_USEC);
 	g_assert_cmpint(fake.reads, ==, 0);
-	fake.every = 2;
+	fake.periods_per_read = 2;
 	g_assert_true(run_until(&fake.run, swept_thrice, &fake));
 	g_assert_cmpint(fake.reads, ==, 3);
 	fake_teardown(&fake);
