--- a/tests/entry/test_poller.c
+++ b/tests/entry/test_poller.c
@@ -11,7 +11,7 @@
 #include "rows.h"
 #include "run.h"
 
-#define POLL_USEC (10 * USEC_PER_MSEC)
+#define POLL_INTERVAL_USEC (10 * USEC_PER_MSEC)
 
 #define CONFIG_FILE SOURCE_ROOT "/examples/arequipa.yaml"
 
@@ -83,7 +83,7 @@
 	struct entry entry;
 	struct web_server *server;
 	const struct row *row;
-	GString *asked;
+	GString *requested;
 	int count;
 };
 
@@ -97,7 +97,7 @@
 	const char *body = known ? row->body : "{}";
 
 	world->count++;
-	g_string_append_printf(world->asked, "%.*s?%.*s\n", (int)path.size,
+	g_string_append_printf(world->requested, "%.*s?%.*s\n", (int)path.size,
 			       path.data, (int)query.size, query.data);
 	web_reply(request, known ? 200 : 404, "application/json", body,
 		  strlen(body));
@@ -116,12 +116,12 @@
 	*world = (struct world){.row = row};
 	run_setup(&world->run);
 	fake_coord_setup();
-	world->asked = g_string_new(NULL);
+	world->requested = g_string_new(NULL);
 	world->entry.clock = world->run.clock;
 	world->entry.loop = world->run.loop;
 	world->entry.counters = world->run.counters;
 	world->entry.rand = g_rand_new_with_seed(1);
-	world->entry.settings.poll_usec = POLL_USEC;
+	world->entry.settings.poll_usec = POLL_INTERVAL_USEC;
 	world->entry.membership = (struct membership *)world; /* not NULL */
 	world->entry.config = config_load(CONFIG_FILE, &err);
 	g_assert_cmpstr(err.text, ==, "");
@@ -160,7 +160,7 @@
 	web_server_destroy(world->server);
 	config_destroy(world->entry.config);
 	g_rand_free(world->entry.rand);
-	g_string_free(world->asked, TRUE);
+	g_string_free(world->requested, TRUE);
 	fake_coord_teardown();
 	run_teardown(&world->run);
 }
@@ -182,24 +182,24 @@
 	if (row->events)
 		g_assert_true(run_until(&world.run, event_seen, &world));
 	else
-		run_for(&world.run, 5 * POLL_USEC);
+		run_for(&world.run, 5 * POLL_INTERVAL_USEC);
 	if (!row->events)
-		g_assert_cmpstr(world.asked->str, ==, "");
+		g_assert_cmpstr(world.requested->str, ==, "");
 	if (strcmp(row->name, "prefill-has-no-streams") == 0)
-		g_assert_null(strstr(world.asked->str, "/streams"));
+		g_assert_null(strstr(world.requested->str, "/streams"));
 	g_assert_cmpint(
 		directory_find(world.entry.directory, id_of("r1"))->leaving, ==,
 		row->leaving);
 	world_teardown(&world);
 }
 
-static bool asked_from_seven(void *ctx)
+static bool requested_from_seven(void *ctx)
 {
-	return strstr(((struct world *)ctx)->asked->str, "/events?from=7");
+	return strstr(((struct world *)ctx)->requested->str, "/events?from=7");
 }
 
 /* Events are asked for from where the last answer ended. */
-static void test_events_go_on(void)
+static void test_events_continue(void)
 {
 	const struct row *row = &rows[8];
 	struct world world;
@@ -207,8 +207,8 @@
 	g_assert_cmpstr(row->name, ==, "events");
 	world_setup(&world, row);
 	backend_add(&world);
-	g_assert_true(run_until(&world.run, asked_from_seven, &world));
-	g_assert_nonnull(strstr(world.asked->str, "/events?from=0"));
+	g_assert_true(run_until(&world.run, requested_from_seven, &world));
+	g_assert_nonnull(strstr(world.requested->str, "/events?from=0"));
 	g_assert_cmpint(run_counter(&world.run, "jt_cache_gaps_total", NULL), >,
 			0);
 	world_teardown(&world);
@@ -243,10 +243,10 @@
 	g_assert_true(run_until(&world.run, event_seen, &world));
 	fake_coord.home = 0;
 	poller_refresh(world.entry.poller);
-	run_for(&world.run, 2 * POLL_USEC);
+	run_for(&world.run, 2 * POLL_INTERVAL_USEC);
 	int before = world.count;
 
-	run_for(&world.run, 5 * POLL_USEC);
+	run_for(&world.run, 5 * POLL_INTERVAL_USEC);
 	g_assert_cmpint(world.count, ==, before);
 	world_teardown(&world);
 }
@@ -256,7 +256,7 @@
 	g_test_init(&argc, &argv, NULL);
 	log_setup(NULL, "test", LOG_EMERG);
 	ROWS_ADD("/poller/", rows, test_row);
-	g_test_add_func("/poller/events-go-on", test_events_go_on);
+	g_test_add_func("/poller/events-go-on", test_events_continue);
 	g_test_add_func("/poller/absent", test_absent);
 	g_test_add_func("/poller/moved", test_moved);
 	return g_test_run();
--- a/tests/entry/test_supervisor.c
+++ b/tests/entry/test_supervisor.c
@@ -44,7 +44,8 @@
 	{"window",
 	 "start fail:c run:600 fail:c run:600 fail:c run:600 fail:c run:600",
 	 "+a +b +c +d -c +c -c +c -c +c -c +c", 4, true},
-	{"setting", "ruin:b start run:1000", "+a !b -a GAVEUP:b", 0, false},
+	{"setting", "misconfigure:b start run:1000", "+a !b -a GAVEUP:b", 0,
+	 false},
 	{"unknown", "start fail:x run:100", "+a +b +c +d", 0, true},
 	{"not-running", "fail:a run:100", "", 0, false},
 	{"stop-cancels-restart", "start fail:b run:0 stop run:1000",
@@ -59,8 +60,8 @@
 	struct clock *clock;
 	struct supervisor *supervisor;
 	GString *events;
-	int breaks[COUNT]; /* starts to fail */
-	bool ruined[COUNT];
+	int start_failures[COUNT]; /* starts to fail */
+	bool bad_setting[COUNT];
 };
 
 static void event(struct world *world, const char *mark, const char *name)
@@ -73,12 +74,13 @@
 static bool start_any(struct world *world, int i, const char *name,
 		      struct error *err)
 {
-	if (world->ruined[i] || world->breaks[i] > 0) {
+	if (world->bad_setting[i] || world->start_failures[i] > 0) {
 		event(world, "!", name);
-		world->breaks[i] -= world->breaks[i] > 0;
-		return error_set(
-			err, world->ruined[i] ? RESULT_BAD_SETTING : RESULT_IO,
-			"scripted");
+		world->start_failures[i] -= world->start_failures[i] > 0;
+		return error_set(err,
+				 world->bad_setting[i] ? RESULT_BAD_SETTING
+						       : RESULT_IO,
+				 "scripted");
 	}
 	event(world, "+", name);
 	return true;
@@ -106,15 +108,15 @@
 	{"d", true, d_start, d_stop},
 };
 
-static void gave_up(void *ctx, const char *name, const struct error *why)
+static void gave_up(void *ctx, const char *name, const struct error *cause)
 {
-	g_assert_cmpstr(why->text, ==, "scripted");
+	g_assert_cmpstr(cause->text, ==, "scripted");
 	event(ctx, "GAVEUP:", name);
 }
 
 static void step(struct world *world, const char *text)
 {
-	struct error why = {.code = RESULT_IO, .text = "scripted"};
+	struct error cause = {.code = RESULT_IO, .text = "scripted"};
 	g_auto(GStrv) part = g_strsplit(text, ":", 3);
 	const char *verb = part[0] ? part[0] : "";
 	const char *object = verb[0] && part[1] ? part[1] : "";
@@ -125,11 +127,11 @@
 	else if (strcmp(verb, "stop") == 0)
 		supervisor_stop(world->supervisor);
 	else if (strcmp(verb, "fail") == 0)
-		supervisor_fail(world->supervisor, object, &why);
+		supervisor_fail(world->supervisor, object, &cause);
 	else if (strcmp(verb, "break") == 0)
-		world->breaks[i] = atoi(part[2]);
-	else if (strcmp(verb, "ruin") == 0)
-		world->ruined[i] = true;
+		world->start_failures[i] = atoi(part[2]);
+	else if (strcmp(verb, "misconfigure") == 0)
+		world->bad_setting[i] = true;
 	else
 		clock_advance(world->clock,
 			      clock_now(world->clock) +
--- a/tests/entry/test_turn.c
+++ b/tests/entry/test_turn.c
@@ -3,70 +3,71 @@
 
 #include "run.h"
 
-#define TURNS 3
+#define ITERATIONS 3
 
-struct turns {
+struct world {
 	struct run run;
 	GString *order;
-	int turns;
+	int iterations;
 };
 
 static void on_iteration(void *ctx, int64_t gap_us)
 {
-	struct turns *turns = ctx;
+	struct world *world = ctx;
 
 	g_assert_cmpint(gap_us, >=, 0);
-	g_string_append(turns->order, "turn ");
-	if (++turns->turns == TURNS)
-		loop_stop(turns->run.loop);
+	g_string_append(world->order, "iteration ");
+	if (++world->iterations == ITERATIONS)
+		loop_stop(world->run.loop);
 }
 
 static void on_timer(struct timer *timer, void *ctx)
 {
-	struct turns *turns = ctx;
+	struct world *world = ctx;
 
-	g_string_append(turns->order, "timer ");
+	g_string_append(world->order, "timer ");
 	timer_start(timer, 0);
 }
 
 static void test_order(void)
 {
-	struct turns turns = {0};
+	struct world world = {0};
 	struct timer timer;
 
-	run_setup(&turns.run);
-	turns.order = g_string_new(NULL);
-	timer_init(&timer, turns.run.clock, on_timer, &turns);
+	run_setup(&world.run);
+	world.order = g_string_new(NULL);
+	timer_init(&timer, world.run.clock, on_timer, &world);
 	timer_start(&timer, 0);
-	loop_on_iteration(turns.run.loop, on_iteration, &turns);
-	loop_run(turns.run.loop);
-	g_assert_true(g_str_has_prefix(turns.order->str,
-				       "timer turn timer turn timer turn"));
+	loop_on_iteration(world.run.loop, on_iteration, &world);
+	loop_run(world.run.loop);
+	g_assert_true(g_str_has_prefix(
+		world.order->str,
+		"timer iteration timer iteration timer iteration"));
 	timer_stop(&timer);
-	g_string_free(turns.order, TRUE);
-	run_teardown(&turns.run);
+	g_string_free(world.order, TRUE);
+	run_teardown(&world.run);
 }
 
 /* The two halves: moving fires nothing, firing moves nothing. */
 static void test_halves(void)
 {
-	struct turns turns = {0};
+	struct world world = {0};
 	struct timer timer;
 
-	run_setup(&turns.run);
-	turns.order = g_string_new(NULL);
-	timer_init(&timer, turns.run.clock, on_timer, &turns);
+	run_setup(&world.run);
+	world.order = g_string_new(NULL);
+	timer_init(&timer, world.run.clock, on_timer, &world);
 	timer_start(&timer, 0);
-	g_assert_cmpint(clock_step(turns.run.clock), >=, 0);
-	g_assert_cmpstr(turns.order->str, ==, "");
-	int64_t now = clock_now(turns.run.clock);
+	g_assert_cmpint(clock_step(world.run.clock), >=, 0);
+	g_assert_cmpstr(world.order->str, ==, "");
+	int64_t now = clock_now(world.run.clock);
 
-	clock_fire_due(turns.run.clock);
-	g_assert_cmpstr(turns.order->str, ==, "timer ");
-	g_assert_cmpint(clock_now(turns.run.clock), ==, now);
+	clock_fire_due(world.run.clock);
+	g_assert_cmpstr(world.order->str, ==, "timer ");
+	g_assert_cmpint(clock_now(world.run.clock), ==, now);
 	timer_stop(&timer);
-	g_string_free(turns.order, TRUE);
-	run_teardown(&turns.run);
+	g_string_free(world.order, TRUE);
+	run_teardown(&world.run);
 }
 
 int main(int argc, char **argv)
