--- a/tests/entry/test_own_platform.c
+++ b/tests/entry/test_own_platform.c
@@ -18,10 +18,10 @@
 
 enum behaviour {
 	ANSWER,
-	ABORT,	       /* the call arrived, the answer does not */
-	HANG,	       /* no answer until the caller gives up */
-	NOT_LISTENING, /* nobody listens */
-	NO_ADDRESS,    /* no address was given */
+	ABORT,		/* the call arrived, the answer does not */
+	HANG,		/* no answer until the caller gives up */
+	NOT_LISTENING,	/* nobody listens */
+	NOT_CONFIGURED, /* no address was given */
 };
 
 struct fake {
@@ -144,7 +144,7 @@
 		fake->server = NULL;
 	}
 	struct platform_settings settings = {
-		.address = behaviour == NO_ADDRESS ? NULL : address,
+		.address = behaviour == NOT_CONFIGURED ? NULL : address,
 		.call_usec = call_usec,
 		.list_usec = LIST_INTERVAL_USEC,
 		.seed = 1,
@@ -211,7 +211,7 @@
 	{"lost-answer", ABORT, 200, "", RESULT_LOG_UNKNOWN, true},
 	{"timeout", HANG, 200, "", RESULT_LOG_UNKNOWN, true},
 	{"absent", NOT_LISTENING, 200, "", RESULT_LOG_DOWN, false},
-	{"no-platform", NO_ADDRESS, 200, "", RESULT_LOG_DOWN, false},
+	{"no-platform", NOT_CONFIGURED, 200, "", RESULT_LOG_DOWN, false},
 };
 
 static void test_append(gconstpointer data)
@@ -297,7 +297,7 @@
 	{"lost-answer", ABORT, 200, "", NULL},
 	{"timeout", HANG, 200, "", NULL},
 	{"absent", NOT_LISTENING, 200, "", NULL},
-	{"no-platform", NO_ADDRESS, 200, "", NULL},
+	{"no-platform", NOT_CONFIGURED, 200, "", NULL},
 };
 
 static void test_read(gconstpointer data)
