--- a/entry/drain.c
+++ b/entry/drain.c
@@ -1,5 +1,5 @@
 /*
- * drain.c - graceful shutdown: announce, finish what runs, hand over, stop
+ * drain.c - graceful shutdown: announce it, finish requests in flight, stop
  */
 #include "common/log.h"
 #include "entry/entry.h"
@@ -7,18 +7,18 @@
 #include "entry/peers.h"
 #include "entry/requests.h"
 
-/* How often the end of requests and of writing to peers is looked for. */
+/* Interval of the checks for unfinished requests and unsent peer messages. */
 #define CHECK_INTERVAL_USEC (10 * USEC_PER_MSEC)
-/* Longest wait for what is still to be written to peers. */
+/* Longest wait for messages to peers that are not yet written. */
 #define FLUSH_TIMEOUT_USEC (1 * USEC_PER_SEC)
 
 struct drain {
 	struct entry *entry;
-	struct timer close; /* ends the accepting of connections */
+	struct timer close; /* stops accepting connections */
 	struct timer check;
 	struct timer deadline;
 	int64_t started_at;
-	int64_t answered_at; /* -1 until all is answered */
+	int64_t answered_at; /* -1 until all requests are answered */
 	bool closed;
 };
 
@@ -44,7 +44,7 @@
 	return !entry->server || web_server_pending(entry->server) == 0;
 }
 
-/* All is answered: what the answers told the peers is still to be written. */
+/* Answered requests cause messages to peers, which must still be written. */
 static bool drain_flushed(struct drain *drain)
 {
 	const struct entry *entry = drain->entry;
--- a/entry/supervisor.c
+++ b/entry/supervisor.c
@@ -1,5 +1,5 @@
 /*
- * supervisor.c - the order of components, and restarts within bounds
+ * supervisor.c - ordered start and stop of components, bounded restarts
  */
 #include "entry/supervisor.h"
 
@@ -11,7 +11,7 @@
 
 struct child {
 	bool running;
-	bool failed; /* to be stopped by the next turn's timer */
+	bool failed; /* sweep stops it in a later loop iteration */
 	struct error cause;
 };
 
@@ -24,8 +24,8 @@
 	void *ctx;
 	struct clock *clock;
 	struct timer restart;
-	struct timer sweep; /* stops what has failed */
-	GArray *failures;   /* int64_t: times within the window */
+	struct timer sweep; /* stops failed components */
+	GArray *failures;   /* int64_t: failure times within the window */
 	uint32_t restarts;
 	bool stopped;
 };
@@ -78,7 +78,7 @@
 	s->gave_up(s->ctx, name, &cause);
 }
 
-/* Records the failure of the component and plans the restart. */
+/* Records the failure, then schedules a restart or gives up. */
 static void failure_handle(struct supervisor *s, size_t index)
 {
 	const struct error *cause = &s->children[index].cause;
