--- a/entry/poller.c
+++ b/entry/poller.c
@@ -1,5 +1,5 @@
 /*
- * poller.c - which backend servers are polled, and when
+ * poller.c - selects the backend servers to poll and schedules the polls
  */
 #include "entry/poller.h"
 
--- a/entry/poller_private.h
+++ b/entry/poller_private.h
@@ -1,5 +1,5 @@
 /*
- * poller_private.h - what the poller's two files share
+ * poller_private.h - types shared by the files of the poller
  */
 #ifndef ENTRY_POLLER_PRIVATE_H
 #define ENTRY_POLLER_PRIVATE_H
@@ -13,7 +13,7 @@
 #include "config/config.h"
 #include "web/client.h"
 
-/* How often homes are looked at anew when nothing tells of a change. */
+/* Interval at which homes are checked when no change is signalled. */
 #define REFRESH_INTERVAL_USEC (1 * USEC_PER_SEC)
 
 struct entry;
@@ -38,12 +38,12 @@
 	bool wanted;
 	struct timer timer;
 	struct report_call calls[REPORT_COUNT];
-	uint64_t events_offset;
+	uint64_t events_offset; /* of the next cache event to fetch */
 };
 
 struct poller {
 	struct entry *entry;
-	GHashTable *targets; /* id to struct target */
+	GHashTable *targets; /* id -> struct target */
 	struct timer refresh;
 	struct counter *polled;
 	struct counter *reads;
@@ -51,7 +51,7 @@
 	struct counter *gaps;
 };
 
-/* Asks for all reports of the target. */
+/* Fetches all reports of the target. */
 void target_poll(struct target *target);
 
 #endif
--- a/entry/poller_read.c
+++ b/entry/poller_read.c
@@ -1,5 +1,5 @@
 /*
- * poller_read.c - asks one backend server for its reports and reads them
+ * poller_read.c - fetches and parses the reports of one backend server
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,7 +13,7 @@
 #include "entry/entry.h"
 #include "poller_private.h"
 
-/* Of a load report that does not tell its age. */
+/* Assumed age of a load report without age_ms. */
 #define AGE_DEFAULT_USEC (500 * USEC_PER_MSEC)
 #define CALL_TIMEOUT_USEC (1 * USEC_PER_SEC)
 #define AGE_MS_MAX 3600000u
--- a/include/entry/poller.h
+++ b/include/entry/poller.h
@@ -1,13 +1,13 @@
 /*
- * poller.h - reads the reports of the runners that this instance is home to
+ * poller.h - polls the runners whose home is this instance
  *
  * DESCRIPTION
- *	Every poll_usec, a quarter either way, each such runner is asked for
- *	its load, the streams that hold its memory and its cache events, and
- *	each server of a plain pool that this instance is home to for its load.
- *	What comes back is fed to the ledger; a server that says that it is
- *	leaving is marked in the directory. Calls that have not ended are not
- *	made again.
+ *	Every poll_usec, with 25 % of jitter either way, the poller fetches the
+ *	load and the cache events of each such runner, and from decode runners
+ *	the streams that hold memory. From each server of a plain pool whose
+ *	home is this instance it fetches the load. The reports go to the ledger,
+ *	and a server that reports that it is leaving is marked in the directory.
+ *	A report is not requested again while a call for it is in flight.
  */
 #ifndef ENTRY_POLLER_H
 #define ENTRY_POLLER_H
@@ -17,7 +17,7 @@
 
 struct poller *poller_create(struct entry *entry);
 void poller_destroy(struct poller *poller);
-/* The runners that this instance is home to changed, or the directory did. */
+/* Call after a change of homes or of the directory. */
 void poller_refresh(struct poller *poller);
 
 #endif
