--- a/entry/own_platform.c
+++ b/entry/own_platform.c
@@ -1,5 +1,5 @@
 /*
- * platform.c - the adapter towards the platform, made of its two parts
+ * own_platform.c - creates the platform adapter from its log and list parts
  */
 #include "entry/own_platform.h"
 
--- a/entry/own_platform_list.c
+++ b/entry/own_platform_list.c
@@ -1,5 +1,5 @@
 /*
- * platform_list.c - the platform's list of instances, the own entry included
+ * own_platform_list.c - reads the platform's instance list, registers this one
  */
 #include "own_platform_private.h"
 
@@ -195,12 +195,12 @@
 		list->etag = g_steal_pointer(&list->next_etag);
 		items_handle(platform, items);
 	} else {
-		read_failed(list, "malformed");
+		read_failed(list, "the answer is not an instance list");
 	}
 	json_decref(json);
 }
 
-/* Nothing has changed but the time. */
+/* An unchanged list counts as read. */
 static void unchanged_handle(struct platform *platform)
 {
 	struct platform_list *list = &platform->list;
@@ -226,7 +226,7 @@
 	}
 }
 
-/* A body that is too long is cut, and then malformed. */
+/* A chunk that exceeds the limit is dropped, so the body does not parse. */
 static void on_body(void *ctx, const void *data, size_t size)
 {
 	struct platform *platform = ctx;
@@ -249,12 +249,13 @@
 		 list->etag)
 		unchanged_handle(platform);
 	else
-		read_failed(list, result->text ? result->text : "refused");
+		read_failed(list,
+			    result->text ? result->text : "unexpected status");
 	g_byte_array_set_size(list->body, 0);
 	g_clear_pointer(&list->next_etag, g_free);
 }
 
-/* A quarter of the period either way, so that instances spread out. */
+/* Jitter of 25 % either way spreads the reads of the instances. */
 static int64_t list_delay(struct platform *platform)
 {
 	double factor = g_rand_double_range(platform->rand, 0.75, 1.25);
--- a/entry/own_platform_log.c
+++ b/entry/own_platform_log.c
@@ -1,5 +1,5 @@
 /*
- * platform_log.c - the append-only log over HTTP
+ * own_platform_log.c - the append-only log over HTTP
  */
 #include "own_platform_private.h"
 
@@ -12,7 +12,7 @@
 
 #define PATH_MAX_BYTES 256
 #define APPEND_ANSWER_BYTES_MAX 4096
-/* Records a reading may hold, so that its answer stays below the limit. */
+/* Keeps the answer to a read below READ_ANSWER_BYTES_MAX. */
 #define READ_RECORDS_MAX 32
 #define READ_ANSWER_BYTES_MAX (24u << 20)
 
@@ -26,7 +26,7 @@
 struct log_call {
 	struct platform *platform;
 	struct web_call *call;
-	struct timer deferred; /* for what is answered without a call */
+	struct timer deferred; /* answers without a call */
 	log_append_fn append;
 	log_read_fn read;
 	void *ctx;
@@ -156,7 +156,7 @@
 	g_free(records);
 }
 
-/* Hands on the page; false when the answer is none. */
+/* Passes the page to the reader; false when the answer is not a page. */
 static bool page_deliver(const struct log_call *call, const json_t *json)
 {
 	const json_t *list = json_object_get(json, "records");
@@ -255,8 +255,8 @@
 			    "Readings of the log that failed", NULL);
 }
 
-/* Whoever asked has ended before the platform, and frees what it kept for the
- * answer when that comes. */
+/* The callback still runs, since the caller frees its state there. Callers are
+ * destroyed before the platform. */
 static void call_abort(struct log_call *call)
 {
 	timer_stop(&call->deferred);
--- a/entry/own_platform_private.h
+++ b/entry/own_platform_private.h
@@ -1,5 +1,5 @@
 /*
- * own_platform_private.h - what the files of the platform's adapter share
+ * own_platform_private.h - types shared by the files of the platform adapter
  */
 #ifndef ENTRY_OWN_PLATFORM_PRIVATE_H
 #define ENTRY_OWN_PLATFORM_PRIVATE_H
@@ -15,12 +15,12 @@
 	struct web_call *put;
 	bool started;
 	bool leaving;
-	bool self_current; /* the own entry, as it should be, in this reading */
-	uint32_t skipped;  /* periods without a reading */
-	int status;	   /* of the answer being read */
+	bool self_current; /* this read has the up-to-date own entry */
+	uint32_t skipped;  /* periods since the last read */
+	int status;	   /* of the answer being received */
 	GByteArray *body;
-	char *etag;	 /* of the last whole reading; NULL: none */
-	char *next_etag; /* of the answer being read */
+	char *etag;	 /* of the last complete read; NULL: none */
+	char *next_etag; /* of the answer being received */
 	int64_t listed_at;
 	struct counter *reads;
 	struct counter *failures;
