--- a/entry/admin.c
+++ b/entry/admin.c
@@ -1,5 +1,5 @@
 /*
- * admin.c - the endpoints for operators and the balancer
+ * admin.c - HTTP endpoints for operators and the load balancer
  */
 #include "entry/admin.h"
 
@@ -36,10 +36,10 @@
 	GHashTable *applies; /* set of struct apply */
 };
 
-/* A file on its way through the log. */
+/* A configuration file that is being appended to the log. */
 struct apply {
-	struct admin *admin;	     /* NULL when the component has stopped */
-	struct web_request *request; /* NULL when the caller has gone */
+	struct admin *admin;	     /* NULL after admin_destroy() */
+	struct web_request *request; /* NULL after the caller disconnected */
 };
 
 static void reply_json(struct web_request *request, int status, json_t *json)
@@ -73,7 +73,7 @@
 	return web_text_is(web_request_method(request), method);
 }
 
-/* Answers by itself when the method is another. */
+/* Answers with an error and returns false for any other method. */
 static bool method_require_get(struct web_request *request)
 {
 	if (method_is(request, "GET") || method_is(request, "HEAD"))
--- a/entry/handler_answers.c
+++ b/entry/handler_answers.c
@@ -1,6 +1,6 @@
 /*
  * GET /v1/answers/KEY: the answer of a keyed request that this instance runs
- * or has run, for the instances at which the key was repeated.
+ * or has run. Other instances that receive the same key fetch it here.
  */
 #include <string.h>
 
--- a/entry/handler_models.c
+++ b/entry/handler_models.c
@@ -1,4 +1,4 @@
-/* GET /v1/models: the models that the configuration in force offers. */
+/* GET /v1/models: the models of the configuration in force. */
 #include <string.h>
 
 #include "common/json_text.h"
--- a/entry/handler_plain.c
+++ b/entry/handler_plain.c
@@ -1,4 +1,4 @@
-/* Every other path: plain services, chosen by host and path prefix. */
+/* All other paths: routes to plain services by host and path prefix. */
 #include <string.h>
 
 #include "entry/request.h"
--- a/entry/measures.c
+++ b/entry/measures.c
@@ -1,5 +1,5 @@
 /*
- * measures.c - goodput, latency and prefill work since the start
+ * measures.c - goodput, latency and prefill totals since the process started
  */
 #include "entry/measures.h"
 
@@ -12,7 +12,7 @@
 
 #define LABELS_MAX 192
 
-/* What is kept for each service and class. */
+/* Totals of one service and class. */
 struct series {
 	char *service;
 	enum request_class class;
@@ -20,7 +20,7 @@
 	int64_t completed;
 	int64_t within_targets;
 	int64_t output_tokens;
-	GHashTable *codes; /* enum result_code to count */
+	GHashTable *codes; /* enum result_code -> count */
 	struct counter *within_targets_counter;
 	struct histogram *first_token;
 	struct histogram *between_tokens;
--- a/entry/plain.c
+++ b/entry/plain.c
@@ -1,7 +1,7 @@
 /*
- * The servers of plain services as this instance uses them: calls in flight,
- * circuits, and the queue of what waits for a free one. Each instance takes
- * its share of a server's concurrency, so no call asks another instance.
+ * Servers of plain services: calls in flight from this instance, circuit
+ * breakers and queues of waiting requests. Each instance uses its share of a
+ * server's concurrency, so a call needs no message to another instance.
  */
 #include "entry/plain.h"
 
@@ -20,10 +20,10 @@
 	struct circuit circuit;
 };
 
-/* What waits for a server of one service: struct request, urgent first. */
+/* Requests that wait for a server of one service, urgent ones first. */
 struct plain_queue {
-	GQueue requests;
-	bool blocked; /* its first found no server in this round */
+	GQueue requests; /* struct request */
+	bool blocked;	 /* its head found no server in this dispatch */
 };
 
 struct plain {
@@ -77,7 +77,7 @@
 	return server;
 }
 
-/* Instances of the own data centre that share its servers. */
+/* Instances in this data centre, which share its servers. */
 static uint32_t instances_sharing(const struct plain *plain)
 {
 	const struct membership *members = plain->entry->membership;
@@ -108,10 +108,10 @@
 	const struct backend *first;
 	const struct backend *second;
 	uint32_t seen;
-	uint32_t listed; /* not leaving, ready or not */
+	uint32_t listed; /* servers not leaving, ready or not */
 };
 
-/* Keeps two of the candidates, each pair equally likely. */
+/* Reservoir sampling of two: each pair of candidates is equally likely. */
 static void sample_add(struct sample *sample, GRand *rand,
 		       const struct backend *backend)
 {
@@ -147,7 +147,7 @@
 	}
 }
 
-/* The less loaded of two random ready servers; near ones first. */
+/* The less loaded of two random ready servers, local ones first. */
 uint64_t plain_acquire(struct plain *plain, const struct request *request,
 		       bool *any)
 {
@@ -216,7 +216,7 @@
 	if (request->service.queue_max &&
 	    requests->length >= request->service.queue_max)
 		return false;
-	/* Most come last: look from the end. */
+	/* Most requests belong at the end: search from there. */
 	while (at && request_precedes(request, at->data))
 		at = at->prev;
 	request->queued = true;
@@ -236,7 +236,7 @@
 		       request);
 }
 
-/* The first of all queues whose first may still find a server. */
+/* The unblocked queue whose head precedes the heads of the others. */
 static struct plain_queue *queue_next(struct plain *plain)
 {
 	struct plain_queue *best = NULL;
--- a/entry/status.c
+++ b/entry/status.c
@@ -1,5 +1,5 @@
 /*
- * status.c - the operators' view of an instance, as JSON
+ * status.c - state of an instance for operators, as JSON
  */
 #include <jansson.h>
 
@@ -123,7 +123,7 @@
 		id_json(audit->content_hash), "size", (json_int_t)audit->size);
 }
 
-/* The newest changes, oldest first. */
+/* The newest count_max changes, oldest first. */
 static json_t *changes_json(const struct entry *entry, size_t count_max)
 {
 	const struct fold_audit *entries = NULL;
--- a/include/entry/admin.h
+++ b/include/entry/admin.h
@@ -1,11 +1,11 @@
 /*
- * admin.h - the endpoints for operators and the balancer
+ * admin.h - HTTP endpoints for operators and the load balancer
  *
  * DESCRIPTION
  *	GET /health, /metrics, /status, /config, /history and /measures, and
  *	POST /config?base=N&author=NAME, on the admin address. Only POST
- *	/config changes anything; its answer comes when the file was read back
- *	from the log, with the status of its result code and
+ *	/config changes state. It is answered once the file was read back from
+ *	the log, with the HTTP status of its result code and
  *	{"code": n, "result": text, "revision": n, "error": text}.
  */
 #ifndef ENTRY_ADMIN_H
@@ -27,7 +27,7 @@
 /* The JSON of GET /status and GET /history. */
 void status_print(const struct entry *entry, GString *out);
 void history_print(const struct entry *entry, GString *out);
-/* Brings the gauges that are worked out on demand up to date. */
+/* Updates the gauges that are computed on demand. */
 void status_measure(const struct entry *entry);
 
 #endif
--- a/include/entry/measures.h
+++ b/include/entry/measures.h
@@ -1,10 +1,10 @@
 /*
- * measures.h - the figures that operators compare before and after
+ * measures.h - figures that operators compare before and after a change
  *
  * DESCRIPTION
  *	Goodput: the share of requests of a class that completed within all
- *	targets of their service. Wasted prefill: prompt tokens computed whose
- *	result was then not used, or computed again for the same request.
+ *	targets of their service. Wasted prefill: prompt tokens whose result
+ *	was computed and then not used, or computed again for the same request.
  */
 #ifndef ENTRY_MEASURES_H
 #define ENTRY_MEASURES_H
--- a/include/entry/settings.h
+++ b/include/entry/settings.h
@@ -1,10 +1,11 @@
 /*
- * settings.h - what a process is told at its start, by flags and environment
+ * settings.h - settings of the daemon, from flags and the environment
  *
  * DESCRIPTION
  *	Each setting has a flag (--data-centre) and an environment variable
- *	(JT_DATA_CENTRE); the flag wins. Every value is checked; a bad one is
- *	refused at the start with RESULT_BAD_SETTING and the setting's name.
+ *	(JT_DATA_CENTRE). The flag takes precedence. Every value is checked at
+ *	the start, and a bad one is refused with RESULT_BAD_SETTING and the
+ *	setting's name.
  *	Flags give times in milliseconds; the fields hold microseconds.
  */
 #ifndef ENTRY_SETTINGS_H
@@ -26,8 +27,7 @@
 	const char *platform; /* address of the platform's service */
 	const char *seeds[SETTINGS_SEEDS_MAX]; /* "NAME@DATA_CENTRE@IP:port" */
 	unsigned int seed_count;
-	const char
-		*config_file; /* in force until the log gives one; optional */
+	const char *config_file; /* used until the log supplies one; optional */
 	int log_level;
 	uint32_t random_seed; /* 0: taken from the start time */
 	int64_t heartbeat_usec;
@@ -36,23 +36,24 @@
 	int64_t coalesce_usec;
 	bool peer_datagrams;
 	int64_t drain_usec;	    /* longest graceful shutdown; 0: no bound */
-	int64_t drain_delay_usec;   /* still accepting after draining is said */
-	int64_t list_usec;	    /* how often the platform's list is read */
+	int64_t drain_delay_usec;   /* accepting after the announcement */
+	int64_t list_usec;	    /* between reads of the platform's list */
 	int64_t log_retention_usec; /* of the platform's log, at least */
 	int64_t role_dwell_usec;    /* between two role changes of a cell */
-	int64_t poll_usec;	    /* how often runners' reports are read */
+	int64_t poll_usec;	    /* between polls of a runner's reports */
 	uint64_t body_bytes_max;
 	uint32_t connections_max;
 	uint32_t requests_max;	   /* in flight */
-	uint64_t replay_bytes_max; /* kept answers of keyed requests */
+	uint64_t replay_bytes_max; /* for kept answers of keyed requests */
 };
 
-/* Reads environment and argv; exits by itself only for --help and --version.
- * Strings of settings point into argv, the environment, or live for ever. */
+/* Reads the environment and argv. Exits the process only for --help and
+ * --version. The strings in settings point into argv or the environment, or
+ * have static lifetime. */
 bool settings_read(struct settings *settings, int argc, char **argv,
 		   struct error *err);
 
-/* A seed's three parts, copied out of "NAME@DATA_CENTRE@IP:port". */
+/* The three parts of a seed "NAME@DATA_CENTRE@IP:port". */
 struct settings_seed {
 	char name[64];
 	char data_centre[64];
