--- a/tests/entry/test_drain.c
+++ b/tests/entry/test_drain.c
@@ -1,11 +1,11 @@
 /*
- * Scripted shutdowns on a paused clock. A step is one word:
- *	requests:N pending:N   in flight, and answers not yet taken by sockets
- *	unsent sent            whether something waits for peers
+ * Scripted shutdowns on a manual clock. A step is one word:
+ *	requests:N pending:N   requests in flight, answers not yet written
+ *	unsent sent            whether messages to peers are unwritten
  *	drain                  SIGTERM
- *	ended                  the requests module tells that it is empty
- *	run:MSEC
- * Written down: what is called and when, in milliseconds.
+ *	ended                  the requests module reports that it is empty
+ *	run:MSEC               advances the clock
+ * Each call to another module is recorded with its time in milliseconds.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -81,7 +81,7 @@
 		(int)(clock_now(world.entry.clock) / USEC_PER_MSEC), name);
 }
 
-/* What drain.c calls of other modules. */
+/* Stubs of the functions of other modules that drain.c calls. */
 
 void platform_leave(struct platform *platform)
 {
--- a/tests/entry/test_own_platform.c
+++ b/tests/entry/test_own_platform.c
@@ -1,4 +1,4 @@
-/* The platform's adapter against a fake that answers as the row says. */
+/* The platform adapter against a fake platform with scripted answers. */
 #include <string.h>
 
 #include <glib.h>
@@ -10,18 +10,17 @@
 #include "web/server.h"
 
 #define CALL_TIMEOUT_USEC (50 * USEC_PER_MSEC)
-/* Where a call must still be under way when it is looked at, also if the test's
- * own process was paused meanwhile: 80 ms of that ended one of
- * CALL_TIMEOUT_USEC. */
+/* For calls that must still be in flight when the test checks them. A pause of
+ * the test process by 80 ms ends a call of CALL_TIMEOUT_USEC. */
 #define LONG_CALL_TIMEOUT_USEC (1 * USEC_PER_SEC)
 #define LIST_INTERVAL_USEC (20 * USEC_PER_MSEC)
 
 enum behaviour {
 	ANSWER,
-	ABORT,		/* the call arrived, the answer does not */
-	HANG,		/* no answer until the caller gives up */
-	NOT_LISTENING,	/* nobody listens */
-	NOT_CONFIGURED, /* no address was given */
+	ABORT,		/* the answer is aborted after its first bytes */
+	HANG,		/* no answer until the call times out */
+	NOT_LISTENING,	/* the address refuses connections */
+	NOT_CONFIGURED, /* no address is configured */
 };
 
 struct fake {
@@ -34,13 +33,12 @@
 	const char *body;
 	const char *list;	   /* body of GET /instances */
 	const char *tag;	   /* its ETag; NULL: none */
-	int unchanged;		   /* times that 304 was answered */
-	uint32_t periods_per_read; /* what the list's reader is told; 0: nothing
-				    */
+	int unchanged;		   /* number of 304 answers */
+	uint32_t periods_per_read; /* 0: 1 */
 	int reads;
 	GString *calls; /* "METHOD path body\n" */
 	int hung;
-	/* What came back. */
+	/* Results passed to the callbacks. */
 	int answers;
 	enum result_code code;
 	uint64_t offset;
@@ -325,8 +323,8 @@
 	fake_teardown(&fake);
 }
 
-/* Destroying the adapter ends what is under way: each call gets its one answer
- * then, which frees what the caller kept for it. */
+/* platform_destroy() aborts the calls in flight. Each callback must run exactly
+ * once, since the caller frees its state there. */
 static void test_destroy(void)
 {
 	for (int reads = 0; reads < 2; reads++) {
@@ -476,10 +474,10 @@
 	g_assert_cmpint(run_counter(&fake.run, "jt_list_malformed_total", NULL),
 			==, 5);
 	g_assert_cmpint(platform_listed_at(fake.platform), >=, 0);
-	/* The list shows the own entry as it is: it is put only once. */
+	/* The list has the up-to-date own entry: it is registered only once. */
 	g_assert_true(run_until(&fake.run, swept_thrice, &fake));
 	g_assert_cmpstr(fake.calls->str, ==, SELF_PUT("live"));
-	/* A leaving instance is put again until the list says so. */
+	/* A leaving instance registers again until the list shows it. */
 	g_string_truncate(fake.calls, 0);
 	platform_leave(fake.platform);
 	fake.sweeps = 0;
@@ -505,7 +503,7 @@
 	return ((struct fake *)ctx)->sweeps > 1;
 }
 
-/* A list that has not changed is not sent again, and counts as read. */
+/* An unchanged list (304) has no body and counts as read. */
 static void test_list_unchanged(void)
 {
 	struct fake fake;
@@ -531,7 +529,7 @@
 	fake_teardown(&fake);
 }
 
-/* What others read is read here less often, once it was read at all. */
+/* The list is read once in periods_per_read periods. */
 static void test_list_every(void)
 {
 	struct fake fake;
@@ -562,8 +560,8 @@
 	return run_counter(&fake->run, "jt_list_read_failures_total", NULL) > 1;
 }
 
-/* An empty list is a reading; an unreadable one is none, and nothing is swept
- * by it. */
+/* An empty list counts as read. An unreadable one does not, so read_complete is
+ * not called. */
 static void test_list_faults(void)
 {
 	static const char *const unreadable[] = {"", "[]", "{}",
--- a/tests/entry/test_poller.c
+++ b/tests/entry/test_poller.c
@@ -1,4 +1,4 @@
-/* The poller against one fake runner or server that answers as the row says. */
+/* The poller against one fake backend server with scripted answers. */
 #include <string.h>
 
 #include <glib.h>
@@ -19,11 +19,10 @@
 	const char *name;
 	const char *pool;
 	bool home;
-	bool rank; /* of rank 0 for the pool */
+	bool rank; /* this instance has rank 0 for the pool */
 	const char *path;
-	const char *body;   /* what this path answers; others answer 404 */
-	const char *events; /* the first lines that must be seen, or NULL when
-			       nothing may be asked for */
+	const char *body;   /* answer of this path; others answer 404 */
+	const char *events; /* lines that must be recorded; NULL: no poll */
 	bool leaving;
 };
 
@@ -198,7 +197,7 @@
 	return strstr(((struct world *)ctx)->requested->str, "/events?from=7");
 }
 
-/* Events are asked for from where the last answer ended. */
+/* Events are fetched from the offset at which the last answer ended. */
 static void test_events_continue(void)
 {
 	const struct row *row = &rows[8];
@@ -233,7 +232,7 @@
 	world_teardown(&world);
 }
 
-/* A cell that moves to another home is asked no more. */
+/* A runner whose home has moved is no longer polled. */
 static void test_moved(void)
 {
 	struct world world;
--- a/tests/entry/test_settings.c
+++ b/tests/entry/test_settings.c
@@ -1,4 +1,4 @@
-/* Every setting by flag and variable, and the message of every bad value. */
+/* Settings by flag and environment variable, and the errors of bad values. */
 #include <string.h>
 
 #include <glib.h>
@@ -106,7 +106,7 @@
 					 row->args, &err));
 		g_assert_cmpstr(err.text, ==, row->text);
 		g_assert_cmpint(err.code, ==, RESULT_BAD_SETTING);
-		/* Without a place for the error it is refused all the same. */
+		/* The value is refused without an error argument as well. */
 		g_assert_false(args_read(&settings,
 					 "--name=n1 --data-centre=d1",
 					 row->args, NULL));
@@ -193,7 +193,7 @@
 	g_assert_cmpstr(settings.listen, ==, "[::1]:0");
 	g_assert_cmpuint(settings.seed_count, ==, 2);
 	g_assert_cmpstr(settings.seeds[1], ==, "c@d@[::1]:6");
-	/* One flag replaces the whole variable. */
+	/* A single --seed flag replaces all seeds of the variable. */
 	g_assert_true(args_read(&settings, "--name=n1 --data-centre=d1",
 				"--seed=e@f@1.2.3.4:7", &err));
 	g_assert_cmpuint(settings.seed_count, ==, 1);
--- a/tests/entry/test_supervisor.c
+++ b/tests/entry/test_supervisor.c
@@ -1,9 +1,9 @@
 /*
  * Scripted runs of a supervisor of four components: a, b, c (a leaf) and d.
  * A step is one word: "start", "stop", "fail:NAME" (a failure at run time),
- * "break:NAME:N" (the next N starts fail), "ruin:NAME" (the next start fails
- * with a setting), "run:MSEC". What happens is written as +NAME for a start,
- * -NAME for a stop, !NAME for a start that failed, and GAVEUP:NAME.
+ * "break:NAME:N" (the next N starts fail), "misconfigure:NAME" (starts fail
+ * with RESULT_BAD_SETTING), "run:MSEC". The events are recorded as +NAME for a
+ * start, -NAME for a stop, !NAME for a failed start, and GAVEUP:NAME.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -60,7 +60,7 @@
 	struct clock *clock;
 	struct supervisor *supervisor;
 	GString *events;
-	int start_failures[COUNT]; /* starts to fail */
+	int start_failures[COUNT]; /* number of the next starts that fail */
 	bool bad_setting[COUNT];
 };
 
--- a/tests/entry/test_turn.c
+++ b/tests/entry/test_turn.c
@@ -1,4 +1,4 @@
-/* A process that stood still is told so before any timer acts on its behalf. */
+/* The loop reports a pause of the process before it fires any timer. */
 #include <glib.h>
 
 #include "run.h"
@@ -48,7 +48,7 @@
 	run_teardown(&world.run);
 }
 
-/* The two halves: moving fires nothing, firing moves nothing. */
+/* clock_step() fires no timers, clock_fire_due() does not move the clock. */
 static void test_halves(void)
 {
 	struct world world = {0};
