--- a/include/standin/engine_cache.h
+++ b/include/standin/engine_cache.h
@@ -1,12 +1,12 @@
 /*
- * engine_cache.h - prefix cache of an engine stand-in, and its late events
+ * engine_cache.h - prefix cache of an engine stand-in, with delayed events
  *
  * DESCRIPTION
- *	Holds the newest blocks of ENGINE_BLOCK_TOKENS tokens by their chained
- *	hashes and evicts the least recently used; of one prompt the last block
- *	goes first, since the others are of use without it. Each change is an
- *event that readers see lag_usec later; some are lost on the way (gap_percent
- *of them, by the seed), and old ones are forgotten.
+ *	An LRU cache of blocks of ENGINE_BLOCK_TOKENS tokens, keyed by their
+ *	chained hashes. Of one prompt the last block is evicted first, since the
+ *	others remain usable without it. Each change is an event that readers
+ *	see lag_usec later. gap_percent of the events are lost, chosen at random
+ *	from the seed, and only the newest CACHE_EVENTS_MAX are kept.
  */
 #ifndef STANDIN_ENGINE_CACHE_H
 #define STANDIN_ENGINE_CACHE_H
@@ -21,24 +21,25 @@
 struct engine_cache;
 
 struct cache_event {
-	uint64_t number; /* rises by one for each change; lost ones skip */
+	uint64_t number; /* rises by one per change, lost ones included */
 	uint64_t block;
-	int64_t at;
-	bool stored; /* else evicted */
+	int64_t at;  /* time of the change */
+	bool stored; /* false: evicted */
 };
 
 struct engine_cache *engine_cache_create(const struct clock *clock,
 					 uint32_t blocks, int64_t lag_usec,
 					 uint32_t gap_percent, uint32_t seed);
 void engine_cache_destroy(struct engine_cache *cache);
-/* How many of the first blocks are held. */
+/* Returns the length of the cached prefix, in blocks. */
 uint32_t engine_cache_find(const struct engine_cache *cache,
 			   const uint64_t *blocks, uint32_t count);
-/* Stores the blocks, or marks them as used; lose drops their events. */
+/* Stores the blocks, or marks them as used if cached. lose drops the events of
+ * these changes. */
 void engine_cache_store(struct engine_cache *cache, const uint64_t *blocks,
 			uint32_t count, bool lose);
-/* Copies events numbered from on that are due; returns how many. next is the
- * number to ask for then; gap tells that some between were lost. */
+/* Copies the due events numbered from or higher and returns how many. next is
+ * the number to continue from; gap is set if some in between were lost. */
 uint32_t engine_cache_events(struct engine_cache *cache, uint64_t from,
 			     struct cache_event *events, uint32_t max,
 			     uint64_t *next, bool *gap);
--- a/include/standin/engine_model.h
+++ b/include/standin/engine_model.h
@@ -1,12 +1,13 @@
 /*
- * engine_model.h - an engine's time, memory and batching, without sockets
+ * engine_model.h - timing, memory and batching of an engine, without sockets
  *
  * DESCRIPTION
- *	One runner, in the role of prefill or decode. engine_prefill.h and
- *	engine_stream.h hold the two roles' work; this file holds what they
- *	share: parameters, memory in pieces, faults, the lagging report and the
- *	ledger of what really happened. All times come from the clock given, so
- *	tests run it paused. docs/design/standins.md gives the formulas.
+ *	One runner in the prefill or decode role. engine_prefill.h and
+ *	engine_stream.h implement the two roles. This file holds what they
+ *	share: parameters, memory in pieces, faults, the delayed load report and
+ *	the ledger, which counts the work actually done. All times come from the
+ *	given clock, so that tests can use a paused one. The formulas are in
+ *	docs/design/standins.md.
  */
 #ifndef STANDIN_ENGINE_MODEL_H
 #define STANDIN_ENGINE_MODEL_H
@@ -22,7 +23,8 @@
 #define ENGINE_NAME_SIZE 48u
 #define ENGINE_MODEL_MAX 64u
 #define ENGINE_OBJECTS_MAX 65536u
-/* A loop that turns late makes up for at most this much. */
+/* The most time that is caught up after the event loop ran late. An engine that
+ * stood still for longer computed nothing in the rest. */
 #define ENGINE_BEHIND_MAX (100 * USEC_PER_MSEC)
 
 struct engine_cache;
@@ -60,42 +62,42 @@
 	enum engine_role role;
 	uint32_t pieces;       /* of memory */
 	uint32_t piece_tokens; /* tokens a piece holds */
-	uint32_t slots;	       /* decode: streams at once */
-	uint32_t queue;	       /* prefill: prompts that wait, at most */
+	uint32_t slots;	       /* decode: concurrent streams */
+	uint32_t queue;	       /* prefill: most prompts waiting */
 	double prefill_tokens_per_s;
-	double decode_tokens_per_s; /* of a stream that runs alone */
+	double decode_tokens_per_s; /* of a single stream */
 	double kv_bytes_per_token;
 	double link_bytes_per_s;
-	int64_t hold_usec;   /* how long a prefill's result is kept */
-	int64_t resume_usec; /* life of a stream without reader; 0: for ever */
+	int64_t hold_usec;   /* lifetime of a prefill result */
+	int64_t resume_usec; /* lifetime without a reader; 0: no limit */
 	int64_t report_lag_usec;
 	int64_t event_lag_usec;
 	uint32_t event_gap_percent;
 	bool checks_fencing;
 	uint32_t cache_blocks;
-	double time_scale; /* late_answer is divided by it too */
+	double time_scale; /* also divides the delay of late_answer */
 	uint32_t seed;
 };
 
-/* What a caller asks for. */
+/* A caller's request for a prefill or a decode. */
 struct engine_job {
 	uint64_t request;
 	struct owner owner;
 	uint32_t attempt;
-	uint32_t priority; /* lower goes first */
+	uint32_t priority; /* lower is served first */
 	uint32_t prompt_tokens;
-	uint32_t output_max;
-	uint32_t output_from;
+	uint32_t output_max; /* tokens, not counting those before output_from */
+	uint32_t output_from; /* offset of the first token to compute */
 };
 
 /* A KV cache that one engine fetches from another. */
 struct engine_kv {
 	uint64_t prompt; /* id_hash() of the prompt's text */
-	uint32_t length; /* of the answer, unless the maximum is less */
+	uint32_t length; /* tokens of the answer, before the job's maximum */
 	double bytes;
 };
 
-/* The load as last reported. */
+/* The load at the time of the last report. */
 struct engine_report {
 	int64_t taken_at;
 	enum engine_role role;
@@ -107,12 +109,12 @@
 	double tokens_per_s;
 };
 
-/* What was done for one request. */
+/* Work done for one request. */
 struct request_tally {
 	uint64_t request;
-	uint32_t prefills; /* that began to compute */
-	uint32_t decodes;  /* that were given memory */
-	uint32_t finished; /* decodes whose last token was computed */
+	uint32_t prefills; /* started computing */
+	uint32_t decodes;  /* had memory reserved */
+	uint32_t finished; /* decodes that computed their last token */
 	uint32_t cancelled;
 	uint64_t prefill_tokens; /* computed */
 	uint64_t useful_tokens;	 /* computed for the first result fetched */
@@ -135,8 +137,8 @@
 	enum engine_role role;
 	bool leaving;
 	char loaded[ENGINE_MODEL_MAX];
-	uint64_t fence; /* the highest seen */
-	uint32_t salt;	/* tells names of one life from those of another */
+	uint64_t fence; /* highest fencing number seen */
+	uint32_t salt;	/* makes object names unique across restarts */
 	struct fault_set faults;
 	struct engine_cache *cache;
 	struct engine_link *link;
@@ -145,18 +147,18 @@
 	struct timer report_timer;
 	/* Prefill. */
 	struct table *prefills;
-	GQueue waiting; /* struct prefill *, next first */
+	GQueue waiting; /* struct prefill *, head is next */
 	struct prefill *computing;
 	struct timer compute_timer;
 	/* Decode. */
 	struct table *streams;
 	uint32_t pieces_used;
-	uint32_t batch;	  /* streams in the present step */
-	int64_t step_due; /* when the step should end */
+	uint32_t batch;	  /* streams in the current step */
+	int64_t step_due; /* scheduled end of the step */
 	struct timer step_timer;
 };
 
-/* The words of the protocol. */
+/* Names as in the protocol. */
 const char *engine_role_name(enum engine_role role);
 bool engine_role_parse(const char *text, enum engine_role *role);
 const char *engine_refusal_name(enum engine_refusal refusal);
@@ -167,29 +169,30 @@
 struct engine_model *engine_create(struct clock *clock,
 				   const struct engine_params *params);
 void engine_destroy(struct engine_model *model);
-/* Whether new work of a role would be refused outright. */
+/* Returns why new work of a role is refused, or ENGINE_ACCEPTED. Takes one use
+ * of the fault refuse. */
 enum engine_refusal engine_refusal(struct engine_model *model,
 				   enum engine_role role);
-/* Whether nothing is left that a graceful shutdown has to wait for. */
+/* Returns whether a graceful shutdown has nothing left to wait for. */
 bool engine_idle(const struct engine_model *model);
 void engine_leave(struct engine_model *model);
 bool engine_is_leaving(const struct engine_model *model);
-/* How much slower than its rates the engine is: 1, or the fault's value. */
+/* Factor by which all work takes longer: 1, or the value of the fault slow. */
 double engine_slowness(const struct engine_model *model);
 uint32_t engine_pieces(const struct engine_model *model, uint64_t tokens);
-/* An order; false when its fencing number is old and the engine checks. role
- * or loaded is NULL when it stays. */
+/* Applies an order. Returns false if fencing is checked and a higher fencing
+ * number was seen. A NULL role or loaded leaves it unchanged. */
 bool engine_order(struct engine_model *model, const enum engine_role *role,
 		  const char *loaded, uint64_t fence);
 struct request_tally *engine_tally(struct engine_model *model,
 				   uint64_t request);
-/* The name of an object of a kind ('p' or 's'), and back; HANDLE_NONE when it
- * cannot be one of this engine's. */
+/* Converts an object's handle to its name and back. The kind is 'p' (prefill)
+ * or 's' (stream). HANDLE_NONE if the name was not made by this engine. */
 void engine_name_write(const struct engine_model *model, char kind,
 		       uint64_t handle, char name[ENGINE_NAME_SIZE]);
 uint64_t engine_name_read(const struct engine_model *model, char kind,
 			  const char *name);
-/* The load that readers see; freezes under the fault freeze_reports. */
+/* The load report that readers see. The fault freeze_reports stops updates. */
 const struct engine_report *engine_report(const struct engine_model *model);
 
 #endif
--- a/include/standin/engine_prefill.h
+++ b/include/standin/engine_prefill.h
@@ -1,12 +1,12 @@
 /*
- * engine_prefill.h - prompts that an engine computes, and results it holds
+ * engine_prefill.h - prefill queue and held results of an engine
  *
  * DESCRIPTION
- *	Prompts wait in order of priority, then arrival; one computes at a time,
- *	for (tokens not cached) / rate. The result is held until it is fetched,
- *	dropped, or too old. Tokens computed for a result that is never fetched,
- *	for a prompt cancelled midway, or for a request that already had a
- *	result fetched count as wasted, each once.
+ *	Prompts are queued by priority, then by arrival. One is computed at a
+ *	time, which takes (tokens not cached) / rate. The result is held until
+ *	it is fetched, cancelled or expired. Tokens count as wasted, each once,
+ *	if the result is never fetched, the prompt is cancelled while it is
+ *	computed, or another result of the same request was fetched before.
  */
 #ifndef STANDIN_ENGINE_PREFILL_H
 #define STANDIN_ENGINE_PREFILL_H
@@ -20,7 +20,7 @@
 	PREFILL_HELD,
 };
 
-/* The prompt has been computed; called once unless cancelled before. */
+/* Called once the prompt is computed, unless it is cancelled before. */
 typedef void (*prefill_fn)(void *ctx, const struct prefill *prefill);
 
 struct prefill {
@@ -32,11 +32,11 @@
 	uint64_t *blocks;
 	uint32_t block_count;
 	uint32_t cached;   /* tokens */
-	uint32_t computed; /* tokens; the whole need while computing */
+	uint32_t computed; /* tokens; all that are not cached while computing */
 	int64_t began_at;
 	int64_t takes_usec;
 	struct timer hold_timer;
-	uint32_t fetches; /* in progress */
+	uint32_t fetches; /* number in progress */
 	bool fetched;
 	bool expired;
 	prefill_fn fn;
@@ -50,20 +50,21 @@
 void prefill_setup(struct engine_model *model);
 void prefill_teardown(struct engine_model *model);
 
-/* NULL when refused, with the reason. kv->bytes is worked out here. */
+/* Returns NULL and sets refusal if refused. Ignores kv->bytes, which follows
+ * from the number of tokens. */
 struct prefill *prefill_start(struct engine_model *model,
 			      const struct engine_job *job,
 			      const struct engine_kv *kv,
 			      const uint64_t *blocks, uint32_t block_count,
 			      prefill_fn fn, void *ctx,
 			      enum engine_refusal *refusal);
-/* Ends it in any state; wastes what was computed and not fetched. False when
- * it is already gone. */
+/* Cancels a prefill in any state. Computed tokens that were not fetched count
+ * as wasted. Returns false if it no longer exists. */
 bool prefill_cancel(struct engine_model *model, uint64_t handle);
 uint64_t prefill_queue_tokens(const struct engine_model *model);
 
-/* Sends a held result over the link; NULL when there is none of that name.
- * fn is called once when all is sent, unless cancelled before. */
+/* Sends a held result over the link. Returns NULL if there is none of that
+ * name. fn is called once when all is sent, unless it is cancelled before. */
 struct fetch *fetch_start(struct engine_model *model, const char *name,
 			  fetch_fn fn, void *ctx);
 void fetch_cancel(struct fetch *fetch);
--- a/include/standin/engine_report.h
+++ b/include/standin/engine_report.h
@@ -1,5 +1,5 @@
 /*
- * engine_report.h - what an engine tells of itself, as JSON
+ * engine_report.h - load, streams, events and ledger of an engine as JSON
  */
 #ifndef STANDIN_ENGINE_REPORT_H
 #define STANDIN_ENGINE_REPORT_H
--- a/include/standin/engine_settings.h
+++ b/include/standin/engine_settings.h
@@ -1,5 +1,5 @@
 /*
- * engine_settings.h - the flags of jtengine; see jtengine(1)
+ * engine_settings.h - command-line flags of jtengine, see jtengine(1)
  */
 #ifndef STANDIN_ENGINE_SETTINGS_H
 #define STANDIN_ENGINE_SETTINGS_H
@@ -13,8 +13,8 @@
 	struct engine_params params;
 };
 
-/* Reads the flags into params already scaled; ends the process with a usage
- * error when one is bad. */
+/* Parses the flags. params are scaled by the time scale. Exits with a usage
+ * error if a flag is invalid. */
 void engine_settings_read(struct engine_settings *settings, int argc,
 			  char **argv);
 
--- a/include/standin/engine_stream.h
+++ b/include/standin/engine_stream.h
@@ -1,12 +1,12 @@
 /*
- * engine_stream.h - streams of tokens that an engine decodes
+ * engine_stream.h - token streams of an engine in the decode role
  *
  * DESCRIPTION
- *	A stream holds its pieces of memory from stream_reserve() until it was
- *	read to its end, cancelled, lost, or without reader for too long. Once
- *	the KV cache is there it gets one token a step, together with all other
- *	streams. A reader is told of tokens by their offsets; the newest reader
- *	takes over from a former one.
+ *	A stream holds its pieces of memory from stream_reserve() until it is
+ *	read to its end, cancelled or lost, or without a reader for
+ *	resume_usec. Once its KV cache is complete it gets one token in each
+ *	step of the batch. A reader receives tokens by their offsets. A new
+ *	reader replaces the former one.
  */
 #ifndef STANDIN_ENGINE_STREAM_H
 #define STANDIN_ENGINE_STREAM_H
@@ -18,17 +18,19 @@
 
 struct stream_ops {
 	void (*started)(void *ctx);
-	/* Tokens from..to-1 are there. False when the reader cannot take them
-	 * now: they are offered again after the next step. */
+	/* Delivers tokens from..to-1. Returns false if the reader cannot take
+	 * them now. They are offered again after the next step. */
 	bool (*tokens)(void *ctx, const struct stream *stream, uint32_t from,
 		       uint32_t to);
-	/* The last token was told; nothing follows. */
+	/* The last token was delivered. No more calls follow. */
 	void (*ended)(void *ctx, const char *reason, uint32_t tokens);
-	/* The reader is cut off; text is NULL, or why the transfer failed. */
+	/* The engine disconnects the reader. text is the reason if the transfer
+	 * failed, else NULL. No more calls follow. */
 	void (*cut)(void *ctx, const char *text);
 };
 
-/* Called when the stream goes before stream_fetched(). */
+/* Called if the stream is freed before stream_fetched(): the fetch from the
+ * source is to be aborted. */
 typedef void (*stream_gone_fn)(void *ctx);
 
 struct stream {
@@ -40,50 +42,52 @@
 	uint64_t prompt;
 	uint32_t length; /* offset of the end, once fetched */
 	uint32_t offset; /* of the next token to compute */
-	bool fetched;	 /* the source has sent it all */
-	bool moved;	 /* our own link has carried it all */
-	bool started;	 /* both */
-	bool in_step;	 /* gets a token at the end of the present step */
-	bool done;	 /* all is computed */
+	bool fetched;	 /* the source has sent the whole KV cache */
+	bool moved;	 /* the KV cache has passed our own link */
+	bool started;	 /* fetched and moved */
+	bool in_step;	 /* gets a token at the end of the current step */
+	bool done;	 /* all tokens are computed */
 	struct transfer transfer;
 	struct timer hold_timer;
 	stream_gone_fn gone;
 	void *gone_ctx;
 	/* The reader. */
-	const struct stream_ops *ops; /* NULL: none */
+	const struct stream_ops *ops; /* NULL: no reader */
 	void *ctx;
 	bool told_started;
-	uint32_t sent;	    /* offset of the next token to tell */
-	uint32_t delivered; /* tokens told to this reader */
+	uint32_t sent;	    /* offset of the next token to deliver */
+	uint32_t delivered; /* tokens sent to this reader */
 };
 
 /* Called by engine_create() and engine_destroy(). */
 void stream_setup(struct engine_model *model);
 void stream_teardown(struct engine_model *model);
 
-/* Reserves memory and begins the transfer on our own link. NULL when refused,
- * with the reason. gone may run any time from then until stream_fetched(). */
+/* Reserves memory and starts the transfer on our own link. Returns NULL and
+ * sets refusal if refused. gone may be called until stream_fetched(). */
 struct stream *stream_reserve(struct engine_model *model,
 			      const struct engine_job *job, stream_gone_fn gone,
 			      void *gone_ctx, enum engine_refusal *refusal);
-/* The source has sent everything. */
+/* The source has sent the whole KV cache. */
 void stream_fetched(struct stream *stream, const struct engine_kv *kv);
-/* The source cannot send: cuts the reader off with the text and frees. */
+/* The source failed to send: disconnects the reader with the text and frees the
+ * stream. */
 void stream_fail(struct stream *stream, const char *text);
 
 struct stream *stream_find(struct engine_model *model, const char *name);
-/* Gives the stream a reader from an offset on; a former one is cut off. first
- * is whether it is told of the start as well. False when tokens before those
- * that the stream computes are asked for. May free the stream. */
+/* Attaches a reader at an offset and disconnects the former one. first makes
+ * the reader receive started() as well. Returns false if the offset is before
+ * the stream's first token. May free the stream. */
 bool stream_attach(struct stream *stream, uint32_t offset, bool first,
 		   const struct stream_ops *ops, void *ctx);
-/* The reader is gone by itself. One that was cut off has no part any more. */
+/* The reader has closed its connection. Does nothing if it was disconnected
+ * before. */
 void stream_detach(struct stream *stream);
-/* Frees at once; returns the pieces. */
+/* Frees the stream and returns the number of pieces it held. */
 uint32_t stream_cancel(struct stream *stream);
-/* Streams whose transfer is not done. */
+/* Number of streams whose KV cache is not complete. */
 uint32_t stream_count_waiting(const struct engine_model *model);
-/* Computed tokens a second and stream at the present size of the batch. */
+/* Tokens per second of each stream in a batch of that size. */
 double stream_rate(const struct engine_model *model, uint32_t batch);
 
 #endif
--- a/standin/engine_cache.c
+++ b/standin/engine_cache.c
@@ -10,7 +10,7 @@
 	int64_t lag_usec;
 	uint32_t gap_percent;
 	GRand *rand;
-	GHashTable *held; /* &block of a node's data -> node of order */
+	GHashTable *held; /* block hash, owned by its node -> node of order */
 	GQueue order;	  /* uint64_t *, least recently used first */
 	GQueue events;	  /* struct cache_event *, oldest first */
 	uint64_t next_number;
--- a/standin/engine_http.c
+++ b/standin/engine_http.c
@@ -20,16 +20,16 @@
 	void *pool_ctx;
 };
 
-/* A caller that waits for a prefill or for a late answer. */
+/* A pending request: its prefill is not computed, or its answer is delayed. */
 struct waiter {
 	struct engine_model *model;
 	struct web_request *request;
-	uint64_t prefill; /* HANDLE_NONE when the answer is not to one */
+	uint64_t prefill; /* HANDLE_NONE if the request is no prefill */
 	json_t *answer;
 	struct timer late_timer;
 };
 
-/* Another engine that waits for a KV cache. */
+/* A pending request of another engine for a KV cache. */
 struct fetcher {
 	struct web_request *request;
 	struct fetch *fetch;
@@ -65,7 +65,7 @@
 	return waiter;
 }
 
-/* Answers now, or later when a fault says so. */
+/* Answers at once, or after the delay set by the fault late_answer. */
 static void waiter_finish(struct waiter *waiter, json_t *answer)
 {
 	struct engine_model *model = waiter->model;
@@ -96,7 +96,8 @@
 				(json_int_t)hold_ms));
 }
 
-/* Reads an unsigned member that may be missing; false when it is not one. */
+/* Reads an optional unsigned member. Returns false if it has another type or
+ * is out of range. */
 static bool number_read(const json_t *root, const char *key, uint32_t *number)
 {
 	const json_t *value = json_object_get(root, key);
@@ -123,7 +124,8 @@
 	       number_read(root, "output_from", &job->output_from);
 }
 
-/* Reads up to BLOCKS_MAX; returns how many, or -1 when one is malformed. */
+/* Reads at most BLOCKS_MAX hashes. Returns their number, or -1 if one is
+ * malformed. */
 static int blocks_read(const json_t *array, uint64_t *blocks)
 {
 	size_t count = MIN(json_array_size(array), BLOCKS_MAX);
@@ -196,7 +198,8 @@
 	json_decref(root);
 }
 
-/* Answers what was acted on, unless a fault loses or delays the answer. */
+/* Answers a request that was carried out, unless a fault drops or delays the
+ * answer. */
 static void action_answer(struct engine_model *model,
 			  struct web_request *request, json_t *answer,
 			  bool may_be_late)
@@ -292,12 +295,12 @@
 	reply_json(request, 200, json_pack("{s:b}", "dropped", dropped));
 }
 
-/* What POST /orders asks for; the strings are the body's. */
+/* The body of POST /orders, which owns the strings. */
 struct order {
 	bool has_role;
 	enum engine_role role;
-	const char *loaded; /* NULL: stays */
-	const char *pool;   /* NULL: stays */
+	const char *loaded; /* NULL: unchanged */
+	const char *pool;   /* NULL: unchanged */
 	uint64_t fence;
 };
 
--- a/standin/engine_link.c
+++ b/standin/engine_link.c
@@ -8,12 +8,12 @@
 struct engine_link {
 	struct clock *clock;
 	double bytes_per_usec;
-	GPtrArray *transfers; /* that move, so not the stalled */
+	GPtrArray *transfers; /* in progress, without the stalled ones */
 	int64_t settled_at;
 	struct timer timer;
 };
 
-/* Takes what went over since the last change off every transfer. */
+/* Subtracts the bytes sent since the last update from each transfer. */
 static void link_settle(struct engine_link *link)
 {
 	int64_t now = clock_now(link->clock);
@@ -44,7 +44,7 @@
 	timer_start(&link->timer, (int64_t)ceil(fmax(usec, 0)));
 }
 
-/* Half a byte of slack takes up the rounding of times to microseconds. */
+/* Times are rounded to microseconds, so that up to half a byte may remain. */
 static struct transfer *link_finished(struct engine_link *link)
 {
 	for (guint i = 0; i < link->transfers->len; i++) {
--- a/standin/engine_model.c
+++ b/standin/engine_model.c
@@ -148,7 +148,7 @@
 	return model->role == role ? ENGINE_ACCEPTED : ENGINE_OTHER_ROLE;
 }
 
-/* A stream that is computed and that nobody reads need not be waited for. */
+/* A fully computed stream without reader does not delay the shutdown. */
 bool engine_idle(const struct engine_model *model)
 {
 	const struct stream *stream;
--- a/standin/engine_prefill.c
+++ b/standin/engine_prefill.c
@@ -20,7 +20,7 @@
 	table_remove(p->model->prefills, p->handle);
 }
 
-/* A held result goes; what nobody fetched was computed in vain. */
+/* Frees a result. Its tokens count as wasted if it was not fetched. */
 static void result_remove(struct prefill *p)
 {
 	if (!p->fetched)
@@ -38,7 +38,7 @@
 		result_remove(p);
 }
 
-/* Begins the next prompt, at the time when the one before should have ended. */
+/* Starts the next prompt at the scheduled end of the one before. */
 static void compute_next(struct engine_model *model, int64_t from)
 {
 	int64_t now = clock_now(model->clock);
@@ -64,7 +64,7 @@
 		    MAX(p->began_at + p->takes_usec - now, 0));
 }
 
-/* Books what was computed and keeps the whole blocks in the prefix cache. */
+/* Counts the computed tokens and stores the full blocks in the prefix cache. */
 static void compute_book(struct prefill *p, uint32_t computed)
 {
 	struct engine_model *model = p->model;
@@ -99,7 +99,7 @@
 	return (uint32_t)((double)p->computed * spent / p->takes_usec);
 }
 
-/* A prompt that a caller gave up on: what was computed so far is wasted. */
+/* Cancels the prompt being computed. The tokens computed so far are wasted. */
 static void compute_abandon(struct prefill *p)
 {
 	struct engine_model *model = p->model;
@@ -120,7 +120,7 @@
 {
 	GList *l = model->waiting.head;
 
-	/* Behind all of the same priority. */
+	/* After all others of the same priority. */
 	while (l && priority_of(l) <= p->job.priority)
 		l = l->next;
 	g_queue_insert_before(&model->waiting, l, p);
--- a/standin/engine_reader.c
+++ b/standin/engine_reader.c
@@ -11,11 +11,11 @@
 #define NDJSON "application/x-ndjson"
 #define CONTROL_USEC (3600 * USEC_PER_SEC)
 #define CONTROL_ANSWER_MAX 4096
-/* A reader that has this much unread is told no more for now. */
+/* No tokens are sent to a reader with more unsent bytes than this. */
 #define QUEUED_MAX (256 * 1024)
 #define LINE_MAX_SIZE 48
 
-/* One caller that reads a stream. */
+/* The HTTP request of a caller that reads a stream. */
 struct reader {
 	struct stream *stream;
 	struct web_request *request;
@@ -27,7 +27,8 @@
 	struct web_call *call;
 };
 
-/* Lines are short: those below, with a stream's name at most. */
+/* Lines are cut off at 255 bytes. None below is longer: the longest parts are
+ * a stream's name and an error text. */
 static void reader_line(struct reader *reader, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 static void reader_line(struct reader *reader, const char *fmt, ...)
--- a/standin/engine_settings.c
+++ b/standin/engine_settings.c
@@ -12,14 +12,14 @@
 	SETTING_ROLE,
 	SETTING_FLAG,
 	SETTING_COUNT,
-	SETTING_SIZE, /* a count above 0 */
+	SETTING_SIZE, /* a positive count */
 	SETTING_RATE, /* a positive number */
 	SETTING_MS,
 };
 
 #define AT(member) offsetof(struct engine_settings, member)
 
-/* In the order of their keys: KEY_FIRST is the first one's. */
+/* The argp key of an entry is KEY_FIRST plus its index. */
 static const struct setting {
 	const char *name;
 	const char *arg;
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -4,7 +4,7 @@
 
 #include "common/table.h"
 
-/* Each further stream of a batch slows every step by this part. */
+/* Fraction by which each further stream of a batch prolongs every step. */
 #define BATCH_SLOWDOWN 0.02
 
 double stream_rate(const struct engine_model *model, uint32_t batch)
@@ -15,7 +15,7 @@
 	return alone / ((1 + BATCH_SLOWDOWN * others) * engine_slowness(model));
 }
 
-/* The reader is forgotten before it is told, so that it may attach anew. */
+/* Clears ops before the callback, which may attach a new reader. */
 static void reader_cut(struct stream *s, const char *text)
 {
 	const struct stream_ops *ops = s->ops;
@@ -52,7 +52,8 @@
 		timer_start(&s->hold_timer, resume_usec);
 }
 
-/* Cuts the reader off when a fault says so; true when the stream is gone. */
+/* Disconnects the reader, or frees the stream, once a fault's number of tokens
+ * is delivered. Returns true if the stream was freed. */
 static bool reader_fault(struct stream *s, enum engine_fault fault)
 {
 	struct fault_set *faults = &s->model->faults;
@@ -70,7 +71,7 @@
 	return false;
 }
 
-/* How many tokens the reader may get before a fault strikes. */
+/* Number of tokens that may be delivered before a fault takes effect. */
 static uint32_t reader_room(const struct stream *s)
 {
 	static const enum engine_fault limits[] = {ENGINE_DROP_STREAM,
@@ -86,13 +87,14 @@
 	return (uint32_t)room;
 }
 
-/* What an earlier attempt produced is part of the prompt, not of the limit. */
+/* End of the output. The tokens of an earlier attempt are part of the prompt
+ * and don't count towards output_max. */
 static uint64_t stream_limit(const struct stream *s)
 {
 	return (uint64_t)s->job.output_from + s->job.output_max;
 }
 
-/* Tells the reader all there is; may free the stream. */
+/* Delivers all computed tokens to the reader. May free the stream. */
 static void stream_deliver(struct stream *s)
 {
 	uint32_t count;
@@ -120,9 +122,8 @@
 	stream_free(s, NULL);
 }
 
-/* Takes every stream that is ready into the next step, which begins at a given
- * time. A step without any still offers tokens to readers that were too slow
- * to take them. */
+/* Starts the next step at the given time, with all streams that are ready. A
+ * step also runs without any if a slow reader has tokens left to be offered. */
 static void step_start(struct engine_model *model, int64_t from)
 {
 	int64_t now = clock_now(model->clock);
@@ -153,7 +154,7 @@
 	engine_tally(s->model, s->job.request)->finished++;
 }
 
-/* One step of the batch: a token for each stream in it. */
+/* Ends a step: each stream of the batch gets one token. */
 static void step_run(struct engine_model *model)
 {
 	uint32_t cursor = 0;
@@ -171,7 +172,7 @@
 	}
 }
 
-/* A loop that turns late has several steps to make up for. */
+/* Runs several steps if the event loop ran late. */
 static void step_due(struct timer *timer, void *ctx)
 {
 	struct engine_model *model = ctx;
--- a/standin/jtengine.c
+++ b/standin/jtengine.c
@@ -1,4 +1,4 @@
-/* Stands in for one model engine; see docs/design/standins.md. */
+/* A test double of a model engine, see docs/design/standins.md. */
 #include <stdlib.h>
 
 #include "standin/backend.h"
--- a/tests/standin/test_engine_faults.c
+++ b/tests/standin/test_engine_faults.c
@@ -1,10 +1,11 @@
 /*
- * The contract of an engine: every fault and every act of a caller at every
- * step of a request's life, and what the ledgers must say afterwards.
+ * Applies every fault and every action of a caller at every step of a request
+ * and checks the engines' ledgers afterwards. Guards against leaked memory and
+ * against tokens that are counted twice or not at all.
  *
- * A caller sends one prompt of 1,000 tokens behind another's and asks for ten
- * tokens of output. It goes on as long as it can: it fetches the result as
- * soon as it is there and resumes a stream that was cut, once.
+ * A caller sends a prompt of 1,000 tokens, queued behind another caller's, and
+ * requests ten output tokens. It decodes as soon as the prefill is done and
+ * resumes a disconnected stream once.
  */
 #include <string.h>
 
@@ -16,12 +17,12 @@
 #define OUTPUT 10
 
 enum step {
-	STEP_WAITS,    /* the prompt, behind another */
-	STEP_COMPUTES, /* the prompt, half of it */
-	STEP_HELD,     /* its result; decode is asked for just after */
-	STEP_TRANSFER,
-	STEP_DECODES, /* some tokens are told */
-	STEP_UNREAD,  /* all is computed, the caller lost its connection */
+	STEP_WAITS,    /* the prompt is queued behind another */
+	STEP_COMPUTES, /* half of the prompt is computed */
+	STEP_HELD,     /* the result is held, the decode follows at once */
+	STEP_TRANSFER, /* the KV cache is transferred */
+	STEP_DECODES,  /* some tokens are delivered */
+	STEP_UNREAD,   /* all is computed, the connection is lost */
 	STEPS,
 };
 
@@ -32,14 +33,14 @@
 	struct clock *clock;
 	struct engine_model *p;
 	struct engine_model *d;
-	struct prefill *prefill; /* while its caller has no answer */
+	struct prefill *prefill; /* until it is computed */
 	uint64_t result;
 	char name[ENGINE_NAME_SIZE];
 	struct fetch *fetch;
 	uint64_t stream;
 	bool resumed;
-	bool gone; /* the caller does nothing more */
-	/* What came of it. */
+	bool gone; /* the caller has stopped */
+	/* The outcome. */
 	const char *refused;
 	uint32_t told;
 	bool ended;
@@ -152,7 +153,7 @@
 
 static const struct stream_ops ops = {started, tokens, ended, cut};
 
-/* The events. */
+/* Events of the table below. */
 static void event_none(struct world *w)
 {
 }
@@ -168,7 +169,7 @@
 		stream_detach(s);
 }
 
-/* Ends the work wherever it is, and asks for the same again. */
+/* Cancels the work in any state, twice: a repeated cancel is harmless. */
 static void event_cancel(struct world *w)
 {
 	w->gone = true;
@@ -234,7 +235,7 @@
 	fault_both(w, ENGINE_FREEZE_REPORTS, 1);
 }
 
-/* The prefill engine is gone: what it held can never be fetched. */
+/* The prefill engine fails: its results can't be fetched any more. */
 static void event_source_dies(struct world *w)
 {
 	bool moving = w->fetch != NULL;
@@ -248,8 +249,8 @@
 	prefill_cancel(w->p, w->prefill ? w->prefill->handle : w->result);
 }
 
-/* What a row expects at each step: wasted tokens / tokens told / decodes
- * finished / pieces held at the end, and a refusal's reason. */
+/* Expected outcome of each event at each step: wasted tokens / tokens delivered
+ * / decodes finished / pieces held at the end, and the reason of a refusal. */
 static const struct {
 	const char *name;
 	void (*run)(struct world *w);
@@ -282,11 +283,11 @@
 	 event_role,
 	 {"1000/0/0/0 role", "1000/0/0/0 role", "1000/0/0/0 role", "0/10/1/0",
 	  "0/10/1/0", "0/10/1/0"}},
-	/* Held until somebody cancels: that is the fault. */
+	/* A stalled transfer holds its memory until it is cancelled. */
 	{"stall_transfer",
 	 event_stall,
 	 {"0/0/0/2", "0/0/0/2", "0/0/0/2", "0/10/1/0", "0/10/1/0", "0/10/1/0"}},
-	/* The caller has used up its one attempt to resume at the last. */
+	/* At the last step the caller has already resumed once. */
 	{"drop_stream",
 	 event_drop,
 	 {"0/10/1/0", "0/10/1/0", "0/10/1/0", "0/10/1/0", "0/10/1/0",
@@ -325,7 +326,7 @@
 	return engine_create(clock, &params);
 }
 
-/* Runs to a step; the caller's acts that fall before it are done. */
+/* Runs to a step, with the caller's actions before it. */
 static void step_reach(struct world *w, enum step step)
 {
 	const struct engine_job other = {.request = 2, .prompt_tokens = 1000};
@@ -343,7 +344,7 @@
 	clock_advance(w->clock, step_at[step]);
 }
 
-/* Lets the caller go on until a time. */
+/* Runs the caller until the given time. */
 static void caller_run(struct world *w, int64_t until)
 {
 	struct stream *s;
@@ -362,7 +363,7 @@
 	}
 }
 
-/* Lets the caller go on, and everything left over grow old. */
+/* Runs the caller to its end, until whatever remains has expired. */
 static void rest_run(struct world *w)
 {
 	caller_run(w, clock_now(w->clock) + MS(5000));
@@ -382,7 +383,7 @@
 	rest_run(&w);
 	tally = engine_tally(w.d, 1);
 	held = w.d->pieces_used;
-	/* The other prompt's tokens are always wasted. */
+	/* The other prompt's 1,000 tokens are always wasted. */
 	outcome = g_strdup_printf(
 		"%u/%u/%u/%u%s%s",
 		(unsigned int)w.p->ledger.wasted_tokens - 1000, w.told,
@@ -404,8 +405,8 @@
 	row_test(cell / STEPS, (enum step)(cell % STEPS));
 }
 
-/* Whatever came before: nothing is held once all was cancelled, and each token
- * computed was either of use or wasted. */
+/* After any events, once all is cancelled: no memory is held, and each computed
+ * token is either useful or wasted. */
 static void promises_check(struct world *w)
 {
 	const struct engine_ledger *l = &w->p->ledger;
@@ -436,7 +437,7 @@
 	rows[second].run(&w);
 	rest_run(&w);
 	event_cancel(&w);
-	/* The other's prompt may wait longer when the engine is slow. */
+	/* On a slow engine the other prompt may be queued for longer. */
 	clock_advance(w.clock, clock_now(w.clock) + MS(5000));
 	promises_check(&w);
 	engine_destroy(w.d);
@@ -444,7 +445,7 @@
 	clock_destroy(w.clock);
 }
 
-/* Any two, at any two steps, in either order. */
+/* Any two events at any two steps, in either order. */
 static void test_pairs(void)
 {
 	const size_t count = G_N_ELEMENTS(rows);
--- a/tests/standin/test_engine_sessions.c
+++ b/tests/standin/test_engine_sessions.c
@@ -1,8 +1,8 @@
 /*
  * Runs each script of sessions/ on engine models with a paused clock and
- * compares what it prints with the script itself: lines that start with "> "
- * are commands, those with "#" comments, and all others what is expected.
- * With JT_GOLDEN_WRITE set the scripts are rewritten instead.
+ * compares the output with the script itself. Lines that start with "> " are
+ * commands, those that start with "#" are comments, and all others are the
+ * expected output. With JT_GOLDEN_WRITE set the scripts are rewritten instead.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -21,10 +21,10 @@
 	GHashTable *engines; /* name -> struct engine_model */
 	GHashTable *items;   /* name -> struct item */
 	GString *out;
-	char **words; /* of the command in hand */
+	char **words; /* of the current command */
 };
 
-/* A prefill, or a stream with its reader and its fetch. */
+/* A prefill, or a stream with its reader and its fetch from the source. */
 struct item {
 	struct world *world;
 	char *name;
@@ -32,9 +32,9 @@
 	uint64_t handle;
 	char result[ENGINE_NAME_SIZE];
 	struct fetch *fetch;
-	uint32_t from; /* tokens told and not yet printed */
+	uint32_t from; /* tokens received but not printed: from..to-1 */
 	uint32_t to;
-	int busy; /* how often yet its reader takes nothing */
+	int busy; /* number of further deliveries that the reader rejects */
 };
 
 static void print(struct world *w, const char *fmt, ...)
@@ -52,7 +52,7 @@
 	g_string_append_c(w->out, '\n');
 }
 
-/* The value of "key=value" in the command, or NULL. */
+/* Returns the value of "key=value" in the command, or NULL. */
 static const char *word(const struct world *w, const char *key)
 {
 	size_t size = strlen(key);
@@ -376,7 +376,7 @@
 	return clock_now(w->clock) + (int64_t)(ms * USEC_PER_MSEC);
 }
 
-/* advance MS; jump MS: the loop turns no more until then */
+/* advance MS, jump MS (the event loop does not run in between) */
 static void run_advance(struct world *w)
 {
 	clock_advance(w->clock, target(w));
@@ -453,7 +453,7 @@
 static const struct {
 	const char *name;
 	void (*run)(struct world *w);
-	guint words; /* at least, the name included */
+	guint words; /* minimum, including the name */
 } commands[] = {
 	{"engine", run_engine, 3}, {"prefill", run_prefill, 3},
 	{"drop", run_drop, 2},	   {"decode", run_decode, 4},
