--- a/include/standin/engine_cache.h
+++ b/include/standin/engine_cache.h
@@ -34,10 +34,10 @@
 /* Returns the length of the cached prefix, in blocks. */
 uint32_t engine_cache_find(const struct engine_cache *cache,
 			   const uint64_t *blocks, uint32_t count);
-/* Stores the blocks, or marks them as used if cached. lose drops the events of
- * these changes. */
+/* Stores the blocks, or marks them as used if cached. drop_events drops the
+ * events of these changes. */
 void engine_cache_store(struct engine_cache *cache, const uint64_t *blocks,
-			uint32_t count, bool lose);
+			uint32_t count, bool drop_events);
 /* Copies the due events numbered from or higher and returns how many. next is
  * the number to continue from; gap is set if some in between were lost. */
 uint32_t engine_cache_events(struct engine_cache *cache, uint64_t from,
--- a/include/standin/engine_model.h
+++ b/include/standin/engine_model.h
@@ -25,7 +25,7 @@
 #define ENGINE_OBJECTS_MAX 65536u
 /* The most time that is caught up after the event loop ran late. An engine that
  * stood still for longer computed nothing in the rest. */
-#define ENGINE_BEHIND_MAX (100 * USEC_PER_MSEC)
+#define ENGINE_CATCHUP_MAX_USEC (100 * USEC_PER_MSEC)
 
 struct engine_cache;
 struct engine_link;
@@ -110,7 +110,7 @@
 };
 
 /* Work done for one request. */
-struct request_tally {
+struct request_stats {
 	uint64_t request;
 	uint32_t prefills; /* started computing */
 	uint32_t decodes;  /* had memory reserved */
@@ -128,7 +128,7 @@
 	uint64_t tokens;
 	uint64_t refused_fences;
 	GArray *fences;	      /* uint64_t, as accepted */
-	GHashTable *requests; /* &tally->request -> tally */
+	GHashTable *requests; /* &stats->request -> stats */
 };
 
 struct engine_model {
@@ -171,21 +171,21 @@
 void engine_destroy(struct engine_model *model);
 /* Returns why new work of a role is refused, or ENGINE_ACCEPTED. Takes one use
  * of the fault refuse. */
-enum engine_refusal engine_refusal(struct engine_model *model,
-				   enum engine_role role);
+enum engine_refusal engine_admit(struct engine_model *model,
+				 enum engine_role role);
 /* Returns whether a graceful shutdown has nothing left to wait for. */
 bool engine_idle(const struct engine_model *model);
 void engine_leave(struct engine_model *model);
 bool engine_is_leaving(const struct engine_model *model);
 /* Factor by which all work takes longer: 1, or the value of the fault slow. */
-double engine_slowness(const struct engine_model *model);
+double engine_slowdown(const struct engine_model *model);
 uint32_t engine_pieces(const struct engine_model *model, uint64_t tokens);
 /* Applies an order. Returns false if fencing is checked and a higher fencing
  * number was seen. A NULL role or loaded leaves it unchanged. */
 bool engine_order(struct engine_model *model, const enum engine_role *role,
 		  const char *loaded, uint64_t fence);
-struct request_tally *engine_tally(struct engine_model *model,
-				   uint64_t request);
+struct request_stats *engine_request_stats(struct engine_model *model,
+					   uint64_t request);
 /* Converts an object's handle to its name and back. The kind is 'p' (prefill)
  * or 's' (stream). HANDLE_NONE if the name was not made by this engine. */
 void engine_name_write(const struct engine_model *model, char kind,
--- a/include/standin/engine_prefill.h
+++ b/include/standin/engine_prefill.h
@@ -33,8 +33,8 @@
 	uint32_t block_count;
 	uint32_t cached;   /* tokens */
 	uint32_t computed; /* tokens; all that are not cached while computing */
-	int64_t began_at;
-	int64_t takes_usec;
+	int64_t compute_started_at;
+	int64_t compute_usec;
 	struct timer hold_timer;
 	uint32_t fetches; /* number in progress */
 	bool fetched;
--- a/include/standin/engine_stream.h
+++ b/include/standin/engine_stream.h
@@ -26,12 +26,12 @@
 	void (*ended)(void *ctx, const char *reason, uint32_t tokens);
 	/* The engine disconnects the reader. text is the reason if the transfer
 	 * failed, else NULL. No more calls follow. */
-	void (*cut)(void *ctx, const char *text);
+	void (*disconnected)(void *ctx, const char *text);
 };
 
 /* Called if the stream is freed before stream_fetched(): the fetch from the
  * source is to be aborted. */
-typedef void (*stream_gone_fn)(void *ctx);
+typedef void (*fetch_abort_fn)(void *ctx);
 
 struct stream {
 	struct engine_model *model;
@@ -43,18 +43,18 @@
 	uint32_t length; /* offset of the end, once fetched */
 	uint32_t offset; /* of the next token to compute */
 	bool fetched;	 /* the source has sent the whole KV cache */
-	bool moved;	 /* the KV cache has passed our own link */
-	bool started;	 /* fetched and moved */
-	bool in_step;	 /* gets a token at the end of the current step */
+	bool link_done;	 /* the KV cache has passed our own link */
+	bool started;	 /* fetched and link_done */
+	bool in_batch;	 /* gets a token at the end of the current step */
 	bool done;	 /* all tokens are computed */
 	struct transfer transfer;
 	struct timer hold_timer;
-	stream_gone_fn gone;
-	void *gone_ctx;
+	fetch_abort_fn abort_fetch;
+	void *abort_ctx;
 	/* The reader. */
 	const struct stream_ops *ops; /* NULL: no reader */
 	void *ctx;
-	bool told_started;
+	bool start_sent;
 	uint32_t sent;	    /* offset of the next token to deliver */
 	uint32_t delivered; /* tokens sent to this reader */
 };
@@ -64,10 +64,11 @@
 void stream_teardown(struct engine_model *model);
 
 /* Reserves memory and starts the transfer on our own link. Returns NULL and
- * sets refusal if refused. gone may be called until stream_fetched(). */
+ * sets refusal if refused. abort_fetch may be called until stream_fetched(). */
 struct stream *stream_reserve(struct engine_model *model,
-			      const struct engine_job *job, stream_gone_fn gone,
-			      void *gone_ctx, enum engine_refusal *refusal);
+			      const struct engine_job *job,
+			      fetch_abort_fn abort_fetch, void *abort_ctx,
+			      enum engine_refusal *refusal);
 /* The source has sent the whole KV cache. */
 void stream_fetched(struct stream *stream, const struct engine_kv *kv);
 /* The source failed to send: disconnects the reader with the text and frees the
@@ -75,10 +76,10 @@
 void stream_fail(struct stream *stream, const char *text);
 
 struct stream *stream_find(struct engine_model *model, const char *name);
-/* Attaches a reader at an offset and disconnects the former one. first makes
- * the reader receive started() as well. Returns false if the offset is before
- * the stream's first token. May free the stream. */
-bool stream_attach(struct stream *stream, uint32_t offset, bool first,
+/* Attaches a reader at an offset and disconnects the former one. send_start
+ * makes the reader receive started() as well. Returns false if the offset is
+ * before the stream's first token. May free the stream. */
+bool stream_attach(struct stream *stream, uint32_t offset, bool send_start,
 		   const struct stream_ops *ops, void *ctx);
 /* The reader has closed its connection. Does nothing if it was disconnected
  * before. */
--- a/standin/engine_cache.c
+++ b/standin/engine_cache.c
@@ -10,9 +10,9 @@
 	int64_t lag_usec;
 	uint32_t gap_percent;
 	GRand *rand;
-	GHashTable *held; /* block hash, owned by its node -> node of order */
-	GQueue order;	  /* uint64_t *, least recently used first */
-	GQueue events;	  /* struct cache_event *, oldest first */
+	GHashTable *nodes; /* block hash, owned by its node -> node of lru */
+	GQueue lru;	   /* uint64_t *, least recently used first */
+	GQueue events;	   /* struct cache_event *, oldest first */
 	uint64_t next_number;
 };
 
@@ -27,8 +27,8 @@
 	cache->lag_usec = lag_usec;
 	cache->gap_percent = gap_percent;
 	cache->rand = g_rand_new_with_seed(seed);
-	cache->held = g_hash_table_new(g_int64_hash, g_int64_equal);
-	g_queue_init(&cache->order);
+	cache->nodes = g_hash_table_new(g_int64_hash, g_int64_equal);
+	g_queue_init(&cache->lru);
 	g_queue_init(&cache->events);
 	return cache;
 }
@@ -37,20 +37,20 @@
 {
 	if (!cache)
 		return;
-	g_hash_table_destroy(cache->held);
-	g_queue_clear_full(&cache->order, g_free);
+	g_hash_table_destroy(cache->nodes);
+	g_queue_clear_full(&cache->lru, g_free);
 	g_queue_clear_full(&cache->events, g_free);
 	g_rand_free(cache->rand);
 	g_free(cache);
 }
 
 static void event_add(struct engine_cache *cache, uint64_t block, bool stored,
-		      bool lose)
+		      bool drop_events)
 {
 	struct cache_event *event;
 	uint64_t number = cache->next_number++;
 
-	if (lose ||
+	if (drop_events ||
 	    g_rand_int_range(cache->rand, 0, 100) < (gint32)cache->gap_percent)
 		return;
 	event = g_new(struct cache_event, 1);
@@ -63,21 +63,21 @@
 
 static bool block_touch(struct engine_cache *cache, uint64_t block)
 {
-	GList *node = g_hash_table_lookup(cache->held, &block);
+	GList *node = g_hash_table_lookup(cache->nodes, &block);
 
 	if (!node)
 		return false;
-	g_queue_unlink(&cache->order, node);
-	g_queue_push_tail_link(&cache->order, node);
+	g_queue_unlink(&cache->lru, node);
+	g_queue_push_tail_link(&cache->lru, node);
 	return true;
 }
 
-static void block_evict(struct engine_cache *cache, bool lose)
+static void block_evict(struct engine_cache *cache, bool drop_events)
 {
-	uint64_t *block = g_queue_pop_head(&cache->order);
+	uint64_t *block = g_queue_pop_head(&cache->lru);
 
-	g_hash_table_remove(cache->held, block);
-	event_add(cache, *block, false, lose);
+	g_hash_table_remove(cache->nodes, block);
+	event_add(cache, *block, false, drop_events);
 	g_free(block);
 }
 
@@ -87,26 +87,26 @@
 	uint32_t found = 0;
 
 	while (found < count &&
-	       g_hash_table_contains(cache->held, &blocks[found]))
+	       g_hash_table_contains(cache->nodes, &blocks[found]))
 		found++;
 	return found;
 }
 
 void engine_cache_store(struct engine_cache *cache, const uint64_t *blocks,
-			uint32_t count, bool lose)
+			uint32_t count, bool drop_events)
 {
 	for (uint32_t i = MIN(count, cache->blocks); i > 0; i--) {
 		uint64_t *block;
 
 		if (block_touch(cache, blocks[i - 1]))
 			continue;
-		if (g_queue_get_length(&cache->order) == cache->blocks)
-			block_evict(cache, lose);
+		if (g_queue_get_length(&cache->lru) == cache->blocks)
+			block_evict(cache, drop_events);
 		block = g_memdup2(&blocks[i - 1], sizeof(*block));
-		g_queue_push_tail(&cache->order, block);
-		g_hash_table_insert(cache->held, block,
-				    g_queue_peek_tail_link(&cache->order));
-		event_add(cache, *block, true, lose);
+		g_queue_push_tail(&cache->lru, block);
+		g_hash_table_insert(cache->nodes, block,
+				    g_queue_peek_tail_link(&cache->lru));
+		event_add(cache, *block, true, drop_events);
 	}
 }
 
--- a/standin/engine_http.c
+++ b/standin/engine_http.c
@@ -16,7 +16,7 @@
 struct engine_http {
 	struct engine_model *model;
 	struct web_client *client;
-	engine_pool_fn pool;
+	engine_pool_fn on_pool;
 	void *pool_ctx;
 };
 
@@ -202,12 +202,12 @@
  * answer. */
 static void action_answer(struct engine_model *model,
 			  struct web_request *request, json_t *answer,
-			  bool may_be_late)
+			  bool may_delay)
 {
 	if (fault_take(&model->faults, ENGINE_LOSE_ANSWER)) {
 		json_decref(answer);
 		web_reply_abort(request);
-	} else if (may_be_late) {
+	} else if (may_delay) {
 		waiter_finish(waiter_create(model, request), answer);
 	} else {
 		reply_json(request, 200, answer);
@@ -327,8 +327,8 @@
 static void order_answer(const struct engine_http *http,
 			 struct web_request *request, const char *pool)
 {
-	if (pool && http->pool)
-		http->pool(http->pool_ctx, pool);
+	if (pool && http->on_pool)
+		http->on_pool(http->pool_ctx, pool);
 	action_answer(http->model, request, json_object(), false);
 }
 
@@ -409,7 +409,7 @@
 
 void engine_http_on_pool(struct engine_http *http, engine_pool_fn fn, void *ctx)
 {
-	http->pool = fn;
+	http->on_pool = fn;
 	http->pool_ctx = ctx;
 }
 
--- a/standin/engine_link.c
+++ b/standin/engine_link.c
@@ -9,38 +9,39 @@
 	struct clock *clock;
 	double bytes_per_usec;
 	GPtrArray *transfers; /* in progress, without the stalled ones */
-	int64_t settled_at;
+	int64_t updated_at;
 	struct timer timer;
 };
 
 /* Subtracts the bytes sent since the last update from each transfer. */
-static void link_settle(struct engine_link *link)
+static void link_update(struct engine_link *link)
 {
 	int64_t now = clock_now(link->clock);
-	double share = link->bytes_per_usec * (double)(now - link->settled_at);
+	double sent_bytes =
+		link->bytes_per_usec * (double)(now - link->updated_at);
 
-	link->settled_at = now;
+	link->updated_at = now;
 	for (guint i = 0; i < link->transfers->len; i++) {
 		struct transfer *t = link->transfers->pdata[i];
 
-		t->left -= share / link->transfers->len;
+		t->left -= sent_bytes / link->transfers->len;
 	}
 }
 
 static void link_arm(struct engine_link *link)
 {
-	double least = INFINITY;
+	double min_left = INFINITY;
 	double usec;
 
 	timer_stop(&link->timer);
 	for (guint i = 0; i < link->transfers->len; i++) {
 		struct transfer *t = link->transfers->pdata[i];
 
-		least = fmin(least, t->left);
+		min_left = fmin(min_left, t->left);
 	}
 	if (link->transfers->len == 0)
 		return;
-	usec = least * link->transfers->len / link->bytes_per_usec;
+	usec = min_left * link->transfers->len / link->bytes_per_usec;
 	timer_start(&link->timer, (int64_t)ceil(fmax(usec, 0)));
 }
 
@@ -61,7 +62,7 @@
 	struct engine_link *link = ctx;
 	struct transfer *t;
 
-	link_settle(link);
+	link_update(link);
 	while ((t = link_finished(link))) {
 		g_ptr_array_remove(link->transfers, t);
 		t->running = false;
@@ -77,7 +78,7 @@
 	link->clock = clock;
 	link->bytes_per_usec = bytes_per_s / USEC_PER_SEC;
 	link->transfers = g_ptr_array_new();
-	link->settled_at = clock_now(clock);
+	link->updated_at = clock_now(clock);
 	timer_init(&link->timer, clock, link_expired, link);
 	return link;
 }
@@ -97,7 +98,7 @@
 	*transfer = (struct transfer){bytes, stalled, true, fn, ctx};
 	if (stalled)
 		return;
-	link_settle(link);
+	link_update(link);
 	g_ptr_array_add(link->transfers, transfer);
 	link_arm(link);
 }
@@ -109,7 +110,7 @@
 	transfer->running = false;
 	if (transfer->stalled)
 		return;
-	link_settle(link);
+	link_update(link);
 	g_ptr_array_remove(link->transfers, transfer);
 	link_arm(link);
 }
--- a/standin/engine_model.c
+++ b/standin/engine_model.c
@@ -73,22 +73,22 @@
 {
 	struct engine_report *report = &model->report;
 	bool decode = model->role == ENGINE_DECODE;
-	uint32_t moving = stream_count_waiting(model);
+	uint32_t transferring = stream_count_waiting(model);
 
 	report->taken_at = clock_now(model->clock);
 	report->role = model->role;
 	report->leaving = engine_is_leaving(model);
 	report->pieces_used = model->pieces_used;
-	report->running = table_count(model->streams) - moving;
+	report->running = table_count(model->streams) - transferring;
 	report->running += model->computing != NULL;
-	report->waiting = moving + g_queue_get_length(&model->waiting);
+	report->waiting = transferring + g_queue_get_length(&model->waiting);
 	report->queue_tokens = prefill_queue_tokens(model);
 	report->tokens_per_s = decode ? stream_rate(model, model->batch)
 				      : model->params.prefill_tokens_per_s /
-						engine_slowness(model);
+						engine_slowdown(model);
 }
 
-static void report_due(struct timer *timer, void *ctx)
+static void report_timer_expired(struct timer *timer, void *ctx)
 {
 	struct engine_model *model = ctx;
 
@@ -117,7 +117,7 @@
 	model->ledger.fences = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	model->ledger.requests = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, NULL, g_free);
-	timer_init(&model->report_timer, clock, report_due, model);
+	timer_init(&model->report_timer, clock, report_timer_expired, model);
 	report_take(model);
 	if (params->report_lag_usec > 0)
 		timer_start(&model->report_timer, params->report_lag_usec);
@@ -138,8 +138,8 @@
 	g_free(model);
 }
 
-enum engine_refusal engine_refusal(struct engine_model *model,
-				   enum engine_role role)
+enum engine_refusal engine_admit(struct engine_model *model,
+				 enum engine_role role)
 {
 	if (engine_is_leaving(model))
 		return ENGINE_LEAVING;
@@ -174,7 +174,7 @@
 	       fault_value(&model->faults, ENGINE_FAULT_LEAVING);
 }
 
-double engine_slowness(const struct engine_model *model)
+double engine_slowdown(const struct engine_model *model)
 {
 	int64_t value = fault_value(&model->faults, ENGINE_SLOW);
 
@@ -205,17 +205,18 @@
 	return true;
 }
 
-struct request_tally *engine_tally(struct engine_model *model, uint64_t request)
+struct request_stats *engine_request_stats(struct engine_model *model,
+					   uint64_t request)
 {
 	GHashTable *requests = model->ledger.requests;
-	struct request_tally *tally = g_hash_table_lookup(requests, &request);
-
-	if (tally)
-		return tally;
-	tally = g_new0(struct request_tally, 1);
-	tally->request = request;
-	g_hash_table_insert(requests, &tally->request, tally);
-	return tally;
+	struct request_stats *stats = g_hash_table_lookup(requests, &request);
+
+	if (stats)
+		return stats;
+	stats = g_new0(struct request_stats, 1);
+	stats->request = request;
+	g_hash_table_insert(requests, &stats->request, stats);
+	return stats;
 }
 
 void engine_name_write(const struct engine_model *model, char kind,
--- a/standin/engine_prefill.c
+++ b/standin/engine_prefill.c
@@ -53,29 +53,29 @@
 	p->cached = MIN(found * ENGINE_BLOCK_TOKENS, p->job.prompt_tokens - 1);
 	p->computed = p->job.prompt_tokens - p->cached;
 	p->state = PREFILL_COMPUTING;
-	p->began_at = MAX(from, now - ENGINE_BEHIND_MAX);
-	usec = p->computed * engine_slowness(model) * USEC_PER_SEC /
+	p->compute_started_at = MAX(from, now - ENGINE_CATCHUP_MAX_USEC);
+	usec = p->computed * engine_slowdown(model) * USEC_PER_SEC /
 	       model->params.prefill_tokens_per_s;
-	p->takes_usec = (int64_t)ceil(usec);
+	p->compute_usec = (int64_t)ceil(usec);
 	model->pieces_used += engine_pieces(model, p->job.prompt_tokens);
 	model->ledger.prefills++;
-	engine_tally(model, p->job.request)->prefills++;
+	engine_request_stats(model, p->job.request)->prefills++;
 	timer_start(&model->compute_timer,
-		    MAX(p->began_at + p->takes_usec - now, 0));
+		    MAX(p->compute_started_at + p->compute_usec - now, 0));
 }
 
 /* Counts the computed tokens and stores the full blocks in the prefix cache. */
-static void compute_book(struct prefill *p, uint32_t computed)
+static void compute_account(struct prefill *p, uint32_t computed)
 {
 	struct engine_model *model = p->model;
 	uint32_t blocks = (p->cached + computed) / ENGINE_BLOCK_TOKENS;
-	bool lose = fault_take(&model->faults, ENGINE_EVENT_GAP) != 0;
+	bool drop_events = fault_take(&model->faults, ENGINE_EVENT_GAP) != 0;
 
 	p->computed = computed;
 	model->ledger.prefill_tokens += computed;
-	engine_tally(model, p->job.request)->prefill_tokens += computed;
+	engine_request_stats(model, p->job.request)->prefill_tokens += computed;
 	engine_cache_store(model->cache, p->blocks, MIN(blocks, p->block_count),
-			   lose);
+			   drop_events);
 }
 
 static void compute_done(struct timer *timer, void *ctx)
@@ -83,29 +83,29 @@
 	struct engine_model *model = ctx;
 	struct prefill *p = model->computing;
 
-	compute_book(p, p->computed);
+	compute_account(p, p->computed);
 	p->state = PREFILL_HELD;
 	timer_start(&p->hold_timer, model->params.hold_usec);
-	compute_next(model, p->began_at + p->takes_usec);
+	compute_next(model, p->compute_started_at + p->compute_usec);
 	p->fn(p->ctx, p);
 }
 
 static uint32_t computed_so_far(const struct prefill *p)
 {
-	int64_t spent = clock_now(p->model->clock) - p->began_at;
+	int64_t spent = clock_now(p->model->clock) - p->compute_started_at;
 
-	if (spent >= p->takes_usec)
+	if (spent >= p->compute_usec)
 		return p->computed;
-	return (uint32_t)((double)p->computed * spent / p->takes_usec);
+	return (uint32_t)((double)p->computed * spent / p->compute_usec);
 }
 
 /* Cancels the prompt being computed. The tokens computed so far are wasted. */
-static void compute_abandon(struct prefill *p)
+static void compute_cancel(struct prefill *p)
 {
 	struct engine_model *model = p->model;
 
 	timer_stop(&model->compute_timer);
-	compute_book(p, computed_so_far(p));
+	compute_account(p, computed_so_far(p));
 	model->computing = NULL;
 	result_remove(p);
 	compute_next(model, clock_now(model->clock));
@@ -146,7 +146,7 @@
 	struct prefill *p = NULL;
 	uint64_t handle;
 
-	*refusal = engine_refusal(model, ENGINE_PREFILL);
+	*refusal = engine_admit(model, ENGINE_PREFILL);
 	if (*refusal != ENGINE_ACCEPTED)
 		return NULL;
 	if (g_queue_get_length(&model->waiting) < model->params.queue)
@@ -177,9 +177,9 @@
 	if (!p)
 		return false;
 	if (!p->fetched)
-		engine_tally(model, p->job.request)->cancelled++;
+		engine_request_stats(model, p->job.request)->cancelled++;
 	if (p->state == PREFILL_COMPUTING) {
-		compute_abandon(p);
+		compute_cancel(p);
 	} else if (p->state == PREFILL_WAITING) {
 		g_queue_remove(&model->waiting, p);
 		prefill_free(p);
@@ -219,13 +219,14 @@
 	struct fetch *fetch = ctx;
 	struct engine_model *model = fetch->model;
 	struct prefill *p = table_get(model->prefills, fetch->prefill);
-	struct request_tally *tally = engine_tally(model, p->job.request);
+	struct request_stats *stats =
+		engine_request_stats(model, p->job.request);
 	struct engine_kv kv = p->kv;
 
-	if (!p->fetched && tally->useful_tokens > 0)
+	if (!p->fetched && stats->useful_tokens > 0)
 		model->ledger.wasted_tokens += p->computed;
 	else if (!p->fetched)
-		tally->useful_tokens = p->computed;
+		stats->useful_tokens = p->computed;
 	p->fetched = true;
 	if (--p->fetches == 0)
 		result_remove(p);
@@ -251,7 +252,7 @@
 	p->fetches++;
 	stalled = fault_take(&model->faults, ENGINE_STALL_TRANSFER) != 0;
 	engine_link_start(model->link, &fetch->transfer,
-			  p->kv.bytes * engine_slowness(model), stalled,
+			  p->kv.bytes * engine_slowdown(model), stalled,
 			  fetch_done, fetch);
 	return fetch;
 }
--- a/standin/engine_reader.c
+++ b/standin/engine_reader.c
@@ -9,10 +9,10 @@
 #include "web/client.h"
 
 #define NDJSON "application/x-ndjson"
-#define CONTROL_USEC (3600 * USEC_PER_SEC)
-#define CONTROL_ANSWER_MAX 4096
+#define KV_FETCH_TIMEOUT_USEC (3600 * USEC_PER_SEC)
+#define KV_ANSWER_MAX_BYTES 4096
 /* No tokens are sent to a reader with more unsent bytes than this. */
-#define QUEUED_MAX (256 * 1024)
+#define QUEUED_MAX_BYTES (256 * 1024)
 #define LINE_MAX_SIZE 48
 
 /* The HTTP request of a caller that reads a stream. */
@@ -22,7 +22,7 @@
 };
 
 /* The call to the engine that holds a stream's KV cache. */
-struct control {
+struct kv_fetch {
 	struct stream *stream;
 	struct web_call *call;
 };
@@ -55,7 +55,7 @@
 	char lines[64 * LINE_MAX_SIZE];
 	size_t used = 0;
 
-	if (web_reply_queued(reader->request) > QUEUED_MAX)
+	if (web_reply_queued(reader->request) > QUEUED_MAX_BYTES)
 		return false;
 	for (uint32_t k = from; k < to; k++) {
 		model_token(stream->prompt, k, text);
@@ -80,7 +80,7 @@
 	g_free(reader);
 }
 
-static void reader_cut(void *ctx, const char *text)
+static void reader_disconnect(void *ctx, const char *text)
 {
 	struct reader *reader = ctx;
 
@@ -97,7 +97,7 @@
 	.started = reader_started,
 	.tokens = reader_tokens,
 	.ended = reader_ended,
-	.cut = reader_cut,
+	.disconnected = reader_disconnect,
 };
 
 static void reader_gone(void *ctx)
@@ -120,13 +120,13 @@
 	return reader;
 }
 
-static void control_gone(void *ctx)
+static void kv_fetch_abort(void *ctx)
 {
-	struct control *control = ctx;
+	struct kv_fetch *fetch = ctx;
 
-	if (control->call)
-		web_call_cancel(control->call);
-	g_free(control);
+	if (fetch->call)
+		web_call_cancel(fetch->call);
+	g_free(fetch);
 }
 
 static bool kv_read(const void *body, size_t size, struct engine_kv *kv)
@@ -145,14 +145,14 @@
 	return ok;
 }
 
-static void control_answered(void *ctx, const struct web_result *result,
-			     int status, const void *body, size_t size)
+static void kv_fetch_done(void *ctx, const struct web_result *result,
+			  int status, const void *body, size_t size)
 {
-	struct control *control = ctx;
-	struct stream *stream = control->stream;
+	struct kv_fetch *fetch = ctx;
+	struct stream *stream = fetch->stream;
 	struct engine_kv kv = {0};
 
-	g_free(control);
+	g_free(fetch);
 	if (!result->ok)
 		stream_fail(stream, "the source does not answer");
 	else if (status != 200 || !kv_read(body, size, &kv))
@@ -161,19 +161,19 @@
 		stream_fetched(stream, &kv);
 }
 
-static void control_call(struct control *control, struct web_client *client,
-			 const char *source, const char *name)
+static void kv_fetch_start(struct kv_fetch *fetch, struct web_client *client,
+			   const char *source, const char *name)
 {
 	char *path = g_strconcat("/handles/", name, NULL);
 	struct web_call_spec spec = {
 		.address = source,
 		.method = "GET",
 		.path = path,
-		.head_usec = CONTROL_USEC,
+		.head_usec = KV_FETCH_TIMEOUT_USEC,
 	};
 
-	control->call = web_fetch(client, &spec, CONTROL_ANSWER_MAX,
-				  control_answered, control);
+	fetch->call = web_fetch(client, &spec, KV_ANSWER_MAX_BYTES,
+				kv_fetch_done, fetch);
 	g_free(path);
 }
 
@@ -181,19 +181,19 @@
 		   const struct engine_job *job, const char *source,
 		   const char *name, struct web_request *request)
 {
-	struct control *control = g_new0(struct control, 1);
+	struct kv_fetch *fetch = g_new0(struct kv_fetch, 1);
 	enum engine_refusal refusal;
 	struct stream *stream;
 	struct reader *reader;
 
-	stream = stream_reserve(model, job, control_gone, control, &refusal);
+	stream = stream_reserve(model, job, kv_fetch_abort, fetch, &refusal);
 	if (!stream) {
-		g_free(control);
+		g_free(fetch);
 		reply_refused(request, engine_refusal_name(refusal));
 		return;
 	}
-	control->stream = stream;
-	control_call(control, client, source, name);
+	fetch->stream = stream;
+	kv_fetch_start(fetch, client, source, name);
 	reader = reader_create(stream, request);
 	reader_line(reader, "{\"stream\": \"%s\"}\n", stream->name);
 	stream_attach(stream, job->output_from, true, &reader_ops, reader);
--- a/standin/engine_report.c
+++ b/standin/engine_report.c
@@ -81,21 +81,21 @@
 
 	g_hash_table_iter_init(&iter, ledger->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct request_tally *tally = value;
+		const struct request_stats *stats = value;
 
 		g_snprintf(key, sizeof(key), "%016" G_GINT64_MODIFIER "x",
-			   tally->request);
+			   stats->request);
 		json_object_set_new(
 			object, key,
 			json_pack("{s:I, s:I, s:I, s:I, s:I, s:I}", "prefills",
-				  (json_int_t)tally->prefills, "decodes",
-				  (json_int_t)tally->decodes, "finished",
-				  (json_int_t)tally->finished, "cancelled",
-				  (json_int_t)tally->cancelled,
+				  (json_int_t)stats->prefills, "decodes",
+				  (json_int_t)stats->decodes, "finished",
+				  (json_int_t)stats->finished, "cancelled",
+				  (json_int_t)stats->cancelled,
 				  "prefill_tokens",
-				  (json_int_t)tally->prefill_tokens,
+				  (json_int_t)stats->prefill_tokens,
 				  "useful_tokens",
-				  (json_int_t)tally->useful_tokens));
+				  (json_int_t)stats->useful_tokens));
 	}
 	return object;
 }
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -12,17 +12,17 @@
 	double others = batch > 1 ? batch - 1 : 0;
 	double alone = model->params.decode_tokens_per_s;
 
-	return alone / ((1 + BATCH_SLOWDOWN * others) * engine_slowness(model));
+	return alone / ((1 + BATCH_SLOWDOWN * others) * engine_slowdown(model));
 }
 
 /* Clears ops before the callback, which may attach a new reader. */
-static void reader_cut(struct stream *s, const char *text)
+static void reader_disconnect(struct stream *s, const char *text)
 {
 	const struct stream_ops *ops = s->ops;
 
 	s->ops = NULL;
 	if (ops)
-		ops->cut(s->ctx, text);
+		ops->disconnected(s->ctx, text);
 }
 
 static void stream_free(struct stream *s, const char *text)
@@ -31,9 +31,9 @@
 
 	timer_stop(&s->hold_timer);
 	engine_link_stop(model->link, &s->transfer);
-	reader_cut(s, text);
+	reader_disconnect(s, text);
 	if (!s->fetched)
-		s->gone(s->gone_ctx);
+		s->abort_fetch(s->abort_ctx);
 	model->pieces_used -= s->pieces;
 	table_remove(model->streams, s->handle);
 }
@@ -43,7 +43,7 @@
 	stream_free(ctx, NULL);
 }
 
-static void reader_left(struct stream *s)
+static void reader_clear(struct stream *s)
 {
 	int64_t resume_usec = s->model->params.resume_usec;
 
@@ -54,7 +54,7 @@
 
 /* Disconnects the reader, or frees the stream, once a fault's number of tokens
  * is delivered. Returns true if the stream was freed. */
-static bool reader_fault(struct stream *s, enum engine_fault fault)
+static bool reader_fault_apply(struct stream *s, enum engine_fault fault)
 {
 	struct fault_set *faults = &s->model->faults;
 	int64_t after = fault_value(faults, fault);
@@ -66,13 +66,13 @@
 		stream_free(s, NULL);
 		return true;
 	}
-	reader_cut(s, NULL);
-	reader_left(s);
+	reader_disconnect(s, NULL);
+	reader_clear(s);
 	return false;
 }
 
 /* Number of tokens that may be delivered before a fault takes effect. */
-static uint32_t reader_room(const struct stream *s)
+static uint32_t tokens_until_fault(const struct stream *s)
 {
 	static const enum engine_fault limits[] = {ENGINE_DROP_STREAM,
 						   ENGINE_LOSE_STREAM};
@@ -89,7 +89,7 @@
 
 /* End of the output. The tokens of an earlier attempt are part of the prompt
  * and don't count towards output_max. */
-static uint64_t stream_limit(const struct stream *s)
+static uint64_t stream_end_offset(const struct stream *s)
 {
 	return (uint64_t)s->job.output_from + s->job.output_max;
 }
@@ -101,22 +101,23 @@
 
 	if (!s->ops || !s->started)
 		return;
-	if (!s->told_started) {
-		s->told_started = true;
+	if (!s->start_sent) {
+		s->start_sent = true;
 		s->ops->started(s->ctx);
 	}
 	count = s->offset > s->sent ? s->offset - s->sent : 0;
-	count = MIN(count, reader_room(s));
+	count = MIN(count, tokens_until_fault(s));
 	if (count > 0 && !s->ops->tokens(s->ctx, s, s->sent, s->sent + count))
 		return;
 	s->sent += count;
 	s->delivered += count;
-	if (reader_fault(s, ENGINE_LOSE_STREAM))
+	if (reader_fault_apply(s, ENGINE_LOSE_STREAM))
 		return;
-	reader_fault(s, ENGINE_DROP_STREAM);
+	reader_fault_apply(s, ENGINE_DROP_STREAM);
 	if (!s->ops || !s->done || s->sent < s->offset)
 		return;
-	s->ops->ended(s->ctx, s->length < stream_limit(s) ? "stop" : "length",
+	s->ops->ended(s->ctx,
+		      s->length < stream_end_offset(s) ? "stop" : "length",
 		      s->length);
 	s->ops = NULL;
 	stream_free(s, NULL);
@@ -136,14 +137,14 @@
 		return;
 	model->batch = 0;
 	while ((s = table_next(model->streams, &cursor, &handle))) {
-		s->in_step = s->started && !s->done;
-		model->batch += s->in_step;
+		s->in_batch = s->started && !s->done;
+		model->batch += s->in_batch;
 		unread |= s->started && s->ops && s->sent < s->offset;
 	}
 	if (model->batch == 0 && !unread)
 		return;
 	model->step_due =
-		MAX(from, now - ENGINE_BEHIND_MAX) +
+		MAX(from, now - ENGINE_CATCHUP_MAX_USEC) +
 		(int64_t)ceil(USEC_PER_SEC / stream_rate(model, model->batch));
 	timer_start(&model->step_timer, MAX(model->step_due - now, 0));
 }
@@ -151,7 +152,7 @@
 static void stream_finish(struct stream *s)
 {
 	s->done = true;
-	engine_tally(s->model, s->job.request)->finished++;
+	engine_request_stats(s->model, s->job.request)->finished++;
 }
 
 /* Ends a step: each stream of the batch gets one token. */
@@ -162,18 +163,18 @@
 	struct stream *s;
 
 	while ((s = table_next(model->streams, &cursor, &handle))) {
-		if (s->in_step) {
+		if (s->in_batch) {
 			s->offset++;
 			model->ledger.tokens++;
 		}
-		if (s->in_step && s->offset >= s->length)
+		if (s->in_batch && s->offset >= s->length)
 			stream_finish(s);
 		stream_deliver(s);
 	}
 }
 
 /* Runs several steps if the event loop ran late. */
-static void step_due(struct timer *timer, void *ctx)
+static void step_timer_expired(struct timer *timer, void *ctx)
 {
 	struct engine_model *model = ctx;
 	int64_t now = clock_now(model->clock);
@@ -189,7 +190,7 @@
 {
 	struct engine_model *model = s->model;
 
-	if (!s->fetched || !s->moved)
+	if (!s->fetched || !s->link_done)
 		return;
 	s->started = true;
 	if (s->offset >= s->length)
@@ -198,11 +199,11 @@
 	step_start(model, clock_now(model->clock));
 }
 
-static void stream_moved(void *ctx)
+static void stream_link_done(void *ctx)
 {
 	struct stream *s = ctx;
 
-	s->moved = true;
+	s->link_done = true;
 	stream_begin(s);
 }
 
@@ -213,27 +214,28 @@
 	bool stalled = fault_take(&model->faults, ENGINE_STALL_TRANSFER) != 0;
 
 	engine_link_start(model->link, &s->transfer,
-			  bytes * engine_slowness(model), stalled, stream_moved,
-			  s);
+			  bytes * engine_slowdown(model), stalled,
+			  stream_link_done, s);
 }
 
 void stream_setup(struct engine_model *model)
 {
 	model->streams =
 		table_create(sizeof(struct stream), ENGINE_OBJECTS_MAX);
-	timer_init(&model->step_timer, model->clock, step_due, model);
+	timer_init(&model->step_timer, model->clock, step_timer_expired, model);
 }
 
 struct stream *stream_reserve(struct engine_model *model,
-			      const struct engine_job *job, stream_gone_fn gone,
-			      void *gone_ctx, enum engine_refusal *refusal)
+			      const struct engine_job *job,
+			      fetch_abort_fn abort_fetch, void *abort_ctx,
+			      enum engine_refusal *refusal)
 {
 	uint64_t tokens = (uint64_t)job->prompt_tokens + job->output_max;
 	uint32_t pieces = engine_pieces(model, tokens);
 	struct stream *s = NULL;
 	uint64_t handle;
 
-	*refusal = engine_refusal(model, ENGINE_DECODE);
+	*refusal = engine_admit(model, ENGINE_DECODE);
 	if (*refusal != ENGINE_ACCEPTED)
 		return NULL;
 	if ((uint64_t)model->pieces_used + pieces <= model->params.pieces &&
@@ -249,11 +251,11 @@
 	s->job = *job;
 	s->pieces = pieces;
 	s->offset = job->output_from;
-	s->gone = gone;
-	s->gone_ctx = gone_ctx;
+	s->abort_fetch = abort_fetch;
+	s->abort_ctx = abort_ctx;
 	model->pieces_used += pieces;
 	model->ledger.decodes++;
-	engine_tally(model, job->request)->decodes++;
+	engine_request_stats(model, job->request)->decodes++;
 	timer_init(&s->hold_timer, model->clock, stream_expired, s);
 	transfer_begin(s);
 	return s;
@@ -263,7 +265,7 @@
 {
 	s->fetched = true;
 	s->prompt = kv->prompt;
-	s->length = (uint32_t)MIN(kv->length, stream_limit(s));
+	s->length = (uint32_t)MIN(kv->length, stream_end_offset(s));
 	stream_begin(s);
 }
 
@@ -280,7 +282,7 @@
 	return table_get(model->streams, handle);
 }
 
-bool stream_attach(struct stream *s, uint32_t offset, bool first,
+bool stream_attach(struct stream *s, uint32_t offset, bool send_start,
 		   const struct stream_ops *ops, void *ctx)
 {
 	struct engine_model *model = s->model;
@@ -288,10 +290,10 @@
 	if (offset < s->job.output_from)
 		return false;
 	timer_stop(&s->hold_timer);
-	reader_cut(s, NULL);
+	reader_disconnect(s, NULL);
 	s->ops = ops;
 	s->ctx = ctx;
-	s->told_started = !first;
+	s->start_sent = !send_start;
 	s->sent = offset;
 	s->delivered = 0;
 	stream_deliver(s);
@@ -302,7 +304,7 @@
 void stream_detach(struct stream *s)
 {
 	if (s->ops)
-		reader_left(s);
+		reader_clear(s);
 }
 
 uint32_t stream_cancel(struct stream *s)
@@ -310,7 +312,7 @@
 	uint32_t pieces = s->pieces;
 
 	if (!s->done)
-		engine_tally(s->model, s->job.request)->cancelled++;
+		engine_request_stats(s->model, s->job.request)->cancelled++;
 	stream_free(s, NULL);
 	return pieces;
 }
--- a/standin/jtengine.c
+++ b/standin/jtengine.c
@@ -6,17 +6,17 @@
 #include "standin/engine_model.h"
 #include "standin/engine_settings.h"
 
-static void engine_told_to_leave(void *ctx)
+static void jtengine_leave(void *ctx)
 {
 	engine_leave(ctx);
 }
 
-static bool engine_finished(void *ctx)
+static bool jtengine_idle(void *ctx)
 {
 	return engine_idle(ctx);
 }
 
-static void engine_moved(void *ctx, const char *pool)
+static void jtengine_pool_changed(void *ctx, const char *pool)
 {
 	const struct standin_backend *backend = ctx;
 
@@ -25,8 +25,8 @@
 }
 
 static const struct backend_ops backend_ops = {
-	.leave = engine_told_to_leave,
-	.idle = engine_finished,
+	.leave = jtengine_leave,
+	.idle = jtengine_idle,
 };
 
 int main(int argc, char **argv)
@@ -41,7 +41,7 @@
 		return EXIT_FAILURE;
 	model = engine_create(backend.clock, &settings.params);
 	http = engine_http_create(model, backend.server, backend.client);
-	engine_http_on_pool(http, engine_moved, &backend);
+	engine_http_on_pool(http, jtengine_pool_changed, &backend);
 	backend_run(&backend, &settings.spec, &backend_ops, model);
 	backend_close_server(&backend);
 	engine_destroy(model);
--- a/tests/standin/test_engine_faults.c
+++ b/tests/standin/test_engine_faults.c
@@ -39,10 +39,10 @@
 	struct fetch *fetch;
 	uint64_t stream;
 	bool resumed;
-	bool gone; /* the caller has stopped */
+	bool caller_done; /* the caller has stopped */
 	/* The outcome. */
 	const char *refused;
-	uint32_t told;
+	uint32_t received;
 	bool ended;
 };
 
@@ -53,7 +53,7 @@
 	return table_get(w->d->streams, w->stream);
 }
 
-static void fetched(void *ctx, const struct engine_kv *kv)
+static void kv_fetched(void *ctx, const struct engine_kv *kv)
 {
 	struct world *w = ctx;
 
@@ -61,7 +61,7 @@
 	stream_fetched(stream_now(w), kv);
 }
 
-static void stream_went(void *ctx)
+static void fetch_abort(void *ctx)
 {
 	struct world *w = ctx;
 
@@ -70,10 +70,10 @@
 	w->fetch = NULL;
 }
 
-static void refuse(struct world *w, enum engine_refusal refusal)
+static void record_refusal(struct world *w, enum engine_refusal refusal)
 {
 	w->refused = engine_refusal_name(refusal);
-	w->gone = true;
+	w->caller_done = true;
 }
 
 static const struct engine_job job = {
@@ -82,29 +82,29 @@
 	.output_max = OUTPUT,
 };
 
-static void ask_prefill(struct world *w, const struct engine_job *asked,
-			prefill_fn fn)
+static void prefill_request(struct world *w, const struct engine_job *spec,
+			    prefill_fn fn)
 {
 	const struct engine_kv kv = {.length = UINT32_MAX};
 	enum engine_refusal refusal;
 
-	w->prefill = prefill_start(w->p, asked, &kv, NULL, 0, fn, w, &refusal);
+	w->prefill = prefill_start(w->p, spec, &kv, NULL, 0, fn, w, &refusal);
 	if (!w->prefill)
-		refuse(w, refusal);
+		record_refusal(w, refusal);
 }
 
-static void ask_decode(struct world *w)
+static void decode_request(struct world *w)
 {
 	enum engine_refusal refusal;
-	struct stream *s = stream_reserve(w->d, &job, stream_went, w, &refusal);
+	struct stream *s = stream_reserve(w->d, &job, fetch_abort, w, &refusal);
 
 	if (!s) {
-		refuse(w, refusal);
+		record_refusal(w, refusal);
 		prefill_cancel(w->p, w->result);
 		return;
 	}
 	w->stream = s->handle;
-	w->fetch = fetch_start(w->p, w->name, fetched, w);
+	w->fetch = fetch_start(w->p, w->name, kv_fetched, w);
 	stream_attach(s, 0, true, &ops, w);
 	if (!w->fetch)
 		stream_fail(s, "gone");
@@ -133,8 +133,8 @@
 {
 	struct world *w = ctx;
 
-	g_assert_cmpuint(from, ==, w->told);
-	w->told = to;
+	g_assert_cmpuint(from, ==, w->received);
+	w->received = to;
 	return true;
 }
 
@@ -147,11 +147,11 @@
 	w->ended = true;
 }
 
-static void cut(void *ctx, const char *text)
+static void disconnected(void *ctx, const char *text)
 {
 }
 
-static const struct stream_ops ops = {started, tokens, ended, cut};
+static const struct stream_ops ops = {started, tokens, ended, disconnected};
 
 /* Events of the table below. */
 static void event_none(struct world *w)
@@ -162,7 +162,7 @@
 {
 	struct stream *s = stream_now(w);
 
-	w->gone = true;
+	w->caller_done = true;
 	if (w->prefill)
 		prefill_cancel(w->p, w->prefill->handle);
 	if (s)
@@ -172,7 +172,7 @@
 /* Cancels the work in any state, twice: a repeated cancel is harmless. */
 static void event_cancel(struct world *w)
 {
-	w->gone = true;
+	w->caller_done = true;
 	for (int i = 0; i < 2; i++) {
 		struct stream *s = stream_now(w);
 
@@ -238,13 +238,13 @@
 /* The prefill engine fails: its results can't be fetched any more. */
 static void event_source_dies(struct world *w)
 {
-	bool moving = w->fetch != NULL;
+	bool transferring = w->fetch != NULL;
 
-	if (!moving && w->stream)
+	if (!transferring && w->stream)
 		return;
-	w->gone = true;
-	stream_went(w);
-	if (moving)
+	w->caller_done = true;
+	fetch_abort(w);
+	if (transferring)
 		stream_fail(stream_now(w), "source");
 	prefill_cancel(w->p, w->prefill ? w->prefill->handle : w->result);
 }
@@ -332,11 +332,11 @@
 	const struct engine_job other = {.request = 2, .prompt_tokens = 1000};
 	struct stream *s;
 
-	ask_prefill(w, &other, other_computed);
-	ask_prefill(w, &job, computed);
+	prefill_request(w, &other, other_computed);
+	prefill_request(w, &job, computed);
 	clock_advance(w->clock, MIN(step_at[step], MS(200)));
 	if (step > STEP_HELD)
-		ask_decode(w);
+		decode_request(w);
 	clock_advance(w->clock, MIN(step_at[step], MS(350)));
 	s = stream_now(w);
 	if (step == STEP_UNREAD)
@@ -351,47 +351,47 @@
 
 	for (int64_t t = clock_now(w->clock); t <= until; t += MS(10)) {
 		clock_advance(w->clock, t);
-		if (w->gone)
+		if (w->caller_done)
 			continue;
 		if (w->result && !w->stream)
-			ask_decode(w);
+			decode_request(w);
 		s = stream_now(w);
 		if (s && !s->ops && !w->resumed) {
 			w->resumed = true;
-			stream_attach(s, w->told, false, &ops, w);
+			stream_attach(s, w->received, false, &ops, w);
 		}
 	}
 }
 
 /* Runs the caller to its end, until whatever remains has expired. */
-static void rest_run(struct world *w)
+static void caller_finish(struct world *w)
 {
 	caller_run(w, clock_now(w->clock) + MS(5000));
 }
 
-static void row_test(size_t row, enum step step)
+static void cell_run(size_t row, enum step step)
 {
 	struct world w = {.clock = clock_create(0)};
 	uint32_t held = 0;
-	struct request_tally *tally;
+	struct request_stats *stats;
 	char *outcome;
 
 	w.p = engine_new(w.clock, ENGINE_PREFILL);
 	w.d = engine_new(w.clock, ENGINE_DECODE);
 	step_reach(&w, step);
 	rows[row].run(&w);
-	rest_run(&w);
-	tally = engine_tally(w.d, 1);
+	caller_finish(&w);
+	stats = engine_request_stats(w.d, 1);
 	held = w.d->pieces_used;
 	/* The other prompt's 1,000 tokens are always wasted. */
 	outcome = g_strdup_printf(
 		"%u/%u/%u/%u%s%s",
-		(unsigned int)w.p->ledger.wasted_tokens - 1000, w.told,
-		tally->finished, held, w.refused ? " " : "",
+		(unsigned int)w.p->ledger.wasted_tokens - 1000, w.received,
+		stats->finished, held, w.refused ? " " : "",
 		w.refused ? w.refused : "");
 	g_test_message("%s at %s", rows[row].name, step_names[step]);
 	g_assert_cmpstr(outcome, ==, rows[row].expected[step]);
-	g_assert_cmpint(w.ended, ==, w.told == OUTPUT);
+	g_assert_cmpint(w.ended, ==, w.received == OUTPUT);
 	g_free(outcome);
 	engine_destroy(w.d);
 	engine_destroy(w.p);
@@ -402,12 +402,12 @@
 {
 	size_t cell = GPOINTER_TO_SIZE(data);
 
-	row_test(cell / STEPS, (enum step)(cell % STEPS));
+	cell_run(cell / STEPS, (enum step)(cell % STEPS));
 }
 
 /* After any events, once all is cancelled: no memory is held, and each computed
  * token is either useful or wasted. */
-static void promises_check(struct world *w)
+static void invariants_check(struct world *w)
 {
 	const struct engine_ledger *l = &w->p->ledger;
 	uint64_t useful = 0;
@@ -418,11 +418,11 @@
 	g_assert_cmpuint(table_count(w->p->prefills), ==, 0);
 	g_assert_cmpuint(table_count(w->d->streams), ==, 0);
 	for (uint64_t request = 1; request <= 2; request++)
-		useful += engine_tally(w->p, request)->useful_tokens;
+		useful += engine_request_stats(w->p, request)->useful_tokens;
 	g_assert_cmpuint(l->prefill_tokens, ==, useful + l->wasted_tokens);
-	g_assert_cmpuint(w->told, <=, OUTPUT);
-	g_assert_cmpint(w->ended, ==, w->told == OUTPUT);
-	g_assert_cmpuint(engine_tally(w->d, 1)->finished, <=, 1);
+	g_assert_cmpuint(w->received, <=, OUTPUT);
+	g_assert_cmpint(w->ended, ==, w->received == OUTPUT);
+	g_assert_cmpuint(engine_request_stats(w->d, 1)->finished, <=, 1);
 }
 
 static void pair_test(size_t first, enum step at, size_t second, enum step then)
@@ -435,11 +435,11 @@
 	rows[first].run(&w);
 	caller_run(&w, step_at[then]);
 	rows[second].run(&w);
-	rest_run(&w);
+	caller_finish(&w);
 	event_cancel(&w);
 	/* On a slow engine the other prompt may be queued for longer. */
 	clock_advance(w.clock, clock_now(w.clock) + MS(5000));
-	promises_check(&w);
+	invariants_check(&w);
 	engine_destroy(w.d);
 	engine_destroy(w.p);
 	clock_destroy(w.clock);
--- a/tests/standin/test_engine_sessions.c
+++ b/tests/standin/test_engine_sessions.c
@@ -53,7 +53,7 @@
 }
 
 /* Returns the value of "key=value" in the command, or NULL. */
-static const char *word(const struct world *w, const char *key)
+static const char *param(const struct world *w, const char *key)
 {
 	size_t size = strlen(key);
 
@@ -63,16 +63,18 @@
 	return NULL;
 }
 
-static double number(const struct world *w, const char *key, double fallback)
+static double param_number(const struct world *w, const char *key,
+			   double fallback)
 {
-	const char *text = word(w, key);
+	const char *text = param(w, key);
 
 	return text ? g_ascii_strtod(text, NULL) : fallback;
 }
 
-static int64_t millis(const struct world *w, const char *key, double fallback)
+static int64_t param_usec(const struct world *w, const char *key,
+			  double fallback)
 {
-	return (int64_t)(number(w, key, fallback) * USEC_PER_MSEC);
+	return (int64_t)(param_number(w, key, fallback) * USEC_PER_MSEC);
 }
 
 static struct engine_model *engine_of(struct world *w, const char *name)
@@ -160,7 +162,7 @@
 	print(item->world, "%s end %s %u", item->name, reason, count);
 }
 
-static void cut(void *ctx, const char *text)
+static void disconnected(void *ctx, const char *text)
 {
 	struct item *item = ctx;
 
@@ -168,9 +170,9 @@
 	print(item->world, "%s cut %s", item->name, text ? text : "");
 }
 
-static const struct stream_ops ops = {started, tokens, ended, cut};
+static const struct stream_ops ops = {started, tokens, ended, disconnected};
 
-static void gone(void *ctx)
+static void fetch_abort(void *ctx)
 {
 	struct item *item = ctx;
 
@@ -179,7 +181,7 @@
 	item->fetch = NULL;
 }
 
-static void fetched(void *ctx, const struct engine_kv *kv)
+static void kv_fetched(void *ctx, const struct engine_kv *kv)
 {
 	struct item *item = ctx;
 
@@ -190,26 +192,26 @@
 static void run_engine(struct world *w)
 {
 	struct engine_params params = {
-		.pieces = (uint32_t)number(w, "pieces", 10),
-		.piece_tokens = (uint32_t)number(w, "piece_tokens", 1000),
-		.slots = (uint32_t)number(w, "slots", 4),
-		.queue = (uint32_t)number(w, "queue", 8),
-		.prefill_tokens_per_s = number(w, "prefill_rate", 10000),
-		.decode_tokens_per_s = number(w, "decode_rate", 50),
+		.pieces = (uint32_t)param_number(w, "pieces", 10),
+		.piece_tokens = (uint32_t)param_number(w, "piece_tokens", 1000),
+		.slots = (uint32_t)param_number(w, "slots", 4),
+		.queue = (uint32_t)param_number(w, "queue", 8),
+		.prefill_tokens_per_s = param_number(w, "prefill_rate", 10000),
+		.decode_tokens_per_s = param_number(w, "decode_rate", 50),
 		.kv_bytes_per_token = 1000,
-		.link_bytes_per_s = number(w, "link", 10e6),
-		.hold_usec = millis(w, "hold", 800),
-		.resume_usec = millis(w, "resume", 5000),
-		.report_lag_usec = millis(w, "report_lag", 300),
-		.event_lag_usec = millis(w, "event_lag", 100),
-		.event_gap_percent = (uint32_t)number(w, "gap", 0),
-		.checks_fencing = number(w, "fencing", 0) != 0,
-		.cache_blocks = (uint32_t)number(w, "cache", 0),
-		.time_scale = number(w, "scale", 1),
+		.link_bytes_per_s = param_number(w, "link", 10e6),
+		.hold_usec = param_usec(w, "hold", 800),
+		.resume_usec = param_usec(w, "resume", 5000),
+		.report_lag_usec = param_usec(w, "report_lag", 300),
+		.event_lag_usec = param_usec(w, "event_lag", 100),
+		.event_gap_percent = (uint32_t)param_number(w, "gap", 0),
+		.checks_fencing = param_number(w, "fencing", 0) != 0,
+		.cache_blocks = (uint32_t)param_number(w, "cache", 0),
+		.time_scale = param_number(w, "scale", 1),
 		.seed = 7,
 	};
 
-	g_assert_true(engine_role_parse(word(w, "role"), &params.role));
+	g_assert_true(engine_role_parse(param(w, "role"), &params.role));
 	engine_params_scale(&params);
 	g_hash_table_replace(w->engines, g_strdup(w->words[1]),
 			     engine_create(w->clock, &params));
@@ -218,12 +220,12 @@
 static struct engine_job job_read(const struct world *w)
 {
 	return (struct engine_job){
-		.request = (uint64_t)number(w, "request", 1),
+		.request = (uint64_t)param_number(w, "request", 1),
 		.owner = {2, 3},
-		.priority = (uint32_t)number(w, "priority", 0),
-		.prompt_tokens = (uint32_t)number(w, "prompt", 1000),
-		.output_max = (uint32_t)number(w, "max", 10),
-		.output_from = (uint32_t)number(w, "from", 0),
+		.priority = (uint32_t)param_number(w, "priority", 0),
+		.prompt_tokens = (uint32_t)param_number(w, "prompt", 1000),
+		.output_max = (uint32_t)param_number(w, "max", 10),
+		.output_from = (uint32_t)param_number(w, "from", 0),
 	};
 }
 
@@ -231,10 +233,11 @@
 static void run_prefill(struct world *w)
 {
 	struct item *item = item_add(w, w->words[1], engine_of(w, w->words[2]));
-	const char *range = word(w, "blocks");
+	const char *range = param(w, "blocks");
 	struct engine_job job = job_read(w);
-	struct engine_kv kv = {.prompt = 5,
-			       .length = (uint32_t)number(w, "length", 1e9)};
+	struct engine_kv kv = {
+		.prompt = 5,
+		.length = (uint32_t)param_number(w, "length", 1e9)};
 	uint64_t blocks[64];
 	uint32_t count = 0;
 	enum engine_refusal refusal;
@@ -266,11 +269,11 @@
 static void run_decode(struct world *w)
 {
 	struct item *item = item_add(w, w->words[1], engine_of(w, w->words[2]));
-	struct item *source = item_of(w, word(w, "source"));
+	struct item *source = item_of(w, param(w, "source"));
 	struct engine_job job = job_read(w);
 	enum engine_refusal refusal;
 	struct stream *s =
-		stream_reserve(item->model, &job, gone, item, &refusal);
+		stream_reserve(item->model, &job, fetch_abort, item, &refusal);
 
 	if (!s) {
 		print(w, "%s refused %s", item->name,
@@ -280,7 +283,8 @@
 	item->handle = s->handle;
 	item->from = job.output_from;
 	item->to = job.output_from;
-	item->fetch = fetch_start(source->model, source->result, fetched, item);
+	item->fetch =
+		fetch_start(source->model, source->result, kv_fetched, item);
 	stream_attach(s, job.output_from, true, &ops, item);
 	if (!item->fetch)
 		stream_fail(s, "no such result");
@@ -344,14 +348,15 @@
 static void run_order(struct world *w)
 {
 	struct engine_model *model = engine_of(w, w->words[1]);
-	const char *text = word(w, "role");
+	const char *text = param(w, "role");
 	enum engine_role role = text && g_str_equal(text, "decode")
 					? ENGINE_DECODE
 					: ENGINE_PREFILL;
-	bool obeyed = engine_order(model, text ? &role : NULL, word(w, "model"),
-				   (uint64_t)atoi(w->words[2]));
+	bool accepted =
+		engine_order(model, text ? &role : NULL, param(w, "model"),
+			     (uint64_t)atoi(w->words[2]));
 
-	print(w, "%s %s", w->words[1], obeyed ? "obeyed" : "fenced off");
+	print(w, "%s %s", w->words[1], accepted ? "obeyed" : "fenced off");
 }
 
 static void run_leave(struct world *w)
@@ -359,7 +364,7 @@
 	engine_leave(engine_of(w, w->words[1]));
 }
 
-static void told_flush(struct world *w)
+static void tokens_flush_all(struct world *w)
 {
 	GList *items = g_list_sort(g_hash_table_get_keys(w->items),
 				   (GCompareFunc)strcmp);
@@ -369,7 +374,7 @@
 	g_list_free(items);
 }
 
-static int64_t target(const struct world *w)
+static int64_t target_time(const struct world *w)
 {
 	double ms = g_ascii_strtod(w->words[1], NULL);
 
@@ -379,14 +384,14 @@
 /* advance MS, jump MS (the event loop does not run in between) */
 static void run_advance(struct world *w)
 {
-	clock_advance(w->clock, target(w));
-	told_flush(w);
+	clock_advance(w->clock, target_time(w));
+	tokens_flush_all(w);
 }
 
 static void run_jump(struct world *w)
 {
-	clock_jump(w->clock, target(w));
-	told_flush(w);
+	clock_jump(w->clock, target_time(w));
+	tokens_flush_all(w);
 }
 
 /* load ENGINE, ledger ENGINE, events ENGINE FROM */
@@ -409,7 +414,7 @@
 {
 	struct engine_model *model = engine_of(w, w->words[1]);
 	const struct engine_ledger *l = &model->ledger;
-	const struct request_tally *t;
+	const struct request_stats *t;
 
 	print(w,
 	      "%s ledger prefills %u computed %u wasted %u decodes %u tokens "
--- a/tests/standin/test_http.c
+++ b/tests/standin/test_http.c
@@ -396,7 +396,7 @@
 	web_call_cancel(call.call);
 	run_until(w, not_computing);
 	g_assert_cmpuint(table_count(w->p->prefills), ==, 0);
-	g_assert_cmpuint(engine_tally(w->p, 0xaa)->cancelled, ==, 1);
+	g_assert_cmpuint(engine_request_stats(w->p, 0xaa)->cancelled, ==, 1);
 	g_assert_cmpuint(w->p->ledger.wasted_tokens, ==,
 			 w->p->ledger.prefill_tokens);
 	call_free(&call);
