--- a/include/standin/engine_model.h
+++ b/include/standin/engine_model.h
@@ -65,7 +65,7 @@
 	uint32_t slots;	       /* decode: concurrent streams */
 	uint32_t queue;	       /* prefill: most prompts waiting */
 	double prefill_tokens_per_s;
-	double decode_tokens_per_s; /* of a single stream */
+	double decode_tokens_per_s; /* of a stream alone in its batch */
 	double kv_bytes_per_token;
 	double link_bytes_per_s;
 	int64_t hold_usec;   /* lifetime of a prefill result */
--- a/include/standin/engine_stream.h
+++ b/include/standin/engine_stream.h
@@ -43,7 +43,7 @@
 	uint32_t length; /* offset of the end, once fetched */
 	uint32_t offset; /* of the next token to compute */
 	bool fetched;	 /* the source has sent the whole KV cache */
-	bool link_done;	 /* the KV cache has passed our own link */
+	bool link_done;	 /* the KV cache has passed this engine's link */
 	bool started;	 /* fetched and link_done */
 	bool in_batch;	 /* gets a token at the end of the current step */
 	bool done;	 /* all tokens are computed */
@@ -63,8 +63,9 @@
 void stream_setup(struct engine_model *model);
 void stream_teardown(struct engine_model *model);
 
-/* Reserves memory and starts the transfer on our own link. Returns NULL and
- * sets refusal if refused. abort_fetch may be called until stream_fetched(). */
+/* Reserves memory and starts the transfer on this engine's link. Returns NULL
+ * and sets refusal if refused. abort_fetch may be called until
+ * stream_fetched(). */
 struct stream *stream_reserve(struct engine_model *model,
 			      const struct engine_job *job,
 			      fetch_abort_fn abort_fetch, void *abort_ctx,
--- a/tests/standin/test_engine_faults.c
+++ b/tests/standin/test_engine_faults.c
@@ -39,7 +39,7 @@
 	struct fetch *fetch;
 	uint64_t stream;
 	bool resumed;
-	bool caller_done; /* the caller has stopped */
+	bool caller_done; /* the caller sends nothing more */
 	/* The outcome. */
 	const char *refused;
 	uint32_t received;
