--- a/tests/standin/test_engine_faults.c
+++ b/tests/standin/test_engine_faults.c
@@ -1,10 +1,11 @@
 /*
- * The contract of an engine: every fault and every act of a caller at every
- * step of a request's life, and what the ledgers must say afterwards.
+ * Applies every fault and every action of a caller at every step of a request
+ * and checks the engines' ledgers afterwards. Guards against leaked memory and
+ * against tokens that are counted twice or not at all.
  *
- * A caller sends one prompt of 1,000 tokens behind another's and asks for ten
- * tokens of output. It goes on as long as it can: it fetches the result as
- * soon as it is there and resumes a stream that was cut, once.
+ * A caller sends a prompt of 1,000 tokens, queued behind another caller's, and
+ * requests ten output tokens. It decodes as soon as the prefill is done and
+ * resumes a disconnected stream once.
  */
 #include <string.h>
 
@@ -16,12 +17,12 @@
 #define OUTPUT 10
 
 enum step {
-	STEP_WAITS,    /* the prompt, behind another */
-	STEP_COMPUTES, /* the prompt, half of it */
-	STEP_HELD,     /* its result; decode is asked for just after */
-	STEP_TRANSFER,
-	STEP_DECODES, /* some tokens are told */
-	STEP_UNREAD,  /* all is computed, the caller lost its connection */
+	STEP_WAITS,    /* the prompt is queued behind another */
+	STEP_COMPUTES, /* half of the prompt is computed */
+	STEP_HELD,     /* the result is held, the decode follows at once */
+	STEP_TRANSFER, /* the KV cache is transferred */
+	STEP_DECODES,  /* some tokens are delivered */
+	STEP_UNREAD,   /* all is computed, the connection is lost */
 	STEPS,
 };
 
@@ -32,16 +33,16 @@
 	struct clock *clock;
 	struct engine_model *p;
 	struct engine_model *d;
-	struct prefill *prefill; /* while its caller has no answer */
+	struct prefill *prefill; /* until it is computed */
 	uint64_t result;
 	char name[ENGINE_NAME_SIZE];
 	struct fetch *fetch;
 	uint64_t stream;
 	bool resumed;
-	bool gone; /* the caller does nothing more */
-	/* What came of it. */
+	bool caller_done; /* the caller sends nothing more */
+	/* The outcome. */
 	const char *refused;
-	uint32_t told;
+	uint32_t received;
 	bool ended;
 };
 
@@ -52,7 +53,7 @@
 	return table_get(w->d->streams, w->stream);
 }
 
-static void fetched(void *ctx, const struct engine_kv *kv)
+static void kv_fetched(void *ctx, const struct engine_kv *kv)
 {
 	struct world *w = ctx;
 
@@ -60,7 +61,7 @@
 	stream_fetched(stream_now(w), kv);
 }
 
-static void stream_went(void *ctx)
+static void fetch_abort(void *ctx)
 {
 	struct world *w = ctx;
 
@@ -69,10 +70,10 @@
 	w->fetch = NULL;
 }
 
-static void refuse(struct world *w, enum engine_refusal refusal)
+static void record_refusal(struct world *w, enum engine_refusal refusal)
 {
 	w->refused = engine_refusal_name(refusal);
-	w->gone = true;
+	w->caller_done = true;
 }
 
 static const struct engine_job job = {
@@ -81,29 +82,29 @@
 	.output_max = OUTPUT,
 };
 
-static void ask_prefill(struct world *w, const struct engine_job *asked,
-			prefill_fn fn)
+static void prefill_request(struct world *w, const struct engine_job *spec,
+			    prefill_fn fn)
 {
 	const struct engine_kv kv = {.length = UINT32_MAX};
 	enum engine_refusal refusal;
 
-	w->prefill = prefill_start(w->p, asked, &kv, NULL, 0, fn, w, &refusal);
+	w->prefill = prefill_start(w->p, spec, &kv, NULL, 0, fn, w, &refusal);
 	if (!w->prefill)
-		refuse(w, refusal);
+		record_refusal(w, refusal);
 }
 
-static void ask_decode(struct world *w)
+static void decode_request(struct world *w)
 {
 	enum engine_refusal refusal;
-	struct stream *s = stream_reserve(w->d, &job, stream_went, w, &refusal);
+	struct stream *s = stream_reserve(w->d, &job, fetch_abort, w, &refusal);
 
 	if (!s) {
-		refuse(w, refusal);
+		record_refusal(w, refusal);
 		prefill_cancel(w->p, w->result);
 		return;
 	}
 	w->stream = s->handle;
-	w->fetch = fetch_start(w->p, w->name, fetched, w);
+	w->fetch = fetch_start(w->p, w->name, kv_fetched, w);
 	stream_attach(s, 0, true, &ops, w);
 	if (!w->fetch)
 		stream_fail(s, "gone");
@@ -132,8 +133,8 @@
 {
 	struct world *w = ctx;
 
-	g_assert_cmpuint(from, ==, w->told);
-	w->told = to;
+	g_assert_cmpuint(from, ==, w->received);
+	w->received = to;
 	return true;
 }
 
@@ -146,13 +147,13 @@
 	w->ended = true;
 }
 
-static void cut(void *ctx, const char *text)
+static void disconnected(void *ctx, const char *text)
 {
 }
 
-static const struct stream_ops ops = {started, tokens, ended, cut};
+static const struct stream_ops ops = {started, tokens, ended, disconnected};
 
-/* The events. */
+/* Events of the table below. */
 static void event_none(struct world *w)
 {
 }
@@ -161,17 +162,17 @@
 {
 	struct stream *s = stream_now(w);
 
-	w->gone = true;
+	w->caller_done = true;
 	if (w->prefill)
 		prefill_cancel(w->p, w->prefill->handle);
 	if (s)
 		stream_detach(s);
 }
 
-/* Ends the work wherever it is, and asks for the same again. */
+/* Cancels the work in any state, twice: a repeated cancel is harmless. */
 static void event_cancel(struct world *w)
 {
-	w->gone = true;
+	w->caller_done = true;
 	for (int i = 0; i < 2; i++) {
 		struct stream *s = stream_now(w);
 
@@ -234,22 +235,22 @@
 	fault_both(w, ENGINE_FREEZE_REPORTS, 1);
 }
 
-/* The prefill engine is gone: what it held can never be fetched. */
+/* The prefill engine fails: its results can't be fetched any more. */
 static void event_source_dies(struct world *w)
 {
-	bool moving = w->fetch != NULL;
+	bool transferring = w->fetch != NULL;
 
-	if (!moving && w->stream)
+	if (!transferring && w->stream)
 		return;
-	w->gone = true;
-	stream_went(w);
-	if (moving)
+	w->caller_done = true;
+	fetch_abort(w);
+	if (transferring)
 		stream_fail(stream_now(w), "source");
 	prefill_cancel(w->p, w->prefill ? w->prefill->handle : w->result);
 }
 
-/* What a row expects at each step: wasted tokens / tokens told / decodes
- * finished / pieces held at the end, and a refusal's reason. */
+/* Expected outcome of each event at each step: wasted tokens / tokens delivered
+ * / decodes finished / pieces held at the end, and the reason of a refusal. */
 static const struct {
 	const char *name;
 	void (*run)(struct world *w);
@@ -282,11 +283,11 @@
 	 event_role,
 	 {"1000/0/0/0 role", "1000/0/0/0 role", "1000/0/0/0 role", "0/10/1/0",
 	  "0/10/1/0", "0/10/1/0"}},
-	/* Held until somebody cancels: that is the fault. */
+	/* A stalled transfer holds its memory until it is cancelled. */
 	{"stall_transfer",
 	 event_stall,
 	 {"0/0/0/2", "0/0/0/2", "0/0/0/2", "0/10/1/0", "0/10/1/0", "0/10/1/0"}},
-	/* The caller has used up its one attempt to resume at the last. */
+	/* At the last step the caller has already resumed once. */
 	{"drop_stream",
 	 event_drop,
 	 {"0/10/1/0", "0/10/1/0", "0/10/1/0", "0/10/1/0", "0/10/1/0",
@@ -325,17 +326,17 @@
 	return engine_create(clock, &params);
 }
 
-/* Runs to a step; the caller's acts that fall before it are done. */
+/* Runs to a step, with the caller's actions before it. */
 static void step_reach(struct world *w, enum step step)
 {
 	const struct engine_job other = {.request = 2, .prompt_tokens = 1000};
 	struct stream *s;
 
-	ask_prefill(w, &other, other_computed);
-	ask_prefill(w, &job, computed);
+	prefill_request(w, &other, other_computed);
+	prefill_request(w, &job, computed);
 	clock_advance(w->clock, MIN(step_at[step], MS(200)));
 	if (step > STEP_HELD)
-		ask_decode(w);
+		decode_request(w);
 	clock_advance(w->clock, MIN(step_at[step], MS(350)));
 	s = stream_now(w);
 	if (step == STEP_UNREAD)
@@ -343,54 +344,54 @@
 	clock_advance(w->clock, step_at[step]);
 }
 
-/* Lets the caller go on until a time. */
+/* Runs the caller until the given time. */
 static void caller_run(struct world *w, int64_t until)
 {
 	struct stream *s;
 
 	for (int64_t t = clock_now(w->clock); t <= until; t += MS(10)) {
 		clock_advance(w->clock, t);
-		if (w->gone)
+		if (w->caller_done)
 			continue;
 		if (w->result && !w->stream)
-			ask_decode(w);
+			decode_request(w);
 		s = stream_now(w);
 		if (s && !s->ops && !w->resumed) {
 			w->resumed = true;
-			stream_attach(s, w->told, false, &ops, w);
+			stream_attach(s, w->received, false, &ops, w);
 		}
 	}
 }
 
-/* Lets the caller go on, and everything left over grow old. */
-static void rest_run(struct world *w)
+/* Runs the caller to its end, until whatever remains has expired. */
+static void caller_finish(struct world *w)
 {
 	caller_run(w, clock_now(w->clock) + MS(5000));
 }
 
-static void row_test(size_t row, enum step step)
+static void cell_run(size_t row, enum step step)
 {
 	struct world w = {.clock = clock_create(0)};
 	uint32_t held = 0;
-	struct request_tally *tally;
+	struct request_stats *stats;
 	char *outcome;
 
 	w.p = engine_new(w.clock, ENGINE_PREFILL);
 	w.d = engine_new(w.clock, ENGINE_DECODE);
 	step_reach(&w, step);
 	rows[row].run(&w);
-	rest_run(&w);
-	tally = engine_tally(w.d, 1);
+	caller_finish(&w);
+	stats = engine_request_stats(w.d, 1);
 	held = w.d->pieces_used;
-	/* The other prompt's tokens are always wasted. */
+	/* The other prompt's 1,000 tokens are always wasted. */
 	outcome = g_strdup_printf(
 		"%u/%u/%u/%u%s%s",
-		(unsigned int)w.p->ledger.wasted_tokens - 1000, w.told,
-		tally->finished, held, w.refused ? " " : "",
+		(unsigned int)w.p->ledger.wasted_tokens - 1000, w.received,
+		stats->finished, held, w.refused ? " " : "",
 		w.refused ? w.refused : "");
 	g_test_message("%s at %s", rows[row].name, step_names[step]);
 	g_assert_cmpstr(outcome, ==, rows[row].expected[step]);
-	g_assert_cmpint(w.ended, ==, w.told == OUTPUT);
+	g_assert_cmpint(w.ended, ==, w.received == OUTPUT);
 	g_free(outcome);
 	engine_destroy(w.d);
 	engine_destroy(w.p);
@@ -401,12 +402,12 @@
 {
 	size_t cell = GPOINTER_TO_SIZE(data);
 
-	row_test(cell / STEPS, (enum step)(cell % STEPS));
+	cell_run(cell / STEPS, (enum step)(cell % STEPS));
 }
 
-/* Whatever came before: nothing is held once all was cancelled, and each token
- * computed was either of use or wasted. */
-static void promises_check(struct world *w)
+/* After any events, once all is cancelled: no memory is held, and each computed
+ * token is either useful or wasted. */
+static void invariants_check(struct world *w)
 {
 	const struct engine_ledger *l = &w->p->ledger;
 	uint64_t useful = 0;
@@ -417,11 +418,11 @@
 	g_assert_cmpuint(table_count(w->p->prefills), ==, 0);
 	g_assert_cmpuint(table_count(w->d->streams), ==, 0);
 	for (uint64_t request = 1; request <= 2; request++)
-		useful += engine_tally(w->p, request)->useful_tokens;
+		useful += engine_request_stats(w->p, request)->useful_tokens;
 	g_assert_cmpuint(l->prefill_tokens, ==, useful + l->wasted_tokens);
-	g_assert_cmpuint(w->told, <=, OUTPUT);
-	g_assert_cmpint(w->ended, ==, w->told == OUTPUT);
-	g_assert_cmpuint(engine_tally(w->d, 1)->finished, <=, 1);
+	g_assert_cmpuint(w->received, <=, OUTPUT);
+	g_assert_cmpint(w->ended, ==, w->received == OUTPUT);
+	g_assert_cmpuint(engine_request_stats(w->d, 1)->finished, <=, 1);
 }
 
 static void pair_test(size_t first, enum step at, size_t second, enum step then)
@@ -434,17 +435,17 @@
 	rows[first].run(&w);
 	caller_run(&w, step_at[then]);
 	rows[second].run(&w);
-	rest_run(&w);
+	caller_finish(&w);
 	event_cancel(&w);
-	/* The other's prompt may wait longer when the engine is slow. */
+	/* On a slow engine the other prompt may be queued for longer. */
 	clock_advance(w.clock, clock_now(w.clock) + MS(5000));
-	promises_check(&w);
+	invariants_check(&w);
 	engine_destroy(w.d);
 	engine_destroy(w.p);
 	clock_destroy(w.clock);
 }
 
-/* Any two, at any two steps, in either order. */
+/* Any two events at any two steps, in either order. */
 static void test_pairs(void)
 {
 	const size_t count = G_N_ELEMENTS(rows);
