--- a/include/standin/platform.h
+++ b/include/standin/platform.h
@@ -1,10 +1,11 @@
 /*
- * platform.h - the platform's stand-in: log, weights, instance list, faults
+ * platform.h - stand-in for the platform: log, weights, instance list, faults
  *
  * DESCRIPTION
- *	Speaks what docs/PROTOCOLS.md says of the platform. Nothing is kept on
- *	disk. Every answer goes through platform_answer(), which applies the
- *	faults that are set; /faults and /ledger are never faulted.
+ *	Implements the platform's side of docs/PROTOCOLS.md and keeps all state
+ *	in memory. platform_answer() applies the fault slow,
+ *	platform_answer_effect() also lose_answer, and the handlers apply the
+ *	others. /faults and /ledger are not subject to faults.
  */
 #ifndef STANDIN_PLATFORM_H
 #define STANDIN_PLATFORM_H
@@ -27,11 +28,11 @@
 
 struct platform_settings {
 	const char *listen;
-	unsigned int append_rate; /* appends a second; 0: no limit */
-	int64_t retain_usec;	  /* age at which records go; 0: never */
-	uint64_t retain_records;  /* kept in each stream; 0: all */
+	unsigned int append_rate; /* per second, all streams; 0: no limit */
+	int64_t retain_usec;	  /* older records are dropped; 0: never */
+	uint64_t retain_records;  /* kept per stream; 0: all */
 	int64_t list_lag_usec;
-	double weight_rate; /* bytes a second, shared by all readers */
+	double weight_rate; /* bytes per second, shared by all readers */
 };
 
 enum platform_fault {
@@ -50,30 +51,31 @@
 	struct platform_log *log;
 	struct platform_list *list;
 	struct fault_set faults;
-	GQueue answers; /* of struct answer, waiting for their time */
+	GQueue answers; /* of struct answer, delayed */
 	int64_t weights_free_at;
 };
 
 void platform_faults_init(struct platform *platform);
-/* Answers after delay_usec and what the faults add; takes over the body. */
+/* Answers after delay_usec plus the delay of the fault slow. Takes ownership
+ * of the body. */
 void platform_answer(struct platform *platform, struct web_request *request,
 		     int status, json_t *body, int64_t delay_usec);
-/* As platform_answer() for a call that had an effect, whose answer the fault
- * lose_answer cuts. */
+/* As platform_answer(), without a delay of its own, for a call that changed
+ * state: the fault lose_answer cuts the connection instead of answering. */
 void platform_answer_effect(struct platform *platform,
 			    struct web_request *request, int status,
 			    json_t *body);
 void platform_answer_error(struct platform *platform,
 			   struct web_request *request, int status,
 			   const char *text);
-/* Closes the connection when the fault cut is set. */
+/* If the fault cut is set, cuts the connection and returns true. */
 bool platform_cut(struct platform *platform, struct web_request *request);
 void platform_answers_clear(struct platform *platform);
 
 struct platform_log *platform_log_create(struct platform *platform);
 void platform_log_destroy(struct platform_log *log);
 void platform_log_handle(void *ctx, struct web_request *request);
-/* The ledger's fields. */
+/* The counters that GET /ledger returns; a new reference. */
 json_t *platform_log_ledger(const struct platform_log *log);
 
 struct platform_list *platform_list_create(struct platform *platform);
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -84,7 +84,7 @@
 	.doc = "Stands in for the platform: log, weights, list of instances",
 };
 
-/* Readers share the rate by being served one after the other. */
+/* Serves reads one after the other, so that readers share the rate. */
 static void weights_handle(void *ctx, struct web_request *request)
 {
 	struct platform *platform = ctx;
--- a/standin/platform_answer.c
+++ b/standin/platform_answer.c
@@ -30,7 +30,8 @@
 	fault_init(&platform->faults, names);
 }
 
-/* An abort before the head would be told as a 500, which is an answer. */
+/* Sends the headers first, because an abort before them is sent as a 500,
+ * which is an answer. */
 static void answer_cut(struct web_request *request)
 {
 	web_reply_start(request, 200, "application/json");
--- a/standin/platform_list.c
+++ b/standin/platform_list.c
@@ -8,7 +8,7 @@
 
 #define INSTANCE_NAME_MAX 128
 
-/* A change that readers see once the lag has passed. */
+/* A change that becomes visible to readers after the lag. */
 struct change {
 	int64_t at;
 	char *name;
@@ -84,7 +84,7 @@
 	g_queue_push_tail(&list->changes, change);
 }
 
-/* A reader that has this very list already is not sent it again. */
+/* Answers 304 to a reader that already has this list. */
 static void answer_tag(struct platform_list *list, struct web_request *request,
 		       json_t *body)
 {
--- a/standin/platform_log.c
+++ b/standin/platform_log.c
@@ -9,7 +9,7 @@
 #define READ_DEFAULT 1000
 #define READ_MAX 10000
 #define WAIT_MAX_MSEC 60000
-/* Appends that may come at once, as a share of a second's worth. */
+/* Size of the token bucket for appends, as a share of the rate per second. */
 #define BURST_SHARE 0.25
 
 struct record {
@@ -22,10 +22,11 @@
 	char *name;
 	uint64_t first; /* offset of the oldest record kept */
 	GQueue records; /* of struct record */
-	GQueue readers; /* of struct reader, waiting */
+	GQueue readers; /* of struct reader */
 	int64_t appends;
 };
 
+/* A read that waits for an append or its timeout. */
 struct reader {
 	struct platform_log *log;
 	struct stream *stream;
@@ -166,7 +167,7 @@
 	return json;
 }
 
-/* The newest records are asked for most, so the walk starts at the tail. */
+/* Searches from the tail, because most reads are of the newest records. */
 static const GList *stream_at(const struct stream *stream, uint64_t offset)
 {
 	const GList *link = stream->records.tail;
