--- a/include/standin/backend.h
+++ b/include/standin/backend.h
@@ -1,11 +1,12 @@
 /*
- * backend.h - the parts that every stand-in of a backend server has
+ * backend.h - common parts of the stand-ins for backend servers
  *
  * DESCRIPTION
- *	Clock, loop, HTTP server and client, the entry in the platform's list,
- *	and the graceful shutdown: on SIGTERM or SIGINT the entry is marked as
- *	leaving, the leave hook runs, and once the idle hook says so the entry
- *	is taken out and backend_run() returns. A second signal ends at once.
+ *	Clock, event loop, HTTP server and client, the entry in the platform's
+ *	list, and graceful shutdown. On SIGTERM or SIGINT the entry is marked
+ *	as leaving and the leave hook runs. Once the idle hook returns true,
+ *	the entry is removed and backend_run() returns. A second signal makes
+ *	it return immediately.
  */
 #ifndef STANDIN_BACKEND_H
 #define STANDIN_BACKEND_H
@@ -21,7 +22,7 @@
 
 struct backend_ops {
 	void (*leave)(void *ctx);
-	/* Whether nothing is left to be finished. */
+	/* Whether all accepted work has finished. */
 	bool (*idle)(void *ctx);
 };
 
@@ -38,15 +39,16 @@
 	struct timer timer;
 };
 
-/* Listens at the address; false after logging why not. */
+/* Listens on the address; logs the error and returns false if it cannot. */
 bool backend_open(struct standin_backend *backend, const char *program,
 		  const char *listen);
-/* Registers, prints the address, and runs until shut down. The spec's address
- * and incarnation are filled in here. */
+/* Fills in the spec's address and incarnation, registers, logs the address and
+ * runs until shut down. */
 void backend_run(struct standin_backend *backend,
 		 struct registration_spec *spec, const struct backend_ops *ops,
 		 void *ctx);
-/* Ends the HTTP server, so that all callers are told to be gone. */
+/* Stops updating the entry and destroys the HTTP server, which runs the gone
+ * hooks of all open requests. */
 void backend_close_server(struct standin_backend *backend);
 void backend_close(struct standin_backend *backend);
 
--- a/include/standin/register.h
+++ b/include/standin/register.h
@@ -1,10 +1,10 @@
 /*
- * register.h - keeps a stand-in in the platform's list of instances
+ * register.h - registers a stand-in in the platform's list of instances
  *
  * DESCRIPTION
- *	In a real site the platform's own agent does this. The entry is put
- *	again every REGISTER_USEC, so that it outlives a restart or an outage
- *	of the platform.
+ *	At a real site the platform's own agent does this. The entry is put
+ *	again every REGISTER_USEC, so that it is restored after a restart or
+ *	an outage of the platform.
  */
 #ifndef STANDIN_REGISTER_H
 #define STANDIN_REGISTER_H
@@ -17,7 +17,8 @@
 struct registration;
 struct web_client;
 
-/* Strings are copied; platform is its address, NULL for none. */
+/* Strings are copied. platform is the platform's address, NULL to register
+ * nowhere. */
 struct registration_spec {
 	const char *platform;
 	const char *name;
@@ -34,12 +35,13 @@
 					 struct web_client *client,
 					 const struct registration_spec *spec);
 void registration_destroy(struct registration *registration);
-/* Moves the entry to another pool, under a new incarnation. */
+/* Moves the entry to the pool under a new incarnation, unless it is in that
+ * pool already. */
 void registration_pool(struct registration *registration, const char *pool,
 		       uint64_t incarnation);
-/* Marks the entry as leaving, at once and from now on. */
+/* Marks the entry as leaving and sends the change. */
 void registration_leave(struct registration *registration);
-/* Takes the entry out; fn is called once, also when that failed. */
+/* Removes the entry; fn is called once, also if the call fails. */
 void registration_end(struct registration *registration, registration_fn fn,
 		      void *ctx);
 
--- a/include/standin/service.h
+++ b/include/standin/service.h
@@ -1,11 +1,11 @@
 /*
- * service.h - a plain service that counts what it ran
+ * service.h - stand-in for a plain service that counts its runs
  *
  * DESCRIPTION
  *	Answers every method and path after a fixed time, and counts runs by
- *	the header idempotency-key, else x-request-id. A call counts as run from
- *	its arrival on, also when its answer fails or is lost. See
- *	docs/PROTOCOLS.md.
+ *	the header idempotency-key, else x-request-id. A call that is not
+ *	refused counts as run on arrival, even if its answer fails or is lost.
+ *	See docs/PROTOCOLS.md.
  */
 #ifndef STANDIN_SERVICE_H
 #define STANDIN_SERVICE_H
@@ -19,11 +19,11 @@
 
 struct service *service_create(struct clock *clock, struct web_server *server,
 			       int64_t work_usec);
-/* Destroy the server first: it calls back. */
+/* Destroy the server first, because it calls back into the service. */
 void service_destroy(struct service *service);
-/* From now on new calls are refused as not run. */
+/* Refuses all further calls as not run. */
 void service_leave(struct service *service);
-/* Whether no answer is owed. */
+/* Whether all accepted calls have ended. */
 bool service_idle(const struct service *service);
 
 #endif
--- a/standin/jtservice.c
+++ b/standin/jtservice.c
@@ -1,4 +1,4 @@
-/* Stands in for a plain service; see docs/design/standins.md. */
+/* Stand-in for a plain service. See docs/design/standins.md. */
 #include <argp.h>
 #include <stdlib.h>
 
--- a/standin/register.c
+++ b/standin/register.c
@@ -20,7 +20,7 @@
 	json_t *entry;
 	struct timer timer;
 	struct web_call *call;
-	bool changed; /* while the call was out */
+	bool changed; /* while a call was in flight */
 	registration_fn ended;
 	void *ctx;
 };
@@ -69,7 +69,7 @@
 				       fn, registration);
 }
 
-/* One call at a time, so that the platform sees them in their order. */
+/* Sends one call at a time, so that the platform receives them in order. */
 static void entry_send(struct registration *registration)
 {
 	char *body;
--- a/standin/service.c
+++ b/standin/service.c
@@ -32,16 +32,16 @@
 	struct fault_set faults;
 	bool leaving;
 	uint64_t runs;
-	GHashTable *keys; /* key -> runs, as a pointer-sized number */
+	GHashTable *keys; /* key to number of runs */
 	uint32_t running;
 };
 
-/* A call that was run and whose answer is on its way. */
+/* A call that was counted as run and is not answered yet. */
 struct run {
 	struct service *service;
 	struct web_request *request;
 	struct timer timer;
-	uint64_t number; /* of runs under its key, this one included */
+	uint64_t number; /* of runs under its key, including this one */
 	bool failed;
 	bool lost;
 };
@@ -51,7 +51,8 @@
 	return g_strndup(text.data ? text.data : "", text.size);
 }
 
-/* Counts a run under its key and returns how many there were. */
+/* Counts a run and returns the number of runs under its key, or of all runs if
+ * it has no key. */
 static uint64_t run_count(struct service *service,
 			  const struct web_request *request)
 {
