--- a/include/standin/fault.h
+++ b/include/standin/fault.h
@@ -1,10 +1,11 @@
 /*
- * fault.h - faults that a test sets in a stand-in, by name
+ * fault.h - faults that a test injects into a stand-in, by name
  *
  * DESCRIPTION
- *	Each stand-in has a table of the names that it knows; a fault is then
- *	an index into it. A fault set with times > 0 is used up by that many
- *	fault_take(); with times 0 it stays until set again with value 0.
+ *	Each stand-in has a table of the fault names that it knows, and a fault
+ *	is an index into it. A fault set with times > 0 is off after that many
+ *	calls of fault_take(). With times 0 it stays on until it is set to
+ *	value 0.
  */
 #ifndef STANDIN_FAULT_H
 #define STANDIN_FAULT_H
@@ -28,16 +29,17 @@
 };
 
 void fault_init(struct fault_set *set, const char *const *names);
-/* Value 0 turns it off. RESULT_USAGE when the name is unknown. */
+/* Value 0 turns the fault off. RESULT_USAGE if the name is unknown. */
 bool fault_set(struct fault_set *set, const char *name, int64_t value,
 	       uint32_t times, struct error *err);
-/* Sets one from {"fault": name, "value": n, "times": n}; value defaults to 1,
- * times to 0. */
+/* Sets a fault from {"fault": name, "value": n, "times": n}; value defaults to
+ * 1, times to 0. RESULT_USAGE if the body is malformed or the name
+ * is unknown. */
 bool fault_read(struct fault_set *set, const char *body, size_t size,
 		struct error *err);
-/* The value when set, else 0; does not use it up. */
+/* The value, or 0 if the fault is off. Does not count as a use. */
 int64_t fault_value(const struct fault_set *set, unsigned int fault);
-/* As fault_value(), and uses it up once. */
+/* As fault_value(), and counts as one use. */
 int64_t fault_take(struct fault_set *set, unsigned int fault);
 
 #endif
--- a/include/standin/reply.h
+++ b/include/standin/reply.h
@@ -13,24 +13,25 @@
 struct error;
 struct fault_set;
 
-/* Answers with an object and gives up the caller's reference to it. */
+/* Answers with a JSON object and takes ownership of it. */
 void reply_json(struct web_request *request, int status, json_t *object);
 /* Answers {"error": text}. */
 void reply_error(struct web_request *request, int status, const char *text);
-/* 503, with the reason in "refused": nothing was run. */
+/* Answers 503 with the reason in "refused": the call was not run. */
 void reply_refused(struct web_request *request, const char *reason);
-/* The body as a JSON object; NULL after answering 400. */
+/* Parses the body as a JSON object. If it is not one, answers 400 and returns
+ * NULL. */
 json_t *request_json(struct web_request *request);
 bool request_is(const struct web_request *request, const char *method);
-/* What follows the prefix and a slash in the path, copied; false when nothing
- * or too much does. */
+/* Copies the part of the path after the prefix and a slash; false if it is
+ * empty or does not fit. */
 bool request_tail(const struct web_request *request, const char *prefix,
 		  char *tail, size_t size);
-/* Answers POST /faults. */
+/* Sets the fault that the body of a POST describes, and answers. */
 void reply_fault(struct web_request *request, struct fault_set *faults);
 
-/* An identifier as 16 hex digits, and back; id_from_json() is false when the
- * member is not one. */
+/* An identifier as a JSON string of 16 hex digits, and back; id_from_json()
+ * returns false if the value is not one. */
 json_t *json_from_id(uint64_t id);
 bool id_from_json(const json_t *value, uint64_t *id);
 
--- a/standin/answer.c
+++ b/standin/answer.c
@@ -3,7 +3,7 @@
 #include <stdbool.h>
 #include <string.h>
 
-/* Reads digits at the start of text; false when there are none. */
+/* Parses the digits at the start of text; false if there are none. */
 static bool number_read(const char *text, size_t size, uint32_t *number)
 {
 	uint64_t value = 0;
