--- a/tests/standin/test_answer.c
+++ b/tests/standin/test_answer.c
@@ -1,4 +1,4 @@
-/* The model text, the names of objects, and the table of faults. */
+/* Token counts of prompts, the model text, object names and injected faults. */
 #include <string.h>
 
 #include "common/error.h"
@@ -12,7 +12,7 @@
 static const struct {
 	const char *prompt;
 	uint32_t tokens;
-	uint32_t length; /* of at most 100 */
+	uint32_t length; /* with a maximum of 100 */
 } prompts[] = {
 	{"", 0, 100},
 	{"one", 1, 100},
@@ -81,7 +81,7 @@
 
 static const struct {
 	const char *body;
-	int64_t values[4]; /* of one, as taken one after the other */
+	int64_t values[4]; /* of successive fault_take() of "one" */
 	const char *error;
 } faults[] = {
 	{"{\"fault\": \"one\"}", {1, 1, 1, 1}, NULL},
--- a/tests/standin/test_http.c
+++ b/tests/standin/test_http.c
@@ -1,6 +1,7 @@
 /*
- * The HTTP faces of the stand-ins: two engines, a plain service and a platform
- * that only takes entries, all with their callers in one loop on loopback.
+ * Tests of the stand-ins' HTTP interfaces. Two engines, a plain service, a fake
+ * platform that only records registrations, and their callers share one event
+ * loop and talk over loopback.
  */
 #include <string.h>
 #include <unistd.h>
@@ -22,7 +23,7 @@
 	"\"request\": \"00000000000000aa\", \"owner\": \"00000000000000bb\", " \
 	"\"incarnation\": \"00000000000000cc\""
 
-/* Tokens that take longer than a loop that stood still makes up for. */
+/* Enough tokens that a late event loop does not end the stream early. */
 #define LONG 400
 
 struct world {
@@ -34,10 +35,10 @@
 	struct engine_model *d;
 	struct engine_http *faces[2];
 	struct service *service;
-	GString *entries; /* what the platform was told */
+	GString *entries; /* requests that the fake platform got */
 	bool (*until)(struct world *world);
 	struct timer poll;
-	int ended; /* registration */
+	int ended; /* calls of registration_ended() */
 };
 
 enum {
@@ -47,7 +48,7 @@
 	PLATFORM,
 };
 
-/* One call and what came of it. */
+/* A call and its outcome. */
 struct call {
 	struct web_call *call;
 	int status;
@@ -117,7 +118,7 @@
 	g_assert_true(until(w));
 }
 
-/* A table row or a test waits for this one. */
+/* The call that call_wait() waits for. */
 static struct call *awaited;
 
 static bool call_done(struct world *w)
@@ -131,7 +132,8 @@
 	run_until(w, call_done);
 }
 
-/* Calls, and checks the status (0: cut off) and a part of the body. */
+/* Makes a call, checks the status (0: cut off) and that the body contains part
+ * if that is not NULL, and returns the body. */
 static char *expect(struct world *w, int server, const char *method,
 		    const char *path, const char *body, int status,
 		    const char *part)
@@ -201,7 +203,7 @@
 		.request_usec = 30 * USEC_PER_SEC,
 	};
 
-	/* A test that hangs ends. */
+	/* Kills a test that hangs. */
 	alarm(60);
 	w->clock = clock_create_system();
 	w->loop = loop_create(w->clock);
@@ -237,7 +239,8 @@
 	g_string_free(w->entries, TRUE);
 }
 
-/* In this order, each answered from the state that those before it left. */
+/* Sent in this order; each answer depends on the state that the calls before it
+ * left. */
 static const struct {
 	int server;
 	const char *method;
@@ -331,7 +334,7 @@
 	return handle;
 }
 
-/* Starts to decode up to max tokens, from an offset on. */
+/* Starts a decode of up to max tokens whose output begins at an offset. */
 static void decode(struct world *w, struct call *call, const char *handle,
 		   unsigned int max, unsigned int from)
 {
@@ -412,7 +415,8 @@
 	return table_count(w->p->prefills) == 1 && !w->p->computing;
 }
 
-/* The answer is late and its caller leaves: nobody knows the result's name. */
+/* The caller disconnects before a late answer, so nobody knows the handle of
+ * the result and it must be dropped. */
 static void test_late_hang_up(struct world *w, gconstpointer data)
 {
 	struct call call;
@@ -469,7 +473,7 @@
 	path = g_strdup_printf("/streams/%s?offset=2", only_stream(w)->name);
 	call_start(w, &second, DECODE, "GET", path, NULL);
 	rest = expect(w, DECODE, "GET", path, NULL, 200, NULL);
-	/* The newest reader has it all; the former one was cut off. */
+	/* The newest reader gets the whole rest; the earlier one is cut off. */
 	call_wait(w, &second);
 	g_assert_false(second.ok);
 	lines_add(lines, "long", 2, LONG);
@@ -532,7 +536,8 @@
 	run_until(w, stream_computed);
 }
 
-/* A cancel acts at once at every step, whatever becomes of its answer. */
+/* A cancel takes effect at once at every step, even if its answer is lost or
+ * late. */
 static const struct {
 	void (*reach)(struct world *w, struct call *call);
 	const char *fault;
@@ -575,7 +580,7 @@
 	return !fetch_runs(w);
 }
 
-/* A stalled transfer is given up: its source still holds the result. */
+/* After a stalled transfer is cancelled, its source still holds the result. */
 static void test_transfer(struct world *w, gconstpointer data)
 {
 	char *handle = prefill(w, "@10 #2");
@@ -595,7 +600,7 @@
 	g_assert_nonnull(strstr(call.body->str, "\"end\": \"stop\""));
 	g_assert_cmpuint(w->p->ledger.wasted_tokens, ==, 0);
 	call_free(&call);
-	/* Fetched: a third decode finds nothing. */
+	/* The result was fetched, so a third decode does not find it. */
 	decode(w, &call, handle, 10, 0);
 	call_wait(w, &call);
 	g_assert_nonnull(strstr(call.body->str, "holds no such result"));
@@ -654,7 +659,7 @@
 	g_assert_cmpstr(w->entries->str, ==,
 			ENTRY "\"live\"}\n" ENTRY
 			      "\"leaving\"}\nDELETE /instances/r1 \n");
-	/* What changes while a call is out waits, and only the last counts. */
+	/* Changes during a call are deferred, and only the last one is sent. */
 	g_string_truncate(w->entries, 0);
 	w->ended = 0;
 	registration = registration_create(w->loop, w->client, &spec);
