--- a/include/standin/answer.h
+++ b/include/standin/answer.h
@@ -12,7 +12,7 @@
 #include <stdint.h>
 
 /* Tokens of the answer: n if the prompt contains "#n" and n < max, else max. */
-uint32_t answer_length(const char *prompt, size_t size, uint32_t max);
+uint32_t answer_output_tokens(const char *prompt, size_t size, uint32_t max);
 /* Tokens of the prompt: its number of words, or n if it starts with "@n". */
 uint32_t answer_prompt_tokens(const char *prompt, size_t size);
 
--- a/include/standin/backend.h
+++ b/include/standin/backend.h
@@ -36,7 +36,7 @@
 	void *ctx;
 	bool leaving;
 	bool ending;
-	struct timer timer;
+	struct timer idle_timer;
 };
 
 /* Listens on the address; logs the error and returns false if it cannot. */
--- a/include/standin/fault.h
+++ b/include/standin/fault.h
@@ -35,8 +35,8 @@
 /* Sets a fault from {"fault": name, "value": n, "times": n}; value defaults to
  * 1, times to 0. RESULT_USAGE if the body is malformed or the name
  * is unknown. */
-bool fault_read(struct fault_set *set, const char *body, size_t size,
-		struct error *err);
+bool fault_parse(struct fault_set *set, const char *body, size_t size,
+		 struct error *err);
 /* The value, or 0 if the fault is off. Does not count as a use. */
 int64_t fault_value(const struct fault_set *set, unsigned int fault);
 /* As fault_value(), and counts as one use. */
--- a/include/standin/platform.h
+++ b/include/standin/platform.h
@@ -51,8 +51,8 @@
 	struct platform_log *log;
 	struct platform_list *list;
 	struct fault_set faults;
-	GQueue answers; /* of struct answer, delayed */
-	int64_t weights_free_at;
+	GQueue deferred_answers; /* of struct deferred_answer */
+	int64_t weights_busy_until;
 };
 
 void platform_faults_init(struct platform *platform);
@@ -69,7 +69,7 @@
 			   struct web_request *request, int status,
 			   const char *text);
 /* If the fault cut is set, cuts the connection and returns true. */
-bool platform_cut(struct platform *platform, struct web_request *request);
+bool platform_apply_cut(struct platform *platform, struct web_request *request);
 void platform_answers_clear(struct platform *platform);
 
 struct platform_log *platform_log_create(struct platform *platform);
--- a/include/standin/reply.h
+++ b/include/standin/reply.h
@@ -21,14 +21,14 @@
 void reply_refused(struct web_request *request, const char *reason);
 /* Parses the body as a JSON object. If it is not one, answers 400 and returns
  * NULL. */
-json_t *request_json(struct web_request *request);
-bool request_is(const struct web_request *request, const char *method);
+json_t *request_parse_json(struct web_request *request);
+bool request_method_is(const struct web_request *request, const char *method);
 /* Copies the part of the path after the prefix and a slash; false if it is
  * empty or does not fit. */
-bool request_tail(const struct web_request *request, const char *prefix,
-		  char *tail, size_t size);
+bool request_path_suffix(const struct web_request *request, const char *prefix,
+			 char *suffix, size_t size);
 /* Sets the fault that the body of a POST describes, and answers. */
-void reply_fault(struct web_request *request, struct fault_set *faults);
+void reply_fault_set(struct web_request *request, struct fault_set *faults);
 
 /* An identifier as a JSON string of 16 hex digits, and back; id_from_json()
  * returns false if the value is not one. */
--- a/standin/answer.c
+++ b/standin/answer.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Parses the digits at the start of text; false if there are none. */
-static bool number_read(const char *text, size_t size, uint32_t *number)
+static bool digits_parse(const char *text, size_t size, uint32_t *number)
 {
 	uint64_t value = 0;
 	size_t i = 0;
@@ -16,7 +16,7 @@
 	return i > 0;
 }
 
-uint32_t answer_length(const char *prompt, size_t size, uint32_t max)
+uint32_t answer_output_tokens(const char *prompt, size_t size, uint32_t max)
 {
 	const char *end = prompt + size;
 	const char *at = prompt;
@@ -24,7 +24,7 @@
 
 	while (size > 0 && (at = memchr(at, '#', (size_t)(end - at)))) {
 		at++;
-		if (number_read(at, (size_t)(end - at), &length))
+		if (digits_parse(at, (size_t)(end - at), &length))
 			return length < max ? length : max;
 	}
 	return max;
@@ -36,7 +36,7 @@
 	bool in_word = false;
 
 	if (size > 1 && prompt[0] == '@' &&
-	    number_read(prompt + 1, size - 1, &words))
+	    digits_parse(prompt + 1, size - 1, &words))
 		return words;
 	for (size_t i = 0; i < size; i++) {
 		bool space = strchr(" \t\r\n", prompt[i]) && prompt[i];
--- a/standin/backend.c
+++ b/standin/backend.c
@@ -52,10 +52,10 @@
 		return;
 	}
 	backend->ending = true;
-	registration_end(backend->registration, entry_removed, backend);
+	registration_remove(backend->registration, entry_removed, backend);
 }
 
-static void signal_taken(void *ctx, int signal)
+static void signal_handle(void *ctx, int signal)
 {
 	struct standin_backend *backend = ctx;
 
@@ -65,9 +65,9 @@
 	}
 	backend->leaving = true;
 	log_event(LOG_INFO, "leaving", LOG_D("signal", signal));
-	registration_leave(backend->registration);
+	registration_set_leaving(backend->registration);
 	backend->ops->leave(backend->ctx);
-	timer_start(&backend->timer, IDLE_CHECK_USEC);
+	timer_start(&backend->idle_timer, IDLE_CHECK_USEC);
 }
 
 void backend_run(struct standin_backend *backend,
@@ -78,9 +78,9 @@
 
 	backend->ops = ops;
 	backend->ctx = ctx;
-	timer_init(&backend->timer, backend->clock, idle_check, backend);
-	loop_on_signal(backend->loop, SIGTERM, signal_taken, backend);
-	loop_on_signal(backend->loop, SIGINT, signal_taken, backend);
+	timer_init(&backend->idle_timer, backend->clock, idle_check, backend);
+	loop_on_signal(backend->loop, SIGTERM, signal_handle, backend);
+	loop_on_signal(backend->loop, SIGINT, signal_handle, backend);
 	spec->address = address;
 	spec->incarnation = (uint64_t)clock_unix(backend->clock);
 	backend->registration =
@@ -93,7 +93,7 @@
 
 void backend_close_server(struct standin_backend *backend)
 {
-	timer_stop(&backend->timer);
+	timer_stop(&backend->idle_timer);
 	registration_destroy(backend->registration);
 	web_server_destroy(backend->server);
 }
--- a/standin/engine_http.c
+++ b/standin/engine_http.c
@@ -155,7 +155,7 @@
 	if (!json_object_get(root, "prompt_tokens"))
 		job.prompt_tokens = answer_prompt_tokens(text, size);
 	kv.prompt = id_hash(text, size);
-	kv.length = answer_length(text, size, UINT32_MAX);
+	kv.length = answer_output_tokens(text, size, UINT32_MAX);
 	waiter = waiter_create(http->model, request);
 	prefill = prefill_start(http->model, &job, &kv, blocks, (uint32_t)count,
 				prefill_computed, waiter, &refusal);
@@ -170,7 +170,7 @@
 
 static void handle_prefill(void *ctx, struct web_request *request)
 {
-	json_t *root = request_json(request);
+	json_t *root = request_parse_json(request);
 
 	if (root)
 		prefill_run(ctx, request, root);
@@ -180,7 +180,7 @@
 static void handle_decode(void *ctx, struct web_request *request)
 {
 	struct engine_http *http = ctx;
-	json_t *root = request_json(request);
+	json_t *root = request_parse_json(request);
 	const char *source = NULL;
 	const char *name = NULL;
 	struct engine_job job;
@@ -220,12 +220,12 @@
 	uint32_t freed;
 	uint64_t offset;
 
-	if (!request_tail(request, "/streams", name, sizeof(name))) {
+	if (!request_path_suffix(request, "/streams", name, sizeof(name))) {
 		reply_json(request, 200, report_streams(model));
 		return;
 	}
 	stream = stream_find(model, name);
-	if (request_is(request, "DELETE")) {
+	if (request_method_is(request, "DELETE")) {
 		freed = stream ? stream_cancel(stream) : 0;
 		action_answer(model, request,
 			      json_pack("{s:I}", "freed", (json_int_t)freed),
@@ -280,11 +280,11 @@
 	char name[ENGINE_NAME_SIZE];
 	bool dropped;
 
-	if (!request_tail(request, "/handles", name, sizeof(name))) {
+	if (!request_path_suffix(request, "/handles", name, sizeof(name))) {
 		reply_error(request, 404, "no name");
 		return;
 	}
-	if (!request_is(request, "DELETE")) {
+	if (!request_method_is(request, "DELETE")) {
 		handle_fetch(model, request, name);
 		return;
 	}
@@ -333,7 +333,7 @@
 {
 	const struct engine_http *http = ctx;
 	struct engine_model *model = http->model;
-	json_t *root = request_json(request);
+	json_t *root = request_parse_json(request);
 	struct order order;
 
 	if (!root)
@@ -377,7 +377,7 @@
 {
 	struct engine_http *http = ctx;
 
-	reply_fault(request, &http->model->faults);
+	reply_fault_set(request, &http->model->faults);
 }
 
 struct engine_http *engine_http_create(struct engine_model *model,
--- a/standin/fault.c
+++ b/standin/fault.c
@@ -22,8 +22,8 @@
 	return error_set(err, RESULT_USAGE, "unknown fault '%s'", name);
 }
 
-bool fault_read(struct fault_set *set, const char *body, size_t size,
-		struct error *err)
+bool fault_parse(struct fault_set *set, const char *body, size_t size,
+		 struct error *err)
 {
 	json_error_t detail;
 	json_t *root = json_loadb(body, size, 0, &detail);
--- a/standin/jtengine.c
+++ b/standin/jtengine.c
@@ -20,8 +20,8 @@
 {
 	const struct standin_backend *backend = ctx;
 
-	registration_pool(backend->registration, pool,
-			  (uint64_t)clock_unix(backend->clock));
+	registration_set_pool(backend->registration, pool,
+			      (uint64_t)clock_unix(backend->clock));
 }
 
 static const struct backend_ops backend_ops = {
--- a/standin/jtservice.c
+++ b/standin/jtservice.c
@@ -12,19 +12,19 @@
 	int64_t work_usec;
 };
 
-static void service_told_to_leave(void *ctx)
+static void leave_hook(void *ctx)
 {
 	service_leave(ctx);
 }
 
-static bool service_finished(void *ctx)
+static bool idle_hook(void *ctx)
 {
 	return service_idle(ctx);
 }
 
 static const struct backend_ops backend_ops = {
-	.leave = service_told_to_leave,
-	.idle = service_finished,
+	.leave = leave_hook,
+	.idle = idle_hook,
 };
 
 static const struct argp_option options[] = {
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -14,7 +14,7 @@
 #include "web/server.h"
 
 #define PROGRAM "jtplatform"
-#define NUMBER_MAX 1e12
+#define OPTION_VALUE_MAX 1e12
 
 const char *argp_program_version = PROGRAM " " JT_VERSION;
 
@@ -57,21 +57,23 @@
 		return 0;
 	case OPTION_RETAIN_MS:
 		settings->retain_usec =
-			(int64_t)option_number(arg, 0, NUMBER_MAX, state) *
+			(int64_t)option_number(arg, 0, OPTION_VALUE_MAX,
+					       state) *
 			USEC_PER_MSEC;
 		return 0;
 	case OPTION_RETAIN_RECORDS:
-		settings->retain_records =
-			(uint64_t)option_number(arg, 0, NUMBER_MAX, state);
+		settings->retain_records = (uint64_t)option_number(
+			arg, 0, OPTION_VALUE_MAX, state);
 		return 0;
 	case OPTION_LIST_LAG_MS:
 		settings->list_lag_usec =
-			(int64_t)option_number(arg, 0, NUMBER_MAX, state) *
+			(int64_t)option_number(arg, 0, OPTION_VALUE_MAX,
+					       state) *
 			USEC_PER_MSEC;
 		return 0;
 	case OPTION_WEIGHT_RATE:
 		settings->weight_rate =
-			option_number(arg, 1, NUMBER_MAX, state);
+			option_number(arg, 1, OPTION_VALUE_MAX, state);
 		return 0;
 	default:
 		return ARGP_ERR_UNKNOWN;
@@ -93,7 +95,7 @@
 	uint64_t bytes;
 	double usec;
 
-	if (platform_cut(platform, request))
+	if (platform_apply_cut(platform, request))
 		return;
 	if (!web_request_param(request, "bytes", text, sizeof(text))) {
 		platform_answer_error(platform, request, 400, "no bytes");
@@ -101,11 +103,11 @@
 	}
 	bytes = g_ascii_strtoull(text, NULL, 10);
 	usec = (double)bytes * USEC_PER_SEC / platform->settings.weight_rate;
-	platform->weights_free_at = MAX(platform->weights_free_at, now);
-	platform->weights_free_at += (int64_t)MIN(usec, 1e15);
+	platform->weights_busy_until = MAX(platform->weights_busy_until, now);
+	platform->weights_busy_until += (int64_t)MIN(usec, 1e15);
 	platform_answer(platform, request, 200,
 			json_pack("{s:I}", "bytes", (json_int_t)bytes),
-			platform->weights_free_at - now);
+			platform->weights_busy_until - now);
 }
 
 static void ledger_handle(void *ctx, struct web_request *request)
@@ -119,10 +121,10 @@
 {
 	struct platform *platform = ctx;
 
-	reply_fault(request, &platform->faults);
+	reply_fault_set(request, &platform->faults);
 }
 
-static void unknown_handle(void *ctx, struct web_request *request)
+static void unknown_path_handle(void *ctx, struct web_request *request)
 {
 	platform_answer_error(ctx, request, 404, "no such path");
 }
@@ -159,7 +161,7 @@
 	web_server_handle(server, "/weights", weights_handle, platform);
 	web_server_handle(server, "/ledger", ledger_handle, platform);
 	web_server_handle(server, "/faults", faults_handle, platform);
-	web_server_handle(server, "/", unknown_handle, platform);
+	web_server_handle(server, "/", unknown_path_handle, platform);
 	loop_on_signal(platform->loop, SIGTERM, signal_handle, platform->loop);
 	loop_on_signal(platform->loop, SIGINT, signal_handle, platform->loop);
 	return true;
--- a/standin/platform_answer.c
+++ b/standin/platform_answer.c
@@ -6,7 +6,7 @@
 
 #define STATUS_NOT_MODIFIED 304
 
-struct answer {
+struct deferred_answer {
 	struct platform *platform;
 	struct web_request *request;
 	struct timer timer;
@@ -32,7 +32,7 @@
 
 /* Sends the headers first, because an abort before them is sent as a 500,
  * which is an answer. */
-static void answer_cut(struct web_request *request)
+static void answer_abort(struct web_request *request)
 {
 	web_reply_start(request, 200, "application/json");
 	web_reply_abort(request);
@@ -42,24 +42,24 @@
 			const char *body, bool cut)
 {
 	if (cut) {
-		answer_cut(request);
+		answer_abort(request);
 		return;
 	}
 	web_reply(request, status, "application/json", body,
 		  status == STATUS_NOT_MODIFIED ? 0 : strlen(body));
 }
 
-static void answer_free(struct answer *answer)
+static void answer_free(struct deferred_answer *answer)
 {
 	timer_stop(&answer->timer);
-	g_queue_delete_link(&answer->platform->answers, answer->link);
+	g_queue_delete_link(&answer->platform->deferred_answers, answer->link);
 	g_free(answer->body);
 	g_free(answer);
 }
 
 static void answer_due(struct timer *timer, void *ctx)
 {
-	struct answer *answer = ctx;
+	struct deferred_answer *answer = ctx;
 	struct web_request *request = answer->request;
 
 	answer_send(request, answer->status, answer->body, answer->cut);
@@ -74,15 +74,15 @@
 static void answer_defer(struct platform *platform, struct web_request *request,
 			 int status, char *body, bool cut, int64_t delay_usec)
 {
-	struct answer *answer = g_new0(struct answer, 1);
+	struct deferred_answer *answer = g_new0(struct deferred_answer, 1);
 
 	answer->platform = platform;
 	answer->request = request;
 	answer->status = status;
 	answer->cut = cut;
 	answer->body = body;
-	g_queue_push_tail(&platform->answers, answer);
-	answer->link = platform->answers.tail;
+	g_queue_push_tail(&platform->deferred_answers, answer);
+	answer->link = platform->deferred_answers.tail;
 	timer_init(&answer->timer, platform->clock, answer_due, answer);
 	timer_start(&answer->timer, delay_usec);
 	web_request_on_gone(request, answer_gone, answer);
@@ -129,18 +129,19 @@
 			json_pack("{s:s}", "error", text), 0);
 }
 
-bool platform_cut(struct platform *platform, struct web_request *request)
+bool platform_apply_cut(struct platform *platform, struct web_request *request)
 {
 	if (fault_take(&platform->faults, PLATFORM_CUT) == 0)
 		return false;
-	answer_cut(request);
+	answer_abort(request);
 	return true;
 }
 
 void platform_answers_clear(struct platform *platform)
 {
-	struct answer *answer;
+	struct deferred_answer *answer;
 
-	while ((answer = g_queue_peek_head(&platform->answers)) != NULL)
+	while ((answer = g_queue_peek_head(&platform->deferred_answers)) !=
+	       NULL)
 		answer_free(answer);
 }
--- a/standin/platform_list.c
+++ b/standin/platform_list.c
@@ -10,14 +10,14 @@
 
 /* A change that becomes visible to readers after the lag. */
 struct change {
-	int64_t at;
+	int64_t changed_at;
 	char *name;
 	json_t *instance; /* NULL: removed */
 };
 
 struct platform_list {
 	struct platform *platform;
-	json_t *shown; /* name to instance */
+	json_t *visible; /* name to instance */
 	GQueue changes;
 };
 
@@ -26,7 +26,7 @@
 	struct platform_list *list = g_new0(struct platform_list, 1);
 
 	list->platform = platform;
-	list->shown = json_object();
+	list->visible = json_object();
 	return list;
 }
 
@@ -44,7 +44,7 @@
 	if (list == NULL)
 		return;
 	g_queue_clear_full(&list->changes, change_free);
-	json_decref(list->shown);
+	json_decref(list->visible);
 	g_free(list);
 }
 
@@ -56,37 +56,37 @@
 			 : platform->settings.list_lag_usec;
 }
 
-static void list_catch_up(struct platform_list *list)
+static void list_apply_changes(struct platform_list *list)
 {
-	int64_t seen =
+	int64_t visible_until =
 		clock_now(list->platform->clock) - list_lag(list->platform);
 	struct change *change;
 
 	while ((change = g_queue_peek_head(&list->changes)) != NULL &&
-	       change->at <= seen) {
+	       change->changed_at <= visible_until) {
 		if (change->instance != NULL)
-			json_object_set(list->shown, change->name,
+			json_object_set(list->visible, change->name,
 					change->instance);
 		else
-			json_object_del(list->shown, change->name);
+			json_object_del(list->visible, change->name);
 		change_free(g_queue_pop_head(&list->changes));
 	}
 }
 
-static void list_change(struct platform_list *list, const char *name,
-			json_t *instance)
+static void list_queue_change(struct platform_list *list, const char *name,
+			      json_t *instance)
 {
 	struct change *change = g_new0(struct change, 1);
 
-	change->at = clock_now(list->platform->clock);
+	change->changed_at = clock_now(list->platform->clock);
 	change->name = g_strdup(name);
 	change->instance = instance;
 	g_queue_push_tail(&list->changes, change);
 }
 
 /* Answers 304 to a reader that already has this list. */
-static void answer_tag(struct platform_list *list, struct web_request *request,
-		       json_t *body)
+static void list_answer_tagged(struct platform_list *list,
+			       struct web_request *request, json_t *body)
 {
 	struct web_text known = web_request_header(request, "if-none-match");
 	char *text = json_dumps(body, JSON_COMPACT | JSON_SORT_KEYS);
@@ -107,20 +107,21 @@
 	const char *name;
 	json_t *instance;
 
-	list_catch_up(list);
-	json_object_foreach (list->shown, name, instance)
+	list_apply_changes(list);
+	json_object_foreach (list->visible, name, instance)
 		json_array_append(array, instance);
-	answer_tag(list, request, json_pack("{s:o}", "instances", array));
+	list_answer_tagged(list, request,
+			   json_pack("{s:o}", "instances", array));
 }
 
-static bool one_of(const json_t *value, const char *const *choices)
+static bool string_is_one_of(const json_t *value, const char *const *choices)
 {
 	const char *text = json_string_value(value);
 
 	return text != NULL && g_strv_contains(choices, text);
 }
 
-static bool instance_ok(const json_t *json)
+static bool instance_is_valid(const json_t *json)
 {
 	static const char *const kinds[] = {"entry", "runner", "server", NULL};
 	static const char *const states[] = {"live", "leaving", NULL};
@@ -130,25 +131,25 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
 		if (!json_is_string(json_object_get(json, texts[i])))
 			return false;
-	return one_of(json_object_get(json, "kind"), kinds) &&
-	       one_of(json_object_get(json, "state"), states);
+	return string_is_one_of(json_object_get(json, "kind"), kinds) &&
+	       string_is_one_of(json_object_get(json, "state"), states);
 }
 
 static void list_put(struct platform_list *list, const char *name,
 		     struct web_request *request)
 {
-	json_t *json = request_json(request);
+	json_t *json = request_parse_json(request);
 
 	if (json == NULL)
 		return;
-	if (!instance_ok(json)) {
+	if (!instance_is_valid(json)) {
 		json_decref(json);
 		platform_answer_error(list->platform, request, 400,
 				      "not an instance");
 		return;
 	}
 	json_object_set_new(json, "name", json_string(name));
-	list_change(list, name, json);
+	list_queue_change(list, name, json);
 	platform_answer_effect(list->platform, request, 200, json_object());
 }
 
@@ -156,16 +157,17 @@
 {
 	struct platform_list *list = ctx;
 	char name[INSTANCE_NAME_MAX];
-	bool named = request_tail(request, "/instances", name, sizeof(name));
+	bool named =
+		request_path_suffix(request, "/instances", name, sizeof(name));
 
-	if (platform_cut(list->platform, request))
+	if (platform_apply_cut(list->platform, request))
 		return;
-	if (!named && request_is(request, "GET")) {
+	if (!named && request_method_is(request, "GET")) {
 		list_answer(list, request);
-	} else if (named && request_is(request, "PUT")) {
+	} else if (named && request_method_is(request, "PUT")) {
 		list_put(list, name, request);
-	} else if (named && request_is(request, "DELETE")) {
-		list_change(list, name, NULL);
+	} else if (named && request_method_is(request, "DELETE")) {
+		list_queue_change(list, name, NULL);
 		platform_answer_effect(list->platform, request, 200,
 				       json_object());
 	} else {
--- a/standin/platform_log.c
+++ b/standin/platform_log.c
@@ -6,14 +6,14 @@
 #include "web/server.h"
 
 #define STREAM_NAME_MAX 128
-#define READ_DEFAULT 1000
-#define READ_MAX 10000
+#define READ_DEFAULT_RECORDS 1000
+#define READ_MAX_RECORDS 10000
 #define WAIT_MAX_MSEC 60000
 /* Size of the token bucket for appends, as a share of the rate per second. */
-#define BURST_SHARE 0.25
+#define APPEND_BURST_SHARE 0.25
 
 struct record {
-	int64_t now;
+	int64_t appended_at;
 	int64_t unix_us;
 	GBytes *data;
 };
@@ -40,7 +40,7 @@
 	struct platform *platform;
 	GHashTable *streams;
 	double tokens;
-	int64_t filled;
+	int64_t refilled_at;
 	int64_t appends;
 	int64_t reads;
 	int64_t refused;
@@ -73,9 +73,9 @@
 	g_free(stream);
 }
 
-static double rate_burst(const struct platform *platform)
+static double append_burst(const struct platform *platform)
 {
-	return MAX(1.0, platform->settings.append_rate * BURST_SHARE);
+	return MAX(1.0, platform->settings.append_rate * APPEND_BURST_SHARE);
 }
 
 struct platform_log *platform_log_create(struct platform *platform)
@@ -85,8 +85,8 @@
 	log->platform = platform;
 	log->streams = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					     stream_free);
-	log->tokens = rate_burst(platform);
-	log->filled = clock_now(platform->clock);
+	log->tokens = append_burst(platform);
+	log->refilled_at = clock_now(platform->clock);
 	return log;
 }
 
@@ -110,7 +110,8 @@
 	return stream;
 }
 
-static bool stream_over(const struct platform_log *log, struct stream *stream)
+static bool stream_exceeds_retention(const struct platform_log *log,
+				     struct stream *stream)
 {
 	const struct platform_settings *settings = &log->platform->settings;
 	const struct record *oldest = g_queue_peek_head(&stream->records);
@@ -122,12 +123,12 @@
 	    stream->records.length > settings->retain_records)
 		return true;
 	return settings->retain_usec > 0 &&
-	       now - oldest->now > settings->retain_usec;
+	       now - oldest->appended_at > settings->retain_usec;
 }
 
 static void stream_trim(struct platform_log *log, struct stream *stream)
 {
-	while (stream_over(log, stream)) {
+	while (stream_exceeds_retention(log, stream)) {
 		record_free(g_queue_pop_head(&stream->records));
 		stream->first++;
 	}
@@ -138,16 +139,16 @@
 	return stream->first + stream->records.length;
 }
 
-static bool rate_take(struct platform_log *log)
+static bool append_rate_take(struct platform_log *log)
 {
 	double rate = log->platform->settings.append_rate;
 	int64_t now = clock_now(log->platform->clock);
 
 	if (rate <= 0)
 		return true;
-	log->tokens += rate * (double)(now - log->filled) / USEC_PER_SEC;
-	log->tokens = MIN(log->tokens, rate_burst(log->platform));
-	log->filled = now;
+	log->tokens += rate * (double)(now - log->refilled_at) / USEC_PER_SEC;
+	log->tokens = MIN(log->tokens, append_burst(log->platform));
+	log->refilled_at = now;
 	if (log->tokens < 1.0)
 		return false;
 	log->tokens -= 1.0;
@@ -168,25 +169,27 @@
 }
 
 /* Searches from the tail, because most reads are of the newest records. */
-static const GList *stream_at(const struct stream *stream, uint64_t offset)
+static const GList *stream_find_record(const struct stream *stream,
+				       uint64_t offset)
 {
 	const GList *link = stream->records.tail;
-	uint64_t back = stream_next(stream) - offset;
+	uint64_t distance = stream_next(stream) - offset;
 
-	while (back > 1 && link != NULL) {
+	while (distance > 1 && link != NULL) {
 		link = link->prev;
-		back--;
+		distance--;
 	}
 	return link;
 }
 
-static json_t *stream_page(const struct stream *stream, uint64_t from,
-			   uint64_t max)
+static json_t *stream_page_json(const struct stream *stream, uint64_t from,
+				uint64_t max)
 {
 	uint64_t next = stream_next(stream);
 	uint64_t offset = MAX(from, stream->first);
 	json_t *records = json_array();
-	const GList *link = offset < next ? stream_at(stream, offset) : NULL;
+	const GList *link =
+		offset < next ? stream_find_record(stream, offset) : NULL;
 
 	for (; link != NULL && json_array_size(records) < max;
 	     link = link->next, offset++)
@@ -198,7 +201,8 @@
 static void reader_answer(struct reader *reader)
 {
 	struct platform_log *log = reader->log;
-	json_t *page = stream_page(reader->stream, reader->from, reader->max);
+	json_t *page =
+		stream_page_json(reader->stream, reader->from, reader->max);
 	struct web_request *request = reader->request;
 
 	g_queue_remove(&reader->stream->readers, reader);
@@ -220,12 +224,12 @@
 }
 
 static uint64_t param_number(const struct web_request *request,
-			     const char *name, uint64_t otherwise)
+			     const char *name, uint64_t fallback)
 {
 	char text[32];
 
 	if (!web_request_param(request, name, text, sizeof(text)))
-		return otherwise;
+		return fallback;
 	return g_ascii_strtoull(text, NULL, 10);
 }
 
@@ -233,17 +237,17 @@
 		     struct web_request *request)
 {
 	uint64_t from = param_number(request, "from", 0);
-	uint64_t max = param_number(request, "max", READ_DEFAULT);
+	uint64_t max = param_number(request, "max", READ_DEFAULT_RECORDS);
 	int64_t wait = (int64_t)MIN(param_number(request, "wait_ms", 0),
 				    WAIT_MAX_MSEC);
 	struct reader *reader;
 
 	log->reads++;
-	max = MIN(max, READ_MAX);
+	max = MIN(max, READ_MAX_RECORDS);
 	stream_trim(log, stream);
 	if (wait == 0 || from < stream_next(stream)) {
 		platform_answer(log->platform, request, 200,
-				stream_page(stream, from, max), 0);
+				stream_page_json(stream, from, max), 0);
 		return;
 	}
 	reader = g_new0(struct reader, 1);
@@ -264,7 +268,7 @@
 	struct record *record = g_new0(struct record, 1);
 	uint64_t offset = stream_next(stream);
 
-	record->now = clock_now(log->platform->clock);
+	record->appended_at = clock_now(log->platform->clock);
 	record->unix_us = clock_unix(log->platform->clock);
 	record->data = g_bytes_new(data.data, data.size);
 	g_queue_push_tail(&stream->records, record);
@@ -285,7 +289,7 @@
 		platform_answer_error(log->platform, request, 413, "too large");
 		return;
 	}
-	if (!rate_take(log)) {
+	if (!append_rate_take(log)) {
 		log->refused++;
 		platform_answer_error(log->platform, request, 429, "rate");
 		return;
@@ -305,16 +309,16 @@
 	struct platform *platform = log->platform;
 	char name[STREAM_NAME_MAX];
 
-	if (platform_cut(platform, request))
+	if (platform_apply_cut(platform, request))
 		return;
 	if (fault_take(&platform->faults, PLATFORM_OUTAGE) != 0) {
 		log->refused++;
 		platform_answer_error(platform, request, 503, "outage");
-	} else if (!request_tail(request, "/log", name, sizeof(name))) {
+	} else if (!request_path_suffix(request, "/log", name, sizeof(name))) {
 		platform_answer_error(platform, request, 404, "no stream");
-	} else if (request_is(request, "POST")) {
+	} else if (request_method_is(request, "POST")) {
 		log_append(log, stream_get(log, name), request);
-	} else if (request_is(request, "GET")) {
+	} else if (request_method_is(request, "GET")) {
 		log_read(log, stream_get(log, name), request);
 	} else {
 		platform_answer_error(platform, request, 405, "method");
--- a/standin/register.c
+++ b/standin/register.c
@@ -10,8 +10,8 @@
 #include "web/client.h"
 #include "web/loop.h"
 
-#define CALL_USEC (1 * USEC_PER_SEC)
-#define ANSWER_MAX 4096
+#define CALL_TIMEOUT_USEC (1 * USEC_PER_SEC)
+#define ANSWER_BYTES_MAX 4096
 
 struct registration {
 	struct web_client *client;
@@ -21,7 +21,7 @@
 	struct timer timer;
 	struct web_call *call;
 	bool changed; /* while a call was in flight */
-	registration_fn ended;
+	registration_removed_fn removed_fn;
 	void *ctx;
 };
 
@@ -36,7 +36,7 @@
 	if (registration->changed)
 		entry_send(registration);
 	else
-		timer_start(&registration->timer, REGISTER_USEC);
+		timer_start(&registration->timer, REGISTER_INTERVAL_USEC);
 }
 
 static void delete_answered(void *ctx, const struct web_result *result,
@@ -45,28 +45,28 @@
 	struct registration *registration = ctx;
 
 	registration->call = NULL;
-	registration->ended(registration->ctx);
+	registration->removed_fn(registration->ctx);
 }
 
 static void entry_call(struct registration *registration, const char *method,
 		       const char *body, web_answer_fn fn)
 {
-	static const struct web_header json = {{"content-type", 12},
-					       {"application/json", 16}};
+	static const struct web_header content_type = {
+		{"content-type", 12}, {"application/json", 16}};
 	struct web_call_spec spec = {
 		.address = registration->platform,
 		.method = method,
 		.path = registration->path,
-		.headers = &json,
+		.headers = &content_type,
 		.header_count = 1,
 		.body = body,
 		.body_size = strlen(body),
-		.head_usec = CALL_USEC,
+		.head_usec = CALL_TIMEOUT_USEC,
 	};
 
 	timer_stop(&registration->timer);
-	registration->call = web_fetch(registration->client, &spec, ANSWER_MAX,
-				       fn, registration);
+	registration->call = web_fetch(registration->client, &spec,
+				       ANSWER_BYTES_MAX, fn, registration);
 }
 
 /* Sends one call at a time, so that the platform receives them in order. */
@@ -77,7 +77,7 @@
 	registration->changed = registration->call != NULL;
 	if (registration->changed)
 		return;
-	if (registration->ended) {
+	if (registration->removed_fn) {
 		entry_call(registration, "DELETE", "", delete_answered);
 		return;
 	}
@@ -125,12 +125,12 @@
 	g_free(registration);
 }
 
-void registration_pool(struct registration *registration, const char *pool,
-		       uint64_t incarnation)
+void registration_set_pool(struct registration *registration, const char *pool,
+			   uint64_t incarnation)
 {
-	const json_t *known = json_object_get(registration->entry, "pool");
+	const json_t *current = json_object_get(registration->entry, "pool");
 
-	if (strcmp(json_string_value(known), pool) == 0)
+	if (strcmp(json_string_value(current), pool) == 0)
 		return;
 	json_object_set_new(registration->entry, "pool", json_string(pool));
 	json_object_set_new(registration->entry, "incarnation",
@@ -139,7 +139,7 @@
 		entry_send(registration);
 }
 
-void registration_leave(struct registration *registration)
+void registration_set_leaving(struct registration *registration)
 {
 	json_object_set_new(registration->entry, "state",
 			    json_string("leaving"));
@@ -147,10 +147,10 @@
 		entry_send(registration);
 }
 
-void registration_end(struct registration *registration, registration_fn fn,
-		      void *ctx)
+void registration_remove(struct registration *registration,
+			 registration_removed_fn fn, void *ctx)
 {
-	registration->ended = fn;
+	registration->removed_fn = fn;
 	registration->ctx = ctx;
 	if (registration->platform)
 		entry_send(registration);
--- a/standin/reply.c
+++ b/standin/reply.c
@@ -28,7 +28,7 @@
 			     "refused", reason));
 }
 
-json_t *request_json(struct web_request *request)
+json_t *request_parse_json(struct web_request *request)
 {
 	struct web_text body = web_request_body(request);
 	json_error_t detail;
@@ -41,32 +41,32 @@
 	return NULL;
 }
 
-bool request_is(const struct web_request *request, const char *method)
+bool request_method_is(const struct web_request *request, const char *method)
 {
 	return web_text_is(web_request_method(request), method);
 }
 
-bool request_tail(const struct web_request *request, const char *prefix,
-		  char *tail, size_t size)
+bool request_path_suffix(const struct web_request *request, const char *prefix,
+			 char *suffix, size_t size)
 {
 	struct web_text path = web_request_path(request);
 	size_t skip = strlen(prefix) + 1;
 
 	if (path.size <= skip || path.size - skip >= size)
 		return false;
-	memcpy(tail, path.data + skip, path.size - skip);
-	tail[path.size - skip] = '\0';
+	memcpy(suffix, path.data + skip, path.size - skip);
+	suffix[path.size - skip] = '\0';
 	return true;
 }
 
-void reply_fault(struct web_request *request, struct fault_set *faults)
+void reply_fault_set(struct web_request *request, struct fault_set *faults)
 {
 	struct web_text body = web_request_body(request);
 	struct error err;
 
-	if (!request_is(request, "POST"))
+	if (!request_method_is(request, "POST"))
 		reply_error(request, 405, "POST only");
-	else if (!fault_read(faults, body.data, body.size, &err))
+	else if (!fault_parse(faults, body.data, body.size, &err))
 		reply_error(request, 400, err.text);
 	else
 		reply_json(request, 200, json_object());
--- a/standin/service.c
+++ b/standin/service.c
@@ -43,7 +43,7 @@
 	struct timer timer;
 	uint64_t number; /* of runs under its key, including this one */
 	bool failed;
-	bool lost;
+	bool answer_lost;
 };
 
 static char *text_copy(struct web_text text)
@@ -90,11 +90,11 @@
 	g_free(run);
 }
 
-static void run_done(struct timer *timer, void *ctx)
+static void run_answer(struct timer *timer, void *ctx)
 {
 	struct run *run = ctx;
 
-	if (run->lost)
+	if (run->answer_lost)
 		web_reply_abort(run->request);
 	else if (run->failed)
 		reply_error(run->request, 500, "failed");
@@ -110,26 +110,27 @@
 
 static void run_start(struct service *service, struct web_request *request)
 {
-	int64_t slow = fault_take(&service->faults, SERVICE_SLOW);
-	int64_t late = fault_take(&service->faults, SERVICE_LATE_ANSWER);
-	bool hangs = fault_take(&service->faults, SERVICE_HANG) != 0;
-	int64_t usec = service->work_usec * (slow ? slow : 1);
+	int64_t slowdown = fault_take(&service->faults, SERVICE_SLOW);
+	int64_t delay_ms = fault_take(&service->faults, SERVICE_LATE_ANSWER);
+	bool hang = fault_take(&service->faults, SERVICE_HANG) != 0;
+	int64_t usec = service->work_usec * (slowdown ? slowdown : 1);
 	struct run *run = g_new0(struct run, 1);
 
-	usec += late * USEC_PER_MSEC;
+	usec += delay_ms * USEC_PER_MSEC;
 	run->service = service;
 	run->request = request;
 	run->number = run_count(service, request);
 	run->failed = fault_take(&service->faults, SERVICE_FAIL) != 0;
-	run->lost = fault_take(&service->faults, SERVICE_LOSE_ANSWER) != 0;
+	run->answer_lost =
+		fault_take(&service->faults, SERVICE_LOSE_ANSWER) != 0;
 	service->running++;
-	timer_init(&run->timer, service->clock, run_done, run);
-	if (usec == 0 && !hangs) {
-		run_done(&run->timer, run);
+	timer_init(&run->timer, service->clock, run_answer, run);
+	if (usec == 0 && !hang) {
+		run_answer(&run->timer, run);
 		return;
 	}
 	web_request_on_gone(request, run_gone, run);
-	if (!hangs)
+	if (!hang)
 		timer_start(&run->timer, usec);
 }
 
@@ -189,7 +190,7 @@
 {
 	struct service *service = ctx;
 
-	reply_fault(request, &service->faults);
+	reply_fault_set(request, &service->faults);
 }
 
 struct service *service_create(struct clock *clock, struct web_server *server,
--- a/tests/standin/test_answer.c
+++ b/tests/standin/test_answer.c
@@ -36,7 +36,7 @@
 
 		g_assert_cmpuint(answer_prompt_tokens(text, size), ==,
 				 prompts[i].tokens);
-		g_assert_cmpuint(answer_length(text, size, 100), ==,
+		g_assert_cmpuint(answer_output_tokens(text, size, 100), ==,
 				 prompts[i].length);
 	}
 }
@@ -112,7 +112,7 @@
 
 		fault_init(&set, names);
 		g_assert_true(fault_set(&set, "one", 9, 0, NULL));
-		ok = fault_read(&set, body, strlen(body), &err);
+		ok = fault_parse(&set, body, strlen(body), &err);
 		g_assert_cmpint(ok, ==, text == NULL);
 		if (!ok)
 			g_assert_cmpint(err.code, ==, RESULT_USAGE);
--- a/tests/standin/test_http.c
+++ b/tests/standin/test_http.c
@@ -19,26 +19,26 @@
 #include "web/loop.h"
 #include "web/server.h"
 
-#define JOB                                                                    \
+#define REQUEST_FIELDS                                                         \
 	"\"request\": \"00000000000000aa\", \"owner\": \"00000000000000bb\", " \
 	"\"incarnation\": \"00000000000000cc\""
 
 /* Enough tokens that a late event loop does not end the stream early. */
-#define LONG 400
+#define LONG_STREAM_TOKENS 400
 
 struct world {
 	struct clock *clock;
 	struct loop *loop;
 	struct web_client *client;
 	struct web_server *servers[4];
-	struct engine_model *p;
-	struct engine_model *d;
-	struct engine_http *faces[2];
+	struct engine_model *prefill_engine;
+	struct engine_model *decode_engine;
+	struct engine_http *http[2];
 	struct service *service;
 	GString *entries; /* requests that the fake platform got */
 	bool (*until)(struct world *world);
 	struct timer poll;
-	int ended; /* calls of registration_ended() */
+	int ended; /* calls of registration_removed() */
 };
 
 enum {
@@ -134,9 +134,9 @@
 
 /* Makes a call, checks the status (0: cut off) and that the body contains part
  * if that is not NULL, and returns the body. */
-static char *expect(struct world *w, int server, const char *method,
-		    const char *path, const char *body, int status,
-		    const char *part)
+static char *call_expect(struct world *w, int server, const char *method,
+			 const char *path, const char *body, int status,
+			 const char *part)
 {
 	struct call call;
 
@@ -152,11 +152,11 @@
 	return g_string_free(call.body, FALSE);
 }
 
-static void check(struct world *w, int server, const char *method,
-		  const char *path, const char *body, int status,
-		  const char *part)
+static void call_check(struct world *w, int server, const char *method,
+		       const char *path, const char *body, int status,
+		       const char *part)
 {
-	g_free(expect(w, server, method, path, body, status, part));
+	g_free(call_expect(w, server, method, path, body, status, part));
 }
 
 static void handle_entry(void *ctx, struct web_request *request)
@@ -214,10 +214,12 @@
 						  &limits, NULL);
 		g_assert_nonnull(w->servers[i]);
 	}
-	w->p = engine_new(w->clock, ENGINE_PREFILL);
-	w->d = engine_new(w->clock, ENGINE_DECODE);
-	w->faces[0] = engine_http_create(w->p, w->servers[PREFILL], w->client);
-	w->faces[1] = engine_http_create(w->d, w->servers[DECODE], w->client);
+	w->prefill_engine = engine_new(w->clock, ENGINE_PREFILL);
+	w->decode_engine = engine_new(w->clock, ENGINE_DECODE);
+	w->http[0] = engine_http_create(w->prefill_engine, w->servers[PREFILL],
+					w->client);
+	w->http[1] = engine_http_create(w->decode_engine, w->servers[DECODE],
+					w->client);
 	w->service = service_create(w->clock, w->servers[SERVICE],
 				    1 * USEC_PER_MSEC);
 	w->entries = g_string_new(NULL);
@@ -228,10 +230,10 @@
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(w->servers); i++)
 		web_server_destroy(w->servers[i]);
-	engine_destroy(w->p);
-	engine_destroy(w->d);
-	engine_http_destroy(w->faces[0]);
-	engine_http_destroy(w->faces[1]);
+	engine_destroy(w->prefill_engine);
+	engine_destroy(w->decode_engine);
+	engine_http_destroy(w->http[0]);
+	engine_http_destroy(w->http[1]);
 	service_destroy(w->service);
 	web_client_destroy(w->client);
 	loop_destroy(w->loop);
@@ -248,24 +250,30 @@
 	const char *body;
 	int status;
 	const char *part;
-} rows[] = {
+} requests[] = {
 	{PREFILL, "POST", "/prefill", "", 400, "not a JSON object"},
 	{PREFILL, "POST", "/prefill", "[]", 400, "not a JSON object"},
 	{PREFILL, "POST", "/prefill", "{}", 400, "malformed prefill"},
-	{PREFILL, "POST", "/prefill", "{" JOB "}", 400, "malformed prefill"},
-	{PREFILL, "POST", "/prefill", "{" JOB ", \"prompt\": 5}", 400, NULL},
+	{PREFILL, "POST", "/prefill", "{" REQUEST_FIELDS "}", 400,
+	 "malformed prefill"},
+	{PREFILL, "POST", "/prefill", "{" REQUEST_FIELDS ", \"prompt\": 5}",
+	 400, NULL},
 	{PREFILL, "POST", "/prefill",
-	 "{" JOB ", \"prompt\": \"a\", \"prompt_tokens\": -1}", 400, NULL},
+	 "{" REQUEST_FIELDS ", \"prompt\": \"a\", \"prompt_tokens\": -1}", 400,
+	 NULL},
 	{PREFILL, "POST", "/prefill",
-	 "{" JOB ", \"prompt\": \"a\", \"blocks\": [\"x\"]}", 400, NULL},
-	{PREFILL, "POST", "/decode", "{" JOB "}", 400, "malformed decode"},
+	 "{" REQUEST_FIELDS ", \"prompt\": \"a\", \"blocks\": [\"x\"]}", 400,
+	 NULL},
+	{PREFILL, "POST", "/decode", "{" REQUEST_FIELDS "}", 400,
+	 "malformed decode"},
 	{PREFILL, "POST", "/decode",
-	 "{" JOB ", \"source\": \"a\", \"handle\": \"b\"}", 503, "\"role\""},
-	{DECODE, "POST", "/prefill", "{" JOB ", \"prompt\": \"a\"}", 503,
-	 "\"refused\":\"role\""},
+	 "{" REQUEST_FIELDS ", \"source\": \"a\", \"handle\": \"b\"}", 503,
+	 "\"role\""},
+	{DECODE, "POST", "/prefill", "{" REQUEST_FIELDS ", \"prompt\": \"a\"}",
+	 503, "\"refused\":\"role\""},
 	{DECODE, "POST", "/decode",
-	 "{" JOB ", \"source\": \"127.0.0.1:1\", \"handle\": \"b\"}", 200,
-	 "{\"error\": \"the source does not answer\"}"},
+	 "{" REQUEST_FIELDS ", \"source\": \"127.0.0.1:1\", \"handle\": \"b\"}",
+	 200, "{\"error\": \"the source does not answer\"}"},
 	{DECODE, "GET", "/streams/x?offset=0", NULL, 404, NULL},
 	{DECODE, "GET", "/streams", NULL, 200, "{\"streams\":[]}"},
 	{DECODE, "DELETE", "/streams/x", NULL, 200, "{\"freed\":0}"},
@@ -288,8 +296,8 @@
 	{PREFILL, "GET", "/faults", NULL, 405, NULL},
 	{PREFILL, "POST", "/faults", "{\"fault\": \"x\"}", 400, "unknown"},
 	{PREFILL, "POST", "/faults", "{\"fault\": \"leaving\"}", 200, NULL},
-	{PREFILL, "POST", "/prefill", "{" JOB ", \"prompt\": \"a\"}", 503,
-	 "\"refused\":\"leaving\""},
+	{PREFILL, "POST", "/prefill", "{" REQUEST_FIELDS ", \"prompt\": \"a\"}",
+	 503, "\"refused\":\"leaving\""},
 	{PREFILL, "GET", "/load", NULL, 200, "\"role\":\"prefill\""},
 	{SERVICE, "PUT", "/a/b?c", "text", 200,
 	 "{\"ran\":1,\"method\":\"PUT\",\"path\":\"/a/b\",\"body\":\"text\"}"},
@@ -313,18 +321,20 @@
 	 "{\"leaving\":true,\"running\":0,\"age_ms\":0}"},
 };
 
-static void test_rows(struct world *w, gconstpointer data)
+static void test_requests(struct world *w, gconstpointer data)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-		check(w, rows[i].server, rows[i].method, rows[i].path,
-		      rows[i].body, rows[i].status, rows[i].part);
+	for (size_t i = 0; i < G_N_ELEMENTS(requests); i++)
+		call_check(w, requests[i].server, requests[i].method,
+			   requests[i].path, requests[i].body,
+			   requests[i].status, requests[i].part);
 }
 
 static char *prefill(struct world *w, const char *prompt)
 {
-	char *body = g_strdup_printf("{" JOB ", \"prompt\": \"%s\"}", prompt);
-	char *answer = expect(w, PREFILL, "POST", "/prefill", body, 200,
-			      "{\"handle\":\"p");
+	char *body = g_strdup_printf("{" REQUEST_FIELDS ", \"prompt\": \"%s\"}",
+				     prompt);
+	char *answer = call_expect(w, PREFILL, "POST", "/prefill", body, 200,
+				   "{\"handle\":\"p");
 	char **words = g_strsplit(answer, "\"", 5);
 	char *handle = g_strdup(words[3]);
 
@@ -339,7 +349,8 @@
 		   unsigned int max, unsigned int from)
 {
 	char *body = g_strdup_printf(
-		"{" JOB ", \"prompt_tokens\": 1, \"output_tokens_max\": %u, "
+		"{" REQUEST_FIELDS
+		", \"prompt_tokens\": 1, \"output_tokens_max\": %u, "
 		"\"output_from\": %u, \"source\": \"%s\", \"handle\": \"%s\"}",
 		max, from, web_server_address(w->servers[PREFILL]), handle);
 
@@ -359,7 +370,7 @@
 	}
 }
 
-static void test_whole(struct world *w, gconstpointer data)
+static void test_complete_stream(struct world *w, gconstpointer data)
 {
 	char *handle = prefill(w, "hello #130");
 	GString *lines = g_string_new("{\"started\": true}\n");
@@ -371,9 +382,10 @@
 	g_string_append(lines, "{\"end\": \"stop\", \"tokens\": 130}\n");
 	g_assert_true(g_str_has_prefix(call.body->str, "{\"stream\": \"s"));
 	g_assert_cmpstr(strchr(call.body->str, '\n') + 1, ==, lines->str);
-	check(w, DECODE, "GET", "/ledger", NULL, 200,
-	      "\"decodes\":1,\"tokens\":127");
-	check(w, PREFILL, "GET", "/ledger", NULL, 200, "\"wasted_tokens\":0");
+	call_check(w, DECODE, "GET", "/ledger", NULL, 200,
+		   "\"decodes\":1,\"tokens\":127");
+	call_check(w, PREFILL, "GET", "/ledger", NULL, 200,
+		   "\"wasted_tokens\":0");
 	call_free(&call);
 	g_string_free(lines, TRUE);
 	g_free(handle);
@@ -381,12 +393,12 @@
 
 static bool computing(struct world *w)
 {
-	return w->p->computing != NULL;
+	return w->prefill_engine->computing != NULL;
 }
 
 static bool not_computing(struct world *w)
 {
-	return w->p->computing == NULL;
+	return w->prefill_engine->computing == NULL;
 }
 
 static void test_prefill_hang_up(struct world *w, gconstpointer data)
@@ -394,25 +406,27 @@
 	struct call call;
 
 	call_start(w, &call, PREFILL, "POST", "/prefill",
-		   "{" JOB ", \"prompt\": \"@1000000000 x\"}");
+		   "{" REQUEST_FIELDS ", \"prompt\": \"@1000000000 x\"}");
 	run_until(w, computing);
 	web_call_cancel(call.call);
 	run_until(w, not_computing);
-	g_assert_cmpuint(table_count(w->p->prefills), ==, 0);
-	g_assert_cmpuint(engine_tally(w->p, 0xaa)->cancelled, ==, 1);
-	g_assert_cmpuint(w->p->ledger.wasted_tokens, ==,
-			 w->p->ledger.prefill_tokens);
+	g_assert_cmpuint(table_count(w->prefill_engine->prefills), ==, 0);
+	g_assert_cmpuint(engine_tally(w->prefill_engine, 0xaa)->cancelled, ==,
+			 1);
+	g_assert_cmpuint(w->prefill_engine->ledger.wasted_tokens, ==,
+			 w->prefill_engine->ledger.prefill_tokens);
 	call_free(&call);
 }
 
 static bool nothing_held(struct world *w)
 {
-	return table_count(w->p->prefills) == 0;
+	return table_count(w->prefill_engine->prefills) == 0;
 }
 
 static bool result_held(struct world *w)
 {
-	return table_count(w->p->prefills) == 1 && !w->p->computing;
+	return table_count(w->prefill_engine->prefills) == 1 &&
+	       !w->prefill_engine->computing;
 }
 
 /* The caller disconnects before a late answer, so nobody knows the handle of
@@ -421,15 +435,16 @@
 {
 	struct call call;
 
-	check(w, PREFILL, "POST", "/faults",
-	      "{\"fault\": \"late_answer\", \"value\": 60000, \"times\": 1}",
-	      200, NULL);
+	call_check(
+		w, PREFILL, "POST", "/faults",
+		"{\"fault\": \"late_answer\", \"value\": 60000, \"times\": 1}",
+		200, NULL);
 	call_start(w, &call, PREFILL, "POST", "/prefill",
-		   "{" JOB ", \"prompt\": \"a b\"}");
+		   "{" REQUEST_FIELDS ", \"prompt\": \"a b\"}");
 	run_until(w, result_held);
 	web_call_cancel(call.call);
 	run_until(w, nothing_held);
-	g_assert_cmpuint(w->p->ledger.wasted_tokens, ==, 2);
+	g_assert_cmpuint(w->prefill_engine->ledger.wasted_tokens, ==, 2);
 	call_free(&call);
 }
 
@@ -438,7 +453,7 @@
 	uint32_t cursor = 0;
 	uint64_t handle;
 
-	return table_next(w->d->streams, &cursor, &handle);
+	return table_next(w->decode_engine->streams, &cursor, &handle);
 }
 
 static bool stream_runs(struct world *w)
@@ -462,24 +477,26 @@
 	char *path;
 	char *rest;
 
-	decode(w, &first, handle, LONG, 0);
+	decode(w, &first, handle, LONG_STREAM_TOKENS, 0);
 	run_until(w, stream_runs);
 	web_call_cancel(first.call);
 	run_until(w, no_reader);
-	check(w, DECODE, "GET", "/streams", NULL, 200,
-	      "\"request\":\"00000000000000aa\",\"owner\":\"00000000000000bb\","
-	      "\"incarnation\":\"00000000000000cc\",\"attempt\":0,\"pieces\":"
-	      "1");
+	call_check(
+		w, DECODE, "GET", "/streams", NULL, 200,
+		"\"request\":\"00000000000000aa\",\"owner\":"
+		"\"00000000000000bb\","
+		"\"incarnation\":\"00000000000000cc\",\"attempt\":0,\"pieces\":"
+		"1");
 	path = g_strdup_printf("/streams/%s?offset=2", only_stream(w)->name);
 	call_start(w, &second, DECODE, "GET", path, NULL);
-	rest = expect(w, DECODE, "GET", path, NULL, 200, NULL);
+	rest = call_expect(w, DECODE, "GET", path, NULL, 200, NULL);
 	/* The newest reader gets the whole rest; the earlier one is cut off. */
 	call_wait(w, &second);
 	g_assert_false(second.ok);
-	lines_add(lines, "long", 2, LONG);
+	lines_add(lines, "long", 2, LONG_STREAM_TOKENS);
 	g_string_append(lines, "{\"end\": \"length\", \"tokens\": 400}\n");
 	g_assert_cmpstr(rest, ==, lines->str);
-	check(w, DECODE, "GET", path, NULL, 404, NULL);
+	call_check(w, DECODE, "GET", path, NULL, 404, NULL);
 	g_free(path);
 	g_free(rest);
 	g_free(handle);
@@ -495,7 +512,7 @@
 	uint32_t cursor = 0;
 	uint64_t handle;
 
-	while ((p = table_next(w->p->prefills, &cursor, &handle)))
+	while ((p = table_next(w->prefill_engine->prefills, &cursor, &handle)))
 		fetches += p->fetches;
 	return fetches == 1;
 }
@@ -515,13 +532,13 @@
 
 static void step_transfer(struct world *w, struct call *call)
 {
-	check(w, PREFILL, "POST", "/faults",
-	      "{\"fault\": \"stall_transfer\", \"times\": 1}", 200, NULL);
+	call_check(w, PREFILL, "POST", "/faults",
+		   "{\"fault\": \"stall_transfer\", \"times\": 1}", 200, NULL);
 	decode_long(w, call, 500);
 	run_until(w, fetch_runs);
 }
 
-static void step_decodes(struct world *w, struct call *call)
+static void step_decode(struct world *w, struct call *call)
 {
 	decode_long(w, call, 90000);
 	run_until(w, stream_runs);
@@ -529,7 +546,7 @@
 
 static void step_unread(struct world *w, struct call *call)
 {
-	decode_long(w, call, LONG);
+	decode_long(w, call, LONG_STREAM_TOKENS);
 	run_until(w, stream_runs);
 	web_call_cancel(call->call);
 	call->done = true;
@@ -544,11 +561,11 @@
 	int status;
 } cancels[] = {
 	{step_transfer, "lose_answer", 0}, {step_transfer, "late_answer", 200},
-	{step_decodes, "lose_answer", 0},  {step_decodes, "late_answer", 200},
+	{step_decode, "lose_answer", 0},   {step_decode, "late_answer", 200},
 	{step_unread, "lose_answer", 0},   {step_unread, "late_answer", 200},
 };
 
-static void cancel_test(struct world *w, size_t row)
+static void check_cancel(struct world *w, size_t row)
 {
 	struct call call;
 	char *fault = g_strdup_printf(
@@ -558,10 +575,10 @@
 
 	cancels[row].reach(w, &call);
 	path = g_strdup_printf("/streams/%s", only_stream(w)->name);
-	check(w, DECODE, "POST", "/faults", fault, 200, NULL);
-	check(w, DECODE, "DELETE", path, NULL, cancels[row].status, NULL);
-	g_assert_cmpuint(w->d->pieces_used, ==, 0);
-	check(w, DECODE, "DELETE", path, NULL, 200, "{\"freed\":0}");
+	call_check(w, DECODE, "POST", "/faults", fault, 200, NULL);
+	call_check(w, DECODE, "DELETE", path, NULL, cancels[row].status, NULL);
+	g_assert_cmpuint(w->decode_engine->pieces_used, ==, 0);
+	call_check(w, DECODE, "DELETE", path, NULL, 200, "{\"freed\":0}");
 	call_wait(w, &call);
 	g_assert_false(call.ok);
 	call_free(&call);
@@ -572,7 +589,7 @@
 static void test_cancel(struct world *w, gconstpointer data)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(cancels); i++)
-		cancel_test(w, i);
+		check_cancel(w, i);
 }
 
 static bool fetch_ended(struct world *w)
@@ -587,30 +604,30 @@
 	struct call call;
 	char *path;
 
-	check(w, PREFILL, "POST", "/faults",
-	      "{\"fault\": \"stall_transfer\", \"times\": 1}", 200, NULL);
+	call_check(w, PREFILL, "POST", "/faults",
+		   "{\"fault\": \"stall_transfer\", \"times\": 1}", 200, NULL);
 	decode(w, &call, handle, 10, 0);
 	run_until(w, fetch_runs);
 	path = g_strdup_printf("/streams/%s", only_stream(w)->name);
-	check(w, DECODE, "DELETE", path, NULL, 200, "{\"freed\":1}");
+	call_check(w, DECODE, "DELETE", path, NULL, 200, "{\"freed\":1}");
 	run_until(w, fetch_ended);
 	call_free(&call);
 	decode(w, &call, handle, 10, 0);
 	call_wait(w, &call);
 	g_assert_nonnull(strstr(call.body->str, "\"end\": \"stop\""));
-	g_assert_cmpuint(w->p->ledger.wasted_tokens, ==, 0);
+	g_assert_cmpuint(w->prefill_engine->ledger.wasted_tokens, ==, 0);
 	call_free(&call);
 	/* The result was fetched, so a third decode does not find it. */
 	decode(w, &call, handle, 10, 0);
 	call_wait(w, &call);
 	g_assert_nonnull(strstr(call.body->str, "holds no such result"));
-	g_assert_cmpuint(w->d->pieces_used, ==, 0);
+	g_assert_cmpuint(w->decode_engine->pieces_used, ==, 0);
 	call_free(&call);
 	g_free(handle);
 	g_free(path);
 }
 
-static void registration_ended(void *ctx)
+static void registration_removed(void *ctx)
 {
 	((struct world *)ctx)->ended++;
 }
@@ -645,38 +662,38 @@
 		registration_create(w->loop, w->client, &spec);
 
 	run_until(w, entry_live);
-	registration_leave(registration);
+	registration_set_leaving(registration);
 	run_until(w, entry_leaving);
-	registration_end(registration, registration_ended, w);
+	registration_remove(registration, registration_removed, w);
 	run_until(w, entry_ended);
 	registration_destroy(registration);
 	g_assert_cmpint(w->ended, ==, 1);
-#define ENTRY                                                                  \
+#define ENTRY_PUT                                                              \
 	"PUT /instances/r1 {\"name\":\"r1\",\"kind\":\"runner\","              \
 	"\"pool\":\"pool\",\"data_centre\":\"norte\","                         \
 	"\"address\":\"127.0.0.1:7\",\"incarnation\":\"00000000000000fe\","    \
 	"\"state\":"
 	g_assert_cmpstr(w->entries->str, ==,
-			ENTRY "\"live\"}\n" ENTRY
-			      "\"leaving\"}\nDELETE /instances/r1 \n");
+			ENTRY_PUT "\"live\"}\n" ENTRY_PUT
+				  "\"leaving\"}\nDELETE /instances/r1 \n");
 	/* Changes during a call are deferred, and only the last one is sent. */
 	g_string_truncate(w->entries, 0);
 	w->ended = 0;
 	registration = registration_create(w->loop, w->client, &spec);
-	registration_leave(registration);
-	registration_end(registration, registration_ended, w);
+	registration_set_leaving(registration);
+	registration_remove(registration, registration_removed, w);
 	run_until(w, entry_ended);
 	registration_destroy(registration);
 	g_assert_cmpstr(w->entries->str, ==,
-			ENTRY "\"live\"}\nDELETE /instances/r1 \n");
+			ENTRY_PUT "\"live\"}\nDELETE /instances/r1 \n");
 }
 
 static const struct {
 	const char *name;
 	void (*run)(struct world *w, gconstpointer data);
 } tests[] = {
-	{"answers", test_rows},
-	{"whole", test_whole},
+	{"answers", test_requests},
+	{"whole", test_complete_stream},
 	{"prefill_hang_up", test_prefill_hang_up},
 	{"late_hang_up", test_late_hang_up},
 	{"resume", test_resume},
