--- a/standin/service.c
+++ b/standin/service.c
@@ -32,18 +32,18 @@
 	struct fault_set faults;
 	bool leaving;
 	uint64_t runs;
-	GHashTable *keys; /* key -> runs, as a pointer-sized number */
+	GHashTable *keys; /* key to number of runs */
 	uint32_t running;
 };
 
-/* A call that was run and whose answer is on its way. */
+/* A call that was counted as run and is not answered yet. */
 struct run {
 	struct service *service;
 	struct web_request *request;
 	struct timer timer;
-	uint64_t number; /* of runs under its key, this one included */
+	uint64_t number; /* of runs under its key, including this one */
 	bool failed;
-	bool lost;
+	bool answer_lost;
 };
 
 static char *text_copy(struct web_text text)
@@ -51,7 +51,8 @@
 	return g_strndup(text.data ? text.data : "", text.size);
 }
 
-/* Counts a run under its key and returns how many there were. */
+/* Counts a run and returns the number of runs under its key, or of all runs if
+ * it has no key. */
 static uint64_t run_count(struct service *service,
 			  const struct web_request *request)
 {
@@ -89,11 +90,11 @@
 	g_free(run);
 }
 
-static void run_done(struct timer *timer, void *ctx)
+static void run_answer(struct timer *timer, void *ctx)
 {
 	struct run *run = ctx;
 
-	if (run->lost)
+	if (run->answer_lost)
 		web_reply_abort(run->request);
 	else if (run->failed)
 		reply_error(run->request, 500, "failed");
@@ -109,26 +110,27 @@
 
 static void run_start(struct service *service, struct web_request *request)
 {
-	int64_t slow = fault_take(&service->faults, SERVICE_SLOW);
-	int64_t late = fault_take(&service->faults, SERVICE_LATE_ANSWER);
-	bool hangs = fault_take(&service->faults, SERVICE_HANG) != 0;
-	int64_t usec = service->work_usec * (slow ? slow : 1);
+	int64_t slowdown = fault_take(&service->faults, SERVICE_SLOW);
+	int64_t delay_ms = fault_take(&service->faults, SERVICE_LATE_ANSWER);
+	bool hang = fault_take(&service->faults, SERVICE_HANG) != 0;
+	int64_t usec = service->work_usec * (slowdown ? slowdown : 1);
 	struct run *run = g_new0(struct run, 1);
 
-	usec += late * USEC_PER_MSEC;
+	usec += delay_ms * USEC_PER_MSEC;
 	run->service = service;
 	run->request = request;
 	run->number = run_count(service, request);
 	run->failed = fault_take(&service->faults, SERVICE_FAIL) != 0;
-	run->lost = fault_take(&service->faults, SERVICE_LOSE_ANSWER) != 0;
+	run->answer_lost =
+		fault_take(&service->faults, SERVICE_LOSE_ANSWER) != 0;
 	service->running++;
-	timer_init(&run->timer, service->clock, run_done, run);
-	if (usec == 0 && !hangs) {
-		run_done(&run->timer, run);
+	timer_init(&run->timer, service->clock, run_answer, run);
+	if (usec == 0 && !hang) {
+		run_answer(&run->timer, run);
 		return;
 	}
 	web_request_on_gone(request, run_gone, run);
-	if (!hangs)
+	if (!hang)
 		timer_start(&run->timer, usec);
 }
 
@@ -188,7 +190,7 @@
 {
 	struct service *service = ctx;
 
-	reply_fault(request, &service->faults);
+	reply_fault_set(request, &service->faults);
 }
 
 struct service *service_create(struct clock *clock, struct web_server *server,
--- a/tests/standin/test_answer.c
+++ b/tests/standin/test_answer.c
@@ -1,4 +1,4 @@
-/* The model text, the names of objects, and the table of faults. */
+/* Token counts of prompts, the model text, object names and injected faults. */
 #include <string.h>
 
 #include "common/error.h"
@@ -12,7 +12,7 @@
 static const struct {
 	const char *prompt;
 	uint32_t tokens;
-	uint32_t length; /* of at most 100 */
+	uint32_t length; /* with a maximum of 100 */
 } prompts[] = {
 	{"", 0, 100},
 	{"one", 1, 100},
@@ -36,7 +36,7 @@
 
 		g_assert_cmpuint(answer_prompt_tokens(text, size), ==,
 				 prompts[i].tokens);
-		g_assert_cmpuint(answer_length(text, size, 100), ==,
+		g_assert_cmpuint(answer_output_tokens(text, size, 100), ==,
 				 prompts[i].length);
 	}
 }
@@ -81,7 +81,7 @@
 
 static const struct {
 	const char *body;
-	int64_t values[4]; /* of one, as taken one after the other */
+	int64_t values[4]; /* of successive fault_take() of "one" */
 	const char *error;
 } faults[] = {
 	{"{\"fault\": \"one\"}", {1, 1, 1, 1}, NULL},
@@ -112,7 +112,7 @@
 
 		fault_init(&set, names);
 		g_assert_true(fault_set(&set, "one", 9, 0, NULL));
-		ok = fault_read(&set, body, strlen(body), &err);
+		ok = fault_parse(&set, body, strlen(body), &err);
 		g_assert_cmpint(ok, ==, text == NULL);
 		if (!ok)
 			g_assert_cmpint(err.code, ==, RESULT_USAGE);
