--- a/include/load/answer.h
+++ b/include/load/answer.h
@@ -1,9 +1,10 @@
 /*
- * answer.h - reads an answer of the daemon as it comes, and checks it
+ * answer.h - parses an answer of the daemon as it arrives and checks it
  *
  * DESCRIPTION
- *	Takes the answer's head and body, either server-sent events or one JSON
- *	object, and compares it with what the plan expects.
+ *	Parses the answer's head and its body, which is a stream of server-sent
+ *	events or one JSON object, and compares the text with what the plan
+ *	expects.
  */
 #ifndef LOAD_ANSWER_H
 #define LOAD_ANSWER_H
@@ -21,18 +22,18 @@
 	const struct call_plan *plan;
 	const struct clock *clock;
 	struct text_check check;
-	GString *buffer;  /* a line not yet whole, or the whole body */
+	GString *buffer;  /* an incomplete line, or the whole body */
 	GArray *gaps;	  /* int64_t, microseconds between tokens */
-	int64_t first_at; /* -1: no token yet */
-	int64_t last_at;
+	int64_t first_at; /* arrival of the first token; -1: none yet */
+	int64_t last_at;  /* arrival of the last token */
 	int status;
 	int code;
-	int retry_after; /* seconds; -1: not told */
+	int retry_after; /* seconds; -1: not given */
 	enum outcome outcome;
 	bool outcome_told;
-	bool events;   /* a stream of events */
-	bool finished; /* [DONE] came */
-	bool failed;   /* an error event came */
+	bool events;   /* the body is a stream of server-sent events */
+	bool finished; /* [DONE] arrived */
+	bool failed;   /* an error event arrived */
 	char request_id[CALL_ID_MAX];
 };
 
@@ -42,7 +43,7 @@
 void answer_head(struct answer *answer, int status,
 		 const struct web_header *headers, size_t count);
 void answer_body(struct answer *answer, const void *data, size_t size);
-/* The connection ended; ok tells that it ended as it should. */
+/* Judges the answer after the connection ended; ok: it ended cleanly. */
 enum call_verdict answer_verdict(struct answer *answer, bool ok);
 
 #endif
--- a/include/load/call.h
+++ b/include/load/call.h
@@ -3,11 +3,12 @@
  *
  * DESCRIPTION
  *	Sends the call to one of the targets and checks the answer as it
- *	comes. A refusal that names a Retry-After is tried again after it when
- *	it says not-run or the call has a key. A call that reached no target,
- *	and a keyed call whose connection broke, is tried again at another
- *	target. All go under the same key, at most as often as the kind allows.
- *	fn runs exactly once, unless call_drop() comes first.
+ *	arrives. A refusal with a Retry-After is retried after that time if its
+ *	outcome is not-run or the call has an idempotency key. A call that
+ *	reached no target, and a call with a key whose connection broke, is
+ *	retried at another target. All attempts use the same key, and their
+ *	number is limited by the kind. fn runs exactly once, unless call_drop()
+ *	is called first.
  */
 #ifndef LOAD_CALL_H
 #define LOAD_CALL_H
@@ -27,12 +28,12 @@
 struct web_client;
 
 enum call_verdict {
-	CALL_WHOLE,	 /* the whole expected answer, once */
+	CALL_WHOLE,	 /* exactly the expected answer */
 	CALL_REFUSED,	 /* an error answer with a result code */
-	CALL_BROKEN,	 /* no whole answer: cut off, or an error midway */
-	CALL_WRONG,	 /* tokens of another answer, doubled or missing */
-	CALL_HUNG_UP,	 /* by us, on purpose */
-	CALL_UNANSWERED, /* still waiting at the end of the run */
+	CALL_BROKEN,	 /* incomplete: cut off, or ended by an error event */
+	CALL_WRONG,	 /* tokens duplicated, missing or of another answer */
+	CALL_HUNG_UP,	 /* cancelled by the load tool on purpose */
+	CALL_UNANSWERED, /* no answer by the end of the run */
 	CALL_VERDICTS,
 };
 
@@ -41,30 +42,30 @@
 	struct clock *clock;
 	struct targets *targets;
 	int64_t timeout_usec;
-	bool exact; /* max_tokens is the length of the answer */
-	bool retry; /* as often as the kind allows */
+	bool exact; /* set max_tokens to the length of the answer */
+	bool retry; /* up to the kind's limit */
 };
 
 struct call_result {
 	enum call_verdict verdict;
 	int code; /* result code of the last error answer; 0: none */
 	enum outcome outcome; /* of the last attempt */
-	bool maybe_run;	      /* an attempt did not end as not-run */
+	bool maybe_run; /* an attempt was sent and did not end as not-run */
 	char request_id[CALL_ID_MAX];
 	uint32_t attempts;
 	int64_t first_token_usec;    /* -1: none */
-	int64_t between_tokens_usec; /* 95th percentile in the call; -1 */
+	int64_t between_tokens_usec; /* 95th percentile in the call; -1: none */
 	int64_t total_usec;
 };
 
 typedef void (*call_fn)(void *ctx, const struct call_plan *plan,
 			const struct call_result *result);
 
-/* The plan stays the caller's. */
+/* The plan belongs to the caller and must outlive the call. */
 struct load_call *call_start(const struct call_env *env,
 			     const struct call_plan *plan, call_fn fn,
 			     void *ctx);
-/* Hangs up; fn does not run. */
+/* Closes the connection; fn does not run. */
 void call_drop(struct load_call *call);
 const char *call_verdict_label(enum call_verdict verdict);
 
--- a/include/load/check.h
+++ b/include/load/check.h
@@ -1,10 +1,10 @@
 /*
- * check.h - what callers were told, compared with the ledgers
+ * check.h - compares the answers that callers received with the ledgers
  *
  * DESCRIPTION
  *	Each check compares every call of the run with what the engines and
- *	plain services say really ran, and counts those that break it. What
- *	cannot be judged without ledgers is left out when none were given.
+ *	plain services recorded in their ledgers, and counts the violations.
+ *	Checks that need ledgers are omitted when none were given.
  */
 #ifndef LOAD_CHECK_H
 #define LOAD_CHECK_H
@@ -17,7 +17,7 @@
 
 struct ledgers;
 
-/* What is kept of a call that has ended. */
+/* Result of an ended call, kept for the checks. */
 struct check_record {
 	const struct load_kind *kind;
 	char key[PLAN_KEY_MAX];
@@ -27,7 +27,7 @@
 	bool maybe_run;
 };
 
-/* Returns the report's "checks"; ok tells whether all hold. */
+/* Returns the report's "checks" array; ok: every check holds. */
 json_t *checks_run(const GArray *records, const struct ledgers *ledgers,
 		   bool *ok);
 
--- a/include/load/ledgers.h
+++ b/include/load/ledgers.h
@@ -1,9 +1,9 @@
 /*
- * ledgers.h - what the engines and plain services say really happened
+ * ledgers.h - reads what engines and plain services recorded about calls
  *
  * DESCRIPTION
- *	Reads GET /-/ledger, or where there is none GET /ledger, of each
- *	address. Sums are those since the first reading.
+ *	Reads GET /-/ledger of each address, or GET /ledger where that fails.
+ *Sums are counted from the first reading.
  */
 #ifndef LOAD_LEDGERS_H
 #define LOAD_LEDGERS_H
@@ -20,22 +20,23 @@
 			       const char *const *addresses,
 			       unsigned int count);
 void ledgers_destroy(struct ledgers *ledgers);
-/* Reads all; fn runs once, when each has answered or failed to. */
+/* Reads all ledgers; fn runs once, after each has answered or failed. */
 void ledgers_read(struct ledgers *ledgers, ledgers_fn fn, void *ctx);
 unsigned int ledgers_count(const struct ledgers *ledgers);
-/* How many failed in the last reading. */
+/* Number of ledgers that could not be read in the last reading. */
 unsigned int ledgers_unread(const struct ledgers *ledgers);
-/* Sum of a number over the engines, since the first reading. */
+/* Sum of a counter over all ledgers, since the first reading. */
 int64_t ledgers_sum(const struct ledgers *ledgers, const char *field);
-/* Sum over the engines of a field of a request's entry. */
+/* Sum of a field of a request's entry over the engines. */
 int64_t ledgers_request(const struct ledgers *ledgers, const char *id,
 			const char *field);
-/* Useful tokens of a request on all engines but the one that gives most, summed
- * over the requests, since the first reading: they were computed again. */
+/* Useful tokens that were computed more than once since the first reading. For
+ * each request these are the tokens on all engines but the one with the most.
+ */
 int64_t ledgers_repeated(const struct ledgers *ledgers);
-/* Runs under a key over the plain services. */
+/* Number of runs with an idempotency key over the plain services. */
 int64_t ledgers_key(const struct ledgers *ledgers, const char *key);
-/* Streams that hold engine memory now. */
+/* Number of streams that held engine memory at the last reading. */
 int64_t ledgers_held(const struct ledgers *ledgers);
 
 #endif
--- a/include/load/plan.h
+++ b/include/load/plan.h
@@ -1,5 +1,5 @@
 /*
- * plan.h - one call as drawn from a workload: its kind, prompt, key and length
+ * plan.h - one call drawn from a workload: its kind, prompt, key and length
  */
 #ifndef LOAD_PLAN_H
 #define LOAD_PLAN_H
@@ -13,17 +13,18 @@
 
 struct call_plan {
 	const struct load_kind *kind;
-	char key[PLAN_KEY_MAX]; /* unique in the run; sent if the kind says so
-				 */
-	char *text;		/* the prompt, or the body of a plain call */
+	/* Unique in the run; sent as the idempotency key if the kind has one.
+	 */
+	char key[PLAN_KEY_MAX];
+	char *text; /* the prompt, or the body of a plain call */
 	uint64_t text_hash;
 	uint32_t prompt_tokens;
 	uint32_t output_tokens;
-	uint32_t max_tokens;  /* asked for: at least output_tokens */
+	uint32_t max_tokens;  /* requested; at least output_tokens */
 	int64_t hang_up_usec; /* after the start; 0: never */
 };
 
-/* Draws the number-th call of the run. */
+/* Draws the call with this number; run is the run's name. */
 struct call_plan *plan_draw(GRand *rand, const struct workload *workload,
 			    const char *run, uint64_t number);
 void plan_destroy(struct call_plan *plan);
--- a/include/load/report.h
+++ b/include/load/report.h
@@ -1,5 +1,5 @@
 /*
- * report.h - reports of load runs: text, side by side, and as a picture
+ * report.h - reports of load runs as text, comparison, table and plot
  */
 #ifndef LOAD_REPORT_H
 #define LOAD_REPORT_H
@@ -13,14 +13,15 @@
 
 json_t *report_read(const char *file, struct error *err);
 bool report_write(const char *file, const json_t *report, struct error *err);
-/* The report as lines of text. */
+/* Formats the report as lines of text. */
 void report_print(const json_t *report, GString *out);
-/* A table of two reports: value before, value after, difference. */
+/* Formats two reports as a table of value before, value after, difference. */
 void report_compare(const json_t *a, const json_t *b, GString *out);
-/* A Markdown table: a row for each label and rate, medians over its reports. */
+/* Formats a Markdown table with a row for each label and rate, which gives the
+ * medians over its reports. */
 void report_table(json_t *const *reports, size_t count, GString *out);
-/* An SVG: lines over the rate when reports of one label differ in it, else a
- * bar for each report. */
+/* Draws an SVG: lines over the rate if a label occurs in several reports, else
+ * a bar for each report. */
 void report_plot(json_t *const *reports, size_t count, GString *out);
 
 #endif
--- a/include/load/tally.h
+++ b/include/load/tally.h
@@ -2,8 +2,9 @@
  * tally.h - counts and latencies of the calls of one kind or class
  *
  * DESCRIPTION
- *	Goodput is the share of calls that were answered whole and within every
- *	target of their kind, out of those that we did not hang up on.
+ *	Goodput is the share of calls that were answered completely and within
+ *	every target of their kind. Calls that the load tool hung up on are not
+ *	counted.
  */
 #ifndef LOAD_TALLY_H
 #define LOAD_TALLY_H
@@ -17,10 +18,10 @@
 struct tally {
 	const char *name;
 	int64_t sent;
-	int64_t retried; /* further attempts */
-	int64_t good;
+	int64_t retried; /* attempts after the first */
+	int64_t good;	 /* complete, and within every target */
 	int64_t verdicts[CALL_VERDICTS];
-	GHashTable *codes;   /* result code to count, of calls not whole */
+	GHashTable *codes;   /* result code to count, if refused or broken */
 	GArray *first_token; /* int64_t, microseconds */
 	GArray *between_tokens;
 	GArray *total;
--- a/include/load/targets.h
+++ b/include/load/targets.h
@@ -1,10 +1,10 @@
 /*
- * targets.h - the entry instances that calls go to, as a balancer chooses them
+ * targets.h - chooses the entry instance for a call, as a load balancer would
  *
  * DESCRIPTION
- *	One is drawn at random among those whose health is good; among all when
- *	none is, or when no health addresses were given. Health is asked every
- *	TARGETS_HEALTH_USEC with a time-out of the same.
+ *	Chooses at random among the healthy targets, or among all if none is
+ *	healthy or no health addresses were given. Polls the health of each
+ *	target every TARGETS_HEALTH_USEC, with a timeout of the same length.
  */
 #ifndef LOAD_TARGETS_H
 #define LOAD_TARGETS_H
@@ -24,7 +24,7 @@
 			       const char *const *health, unsigned int count,
 			       uint32_t seed);
 void targets_destroy(struct targets *targets);
-/* Another than last, when there is one. */
+/* Returns a target other than last, if there is one. */
 const char *targets_draw(struct targets *targets, const char *last);
 
 #endif
--- a/include/load/text.h
+++ b/include/load/text.h
@@ -1,10 +1,10 @@
 /*
- * text.h - checks the answer that the stand-in models give to a prompt
+ * text.h - checks the text that a stand-in model generates for a prompt
  *
  * DESCRIPTION
- *	"Model text" of docs/PROTOCOLS.md: token k of an answer is a function
- *	of the prompt and k, so a caller can tell an answer that is not whole,
- *	is another's, or repeats a token.
+ *	Implements "Model text" of docs/PROTOCOLS.md: token k of an answer is a
+ *	function of the prompt and k, so a caller detects an answer that is
+ *	incomplete, belongs to another call or repeats a token.
  */
 #ifndef LOAD_TEXT_H
 #define LOAD_TEXT_H
@@ -14,19 +14,19 @@
 #include <stdint.h>
 
 struct text_check {
-	uint64_t prompt; /* id_hash() of it */
+	uint64_t prompt; /* id_hash() of the prompt */
 	uint32_t expected;
-	uint32_t tokens; /* whole tokens seen */
-	size_t within;	 /* bytes seen of the next */
+	uint32_t tokens; /* complete tokens received */
+	size_t within;	 /* bytes received of the next token */
 	bool wrong;
 };
 
 void text_check_init(struct text_check *check, uint64_t prompt,
 		     uint32_t expected);
-/* Takes the next bytes of the answer; returns how many tokens they ended. */
+/* Checks the next bytes; returns the number of tokens that they complete. */
 uint32_t text_check_feed(struct text_check *check, const char *data,
 			 size_t size);
-/* All expected tokens came, in order, and nothing else. */
+/* True if exactly the expected tokens arrived, in order. */
 bool text_check_whole(const struct text_check *check);
 
 #endif
--- a/include/load/workload.h
+++ b/include/load/workload.h
@@ -1,11 +1,11 @@
 /*
- * workload.h - the kinds of calls that a load run makes, from a YAML file
+ * workload.h - kinds of calls and arrival rate of a load run, from a YAML file
  *
  * DESCRIPTION
- *	Read whole and checked whole through libcyaml; an error names line,
- *	column and field. A kind names a model (a completion) or a path (a call
- *	to a plain service). Token counts are drawn log-normally: median, sigma
- *	of the logarithm, and bounds.
+ *	The file is parsed and validated as a whole with libcyaml; an error
+ *	names line, column and field. A kind names a model (a completion) or a
+ *	path (a call to a plain service). Token counts have a log-normal
+ *	distribution with a median, the sigma of the logarithm, and bounds.
  */
 #ifndef LOAD_WORKLOAD_H
 #define LOAD_WORKLOAD_H
@@ -20,7 +20,7 @@
 	double median;
 	double sigma;
 	uint32_t min;
-	uint32_t max; /* 0: no bound */
+	uint32_t max; /* 0: no limit */
 };
 
 struct load_targets {
@@ -40,17 +40,17 @@
 	bool key;	     /* sends an idempotency key */
 	bool non_idempotent; /* sends jt-idempotent: false */
 	uint32_t deadline_ms;
-	uint32_t retries;	/* of one call, under the same key */
-	uint32_t prefix_groups; /* prompts share one of so many beginnings */
-	uint32_t prefix_tokens; /* length of a shared beginning */
-	uint32_t max_tokens;	/* asked for; 0: the length of the answer */
+	uint32_t retries;	/* of one call, with the same key */
+	uint32_t prefix_groups; /* number of shared prefixes; 0: none */
+	uint32_t prefix_tokens; /* length of a shared prefix */
+	uint32_t max_tokens;	/* requested; 0: the length of the answer */
 	struct load_range prompt_tokens;
 	struct load_range output_tokens;
 	struct load_targets targets;
 };
 
-/* Arrivals of a burst come factor times as often, for share of each period;
- * those between come less often, so that the mean rate holds. */
+/* For a share of each period the arrival rate is factor times the mean rate.
+ * It is lower outside the burst, so that the mean rate is kept. */
 struct load_bursts {
 	double factor; /* 0 or 1: steady */
 	double share;
