--- a/load/answer.c
+++ b/load/answer.c
@@ -92,7 +92,7 @@
 		     text_check_feed(&answer->check, text, strlen(text)));
 }
 
-/* The text of a completion or of a chat completion, whole or in part. */
+/* Returns the text of a completion or chat completion, or of a chunk of one. */
 static const char *choice_text(const json_t *json)
 {
 	json_t *choice = json_array_get(json_object_get(json, "choices"), 0);
@@ -170,7 +170,7 @@
 		events_take(answer);
 }
 
-/* A plain service echoes the body, and counts the runs under the key. */
+/* A plain service echoes the body and counts the runs with the same key. */
 static bool echo_check(const struct answer *answer, const json_t *json)
 {
 	const struct load_kind *kind = answer->plan->kind;
@@ -209,7 +209,7 @@
 	return CALL_REFUSED;
 }
 
-/* The first words of an answer that is wrong, for whoever looks into it. */
+/* Logs the state of a wrong answer with the first bytes of the buffer. */
 static void wrong_log(const struct answer *answer)
 {
 	char start[64];
--- a/load/call.c
+++ b/load/call.c
@@ -11,7 +11,7 @@
 
 #define HEADERS_MAX 8
 #define MODEL_PATH "/v1/completions"
-/* Before a call whose connection broke is sent again. */
+/* Delay of a retry after a broken connection, and minimum after a refusal. */
 #define BROKEN_RETRY_USEC (50 * USEC_PER_MSEC)
 
 struct load_call {
@@ -90,7 +90,7 @@
 	call_free(call);
 }
 
-/* How long to wait before the next attempt, or -1 for none. */
+/* Returns the delay before the next attempt in microseconds; -1: no retry. */
 static int64_t retry_delay(const struct load_call *call,
 			   enum call_verdict verdict, bool sent)
 {
--- a/load/check.c
+++ b/load/check.c
@@ -28,15 +28,18 @@
 		return false;
 	if (record->kind->model == NULL)
 		return ledgers_key(ledgers, record->key) != 0;
+	/* Without an id the ledgers cannot be searched, so it counts as broken.
+	 */
 	if (record->request_id[0] == '\0')
-		return true; /* cannot be told: as bad */
+		return true;
 	return ledgers_request(ledgers, record->request_id, "prefills") +
 		       ledgers_request(ledgers, record->request_id,
 				       "decodes") !=
 	       0;
 }
 
-/* A booking that was answered ran once; any other at most once. */
+/* A non-idempotent call runs exactly once if it was answered completely, else
+ * at most once. */
 static bool booked_wrongly(const struct check_record *record,
 			   const struct ledgers *ledgers)
 {
@@ -58,7 +61,7 @@
 static const struct {
 	const char *name;
 	check_fn broken_by;
-	bool ledgers; /* cannot be judged without them */
+	bool ledgers; /* skipped when no ledger was given */
 } checks[] = {
 	{"every answer is whole, its own and single", wrong_answer, false},
 	{"no call was lost", lost, false},
--- a/load/command_report.c
+++ b/load/command_report.c
@@ -92,7 +92,7 @@
 	g_free(reports);
 }
 
-/* Reads all the files, or none. */
+/* Returns NULL if any of the files cannot be read. */
 static json_t **reports_read(char **files, int count, struct error *err)
 {
 	json_t **reports;
--- a/load/compare.c
+++ b/load/compare.c
@@ -2,7 +2,7 @@
 
 #include "load/report.h"
 
-/* A figure of a class: a plain number, or a quantile of a field. */
+/* Rows of the table for each class: a number, or a quantile of a field. */
 static const struct {
 	const char *title;
 	const char *field;
--- a/load/ledgers.c
+++ b/load/ledgers.c
@@ -19,7 +19,7 @@
 	enum ledger_kind kind;
 	struct web_call *call;
 	json_t *first;
-	json_t *last; /* NULL: not read */
+	json_t *last; /* NULL: the last reading failed */
 };
 
 struct ledgers {
@@ -87,7 +87,7 @@
 		web_fetch(ledger->owner->client, &spec, LEDGER_MAX, fn, ledger);
 }
 
-/* What was answered to the ledger's call; NULL when that is no ledger. */
+/* Parses the answer to a fetch of the ledger; NULL if that failed. */
 static json_t *answer_read(struct ledger *ledger,
 			   const struct web_result *result, int status,
 			   const void *body, size_t size)
@@ -188,8 +188,8 @@
 	return sum;
 }
 
-/* Adds the useful tokens of an engine's requests to the sums, and raises the
- * largest of each request. */
+/* Adds the useful tokens of an engine's requests to the sum, and updates the
+ * largest count of each request. */
 static void useful_add(const json_t *engine, GHashTable *largest, int64_t *sum)
 {
 	const char *id;
--- a/load/plan.c
+++ b/load/plan.c
@@ -5,7 +5,7 @@
 
 #include "common/id.h"
 
-/* Box and Muller's method. */
+/* Draws from the standard normal distribution (Box-Muller transform). */
 static double normal_draw(GRand *rand)
 {
 	double a = 1 - g_rand_double(rand);
@@ -42,9 +42,10 @@
 }
 
 /*
- * A prompt is short however many tokens it stands for: "@N" gives their
- * number. "WORD~P" says that the first P tokens are those of every prompt with
- * that word. "#n" gives the length of the answer, and the key makes it unique.
+ * The text of a prompt is short however many tokens it has: the stand-in models
+ * read "@N" as its number of tokens. All prompts with the same "WORD~P" share
+ * their first P tokens. "#n" is the length of the answer, and the key makes the
+ * prompt unique.
  */
 static char *prompt_make(GRand *rand, const struct call_plan *plan)
 {
--- a/load/plot.c
+++ b/load/plot.c
@@ -22,7 +22,7 @@
 };
 
 struct panel {
-	const char *class; /* NULL: the whole run */
+	const char *class; /* NULL: a value of the whole run */
 	const char *title;
 	const char *field;
 	const char *quantile;
@@ -32,7 +32,7 @@
 	json_t *const *reports;
 	size_t count;
 	GPtrArray *labels; /* one for each series */
-	bool lines;	   /* over the rate */
+	bool lines;	   /* draw lines over the rate, not bars */
 	double rate_max;
 };
 
--- a/load/run.c
+++ b/load/run.c
@@ -33,7 +33,7 @@
 	struct loop *loop;
 	struct clock *clock;
 	struct web_client *client;
-	GRand *draws; /* arrivals and plans: the same for the same seed */
+	GRand *draws; /* arrivals and plans; reproducible by seed */
 	struct targets *targets;
 	struct call_env env;
 	char name[32];
@@ -44,10 +44,10 @@
 	struct ledgers *ledgers;
 	struct timer arrival;
 	struct timer progress;
-	struct timer wait; /* for the last calls, then for free memory */
+	struct timer wait; /* for calls in flight, then for ledger polls */
 	int64_t started;
 	int64_t stopped;
-	int64_t next; /* due time of the next arrival, from started */
+	int64_t next; /* time of the next arrival, relative to started */
 	int64_t settle_until;
 	uint64_t sent;
 	bool stopping;
@@ -293,7 +293,7 @@
 		.retry = settings->retry,
 		.exact = settings->exact,
 	};
-	/* Keys must differ between runs on one site, also of one seed. */
+	/* The time keeps keys unique among runs on one site with one seed. */
 	g_snprintf(run->name, sizeof(run->name), "%x-%" G_GINT64_MODIFIER "x",
 		   settings->seed, clock_unix(run->clock));
 	run->records = g_array_new(FALSE, FALSE, sizeof(struct check_record));
--- a/load/table.c
+++ b/load/table.c
@@ -1,6 +1,7 @@
 /*
- * Medians over seeds: reports of one label and rate are runs of one setting.
- * The table is Markdown, so that it can stand in a page as it is.
+ * Prints medians over repeated runs as a Markdown table, to be pasted into a
+ * page. Reports with the same label and rate are runs of one setting that
+ * differ in their seed.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,7 +10,7 @@
 
 struct column {
 	const char *title;
-	const char *class; /* NULL: of the whole run */
+	const char *class; /* NULL: a value of the whole run */
 	const char *field;
 	const char *quantile;
 };
@@ -71,7 +72,7 @@
 	return broken;
 }
 
-/* A figure of the whole run. */
+/* Returns a value of the whole run. */
 static double run_value(const json_t *report, const char *field)
 {
 	if (strcmp(field, "wasted_percent") == 0)
@@ -85,7 +86,7 @@
 	return classes_sum(report, field);
 }
 
-/* False when the report has no such figure. */
+/* Returns false if the report does not contain the value. */
 static bool column_value(const struct column *column, const json_t *report,
 			 double *value)
 {
@@ -121,7 +122,7 @@
 	return (g_array_index(values, double, half - 1) + upper) / 2;
 }
 
-/* Median, and the range behind it when there are several runs. */
+/* Prints the median, and the range if there are several runs. */
 static void cell_print(const struct column *column, const GPtrArray *reports,
 		       GString *out)
 {
--- a/load/workload.c
+++ b/load/workload.c
@@ -95,7 +95,7 @@
 			    workload_fields),
 };
 
-/* libcyaml tells the cause in one line and the place in those after it. */
+/* libcyaml logs the cause in one line and the location in those after it. */
 static void log_take(cyaml_log_t level, void *ctx, const char *fmt,
 		     va_list args)
 {
@@ -203,7 +203,7 @@
 	if (rc != CYAML_OK)
 		error_set(err, RESULT_BAD_CONFIG, "%s: %s: %s", file,
 			  cyaml_strerror(rc), text->str);
-	else if (workload == NULL) /* an empty document counts as good */
+	else if (workload == NULL) /* libcyaml accepts an empty document */
 		error_set(err, RESULT_BAD_CONFIG, "%s: empty", file);
 	g_string_free(text, TRUE);
 	if (rc != CYAML_OK || workload == NULL)
