--- a/tests/load/test_check.c
+++ b/tests/load/test_check.c
@@ -1,4 +1,4 @@
-/* Each check of a load run against ledgers that break it. */
+/* Runs each check of a load run against ledgers that violate it. */
 #include <glib.h>
 #include <string.h>
 
@@ -19,8 +19,8 @@
 	struct web_server *service;
 	const char *engine_ledger;
 	const char *service_ledger;
-	const char *second_ledger; /* of the service's address */
-	json_int_t max_tokens;	   /* that the last call asked for */
+	const char *second_ledger; /* served as /ledger by the service */
+	json_int_t max_tokens;	   /* requested by the last call */
 };
 
 static void ledger_reply(struct web_request *request, const char *ledger)
@@ -117,7 +117,7 @@
 };
 
 static const struct {
-	const char *engine; /* its ledger; NULL: cannot be read */
+	const char *engine; /* the engine's ledger; NULL: not found */
 	const char *service;
 	bool model;
 	enum call_verdict verdict;
@@ -216,8 +216,9 @@
 
 #define USEFUL(id, n) "\"" id "\": {\"useful_tokens\": " n "}"
 
-/* The ledgers of two engines before and after a run, and the tokens that were
- * computed again: all that a request was given but the most on one engine. */
+/* Ledgers of two engines before and after a run, and the tokens computed more
+ * than once: for each request, those on all engines but the one with the most.
+ */
 static const struct {
 	const char *engines[2][2];
 	int64_t repeated;
@@ -296,7 +297,7 @@
 	loop_stop(ctx);
 }
 
-/* What a call asks for, with and without knowing its answer's length. */
+/* max_tokens of a call, with and without the exact length of its answer. */
 static void test_exact(void)
 {
 	struct load_kind kind = {.name = "k", .model = "m"};
--- a/tests/load/test_load.c
+++ b/tests/load/test_load.c
@@ -1,5 +1,5 @@
-/* The load tool's parts that need no process: text, workload, arrivals and the
- * reading of answers. */
+/* Unit tests of the load tool that need no process: text check, workload files,
+ * arrivals, call plans, answer parsing and reports. */
 #include <glib.h>
 #include <math.h>
 #include <string.h>
@@ -30,7 +30,7 @@
 	return g_string_free(text, FALSE);
 }
 
-/* Digits are the numbers of the tokens that come. */
+/* Digits are the numbers of the received tokens. */
 static const struct {
 	const char *order;
 	bool whole;
@@ -49,7 +49,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
 		char *text = tokens_make(prompt, texts[i].order);
 
-		/* In one piece, and byte by byte. */
+		/* As a whole, and byte by byte. */
 		text_check_init(&check, prompt, TOKENS);
 		text_check_feed(&check, text, strlen(text));
 		g_assert_cmpint(text_check_whole(&check), ==, texts[i].whole);
@@ -70,7 +70,7 @@
 
 #define KIND "kinds: [{name: a, weight: 1, path: /a}]"
 
-/* A file, and what the error says; NULL when it is good. */
+/* A workload file and a part of its error message; NULL: valid. */
 static const struct {
 	const char *file;
 	const char *error;
@@ -150,7 +150,7 @@
 	}
 }
 
-/* Mean rate, and the share of arrivals that fall into bursts. */
+/* Mean rate, bursts, and the expected share of arrivals within bursts. */
 static const struct {
 	double rate;
 	struct load_bursts bursts;
@@ -230,8 +230,8 @@
 		}                                                              \
 	}
 
-/* "0".."3" are tokens; a stream gets each as an event, D is [DONE], E is an
- * error event, J a line that is no JSON. */
+/* "0".."3" are tokens, each sent as an event if the answer is a stream. D is
+ * [DONE], E an error event, J an event with malformed JSON. */
 static const struct {
 	const char *name;
 	int status;
@@ -277,7 +277,7 @@
 			"data: {\"choices\": [{\"text\": \"%s\"}]}\n\n", text);
 		g_free(text);
 	}
-	/* A line may come in pieces. */
+	/* Splits the line, as a read may end anywhere. */
 	answer_body(answer, line, 3);
 	answer_body(answer, line + 3, strlen(line) - 3);
 	g_free(line);
@@ -352,7 +352,7 @@
 	clock_destroy(clock);
 }
 
-/* What a plain service echoes, and whether it is the call's own answer. */
+/* Answers of a plain service, and the expected verdict. */
 static const struct {
 	const char *body;
 	bool non_idempotent;
--- a/tests/load/test_table.c
+++ b/tests/load/test_table.c
@@ -1,4 +1,4 @@
-/* Medians over the runs of one setting, as a Markdown table. */
+/* Tests the Markdown table of medians over the runs of one setting. */
 #include <glib.h>
 #include <jansson.h>
 #include <string.h>
