--- a/include/load/ledgers.h
+++ b/include/load/ledgers.h
@@ -3,7 +3,7 @@
  *
  * DESCRIPTION
  *	Reads GET /-/ledger of each address, or GET /ledger where that fails.
- *Sums are counted from the first reading.
+ *	Sums are counted from the first reading.
  */
 #ifndef LOAD_LEDGERS_H
 #define LOAD_LEDGERS_H
--- a/include/load/plan.h
+++ b/include/load/plan.h
@@ -13,8 +13,7 @@
 
 struct call_plan {
 	const struct load_kind *kind;
-	/* Unique in the run; sent as the idempotency key if the kind has one.
-	 */
+	/* Unique in the run; the idempotency key if the kind has one. */
 	char key[PLAN_KEY_MAX];
 	char *text; /* the prompt, or the body of a plain call */
 	uint64_t text_hash;
--- a/include/load/targets.h
+++ b/include/load/targets.h
@@ -24,7 +24,7 @@
 			       const char *const *health, unsigned int count,
 			       uint32_t seed);
 void targets_destroy(struct targets *targets);
-/* Returns a target other than last, if there is one. */
+/* Prefers a healthy target other than last, which may be NULL. */
 const char *targets_draw(struct targets *targets, const char *last);
 
 #endif
--- a/load/check.c
+++ b/load/check.c
@@ -28,8 +28,7 @@
 		return false;
 	if (record->kind->model == NULL)
 		return ledgers_key(ledgers, record->key) != 0;
-	/* Without an id the ledgers cannot be searched, so it counts as broken.
-	 */
+	/* The ledgers cannot be searched without an id: counts as broken. */
 	if (record->request_id[0] == '\0')
 		return true;
 	return ledgers_request(ledgers, record->request_id, "prefills") +
