--- a/include/load/answer.h
+++ b/include/load/answer.h
@@ -22,18 +22,18 @@
 	const struct call_plan *plan;
 	const struct clock *clock;
 	struct text_check check;
-	GString *buffer;  /* an incomplete line, or the whole body */
-	GArray *gaps;	  /* int64_t, microseconds between tokens */
-	int64_t first_at; /* arrival of the first token; -1: none yet */
-	int64_t last_at;  /* arrival of the last token */
+	GString *buffer;	/* an incomplete line, or the whole body */
+	GArray *gaps;		/* int64_t, microseconds between tokens */
+	int64_t first_token_at; /* arrival of the first token; -1: none yet */
+	int64_t last_token_at;	/* arrival of the last token */
 	int status;
 	int code;
 	int retry_after; /* seconds; -1: not given */
 	enum outcome outcome;
-	bool outcome_told;
-	bool events;   /* the body is a stream of server-sent events */
-	bool finished; /* [DONE] arrived */
-	bool failed;   /* an error event arrived */
+	bool has_outcome;
+	bool event_stream; /* the body is a stream of server-sent events */
+	bool finished;	   /* [DONE] arrived */
+	bool failed;	   /* an error event arrived */
 	char request_id[CALL_ID_MAX];
 };
 
--- a/include/load/call.h
+++ b/include/load/call.h
@@ -7,8 +7,8 @@
  *	outcome is not-run or the call has an idempotency key. A call that
  *	reached no target, and a call with a key whose connection broke, is
  *	retried at another target. All attempts use the same key, and their
- *	number is limited by the kind. fn runs exactly once, unless call_drop()
- *	is called first.
+ *	number is limited by the kind. fn runs exactly once, unless
+ *	call_cancel() is called first.
  */
 #ifndef LOAD_CALL_H
 #define LOAD_CALL_H
@@ -34,7 +34,7 @@
 	CALL_WRONG,	 /* tokens duplicated, missing or of another answer */
 	CALL_HUNG_UP,	 /* cancelled by the load tool on purpose */
 	CALL_UNANSWERED, /* no answer by the end of the run */
-	CALL_VERDICTS,
+	CALL_VERDICT_COUNT,
 };
 
 struct call_env {
@@ -50,7 +50,7 @@
 	enum call_verdict verdict;
 	int code; /* result code of the last error answer; 0: none */
 	enum outcome outcome; /* of the last attempt */
-	bool maybe_run; /* an attempt was sent and did not end as not-run */
+	bool may_have_run; /* an attempt was sent and did not end as not-run */
 	char request_id[CALL_ID_MAX];
 	uint32_t attempts;
 	int64_t first_token_usec;    /* -1: none */
@@ -66,7 +66,7 @@
 			     const struct call_plan *plan, call_fn fn,
 			     void *ctx);
 /* Closes the connection; fn does not run. */
-void call_drop(struct load_call *call);
+void call_cancel(struct load_call *call);
 const char *call_verdict_label(enum call_verdict verdict);
 
 #endif
--- a/include/load/check.h
+++ b/include/load/check.h
@@ -24,7 +24,7 @@
 	char request_id[CALL_ID_MAX];
 	enum call_verdict verdict;
 	enum outcome outcome;
-	bool maybe_run;
+	bool may_have_run;
 };
 
 /* Returns the report's "checks" array; ok: every check holds. */
--- a/include/load/ledgers.h
+++ b/include/load/ledgers.h
@@ -28,14 +28,14 @@
 /* Sum of a counter over all ledgers, since the first reading. */
 int64_t ledgers_sum(const struct ledgers *ledgers, const char *field);
 /* Sum of a field of a request's entry over the engines. */
-int64_t ledgers_request(const struct ledgers *ledgers, const char *id,
-			const char *field);
+int64_t ledgers_request_sum(const struct ledgers *ledgers, const char *id,
+			    const char *field);
 /* Useful tokens that were computed more than once since the first reading. For
  * each request these are the tokens on all engines but the one with the most.
  */
-int64_t ledgers_repeated(const struct ledgers *ledgers);
+int64_t ledgers_recomputed(const struct ledgers *ledgers);
 /* Number of runs with an idempotency key over the plain services. */
-int64_t ledgers_key(const struct ledgers *ledgers, const char *key);
+int64_t ledgers_key_runs(const struct ledgers *ledgers, const char *key);
 /* Number of streams that held engine memory at the last reading. */
 int64_t ledgers_held(const struct ledgers *ledgers);
 
--- a/include/load/tally.h
+++ b/include/load/tally.h
@@ -18,9 +18,9 @@
 struct tally {
 	const char *name;
 	int64_t sent;
-	int64_t retried; /* attempts after the first */
-	int64_t good;	 /* complete, and within every target */
-	int64_t verdicts[CALL_VERDICTS];
+	int64_t retried;	/* attempts after the first */
+	int64_t within_targets; /* complete, and within every target */
+	int64_t verdicts[CALL_VERDICT_COUNT];
 	GHashTable *codes;   /* result code to count, if refused or broken */
 	GArray *first_token; /* int64_t, microseconds */
 	GArray *between_tokens;
--- a/include/load/targets.h
+++ b/include/load/targets.h
@@ -4,7 +4,8 @@
  * DESCRIPTION
  *	Chooses at random among the healthy targets, or among all if none is
  *	healthy or no health addresses were given. Polls the health of each
- *	target every TARGETS_HEALTH_USEC, with a timeout of the same length.
+ *	target every TARGETS_HEALTH_INTERVAL_USEC, with a timeout of the same
+ *	length.
  */
 #ifndef LOAD_TARGETS_H
 #define LOAD_TARGETS_H
@@ -13,7 +14,7 @@
 
 #include "common/clock.h"
 
-#define TARGETS_HEALTH_USEC (200 * USEC_PER_MSEC)
+#define TARGETS_HEALTH_INTERVAL_USEC (200 * USEC_PER_MSEC)
 
 struct targets;
 struct web_client;
@@ -25,6 +26,6 @@
 			       uint32_t seed);
 void targets_destroy(struct targets *targets);
 /* Prefers a healthy target other than last, which may be NULL. */
-const char *targets_draw(struct targets *targets, const char *last);
+const char *targets_pick(struct targets *targets, const char *last);
 
 #endif
--- a/include/load/workload.h
+++ b/include/load/workload.h
@@ -23,7 +23,7 @@
 	uint32_t max; /* 0: no limit */
 };
 
-struct load_targets {
+struct latency_targets {
 	uint32_t first_token_ms; /* 0: no target */
 	uint32_t between_tokens_ms;
 	uint32_t complete_ms;
@@ -46,7 +46,7 @@
 	uint32_t max_tokens;	/* requested; 0: the length of the answer */
 	struct load_range prompt_tokens;
 	struct load_range output_tokens;
-	struct load_targets targets;
+	struct latency_targets targets;
 };
 
 /* For a share of each period the arrival rate is factor times the mean rate.
--- a/load/answer.c
+++ b/load/answer.c
@@ -7,7 +7,7 @@
 #include "common/clock.h"
 #include "common/log.h"
 
-#define BODY_MAX (16u << 20)
+#define BODY_BYTES_MAX (16u << 20)
 #define EVENT_PREFIX "data: "
 
 void answer_init(struct answer *answer, const struct call_plan *plan,
@@ -18,7 +18,7 @@
 		.clock = clock,
 		.buffer = g_string_new(NULL),
 		.gaps = g_array_new(FALSE, FALSE, sizeof(int64_t)),
-		.first_at = -1,
+		.first_token_at = -1,
 		.retry_after = -1,
 		.outcome = OUTCOME_UNKNOWN,
 	};
@@ -42,7 +42,7 @@
 	return false;
 }
 
-static void header_take(struct answer *answer, const struct web_header *header)
+static void header_parse(struct answer *answer, const struct web_header *header)
 {
 	char *value = g_strndup(header->value.data, header->value.size);
 
@@ -53,9 +53,10 @@
 	else if (web_text_is(header->name, "retry-after"))
 		answer->retry_after = atoi(value);
 	else if (web_text_is(header->name, "jt-outcome"))
-		answer->outcome_told = outcome_parse(value, &answer->outcome);
+		answer->has_outcome = outcome_parse(value, &answer->outcome);
 	else if (web_text_is(header->name, "content-type"))
-		answer->events = g_str_has_prefix(value, "text/event-stream");
+		answer->event_stream =
+			g_str_has_prefix(value, "text/event-stream");
 	g_free(value);
 }
 
@@ -64,32 +65,32 @@
 {
 	answer->status = status;
 	for (size_t i = 0; i < count; i++)
-		header_take(answer, &headers[i]);
+		header_parse(answer, &headers[i]);
 }
 
-static void tokens_count(struct answer *answer, uint32_t tokens)
+static void tokens_record(struct answer *answer, uint32_t tokens)
 {
 	int64_t now = clock_now(answer->clock);
 	int64_t gap;
 
 	for (uint32_t i = 0; i < tokens; i++) {
-		gap = now - answer->last_at;
-		if (answer->first_at < 0)
-			answer->first_at = now;
+		gap = now - answer->last_token_at;
+		if (answer->first_token_at < 0)
+			answer->first_token_at = now;
 		else
 			g_array_append_val(answer->gaps, gap);
-		answer->last_at = now;
+		answer->last_token_at = now;
 	}
 }
 
-static void text_take(struct answer *answer, const char *text)
+static void text_handle(struct answer *answer, const char *text)
 {
 	if (text == NULL)
 		return;
 	if (answer->finished)
 		answer->check.wrong = true;
-	tokens_count(answer,
-		     text_check_feed(&answer->check, text, strlen(text)));
+	tokens_record(answer,
+		      text_check_feed(&answer->check, text, strlen(text)));
 }
 
 /* Returns the text of a completion or chat completion, or of a chunk of one. */
@@ -107,7 +108,7 @@
 	return json_string_value(text);
 }
 
-static void error_take(struct answer *answer, const json_t *error)
+static void error_parse(struct answer *answer, const json_t *error)
 {
 	const char *outcome =
 		json_string_value(json_object_get(error, "outcome"));
@@ -116,10 +117,10 @@
 	if (code != 0)
 		answer->code = code;
 	if (outcome_parse(outcome, &answer->outcome))
-		answer->outcome_told = true;
+		answer->has_outcome = true;
 }
 
-static void event_take(struct answer *answer, const char *data, size_t size)
+static void event_handle(struct answer *answer, const char *data, size_t size)
 {
 	json_t *json;
 	json_t *error;
@@ -133,16 +134,16 @@
 	error = json_object_get(json, "error");
 	if (error != NULL) {
 		answer->failed = true;
-		error_take(answer, error);
+		error_parse(answer, error);
 	} else if (json == NULL) {
 		answer->check.wrong = true;
 	} else {
-		text_take(answer, choice_text(json));
+		text_handle(answer, choice_text(json));
 	}
 	json_decref(json);
 }
 
-static void events_take(struct answer *answer)
+static void events_parse(struct answer *answer)
 {
 	GString *buffer = answer->buffer;
 	size_t prefix = strlen(EVENT_PREFIX);
@@ -153,7 +154,7 @@
 	while ((end = strchr(line, '\n')) != NULL) {
 		size = (size_t)(end - line);
 		if (size > prefix && memcmp(line, EVENT_PREFIX, prefix) == 0)
-			event_take(answer, line + prefix, size - prefix);
+			event_handle(answer, line + prefix, size - prefix);
 		line = end + 1;
 	}
 	g_string_erase(buffer, 0, line - buffer->str);
@@ -161,13 +162,13 @@
 
 void answer_body(struct answer *answer, const void *data, size_t size)
 {
-	if (answer->buffer->len + size > BODY_MAX) {
+	if (answer->buffer->len + size > BODY_BYTES_MAX) {
 		answer->check.wrong = true;
 		return;
 	}
 	g_string_append_len(answer->buffer, data, (gssize)size);
-	if (answer->status == 200 && answer->events)
-		events_take(answer);
+	if (answer->status == 200 && answer->event_stream)
+		events_parse(answer);
 }
 
 /* A plain service echoes the body and counts the runs with the same key. */
@@ -189,8 +190,8 @@
 	bool ok;
 
 	if (answer->plan->kind->model != NULL) {
-		text_take(answer, choice_text(json));
-		ok = text_check_whole(&answer->check);
+		text_handle(answer, choice_text(json));
+		ok = text_check_complete(&answer->check);
 	} else {
 		ok = echo_check(answer, json);
 	}
@@ -204,13 +205,13 @@
 	json_t *json = json_loadb(buffer->str, buffer->len, 0, NULL);
 	json_t *error = json_object_get(json, "error");
 
-	error_take(answer, error);
+	error_parse(answer, error);
 	json_decref(json);
 	return CALL_REFUSED;
 }
 
 /* Logs the state of a wrong answer with the first bytes of the buffer. */
-static void wrong_log(const struct answer *answer)
+static void wrong_answer_log(const struct answer *answer)
 {
 	char start[64];
 
@@ -219,14 +220,14 @@
 		  LOG_S("kind", answer->plan->kind->name),
 		  LOG_S("request", answer->request_id),
 		  LOG_D("status", answer->status),
-		  LOG_D("events", answer->events),
+		  LOG_D("events", answer->event_stream),
 		  LOG_D("finished", answer->finished),
 		  LOG_D("tokens", answer->check.tokens),
 		  LOG_D("expected", answer->check.expected),
 		  LOG_S("rest", start));
 }
 
-static enum call_verdict verdict_find(struct answer *answer, bool ok)
+static enum call_verdict answer_classify(struct answer *answer, bool ok)
 {
 	if (answer->status != 0 && answer->status != 200)
 		return ok ? refusal_verdict(answer) : CALL_BROKEN;
@@ -234,20 +235,20 @@
 		return CALL_WRONG;
 	if (!ok || answer->failed || answer->status == 0)
 		return CALL_BROKEN;
-	if (answer->events != answer->plan->kind->stream)
+	if (answer->event_stream != answer->plan->kind->stream)
 		return CALL_WRONG;
-	if (!answer->events)
+	if (!answer->event_stream)
 		return body_check(answer) ? CALL_WHOLE : CALL_WRONG;
 	if (!answer->finished)
 		return CALL_BROKEN;
-	return text_check_whole(&answer->check) ? CALL_WHOLE : CALL_WRONG;
+	return text_check_complete(&answer->check) ? CALL_WHOLE : CALL_WRONG;
 }
 
 enum call_verdict answer_verdict(struct answer *answer, bool ok)
 {
-	enum call_verdict verdict = verdict_find(answer, ok);
+	enum call_verdict verdict = answer_classify(answer, ok);
 
 	if (verdict == CALL_WRONG)
-		wrong_log(answer);
+		wrong_answer_log(answer);
 	return verdict;
 }
--- a/load/arrival.c
+++ b/load/arrival.c
@@ -8,24 +8,24 @@
 static double rate_at(double rate, const struct load_bursts *bursts, double sec)
 {
 	double period = bursts->period_ms / 1000.0;
-	double rest;
+	double outside_share;
 
 	if (bursts->factor <= 1)
 		return rate;
 	if (fmod(sec, period) < bursts->share * period)
 		return rate * bursts->factor;
-	rest = 1 - bursts->factor * bursts->share;
-	return rate * rest / (1 - bursts->share);
+	outside_share = 1 - bursts->factor * bursts->share;
+	return rate * outside_share / (1 - bursts->share);
 }
 
 int64_t arrival_next(GRand *rand, double rate, const struct load_bursts *bursts,
 		     int64_t after_usec)
 {
-	double top = rate * MAX(1, bursts->factor);
+	double max_rate = rate * MAX(1, bursts->factor);
 	double sec = (double)after_usec / USEC_PER_SEC;
 
 	do {
-		sec -= log1p(-g_rand_double(rand)) / top;
-	} while (g_rand_double(rand) * top >= rate_at(rate, bursts, sec));
+		sec -= log1p(-g_rand_double(rand)) / max_rate;
+	} while (g_rand_double(rand) * max_rate >= rate_at(rate, bursts, sec));
 	return (int64_t)(sec * USEC_PER_SEC);
 }
--- a/load/call.c
+++ b/load/call.c
@@ -10,9 +10,9 @@
 #include "web/client.h"
 
 #define HEADERS_MAX 8
-#define MODEL_PATH "/v1/completions"
+#define COMPLETIONS_PATH "/v1/completions"
 /* Delay of a retry after a broken connection, and minimum after a refusal. */
-#define BROKEN_RETRY_USEC (50 * USEC_PER_MSEC)
+#define RETRY_DELAY_MIN_USEC (50 * USEC_PER_MSEC)
 
 struct load_call {
 	struct call_env env;
@@ -28,7 +28,7 @@
 	const char *target;
 };
 
-static const char *const verdict_labels[CALL_VERDICTS] = {
+static const char *const verdict_labels[CALL_VERDICT_COUNT] = {
 	[CALL_WHOLE] = "whole",	    [CALL_REFUSED] = "refused",
 	[CALL_BROKEN] = "broken",   [CALL_WRONG] = "wrong",
 	[CALL_HUNG_UP] = "hung-up", [CALL_UNANSWERED] = "unanswered",
@@ -49,7 +49,7 @@
 	g_free(call);
 }
 
-void call_drop(struct load_call *call)
+void call_cancel(struct load_call *call)
 {
 	call_free(call);
 }
@@ -84,7 +84,9 @@
 	result->total_usec = now - call->started;
 	result->between_tokens_usec = gaps_quantile(answer->gaps, 0.95);
 	result->first_token_usec =
-		answer->first_at < 0 ? -1 : answer->first_at - call->started;
+		answer->first_token_at < 0
+			? -1
+			: answer->first_token_at - call->started;
 	g_strlcpy(result->request_id, answer->request_id, CALL_ID_MAX);
 	call->fn(call->ctx, call->plan, result);
 	call_free(call);
@@ -100,11 +102,11 @@
 	if (!call->env.retry || call->result.attempts > kind->retries)
 		return -1;
 	if (verdict == CALL_BROKEN && (kind->key || !sent))
-		return BROKEN_RETRY_USEC;
+		return RETRY_DELAY_MIN_USEC;
 	if (verdict == CALL_REFUSED && answer->retry_after >= 0 &&
 	    (answer->outcome == OUTCOME_NOT_RUN || kind->key))
 		return MAX(answer->retry_after * USEC_PER_SEC,
-			   BROKEN_RETRY_USEC);
+			   RETRY_DELAY_MIN_USEC);
 	return -1;
 }
 
@@ -113,12 +115,12 @@
 	struct load_call *call = ctx;
 	enum call_verdict verdict = answer_verdict(&call->answer, result->ok);
 	int64_t delay = retry_delay(call, verdict, result->sent);
-	bool not_run = call->answer.outcome_told &&
+	bool not_run = call->answer.has_outcome &&
 		       call->answer.outcome == OUTCOME_NOT_RUN;
 
 	call->http = NULL;
 	if (result->sent && !not_run)
-		call->result.maybe_run = true;
+		call->result.may_have_run = true;
 	if (delay < 0)
 		call_end(call, verdict);
 	else
@@ -200,7 +202,7 @@
 		   kind->non_idempotent ? "false" : NULL);
 	spec.address = call->target;
 	spec.method = kind->method != NULL ? kind->method : "POST";
-	spec.path = kind->model != NULL ? MODEL_PATH : kind->path;
+	spec.path = kind->model != NULL ? COMPLETIONS_PATH : kind->path;
 	spec.headers = list.headers;
 	spec.header_count = list.count;
 	spec.body = body;
@@ -218,7 +220,7 @@
 
 	answer_clear(&call->answer);
 	answer_init(&call->answer, call->plan, call->env.clock);
-	call->target = targets_draw(call->env.targets, call->target);
+	call->target = targets_pick(call->env.targets, call->target);
 	attempt_send(call);
 }
 
@@ -238,7 +240,7 @@
 	call->fn = fn;
 	call->ctx = ctx;
 	call->started = clock_now(env->clock);
-	call->target = targets_draw(env->targets, NULL);
+	call->target = targets_pick(env->targets, NULL);
 	timer_init(&call->retry, env->clock, retry_due, call);
 	timer_init(&call->hang_up, env->clock, hang_up_due, call);
 	if (plan->hang_up_usec > 0)
--- a/load/check.c
+++ b/load/check.c
@@ -13,40 +13,40 @@
 	return record->verdict == CALL_WRONG;
 }
 
-static bool lost(const struct check_record *record,
-		 const struct ledgers *ledgers)
+static bool call_lost(const struct check_record *record,
+		      const struct ledgers *ledgers)
 {
 	return record->verdict == CALL_BROKEN ||
 	       record->verdict == CALL_UNANSWERED;
 }
 
-static bool ran_though_refused(const struct check_record *record,
-			       const struct ledgers *ledgers)
+static bool refused_but_ran(const struct check_record *record,
+			    const struct ledgers *ledgers)
 {
-	if (record->verdict != CALL_REFUSED || record->maybe_run ||
+	if (record->verdict != CALL_REFUSED || record->may_have_run ||
 	    record->outcome != OUTCOME_NOT_RUN)
 		return false;
 	if (record->kind->model == NULL)
-		return ledgers_key(ledgers, record->key) != 0;
+		return ledgers_key_runs(ledgers, record->key) != 0;
 	/* The ledgers cannot be searched without an id: counts as broken. */
 	if (record->request_id[0] == '\0')
 		return true;
-	return ledgers_request(ledgers, record->request_id, "prefills") +
-		       ledgers_request(ledgers, record->request_id,
-				       "decodes") !=
+	return ledgers_request_sum(ledgers, record->request_id, "prefills") +
+		       ledgers_request_sum(ledgers, record->request_id,
+					   "decodes") !=
 	       0;
 }
 
 /* A non-idempotent call runs exactly once if it was answered completely, else
  * at most once. */
-static bool booked_wrongly(const struct check_record *record,
-			   const struct ledgers *ledgers)
+static bool run_count_wrong(const struct check_record *record,
+			    const struct ledgers *ledgers)
 {
 	int64_t runs;
 
 	if (!record->kind->non_idempotent || record->kind->model != NULL)
 		return false;
-	runs = ledgers_key(ledgers, record->key);
+	runs = ledgers_key_runs(ledgers, record->key);
 	return runs > 1 || (record->verdict == CALL_WHOLE && runs != 1);
 }
 
@@ -54,18 +54,18 @@
 			   const struct ledgers *ledgers)
 {
 	return record->kind->model != NULL && record->request_id[0] != '\0' &&
-	       ledgers_request(ledgers, record->request_id, "finished") > 1;
+	       ledgers_request_sum(ledgers, record->request_id, "finished") > 1;
 }
 
 static const struct {
 	const char *name;
-	check_fn broken_by;
-	bool ledgers; /* skipped when no ledger was given */
+	check_fn violates;
+	bool needs_ledgers; /* skipped when no ledger was given */
 } checks[] = {
 	{"every answer is whole, its own and single", wrong_answer, false},
-	{"no call was lost", lost, false},
-	{"what was refused as not run did not run", ran_though_refused, true},
-	{"non-idempotent calls ran at most once", booked_wrongly, true},
+	{"no call was lost", call_lost, false},
+	{"what was refused as not run did not run", refused_but_ran, true},
+	{"non-idempotent calls ran at most once", run_count_wrong, true},
 	{"no request was finished twice", finished_twice, true},
 };
 
@@ -75,7 +75,7 @@
 			 "broken", (json_int_t)count, "examples", examples);
 }
 
-static json_t *check_run(const char *name, check_fn broken_by,
+static json_t *check_run(const char *name, check_fn violates,
 			 const GArray *records, const struct ledgers *ledgers)
 {
 	GString *examples = g_string_new(NULL);
@@ -86,7 +86,7 @@
 		const struct check_record *record =
 			&g_array_index(records, struct check_record, i);
 
-		if (!broken_by(record, ledgers))
+		if (!violates(record, ledgers))
 			continue;
 		if (count++ < EXAMPLES_MAX)
 			g_string_append_printf(examples, "%s%s/%s",
@@ -101,18 +101,17 @@
 json_t *checks_run(const GArray *records, const struct ledgers *ledgers,
 		   bool *ok)
 {
-	bool read = ledgers_count(ledgers) > 0;
+	bool have_ledgers = ledgers_count(ledgers) > 0;
 	json_t *all = json_array();
 	size_t at;
 	json_t *check;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(checks); i++)
-		if (read || !checks[i].ledgers)
-			json_array_append_new(all,
-					      check_run(checks[i].name,
-							checks[i].broken_by,
-							records, ledgers));
-	if (read) {
+		if (have_ledgers || !checks[i].needs_ledgers)
+			json_array_append_new(all, check_run(checks[i].name,
+							     checks[i].violates,
+							     records, ledgers));
+	if (have_ledgers) {
 		json_array_append_new(all,
 				      check_json("no engine memory stays held",
 						 ledgers_held(ledgers), ""));
--- a/load/command_report.c
+++ b/load/command_report.c
@@ -12,7 +12,7 @@
 	int file_count;
 };
 
-static int fail(const struct error *err)
+static int command_fail(const struct error *err)
 {
 	fprintf(stderr, "jtload: %s\n", err->text);
 	return EXIT_FAILURE;
@@ -33,7 +33,7 @@
 	argp_parse(&argp, argc, argv, ARGP_NO_ARGS, &first, NULL);
 	if (argc - first != 2) {
 		error_set(&err, RESULT_USAGE, "compare takes two reports");
-		return fail(&err);
+		return command_fail(&err);
 	}
 	before = report_read(argv[first], &err);
 	after = before != NULL ? report_read(argv[first + 1], &err) : NULL;
@@ -45,7 +45,7 @@
 	}
 	json_decref(before);
 	json_decref(after);
-	return after != NULL ? EXIT_SUCCESS : fail(&err);
+	return after != NULL ? EXIT_SUCCESS : command_fail(&err);
 }
 
 static error_t plot_parse(int key, char *arg, struct argp_state *state)
@@ -127,7 +127,7 @@
 	argp_parse(&argp, argc, argv, ARGP_NO_ARGS, &first, NULL);
 	reports = reports_read(argv + first, argc - first, &err);
 	if (reports == NULL)
-		return fail(&err);
+		return command_fail(&err);
 	out = g_string_new(NULL);
 	report_table(reports, (size_t)(argc - first), out);
 	fputs(out->str, stdout);
@@ -156,9 +156,9 @@
 	argp_parse(&argp, argc, argv, 0, NULL, &arguments);
 	reports = reports_read(arguments.files, arguments.file_count, &err);
 	if (reports == NULL)
-		return fail(&err);
+		return command_fail(&err);
 	ok = plot_write(arguments.out, reports, (size_t)arguments.file_count,
 			&err);
 	reports_free(reports, arguments.file_count);
-	return ok ? EXIT_SUCCESS : fail(&err);
+	return ok ? EXIT_SUCCESS : command_fail(&err);
 }
--- a/load/command_run.c
+++ b/load/command_run.c
@@ -15,8 +15,8 @@
 #include "load/workload.h"
 #include "web/loop.h"
 
-#define TIMEOUT_USEC (60 * USEC_PER_SEC)
-#define CHECKS_FAILED 3
+#define DEFAULT_TIMEOUT_USEC (60 * USEC_PER_SEC)
+#define EXIT_CHECKS_FAILED 3
 
 enum option_key {
 	OPTION_WORKLOAD = 'w',
@@ -48,7 +48,7 @@
 	char **ledgers;
 	char **health;
 	struct load_bursts bursts;
-	bool seeded;
+	bool seed_given;
 };
 
 static const struct argp_option options[] = {
@@ -115,7 +115,7 @@
 				  "between 0 and 1, their product at most 1");
 }
 
-static error_t bound_parse(int key, char *arg, struct argp_state *state)
+static error_t number_option_parse(int key, char *arg, struct argp_state *state)
 {
 	struct arguments *arguments = state->input;
 	struct run_settings *run = &arguments->run;
@@ -132,7 +132,7 @@
 		return 0;
 	case OPTION_SEED:
 		run->seed = (uint32_t)option_number(arg, 0, UINT32_MAX, state);
-		arguments->seeded = true;
+		arguments->seed_given = true;
 		return 0;
 	case OPTION_HANG_UP:
 		run->hang_up_percent = option_number(arg, 0, 100, state);
@@ -199,7 +199,7 @@
 					  "each target");
 		return 0;
 	default:
-		return bound_parse(key, arg, state);
+		return number_option_parse(key, arg, state);
 	}
 }
 
@@ -208,8 +208,9 @@
 	load_run_stop(ctx);
 }
 
-static json_t *run_whole(struct arguments *arguments, struct workload *workload,
-			 struct clock *clock, bool *ok)
+static json_t *run_execute(struct arguments *arguments,
+			   struct workload *workload, struct clock *clock,
+			   bool *ok)
 {
 	struct loop *loop = loop_create(clock);
 	struct load_run *run = load_run_create(loop, &arguments->run, workload);
@@ -225,7 +226,7 @@
 	return report;
 }
 
-static bool report_finish(const struct arguments *arguments,
+static bool report_output(const struct arguments *arguments,
 			  const json_t *report, struct error *err)
 {
 	GString *out = g_string_new(NULL);
@@ -237,8 +238,8 @@
 	       report_write(arguments->report, report, err);
 }
 
-static void arguments_fill(struct arguments *arguments,
-			   struct workload *workload, struct clock *clock)
+static void arguments_resolve(struct arguments *arguments,
+			      struct workload *workload, struct clock *clock)
 {
 	struct run_settings *run = &arguments->run;
 
@@ -246,7 +247,7 @@
 		workload->bursts = arguments->bursts;
 	if (run->rate <= 0)
 		run->rate = workload->rate;
-	if (!arguments->seeded)
+	if (!arguments->seed_given)
 		run->seed = (uint32_t)clock_unix(clock);
 	run->targets = (const char *const *)arguments->targets;
 	run->target_count = g_strv_length(arguments->targets);
@@ -270,17 +271,17 @@
 	}
 	clock = clock_create_system();
 	log_setup(clock, "jtload", LOG_WARNING);
-	arguments_fill(arguments, workload, clock);
+	arguments_resolve(arguments, workload, clock);
 	fprintf(stderr, "seed %u\n", arguments->run.seed);
-	report = run_whole(arguments, workload, clock, &ok);
-	if (!report_finish(arguments, report, &err)) {
+	report = run_execute(arguments, workload, clock, &ok);
+	if (!report_output(arguments, report, &err)) {
 		fprintf(stderr, "jtload: %s\n", err.text);
 		ok = false;
 	}
 	json_decref(report);
 	clock_destroy(clock);
 	workload_destroy(workload);
-	return ok ? EXIT_SUCCESS : CHECKS_FAILED;
+	return ok ? EXIT_SUCCESS : EXIT_CHECKS_FAILED;
 }
 
 int command_run(int argc, char **argv)
@@ -297,8 +298,8 @@
 				.label = "run",
 				.duration_usec = 10 * USEC_PER_SEC,
 				.hang_up_usec = 1 * USEC_PER_SEC,
-				.timeout_usec = TIMEOUT_USEC,
-				.drain_usec = TIMEOUT_USEC,
+				.timeout_usec = DEFAULT_TIMEOUT_USEC,
+				.drain_usec = DEFAULT_TIMEOUT_USEC,
 				.settle_usec = 5 * USEC_PER_SEC,
 				.retry = true,
 				.progress = isatty(STDERR_FILENO) == 1,
--- a/load/compare.c
+++ b/load/compare.c
@@ -37,7 +37,7 @@
 	return NULL;
 }
 
-static const json_t *figure(const json_t *class, size_t i)
+static const json_t *figure_get(const json_t *class, size_t i)
 {
 	const json_t *value = json_object_get(class, figures[i].field);
 
@@ -75,11 +75,11 @@
 	const json_t *after = class_find(b, name);
 
 	for (size_t i = 0; i < G_N_ELEMENTS(figures); i++)
-		row_print(name, figures[i].title, figure(before, i),
-			  figure(after, i), out);
+		row_print(name, figures[i].title, figure_get(before, i),
+			  figure_get(after, i), out);
 }
 
-static void classes_print(const json_t *from, const json_t *unless,
+static void classes_print(const json_t *from, const json_t *exclude,
 			  const json_t *a, const json_t *b, GString *out)
 {
 	size_t at;
@@ -89,7 +89,7 @@
 		const char *name =
 			json_string_value(json_object_get(class, "name"));
 
-		if (name != NULL && class_find(unless, name) == NULL)
+		if (name != NULL && class_find(exclude, name) == NULL)
 			class_print(a, b, name, out);
 	}
 }
--- a/load/ledgers.c
+++ b/load/ledgers.c
@@ -5,7 +5,7 @@
 
 #include "web/client.h"
 
-#define LEDGER_MAX (256u << 20)
+#define LEDGER_BYTES_MAX (256u << 20)
 
 enum ledger_kind {
 	LEDGER_UNKNOWN,
@@ -18,15 +18,15 @@
 	const char *address;
 	enum ledger_kind kind;
 	struct web_call *call;
-	json_t *first;
-	json_t *last; /* NULL: the last reading failed */
+	json_t *baseline;
+	json_t *latest; /* NULL: the last reading failed */
 };
 
 struct ledgers {
 	struct web_client *client;
 	struct ledger *ledgers;
 	unsigned int count;
-	unsigned int waiting;
+	unsigned int pending;
 	ledgers_fn fn;
 	void *ctx;
 };
@@ -55,8 +55,8 @@
 
 		if (ledger->call != NULL)
 			web_call_cancel(ledger->call);
-		json_decref(ledger->first);
-		json_decref(ledger->last);
+		json_decref(ledger->baseline);
+		json_decref(ledger->latest);
 	}
 	g_free(ledgers->ledgers);
 	g_free(ledgers);
@@ -66,11 +66,11 @@
 {
 	struct ledgers *owner = ledger->owner;
 
-	json_decref(ledger->last);
-	ledger->last = json;
-	if (ledger->first == NULL)
-		ledger->first = json_incref(json);
-	if (--owner->waiting == 0)
+	json_decref(ledger->latest);
+	ledger->latest = json;
+	if (ledger->baseline == NULL)
+		ledger->baseline = json_incref(json);
+	if (--owner->pending == 0)
 		owner->fn(owner->ctx);
 }
 
@@ -83,14 +83,14 @@
 		.path = path,
 	};
 
-	ledger->call =
-		web_fetch(ledger->owner->client, &spec, LEDGER_MAX, fn, ledger);
+	ledger->call = web_fetch(ledger->owner->client, &spec, LEDGER_BYTES_MAX,
+				 fn, ledger);
 }
 
 /* Parses the answer to a fetch of the ledger; NULL if that failed. */
-static json_t *answer_read(struct ledger *ledger,
-			   const struct web_result *result, int status,
-			   const void *body, size_t size)
+static json_t *ledger_parse(struct ledger *ledger,
+			    const struct web_result *result, int status,
+			    const void *body, size_t size)
 {
 	ledger->call = NULL;
 	if (!result->ok || status != 200)
@@ -102,7 +102,7 @@
 			    int status, const void *body, size_t size)
 {
 	struct ledger *ledger = ctx;
-	json_t *json = answer_read(ledger, result, status, body, size);
+	json_t *json = ledger_parse(ledger, result, status, body, size);
 
 	if (json != NULL)
 		ledger->kind = LEDGER_ENGINE;
@@ -113,7 +113,7 @@
 			     int status, const void *body, size_t size)
 {
 	struct ledger *ledger = ctx;
-	json_t *json = answer_read(ledger, result, status, body, size);
+	json_t *json = ledger_parse(ledger, result, status, body, size);
 
 	if (json == NULL && ledger->kind != LEDGER_SERVICE) {
 		ledger_fetch(ledger, "/ledger", engine_answered);
@@ -128,7 +128,7 @@
 {
 	ledgers->fn = fn;
 	ledgers->ctx = ctx;
-	ledgers->waiting = ledgers->count;
+	ledgers->pending = ledgers->count;
 	for (unsigned int i = 0; i < ledgers->count; i++) {
 		struct ledger *ledger = &ledgers->ledgers[i];
 
@@ -151,11 +151,11 @@
 	unsigned int unread = 0;
 
 	for (unsigned int i = 0; i < ledgers->count; i++)
-		unread += ledgers->ledgers[i].last == NULL;
+		unread += ledgers->ledgers[i].latest == NULL;
 	return unread;
 }
 
-static int64_t field_of(const json_t *json, const char *field)
+static int64_t field_get(const json_t *json, const char *field)
 {
 	return json_integer_value(json_object_get(json, field));
 }
@@ -167,80 +167,84 @@
 	for (unsigned int i = 0; i < ledgers->count; i++) {
 		const struct ledger *ledger = &ledgers->ledgers[i];
 
-		if (ledger->last != NULL)
-			sum += field_of(ledger->last, field) -
-			       field_of(ledger->first, field);
+		if (ledger->latest != NULL)
+			sum += field_get(ledger->latest, field) -
+			       field_get(ledger->baseline, field);
 	}
 	return sum;
 }
 
-int64_t ledgers_request(const struct ledgers *ledgers, const char *id,
-			const char *field)
+int64_t ledgers_request_sum(const struct ledgers *ledgers, const char *id,
+			    const char *field)
 {
 	int64_t sum = 0;
 
 	for (unsigned int i = 0; i < ledgers->count; i++) {
 		json_t *all =
-			json_object_get(ledgers->ledgers[i].last, "requests");
+			json_object_get(ledgers->ledgers[i].latest, "requests");
 
-		sum += field_of(json_object_get(all, id), field);
+		sum += field_get(json_object_get(all, id), field);
 	}
 	return sum;
 }
 
 /* Adds the useful tokens of an engine's requests to the sum, and updates the
  * largest count of each request. */
-static void useful_add(const json_t *engine, GHashTable *largest, int64_t *sum)
+static void useful_tokens_add(const json_t *engine, GHashTable *max_by_request,
+			      int64_t *sum)
 {
 	const char *id;
 	json_t *request;
 
 	json_object_foreach (json_object_get(engine, "requests"), id, request) {
-		int64_t useful = field_of(request, "useful_tokens");
-		int64_t most =
-			GPOINTER_TO_INT(g_hash_table_lookup(largest, id));
+		int64_t useful = field_get(request, "useful_tokens");
+		int64_t max = GPOINTER_TO_INT(
+			g_hash_table_lookup(max_by_request, id));
 
 		*sum += useful;
-		if (useful > most)
-			g_hash_table_insert(largest, (void *)id,
+		if (useful > max)
+			g_hash_table_insert(max_by_request, (void *)id,
 					    GINT_TO_POINTER((int)useful));
 	}
 }
 
-static int64_t repeated_at(const struct ledgers *ledgers, bool first)
+static int64_t recomputed_count(const struct ledgers *ledgers, bool baseline)
 {
-	GHashTable *largest = g_hash_table_new(g_str_hash, g_str_equal);
-	int64_t repeated = 0;
+	GHashTable *max_by_request = g_hash_table_new(g_str_hash, g_str_equal);
+	int64_t recomputed = 0;
 	GHashTableIter iter;
 	void *id;
-	void *most;
+	void *max;
 
 	for (unsigned int i = 0; i < ledgers->count; i++) {
 		const struct ledger *ledger = &ledgers->ledgers[i];
 
-		if (ledger->last != NULL)
-			useful_add(first ? ledger->first : ledger->last,
-				   largest, &repeated);
+		if (ledger->latest != NULL)
+			useful_tokens_add(baseline ? ledger->baseline
+						   : ledger->latest,
+					  max_by_request, &recomputed);
 	}
-	g_hash_table_iter_init(&iter, largest);
-	while (g_hash_table_iter_next(&iter, &id, &most))
-		repeated -= GPOINTER_TO_INT(most);
-	g_hash_table_destroy(largest);
-	return repeated;
+	g_hash_table_iter_init(&iter, max_by_request);
+	while (g_hash_table_iter_next(&iter, &id, &max))
+		recomputed -= GPOINTER_TO_INT(max);
+	g_hash_table_destroy(max_by_request);
+	return recomputed;
 }
 
-int64_t ledgers_repeated(const struct ledgers *ledgers)
+int64_t ledgers_recomputed(const struct ledgers *ledgers)
 {
-	return repeated_at(ledgers, false) - repeated_at(ledgers, true);
+	return recomputed_count(ledgers, false) -
+	       recomputed_count(ledgers, true);
 }
 
-int64_t ledgers_key(const struct ledgers *ledgers, const char *key)
+int64_t ledgers_key_runs(const struct ledgers *ledgers, const char *key)
 {
 	int64_t sum = 0;
 
 	for (unsigned int i = 0; i < ledgers->count; i++)
-		sum += field_of(
-			json_object_get(ledgers->ledgers[i].last, "keys"), key);
+		sum += field_get(
+			json_object_get(ledgers->ledgers[i].latest, "keys"),
+			key);
 	return sum;
 }
 
@@ -250,6 +254,6 @@
 
 	for (unsigned int i = 0; i < ledgers->count; i++)
 		held += (int64_t)json_array_size(
-			json_object_get(ledgers->ledgers[i].last, "held"));
+			json_object_get(ledgers->ledgers[i].latest, "held"));
 	return held;
 }
--- a/load/plan.c
+++ b/load/plan.c
@@ -27,15 +27,15 @@
 {
 	const struct load_kind *kind = workload->kinds;
 	double weights = 0;
-	double left;
+	double remaining;
 
 	for (unsigned int i = 0; i < workload->kinds_count; i++)
 		weights += workload->kinds[i].weight;
-	left = g_rand_double(rand) * weights;
+	remaining = g_rand_double(rand) * weights;
 	for (unsigned int i = 0; i < workload->kinds_count; i++) {
 		kind = &workload->kinds[i];
-		left -= kind->weight;
-		if (left < 0)
+		remaining -= kind->weight;
+		if (remaining < 0)
 			break;
 	}
 	return kind;
--- a/load/plot.c
+++ b/load/plot.c
@@ -48,7 +48,7 @@
 	return json_number_value(json_object_get(report, "rate"));
 }
 
-static size_t series_of(const struct plot *plot, const char *label)
+static size_t series_index(const struct plot *plot, const char *label)
 {
 	guint at = 0;
 
@@ -72,7 +72,7 @@
 	}
 }
 
-static const json_t *class_of(const json_t *report, const char *name)
+static const json_t *class_find(const json_t *report, const char *name)
 {
 	size_t at;
 	json_t *class;
@@ -87,7 +87,7 @@
 static double panel_value(const struct panel *panel, const json_t *report)
 {
 	const json_t *from = panel->class != NULL
-				     ? class_of(report, panel->class)
+				     ? class_find(report, panel->class)
 				     : json_object_get(report, "prefill");
 	const json_t *value = json_object_get(from, panel->field);
 
@@ -96,13 +96,14 @@
 	return json_number_value(value);
 }
 
-static double panel_top(const struct plot *plot, const struct panel *panel)
+static double panel_max(const struct plot *plot, const struct panel *panel)
 {
-	double top = 0;
+	double max_value = 0;
 
 	for (size_t i = 0; i < plot->count; i++)
-		top = fmax(top, panel_value(panel, plot->reports[i]));
-	return top > 0 ? top : 1;
+		max_value =
+			fmax(max_value, panel_value(panel, plot->reports[i]));
+	return max_value > 0 ? max_value : 1;
 }
 
 static void text_print(GString *out, double x, double y, const char *anchor,
@@ -117,7 +118,7 @@
 	g_free(escaped);
 }
 
-static void frame_print(GString *out, double x, double y, double top,
+static void frame_print(GString *out, double x, double y, double max_value,
 			const struct panel *panel)
 {
 	char text[96];
@@ -131,7 +132,7 @@
 		   panel->class ? panel->class : "", panel->class ? ": " : "",
 		   panel->title);
 	text_print(out, x, y - 8, "start", text);
-	g_snprintf(text, sizeof(text), "%.4g", top);
+	g_snprintf(text, sizeof(text), "%.4g", max_value);
 	text_print(out, x - 4, y + 8, "end", text);
 	text_print(out, x - 4, y + PANEL_HEIGHT - 2 * MARGIN, "end", "0");
 }
@@ -139,21 +140,21 @@
 static void bars_print(GString *out, const struct plot *plot,
 		       const struct panel *panel, double x, double y)
 {
-	double top = panel_top(plot, panel);
+	double max_value = panel_max(plot, panel);
 	double height = PANEL_HEIGHT - 2 * MARGIN;
 	double step = (PANEL_WIDTH - 2.0 * MARGIN) / (double)plot->count;
 	char text[32];
 
 	for (size_t i = 0; i < plot->count; i++) {
 		double value = panel_value(panel, plot->reports[i]);
-		double tall = height * value / top;
+		double bar_height = height * value / max_value;
 		double left = x + step * ((double)i + 0.1);
 
 		g_string_append_printf(
 			out,
 			"<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" "
 			"height=\"%.1f\" fill=\"%s\"/>\n",
-			left, y + height - tall, step * 0.8, tall,
+			left, y + height - bar_height, step * 0.8, bar_height,
 			colours[i % G_N_ELEMENTS(colours)]);
 		g_snprintf(text, sizeof(text), "%.4g", value);
 		text_print(out, left + step * 0.4, y + height + 14, "middle",
@@ -182,7 +183,7 @@
 			.value = panel_value(panel, plot->reports[i]),
 		};
 
-		point.series = series_of(plot, point.label);
+		point.series = series_index(plot, point.label);
 		g_array_append_val(points, point);
 	}
 	g_array_sort(points, point_compare);
@@ -193,7 +194,7 @@
 			const struct panel *panel, double x, double y)
 {
 	GArray *points = points_make(plot, panel);
-	double top = panel_top(plot, panel);
+	double max_value = panel_max(plot, panel);
 	double height = PANEL_HEIGHT - 2 * MARGIN;
 	double width = PANEL_WIDTH - 2 * MARGIN;
 	size_t series = SIZE_MAX;
@@ -202,7 +203,7 @@
 	for (guint i = 0; i < points->len; i++) {
 		struct point *p = &g_array_index(points, struct point, i);
 		double at = x + width * p->rate / fmax(plot->rate_max, 1e-9);
-		double up = y + height * (1 - p->value / top);
+		double point_y = y + height * (1 - p->value / max_value);
 
 		if (p->series != series)
 			g_string_append_printf(
@@ -212,7 +213,7 @@
 				series == SIZE_MAX ? "" : "\"/>\n",
 				colours[p->series % G_N_ELEMENTS(colours)]);
 		series = p->series;
-		g_string_append_printf(out, "%.1f,%.1f ", at, up);
+		g_string_append_printf(out, "%.1f,%.1f ", at, point_y);
 	}
 	g_string_append(out, points->len > 0 ? "\"/>\n" : "");
 	g_snprintf(text, sizeof(text), "%.4g calls/s", plot->rate_max);
@@ -237,28 +238,28 @@
 
 static GArray *panels_make(const struct plot *plot)
 {
-	static const struct panel each[] = {
+	static const struct panel class_panels[] = {
 		{NULL, "goodput %", "goodput_percent", NULL},
 		{NULL, "first token p99 ms", "first_token_ms", "p99"},
 		{NULL, "total p50 ms", "total_ms", "p50"},
 		{NULL, "total p99 ms", "total_ms", "p99"},
 	};
-	static const struct panel wasted = {NULL, "wasted prefill %",
-					    "wasted_percent", NULL};
+	static const struct panel wasted_panel = {NULL, "wasted prefill %",
+						  "wasted_percent", NULL};
 	GArray *panels = g_array_new(FALSE, FALSE, sizeof(struct panel));
 	size_t at;
 	json_t *class;
 
 	json_array_foreach (json_object_get(plot->reports[0], "classes"), at,
 			    class)
-		for (size_t i = 0; i < G_N_ELEMENTS(each); i++) {
-			struct panel panel = each[i];
+		for (size_t i = 0; i < G_N_ELEMENTS(class_panels); i++) {
+			struct panel panel = class_panels[i];
 
 			panel.class = json_string_value(
 				json_object_get(class, "name"));
 			g_array_append_val(panels, panel);
 		}
-	g_array_append_val(panels, wasted);
+	g_array_append_val(panels, wasted_panel);
 	return panels;
 }
 
@@ -286,7 +287,7 @@
 		double x = MARGIN + (double)(i % COLUMNS) * PANEL_WIDTH;
 		double y = MARGIN + (double)row * PANEL_HEIGHT;
 
-		frame_print(out, x, y, panel_top(&plot, panel), panel);
+		frame_print(out, x, y, panel_max(&plot, panel), panel);
 		if (plot.lines)
 			lines_print(out, &plot, panel, x, y);
 		else
--- a/load/report.c
+++ b/load/report.c
@@ -29,14 +29,14 @@
 	return error_set(err, RESULT_IO, "%s: cannot write", file);
 }
 
-static double number_at(const json_t *group, const char *field,
-			const char *quantile)
+static double quantile_get(const json_t *group, const char *field,
+			   const char *quantile)
 {
 	return json_number_value(
 		json_object_get(json_object_get(group, field), quantile));
 }
 
-static int64_t count_at(const json_t *group, const char *field)
+static int64_t count_get(const json_t *group, const char *field)
 {
 	return json_integer_value(json_object_get(group, field));
 }
@@ -48,8 +48,8 @@
 		return;
 	}
 	g_string_append_printf(out, " %7.1f/%7.1f",
-			       number_at(group, field, "p50"),
-			       number_at(group, field, "p99"));
+			       quantile_get(group, field, "p50"),
+			       quantile_get(group, field, "p99"));
 }
 
 static void group_print(const json_t *group, GString *out)
@@ -59,11 +59,12 @@
 	g_string_append_printf(
 		out, "%-14s %6d %6d %7d %6d %5d %6d ",
 		json_string_value(json_object_get(group, "name")),
-		(int)count_at(group, "sent"), (int)count_at(group, "whole"),
-		(int)count_at(group, "refused"),
-		(int)(count_at(group, "broken") +
-		      count_at(group, "unanswered")),
-		(int)count_at(group, "wrong"), (int)count_at(group, "hung-up"));
+		(int)count_get(group, "sent"), (int)count_get(group, "whole"),
+		(int)count_get(group, "refused"),
+		(int)(count_get(group, "broken") +
+		      count_get(group, "unanswered")),
+		(int)count_get(group, "wrong"),
+		(int)count_get(group, "hung-up"));
 	if (json_is_null(goodput))
 		g_string_append_printf(out, "%8s", "-");
 	else
@@ -122,7 +123,7 @@
 		if (!ok)
 			g_string_append_printf(
 				out, " (%d: %s)",
-				(int)count_at(check, "broken"),
+				(int)count_get(check, "broken"),
 				json_string_value(
 					json_object_get(check, "examples")));
 		g_string_append_c(out, '\n');
@@ -136,18 +137,18 @@
 	g_string_append_printf(
 		out, "%s: %d calls at %.1f/s in %.1f s, seed %d\n",
 		json_string_value(json_object_get(report, "label")),
-		(int)count_at(report, "sent"),
+		(int)count_get(report, "sent"),
 		json_number_value(json_object_get(report, "rate")),
 		json_number_value(json_object_get(report, "duration_ms")) /
 			1000,
-		(int)count_at(report, "seed"));
+		(int)count_get(report, "seed"));
 	groups_print(json_object_get(report, "classes"), "class", out);
 	groups_print(json_object_get(report, "kinds"), "kind", out);
 	codes_print(report, out);
 	g_string_append_printf(
 		out, "prefill: %d tokens computed, %d wasted (%.2f%%)\n",
-		(int)count_at(prefill, "tokens"),
-		(int)count_at(prefill, "wasted"),
+		(int)count_get(prefill, "tokens"),
+		(int)count_get(prefill, "wasted"),
 		json_number_value(json_object_get(prefill, "wasted_percent")));
 	checks_print(json_object_get(report, "checks"), out);
 	if (!json_is_true(json_object_get(report, "ledgers")))
--- a/load/run.c
+++ b/load/run.c
@@ -20,7 +20,7 @@
 #define SETTLE_POLL_USEC (100 * USEC_PER_MSEC)
 #define DEFAULT_CLASS "default"
 
-struct active {
+struct active_call {
 	struct load_run *run;
 	struct call_plan *plan;
 	struct load_call *call;
@@ -33,7 +33,7 @@
 	struct loop *loop;
 	struct clock *clock;
 	struct web_client *client;
-	GRand *draws; /* arrivals and plans; reproducible by seed */
+	GRand *rand; /* arrivals and plans; reproducible by seed */
 	struct targets *targets;
 	struct call_env env;
 	char name[32];
@@ -47,16 +47,17 @@
 	struct timer wait; /* for calls in flight, then for ledger polls */
 	int64_t started;
 	int64_t stopped;
-	int64_t next; /* time of the next arrival, relative to started */
-	int64_t settle_until;
+	int64_t next_arrival; /* relative to started */
+	int64_t settle_deadline;
 	uint64_t sent;
 	bool stopping;
 	bool reading;
 	bool ended;
 };
 
-static void call_account(struct load_run *run, const struct call_plan *plan,
-			 const struct call_result *result)
+static void call_result_record(struct load_run *run,
+			       const struct call_plan *plan,
+			       const struct call_result *result)
 {
 	const struct load_kind *kind = plan->kind;
 	const char *class = kind->class != NULL ? kind->class : DEFAULT_CLASS;
@@ -64,7 +65,7 @@
 		.kind = kind,
 		.verdict = result->verdict,
 		.outcome = result->outcome,
-		.maybe_run = result->maybe_run,
+		.may_have_run = result->may_have_run,
 	};
 
 	g_strlcpy(record.key, plan->key, sizeof(record.key));
@@ -75,14 +76,14 @@
 	tally_add(g_hash_table_lookup(run->classes, class), kind, result);
 }
 
-static void active_free(struct active *active)
+static void active_call_free(struct active_call *active)
 {
 	g_queue_delete_link(&active->run->active, active->link);
 	plan_destroy(active->plan);
 	g_free(active);
 }
 
-static void run_read(struct load_run *run);
+static void ledgers_poll(struct load_run *run);
 
 static void run_end(struct load_run *run)
 {
@@ -91,60 +92,60 @@
 	loop_stop(run->loop);
 }
 
-static void ledgers_seen(void *ctx)
+static void ledgers_polled(void *ctx)
 {
 	struct load_run *run = ctx;
 
 	run->reading = false;
 	if (ledgers_held(run->ledgers) == 0 ||
-	    clock_now(run->clock) >= run->settle_until)
+	    clock_now(run->clock) >= run->settle_deadline)
 		run_end(run);
 	else
 		timer_start(&run->wait, SETTLE_POLL_USEC);
 }
 
-static void run_read(struct load_run *run)
+static void ledgers_poll(struct load_run *run)
 {
 	run->reading = true;
-	ledgers_read(run->ledgers, ledgers_seen, run);
+	ledgers_read(run->ledgers, ledgers_polled, run);
 }
 
 static void run_settle(struct load_run *run)
 {
 	run->stopped = clock_now(run->clock);
-	run->settle_until = run->stopped + run->settings.settle_usec;
-	run_read(run);
+	run->settle_deadline = run->stopped + run->settings.settle_usec;
+	ledgers_poll(run);
 }
 
 static void call_ended(void *ctx, const struct call_plan *plan,
 		       const struct call_result *result)
 {
-	struct active *active = ctx;
+	struct active_call *active = ctx;
 	struct load_run *run = active->run;
 
-	call_account(run, plan, result);
-	active_free(active);
+	call_result_record(run, plan, result);
+	active_call_free(active);
 	if (!run->stopping || run->active.length > 0)
 		return;
 	timer_stop(&run->wait);
 	run_settle(run);
 }
 
-static void calls_give_up(struct load_run *run)
+static void calls_abandon(struct load_run *run)
 {
 	static const struct call_result unanswered = {
 		.verdict = CALL_UNANSWERED,
 		.outcome = OUTCOME_UNKNOWN,
-		.maybe_run = true,
+		.may_have_run = true,
 		.attempts = 1,
 	};
 
-	struct active *active;
+	struct active_call *active;
 
 	while ((active = g_queue_peek_head(&run->active)) != NULL) {
-		call_account(run, active->plan, &unanswered);
-		call_drop(active->call);
-		active_free(active);
+		call_result_record(run, active->plan, &unanswered);
+		call_cancel(active->call);
+		active_call_free(active);
 	}
 }
 
@@ -153,10 +154,10 @@
 	struct load_run *run = ctx;
 
 	if (run->active.length == 0) {
-		run_read(run);
+		ledgers_poll(run);
 		return;
 	}
-	calls_give_up(run);
+	calls_abandon(run);
 	run_settle(run);
 }
 
@@ -178,21 +179,22 @@
 	int64_t now = clock_now(run->clock) - run->started;
 	bool over;
 
-	run->next = arrival_next(run->draws, settings->rate,
-				 &run->workload->bursts, run->next);
-	over = run->next >= settings->duration_usec ||
+	run->next_arrival =
+		arrival_next(run->rand, settings->rate, &run->workload->bursts,
+			     run->next_arrival);
+	over = run->next_arrival >= settings->duration_usec ||
 	       (settings->count > 0 && run->sent >= settings->count);
 	if (over)
 		load_run_stop(run);
 	else
-		timer_start(&run->arrival, MAX(0, run->next - now));
+		timer_start(&run->arrival, MAX(0, run->next_arrival - now));
 }
 
 static void hang_up_draw(struct load_run *run, struct call_plan *plan)
 {
 	const struct run_settings *settings = &run->settings;
-	double chance = g_rand_double(run->draws) * 100;
-	double delay = g_rand_double(run->draws);
+	double chance = g_rand_double(run->rand) * 100;
+	double delay = g_rand_double(run->rand);
 
 	if (chance < settings->hang_up_percent)
 		plan->hang_up_usec =
@@ -202,11 +204,11 @@
 static void arrival_due(struct timer *timer, void *ctx)
 {
 	struct load_run *run = ctx;
-	struct active *active = g_new0(struct active, 1);
+	struct active_call *active = g_new0(struct active_call, 1);
 
 	active->run = run;
 	active->plan =
-		plan_draw(run->draws, run->workload, run->name, run->sent++);
+		plan_draw(run->rand, run->workload, run->name, run->sent++);
 	hang_up_draw(run, active->plan);
 	g_queue_push_tail(&run->active, active);
 	active->link = run->active.tail;
@@ -218,22 +220,22 @@
 {
 	struct load_run *run = ctx;
 	int64_t now = clock_now(run->clock) - run->started;
-	int64_t good = 0;
+	int64_t within_targets = 0;
 	int64_t whole = 0;
 
 	for (unsigned int i = 0; i < run->workload->kinds_count; i++) {
-		good += run->kinds[i].good;
+		within_targets += run->kinds[i].within_targets;
 		whole += run->kinds[i].verdicts[CALL_WHOLE];
 	}
 	fprintf(stderr,
 		"%5.1f s: sent %" G_GUINT64_FORMAT ", in flight %u, whole "
 		"%" G_GINT64_FORMAT ", within targets %" G_GINT64_FORMAT "\n",
 		(double)now / USEC_PER_SEC, run->sent, run->active.length,
-		whole, good);
+		whole, within_targets);
 	timer_start(&run->progress, PROGRESS_USEC);
 }
 
-static void ledgers_first(void *ctx)
+static void baseline_read(void *ctx)
 {
 	struct load_run *run = ctx;
 
@@ -281,7 +283,7 @@
 	run->loop = loop;
 	run->clock = loop_clock(loop);
 	run->client = web_client_create(loop);
-	run->draws = g_rand_new_with_seed(settings->seed);
+	run->rand = g_rand_new_with_seed(settings->seed);
 	run->targets = targets_create(
 		run->client, run->clock, settings->targets, settings->health,
 		settings->target_count, settings->seed + 1);
@@ -308,7 +310,7 @@
 
 void load_run_start(struct load_run *run)
 {
-	ledgers_read(run->ledgers, ledgers_first, run);
+	ledgers_read(run->ledgers, baseline_read, run);
 }
 
 void load_run_destroy(struct load_run *run)
@@ -318,14 +320,14 @@
 	timer_stop(&run->arrival);
 	timer_stop(&run->progress);
 	timer_stop(&run->wait);
-	calls_give_up(run);
+	calls_abandon(run);
 	ledgers_destroy(run->ledgers);
 	for (unsigned int i = 0; i < run->workload->kinds_count; i++)
 		tally_clear(&run->kinds[i]);
 	g_free(run->kinds);
 	g_hash_table_destroy(run->classes);
 	g_array_free(run->records, TRUE);
-	g_rand_free(run->draws);
+	g_rand_free(run->rand);
 	targets_destroy(run->targets);
 	web_client_destroy(run->client);
 	g_free(run);
@@ -357,7 +359,7 @@
 {
 	int64_t tokens = ledgers_sum(run->ledgers, "prefill_tokens");
 	int64_t wasted = ledgers_sum(run->ledgers, "wasted_tokens") +
-			 ledgers_repeated(run->ledgers);
+			 ledgers_recomputed(run->ledgers);
 	double percent = 100.0 * (double)wasted / (double)MAX(1, tokens);
 
 	return json_pack("{s:I, s:I, s:f}", "tokens", (json_int_t)tokens,
--- a/load/table.c
+++ b/load/table.c
@@ -34,7 +34,7 @@
 	GPtrArray *reports;
 };
 
-static const json_t *class_of(const json_t *report, const char *name)
+static const json_t *class_find(const json_t *report, const char *name)
 {
 	size_t at;
 	json_t *class;
@@ -96,15 +96,15 @@
 		*value = run_value(report, column->field);
 		return true;
 	}
-	figure =
-		json_object_get(class_of(report, column->class), column->field);
+	figure = json_object_get(class_find(report, column->class),
+				 column->field);
 	if (column->quantile != NULL)
 		figure = json_object_get(figure, column->quantile);
 	*value = json_number_value(figure);
 	return json_is_number(figure);
 }
 
-static int value_order(gconstpointer a, gconstpointer b)
+static int value_compare(gconstpointer a, gconstpointer b)
 {
 	double x = *(const double *)a;
 	double y = *(const double *)b;
@@ -114,12 +114,12 @@
 
 static double value_median(const GArray *values)
 {
-	guint half = values->len / 2;
-	double upper = g_array_index(values, double, half);
+	guint middle = values->len / 2;
+	double upper = g_array_index(values, double, middle);
 
 	if (values->len % 2 == 1)
 		return upper;
-	return (g_array_index(values, double, half - 1) + upper) / 2;
+	return (g_array_index(values, double, middle - 1) + upper) / 2;
 }
 
 /* Prints the median, and the range if there are several runs. */
@@ -138,7 +138,7 @@
 			value /= scale;
 			g_array_append_val(values, value);
 		}
-	g_array_sort(values, value_order);
+	g_array_sort(values, value_compare);
 	if (values->len == 0) {
 		g_string_append(out, " - |");
 	} else {
@@ -181,7 +181,7 @@
 	g_free(setting);
 }
 
-static int setting_order(gconstpointer a, gconstpointer b)
+static int setting_compare(gconstpointer a, gconstpointer b)
 {
 	const struct setting *x = *(const struct setting *const *)a;
 	const struct setting *y = *(const struct setting *const *)b;
@@ -191,7 +191,7 @@
 	return strcmp(x->label, y->label);
 }
 
-static void head_print(GString *out)
+static void header_print(GString *out)
 {
 	g_string_append(out, "| calls/s | policy | runs |");
 	for (size_t i = 0; i < G_N_ELEMENTS(columns); i++)
@@ -209,8 +209,8 @@
 	for (size_t i = 0; i < count; i++)
 		g_ptr_array_add(setting_get(settings, reports[i])->reports,
 				reports[i]);
-	g_ptr_array_sort(settings, setting_order);
-	head_print(out);
+	g_ptr_array_sort(settings, setting_compare);
+	header_print(out);
 	for (guint i = 0; i < settings->len; i++) {
 		const struct setting *setting = settings->pdata[i];
 
--- a/load/tally.c
+++ b/load/tally.c
@@ -21,19 +21,19 @@
 	g_array_free(tally->total, TRUE);
 }
 
-static bool within(int64_t usec, uint32_t target_ms)
+static bool target_met(int64_t usec, uint32_t target_ms)
 {
 	return target_ms == 0 || usec <= target_ms * USEC_PER_MSEC;
 }
 
-static bool call_good(const struct load_targets *targets,
-		      const struct call_result *result)
+static bool call_within_targets(const struct latency_targets *targets,
+				const struct call_result *result)
 {
 	return result->verdict == CALL_WHOLE &&
-	       within(result->first_token_usec, targets->first_token_ms) &&
-	       within(result->between_tokens_usec,
-		      targets->between_tokens_ms) &&
-	       within(result->total_usec, targets->complete_ms);
+	       target_met(result->first_token_usec, targets->first_token_ms) &&
+	       target_met(result->between_tokens_usec,
+			  targets->between_tokens_ms) &&
+	       target_met(result->total_usec, targets->complete_ms);
 }
 
 static void code_count(struct tally *tally, int code)
@@ -56,8 +56,8 @@
 	tally->sent++;
 	tally->retried += result->attempts - 1;
 	tally->verdicts[result->verdict]++;
-	if (call_good(&kind->targets, result))
-		tally->good++;
+	if (call_within_targets(&kind->targets, result))
+		tally->within_targets++;
 	if (result->verdict == CALL_REFUSED || result->verdict == CALL_BROKEN)
 		code_count(tally, result->code);
 	if (result->verdict != CALL_WHOLE)
@@ -113,20 +113,21 @@
 
 json_t *tally_json(struct tally *tally)
 {
-	int64_t judged = tally->sent - tally->verdicts[CALL_HUNG_UP];
+	int64_t counted = tally->sent - tally->verdicts[CALL_HUNG_UP];
 	json_t *json = json_pack("{s:s, s:I, s:I, s:I}", "name", tally->name,
 				 "sent", (json_int_t)tally->sent, "retried",
 				 (json_int_t)tally->retried, "within_targets",
-				 (json_int_t)tally->good);
+				 (json_int_t)tally->within_targets);
 
-	for (int i = 0; i < CALL_VERDICTS; i++)
+	for (int i = 0; i < CALL_VERDICT_COUNT; i++)
 		json_object_set_new(json,
 				    call_verdict_label((enum call_verdict)i),
 				    json_integer(tally->verdicts[i]));
-	json_object_set_new(json, "goodput_percent",
-			    judged > 0 ? json_real(100.0 * (double)tally->good /
-						   (double)judged)
-				       : json_null());
+	json_object_set_new(
+		json, "goodput_percent",
+		counted > 0 ? json_real(100.0 * (double)tally->within_targets /
+					(double)counted)
+			    : json_null());
 	json_object_set_new(json, "codes", codes_json(tally));
 	json_object_set_new(json, "first_token_ms",
 			    samples_json(tally->first_token));
--- a/load/targets.c
+++ b/load/targets.c
@@ -4,13 +4,13 @@
 
 #include "web/client.h"
 
-#define ANSWER_MAX 4096
+#define ANSWER_BYTES_MAX 4096
 
 struct target {
 	struct targets *owner;
 	const char *address;
 	const char *health;
-	bool down;
+	bool unhealthy;
 	struct web_call *call;
 	struct timer timer;
 };
@@ -28,8 +28,8 @@
 	struct target *target = ctx;
 
 	target->call = NULL;
-	target->down = !result->ok || status != 200;
-	timer_start(&target->timer, TARGETS_HEALTH_USEC);
+	target->unhealthy = !result->ok || status != 200;
+	timer_start(&target->timer, TARGETS_HEALTH_INTERVAL_USEC);
 }
 
 static void health_due(struct timer *timer, void *ctx)
@@ -39,10 +39,10 @@
 		.method = "GET",
 		.address = target->health,
 		.path = "/health",
-		.head_usec = TARGETS_HEALTH_USEC,
+		.head_usec = TARGETS_HEALTH_INTERVAL_USEC,
 	};
 
-	target->call = web_fetch(target->owner->client, &spec, ANSWER_MAX,
+	target->call = web_fetch(target->owner->client, &spec, ANSWER_BYTES_MAX,
 				 health_answered, target);
 }
 
@@ -85,26 +85,26 @@
 	g_free(targets);
 }
 
-static bool target_good(const struct target *target, const char *last)
+static bool target_eligible(const struct target *target, const char *last)
 {
-	return !target->down && target->address != last;
+	return !target->unhealthy && target->address != last;
 }
 
-const char *targets_draw(struct targets *targets, const char *last)
+const char *targets_pick(struct targets *targets, const char *last)
 {
-	unsigned int good = 0;
-	unsigned int draw;
+	unsigned int eligible = 0;
+	unsigned int pick;
 
 	for (unsigned int i = 0; i < targets->count; i++)
-		good += target_good(&targets->targets[i], last);
-	if (good == 0) {
-		draw = (unsigned int)g_rand_int_range(targets->rand, 0,
+		eligible += target_eligible(&targets->targets[i], last);
+	if (eligible == 0) {
+		pick = (unsigned int)g_rand_int_range(targets->rand, 0,
 						      (int)targets->count);
-		return targets->targets[draw].address;
+		return targets->targets[pick].address;
 	}
-	draw = (unsigned int)g_rand_int_range(targets->rand, 0, (int)good);
+	pick = (unsigned int)g_rand_int_range(targets->rand, 0, (int)eligible);
 	for (unsigned int i = 0; i < targets->count; i++)
-		if (target_good(&targets->targets[i], last) && draw-- == 0)
+		if (target_eligible(&targets->targets[i], last) && pick-- == 0)
 			return targets->targets[i].address;
 	return targets->targets[0].address;
 }
--- a/load/text.c
+++ b/load/text.c
@@ -2,10 +2,11 @@
 
 #include "common/model_text.h"
 
-void text_check_init(struct text_check *check, uint64_t prompt,
+void text_check_init(struct text_check *check, uint64_t prompt_hash,
 		     uint32_t expected)
 {
-	*check = (struct text_check){.prompt = prompt, .expected = expected};
+	*check = (struct text_check){.prompt_hash = prompt_hash,
+				     .expected = expected};
 }
 
 uint32_t text_check_feed(struct text_check *check, const char *data,
@@ -14,24 +15,24 @@
 	char token[MODEL_TOKEN_SIZE + 1];
 	uint32_t before = check->tokens;
 
-	model_token(check->prompt, check->tokens, token);
+	model_token(check->prompt_hash, check->tokens, token);
 	for (size_t i = 0; i < size && !check->wrong; i++) {
 		if (check->tokens >= check->expected ||
-		    data[i] != token[check->within]) {
+		    data[i] != token[check->token_offset]) {
 			check->wrong = true;
 			break;
 		}
-		if (++check->within < MODEL_TOKEN_SIZE)
+		if (++check->token_offset < MODEL_TOKEN_SIZE)
 			continue;
-		check->within = 0;
+		check->token_offset = 0;
 		check->tokens++;
-		model_token(check->prompt, check->tokens, token);
+		model_token(check->prompt_hash, check->tokens, token);
 	}
 	return check->tokens - before;
 }
 
-bool text_check_whole(const struct text_check *check)
+bool text_check_complete(const struct text_check *check)
 {
-	return !check->wrong && check->within == 0 &&
+	return !check->wrong && check->token_offset == 0 &&
 	       check->tokens == check->expected;
 }
--- a/load/workload.c
+++ b/load/workload.c
@@ -22,11 +22,11 @@
 };
 
 static const cyaml_schema_field_t targets_fields[] = {
-	CYAML_FIELD_UINT("first_token_ms", OPTIONAL, struct load_targets,
+	CYAML_FIELD_UINT("first_token_ms", OPTIONAL, struct latency_targets,
 			 first_token_ms),
-	CYAML_FIELD_UINT("between_tokens_ms", OPTIONAL, struct load_targets,
+	CYAML_FIELD_UINT("between_tokens_ms", OPTIONAL, struct latency_targets,
 			 between_tokens_ms),
-	CYAML_FIELD_UINT("complete_ms", OPTIONAL, struct load_targets,
+	CYAML_FIELD_UINT("complete_ms", OPTIONAL, struct latency_targets,
 			 complete_ms),
 	CYAML_FIELD_END,
 };
@@ -96,8 +96,8 @@
 };
 
 /* libcyaml logs the cause in one line and the location in those after it. */
-static void log_take(cyaml_log_t level, void *ctx, const char *fmt,
-		     va_list args)
+static void log_collect(cyaml_log_t level, void *ctx, const char *fmt,
+			va_list args)
 {
 	GString *text = ctx;
 	char *line = g_strdup_vprintf(fmt, args);
@@ -110,7 +110,7 @@
 static cyaml_config_t config_make(GString *text)
 {
 	return (cyaml_config_t){
-		.log_fn = log_take,
+		.log_fn = log_collect,
 		.log_ctx = text,
 		.log_level = CYAML_LOG_ERROR,
 		.mem_fn = cyaml_mem,
--- a/tests/load/test_check.c
+++ b/tests/load/test_check.c
@@ -19,8 +19,8 @@
 	struct web_server *service;
 	const char *engine_ledger;
 	const char *service_ledger;
-	const char *second_ledger; /* served as /ledger by the service */
-	json_int_t max_tokens;	   /* requested by the last call */
+	const char *fallback_ledger; /* served as /ledger by the service */
+	json_int_t max_tokens;	     /* requested by the last call */
 };
 
 static void ledger_reply(struct web_request *request, const char *ledger)
@@ -36,7 +36,7 @@
 	ledger_reply(request, world->engine_ledger);
 }
 
-static void none_handle(void *ctx, struct web_request *request)
+static void not_found_handle(void *ctx, struct web_request *request)
 {
 	ledger_reply(request, NULL);
 }
@@ -48,11 +48,11 @@
 	ledger_reply(request, world->service_ledger);
 }
 
-static void second_handle(void *ctx, struct web_request *request)
+static void fallback_handle(void *ctx, struct web_request *request)
 {
 	const struct world *world = ctx;
 
-	ledger_reply(request, world->second_ledger);
+	ledger_reply(request, world->fallback_ledger);
 }
 
 static struct web_server *server_make(struct world *world)
@@ -78,9 +78,9 @@
 	world->engine = server_make(world);
 	world->service = server_make(world);
 	web_server_handle(world->engine, "/ledger", engine_handle, world);
-	web_server_handle(world->engine, "/", none_handle, world);
+	web_server_handle(world->engine, "/", not_found_handle, world);
 	web_server_handle(world->service, "/-/ledger", service_handle, world);
-	web_server_handle(world->service, "/ledger", second_handle, world);
+	web_server_handle(world->service, "/ledger", fallback_handle, world);
 }
 
 static void world_close(struct world *world)
@@ -122,7 +122,7 @@
 	bool model;
 	enum call_verdict verdict;
 	enum outcome outcome;
-	bool maybe_run;
+	bool may_have_run;
 	enum check_number broken;
 } rows[] = {
 	{CLEAN, SERVICE("\"k\": 1"), false, CALL_WHOLE, OUTCOME_RUN, true,
@@ -171,7 +171,7 @@
 		.request_id = ID,
 		.verdict = rows[i].verdict,
 		.outcome = rows[i].outcome,
-		.maybe_run = rows[i].maybe_run,
+		.may_have_run = rows[i].may_have_run,
 	};
 	const char *addresses[] = {web_server_address(world->engine),
 				   web_server_address(world->service)};
@@ -221,8 +221,8 @@
  */
 static const struct {
 	const char *engines[2][2];
-	int64_t repeated;
-} repeats[] = {
+	int64_t recomputed;
+} recomputed_rows[] = {
 	{{{"", ""}, {"", ""}}, 0},
 	{{{"", USEFUL("a", "700")}, {"", ""}}, 0},
 	{{{"", USEFUL("a", "700")}, {"", USEFUL("b", "500")}}, 0},
@@ -237,13 +237,13 @@
 	{{{"", USEFUL("a", "500")}, {"", NULL}}, 0},
 };
 
-static void repeats_read(struct world *world, struct ledgers *ledgers,
-			 size_t row, int when)
+static void recomputed_read(struct world *world, struct ledgers *ledgers,
+			    size_t row, int when)
 {
 	char *text[2];
 
 	for (int i = 0; i < 2; i++) {
-		const char *requests = repeats[row].engines[i][when];
+		const char *requests = recomputed_rows[row].engines[i][when];
 
 		text[i] = requests == NULL
 				  ? NULL
@@ -251,29 +251,29 @@
 						    requests);
 	}
 	world->engine_ledger = text[0];
-	world->second_ledger = text[1];
+	world->fallback_ledger = text[1];
 	ledgers_read(ledgers, ledgers_ready, world->loop);
 	loop_run(world->loop);
 	for (int i = 0; i < 2; i++)
 		g_free(text[i]);
 }
 
-static void test_repeated(void)
+static void test_recomputed(void)
 {
 	struct world world = {0};
 
 	world_open(&world);
-	for (size_t row = 0; row < G_N_ELEMENTS(repeats); row++) {
+	for (size_t row = 0; row < G_N_ELEMENTS(recomputed_rows); row++) {
 		const char *addresses[] = {web_server_address(world.engine),
 					   web_server_address(world.service)};
 		struct ledgers *ledgers =
 			ledgers_create(world.client, addresses, 2);
 
 		g_test_message("row %zu", row);
-		repeats_read(&world, ledgers, row, 0);
-		repeats_read(&world, ledgers, row, 1);
-		g_assert_cmpint(ledgers_repeated(ledgers), ==,
-				repeats[row].repeated);
+		recomputed_read(&world, ledgers, row, 0);
+		recomputed_read(&world, ledgers, row, 1);
+		g_assert_cmpint(ledgers_recomputed(ledgers), ==,
+				recomputed_rows[row].recomputed);
 		ledgers_destroy(ledgers);
 	}
 	world_close(&world);
@@ -291,8 +291,8 @@
 	web_reply(request, 503, "application/json", "{}", 2);
 }
 
-static void call_over(void *ctx, const struct call_plan *plan,
-		      const struct call_result *result)
+static void call_finished(void *ctx, const struct call_plan *plan,
+			  const struct call_result *result)
 {
 	loop_stop(ctx);
 }
@@ -321,7 +321,7 @@
 	};
 	for (int exact = 0; exact < 2; exact++) {
 		env.exact = exact;
-		call_start(&env, &plan, call_over, world.loop);
+		call_start(&env, &plan, call_finished, world.loop);
 		loop_run(world.loop);
 		g_assert_cmpint(world.max_tokens, ==, exact ? 7 : 90);
 	}
@@ -333,7 +333,7 @@
 {
 	g_test_init(&argc, &argv, NULL);
 	g_test_add_func("/load/checks", test_checks);
-	g_test_add_func("/load/repeated", test_repeated);
+	g_test_add_func("/load/repeated", test_recomputed);
 	g_test_add_func("/load/exact", test_exact);
 	return g_test_run();
 }
--- a/tests/load/test_load.c
+++ b/tests/load/test_load.c
@@ -52,12 +52,14 @@
 		/* As a whole, and byte by byte. */
 		text_check_init(&check, prompt, TOKENS);
 		text_check_feed(&check, text, strlen(text));
-		g_assert_cmpint(text_check_whole(&check), ==, texts[i].whole);
+		g_assert_cmpint(text_check_complete(&check), ==,
+				texts[i].whole);
 		g_assert_cmpint(check.wrong, ==, texts[i].wrong);
 		text_check_init(&check, prompt, TOKENS);
 		for (const char *at = text; *at != '\0'; at++)
 			text_check_feed(&check, at, 1);
-		g_assert_cmpint(text_check_whole(&check), ==, texts[i].whole);
+		g_assert_cmpint(text_check_complete(&check), ==,
+				texts[i].whole);
 		g_free(text);
 	}
 	text_check_init(&check, prompt + 1, TOKENS);
