--- a/include/load/targets.h
+++ b/include/load/targets.h
@@ -1,10 +1,11 @@
 /*
- * targets.h - the entry instances that calls go to, as a balancer chooses them
+ * targets.h - chooses the entry instance for a call, as a load balancer would
  *
  * DESCRIPTION
- *	One is drawn at random among those whose health is good; among all when
- *	none is, or when no health addresses were given. Health is asked every
- *	TARGETS_HEALTH_USEC with a time-out of the same.
+ *	Chooses at random among the healthy targets, or among all if none is
+ *	healthy or no health addresses were given. Polls the health of each
+ *	target every TARGETS_HEALTH_INTERVAL_USEC, with a timeout of the same
+ *	length.
  */
 #ifndef LOAD_TARGETS_H
 #define LOAD_TARGETS_H
@@ -13,7 +14,7 @@
 
 #include "common/clock.h"
 
-#define TARGETS_HEALTH_USEC (200 * USEC_PER_MSEC)
+#define TARGETS_HEALTH_INTERVAL_USEC (200 * USEC_PER_MSEC)
 
 struct targets;
 struct web_client;
@@ -24,7 +25,7 @@
 			       const char *const *health, unsigned int count,
 			       uint32_t seed);
 void targets_destroy(struct targets *targets);
-/* Another than last, when there is one. */
-const char *targets_draw(struct targets *targets, const char *last);
+/* Prefers a healthy target other than last, which may be NULL. */
+const char *targets_pick(struct targets *targets, const char *last);
 
 #endif
--- a/load/plan.c
+++ b/load/plan.c
@@ -5,7 +5,7 @@
 
 #include "common/id.h"
 
-/* Box and Muller's method. */
+/* Draws from the standard normal distribution (Box-Muller transform). */
 static double normal_draw(GRand *rand)
 {
 	double a = 1 - g_rand_double(rand);
@@ -27,24 +27,25 @@
 {
 	const struct load_kind *kind = workload->kinds;
 	double weights = 0;
-	double left;
+	double remaining;
 
 	for (unsigned int i = 0; i < workload->kinds_count; i++)
 		weights += workload->kinds[i].weight;
-	left = g_rand_double(rand) * weights;
+	remaining = g_rand_double(rand) * weights;
 	for (unsigned int i = 0; i < workload->kinds_count; i++) {
 		kind = &workload->kinds[i];
-		left -= kind->weight;
-		if (left < 0)
+		remaining -= kind->weight;
+		if (remaining < 0)
 			break;
 	}
 	return kind;
 }
 
 /*
- * A prompt is short however many tokens it stands for: "@N" gives their
- * number. "WORD~P" says that the first P tokens are those of every prompt with
- * that word. "#n" gives the length of the answer, and the key makes it unique.
+ * The text of a prompt is short however many tokens it has: the stand-in models
+ * read "@N" as its number of tokens. All prompts with the same "WORD~P" share
+ * their first P tokens. "#n" is the length of the answer, and the key makes the
+ * prompt unique.
  */
 static char *prompt_make(GRand *rand, const struct call_plan *plan)
 {
--- a/load/workload.c
+++ b/load/workload.c
@@ -22,11 +22,11 @@
 };
 
 static const cyaml_schema_field_t targets_fields[] = {
-	CYAML_FIELD_UINT("first_token_ms", OPTIONAL, struct load_targets,
+	CYAML_FIELD_UINT("first_token_ms", OPTIONAL, struct latency_targets,
 			 first_token_ms),
-	CYAML_FIELD_UINT("between_tokens_ms", OPTIONAL, struct load_targets,
+	CYAML_FIELD_UINT("between_tokens_ms", OPTIONAL, struct latency_targets,
 			 between_tokens_ms),
-	CYAML_FIELD_UINT("complete_ms", OPTIONAL, struct load_targets,
+	CYAML_FIELD_UINT("complete_ms", OPTIONAL, struct latency_targets,
 			 complete_ms),
 	CYAML_FIELD_END,
 };
@@ -95,9 +95,9 @@
 			    workload_fields),
 };
 
-/* libcyaml tells the cause in one line and the place in those after it. */
-static void log_take(cyaml_log_t level, void *ctx, const char *fmt,
-		     va_list args)
+/* libcyaml logs the cause in one line and the location in those after it. */
+static void log_collect(cyaml_log_t level, void *ctx, const char *fmt,
+			va_list args)
 {
 	GString *text = ctx;
 	char *line = g_strdup_vprintf(fmt, args);
@@ -110,7 +110,7 @@
 static cyaml_config_t config_make(GString *text)
 {
 	return (cyaml_config_t){
-		.log_fn = log_take,
+		.log_fn = log_collect,
 		.log_ctx = text,
 		.log_level = CYAML_LOG_ERROR,
 		.mem_fn = cyaml_mem,
@@ -203,7 +203,7 @@
 	if (rc != CYAML_OK)
 		error_set(err, RESULT_BAD_CONFIG, "%s: %s: %s", file,
 			  cyaml_strerror(rc), text->str);
-	else if (workload == NULL) /* an empty document counts as good */
+	else if (workload == NULL) /* libcyaml accepts an empty document */
 		error_set(err, RESULT_BAD_CONFIG, "%s: empty", file);
 	g_string_free(text, TRUE);
 	if (rc != CYAML_OK || workload == NULL)
