--- a/common/clock.c
+++ b/common/clock.c
@@ -80,11 +80,11 @@
  * itself with no delay cannot hold the loop. */
 void clock_fire_due(struct clock *clock)
 {
-	uint64_t orders = clock->orders;
+	uint64_t starts = clock->starts;
 	struct timer *timer;
 
 	while ((timer = clock_first(clock)) && timer->due <= clock->now &&
-	       timer->order < orders)
+	       timer->order < starts)
 		clock_fire(timer);
 }
 
--- a/common/clock_heap.h
+++ b/common/clock_heap.h
@@ -12,7 +12,7 @@
 	int64_t now;
 	int64_t unix_zero; /* wall-clock time at zero */
 	int64_t system_zero;
-	uint64_t orders; /* timers started so far */
+	uint64_t starts; /* timers started so far */
 	GPtrArray *heap; /* struct timer, earliest first */
 };
 
--- a/common/compress.c
+++ b/common/compress.c
@@ -9,15 +9,15 @@
 #include "common/log.h"
 
 /* The first byte of zlib's format with a window of 32 KiB. */
-#define COMPRESSED_MARK 0x78
-#define EXPAND_STEP (64u << 10)
+#define ZLIB_FIRST_BYTE 0x78
+#define INFLATE_CHUNK_BYTES (64u << 10)
 
-void message_compress(GByteArray *message, size_t least)
+void message_compress(GByteArray *message, size_t min_size)
 {
 	uLongf size = compressBound(message->len);
 	Bytef *out;
 
-	if (message->len < least)
+	if (message->len < min_size)
 		return;
 	out = g_malloc(size);
 	if (compress2(out, &size, message->data, message->len, Z_BEST_SPEED) !=
@@ -32,24 +32,24 @@
 	g_free(out);
 }
 
-static bool stream_expand(z_stream *stream, GByteArray *out, size_t most)
+static bool stream_inflate(z_stream *stream, GByteArray *out, size_t max_size)
 {
 	int status = Z_OK;
 
-	while (status == Z_OK && out->len <= most) {
+	while (status == Z_OK && out->len <= max_size) {
 		guint before = out->len;
 
-		g_byte_array_set_size(out, before + EXPAND_STEP);
+		g_byte_array_set_size(out, before + INFLATE_CHUNK_BYTES);
 		stream->next_out = out->data + before;
-		stream->avail_out = EXPAND_STEP;
+		stream->avail_out = INFLATE_CHUNK_BYTES;
 		status = inflate(stream, Z_NO_FLUSH);
 		g_byte_array_set_size(out, out->len - stream->avail_out);
 	}
 	return status == Z_STREAM_END && stream->avail_in == 0 &&
-	       out->len <= most;
+	       out->len <= max_size;
 }
 
-GByteArray *message_expand(const void *data, size_t size, size_t most,
+GByteArray *message_expand(const void *data, size_t size, size_t max_size,
 			   struct error *err)
 {
 	GByteArray *out = g_byte_array_new();
@@ -57,16 +57,16 @@
 		.next_in = (Bytef *)data,
 		.avail_in = (uInt)size,
 	};
-	bool good;
+	bool valid;
 
-	if (size == 0 || *(const guint8 *)data != COMPRESSED_MARK) {
+	if (size == 0 || *(const guint8 *)data != ZLIB_FIRST_BYTE) {
 		g_byte_array_append(out, data, (guint)size);
 		return out;
 	}
-	good = inflateInit(&stream) == Z_OK &&
-	       stream_expand(&stream, out, most);
+	valid = inflateInit(&stream) == Z_OK &&
+		stream_inflate(&stream, out, max_size);
 	inflateEnd(&stream);
-	if (good)
+	if (valid)
 		return out;
 	g_byte_array_unref(out);
 	error_set(err, RESULT_BAD_MESSAGE,
--- a/common/error.c
+++ b/common/error.c
@@ -36,7 +36,7 @@
 
 /* Texts go into JSON, which takes UTF-8 only: what a caller sent may be none,
  * and the cut at the text's end may split a character. */
-static void text_mend(char *text)
+static void text_make_utf8(char *text)
 {
 	const char *end;
 
@@ -56,7 +56,7 @@
 	va_start(args, fmt);
 	g_vsnprintf(e->text, sizeof(e->text), fmt, args);
 	va_end(args);
-	text_mend(e->text);
+	text_make_utf8(e->text);
 	return false;
 }
 
@@ -75,7 +75,7 @@
 	snprintf(text + used, sizeof(text) - used, ": %s", e->text);
 	memcpy(e->text, text, sizeof(e->text) - 1);
 	e->text[sizeof(e->text) - 1] = '\0';
-	text_mend(e->text);
+	text_make_utf8(e->text);
 	return false;
 }
 
--- a/common/frame.c
+++ b/common/frame.c
@@ -42,13 +42,13 @@
 bool frame_writer_add(struct frame_writer *writer, enum channel channel,
 		      const void *payload, size_t size, struct error *err)
 {
-	size_t room = FRAME_MAX - ARRAY_HEADER_MAX - MESSAGE_HEADER_MAX;
+	size_t max_size = FRAME_MAX - ARRAY_HEADER_MAX - MESSAGE_HEADER_MAX;
 	msgpack_packer packer;
 
 	if (channel < CHANNEL_HELLO || channel >= CHANNEL_MAX)
 		return error_set(err, RESULT_BAD_MESSAGE, "no channel %d",
 				 (int)channel);
-	if (writer->body.size > room || size > room - writer->body.size)
+	if (writer->body.size > max_size || size > max_size - writer->body.size)
 		return error_set(err, RESULT_TOO_LARGE,
 				 "%zu bytes do not fit into a frame with %zu",
 				 size, writer->body.size);
--- a/common/json_text.c
+++ b/common/json_text.c
@@ -27,7 +27,7 @@
 
 void json_text_append(GString *out, const char *text, size_t size)
 {
-	size_t from = 0;
+	size_t start = 0;
 
 	g_string_append_c(out, '"');
 	for (size_t i = 0; i < size; i++) {
@@ -35,10 +35,10 @@
 
 		if (!needs_escape(c))
 			continue;
-		g_string_append_len(out, text + from, (gssize)(i - from));
+		g_string_append_len(out, text + start, (gssize)(i - start));
 		append_escaped(out, c);
-		from = i + 1;
+		start = i + 1;
 	}
-	g_string_append_len(out, text + from, (gssize)(size - from));
+	g_string_append_len(out, text + start, (gssize)(size - start));
 	g_string_append_c(out, '"');
 }
--- a/common/log.c
+++ b/common/log.c
@@ -12,21 +12,21 @@
 #include "common/error.h"
 
 /* Lines that wait for a reader, in bytes: a second of a busy instance's. */
-#define KEEP_BYTES ((size_t)256 << 10)
+#define BUFFER_BYTES_MAX ((size_t)256 << 10)
 /* Written in a second on average, and at most at once: 200 requests a second
  * with two lines each take half of it. */
 #define BYTES_PER_SEC (128 << 10)
 #define BURST_BYTES (256 << 10)
 /* Lines of this level and below leave the second half of it to the others. */
-#define SPARE_LEVEL LOG_INFO
+#define LOW_PRIORITY_LEVEL LOG_INFO
 
 static struct {
 	const struct clock *clock;
 	const char *program;
 	int level;
 	int fd;
-	GString *kept; /* NULL: lines go to standard error at once */
-	double budget; /* bytes that may be written now */
+	GString *buffer; /* NULL: lines go to standard error at once */
+	double budget;	 /* bytes that may be written now */
 	int64_t budget_at;
 	uint64_t dropped;
 } log_state = {.level = LOG_INFO};
@@ -164,22 +164,22 @@
 		(void)fcntl(fd, F_SETFL, flags | O_NONBLOCK);
 	log_state.fd = fd;
 	log_state.budget = BURST_BYTES;
-	if (!log_state.kept)
-		log_state.kept = g_string_sized_new(4096);
+	if (!log_state.buffer)
+		log_state.buffer = g_string_sized_new(4096);
 }
 
 void log_flush(void)
 {
-	GString *kept = log_state.kept;
+	GString *buffer = log_state.buffer;
 
-	while (kept && kept->len > 0) {
-		ssize_t n = write(log_state.fd, kept->str, kept->len);
+	while (buffer && buffer->len > 0) {
+		ssize_t n = write(log_state.fd, buffer->str, buffer->len);
 
 		if (n < 0 && errno == EINTR)
 			continue;
 		if (n <= 0)
 			return;
-		g_string_erase(kept, 0, n);
+		g_string_erase(buffer, 0, n);
 	}
 }
 
@@ -194,12 +194,12 @@
 }
 
 /* False when there is no room for a line of that level. */
-static bool room_take(int level, size_t size)
+static bool budget_take(int level, size_t size)
 {
-	double share = level >= SPARE_LEVEL ? 0.5 : 1.0;
+	double share = level >= LOW_PRIORITY_LEVEL ? 0.5 : 1.0;
 
 	budget_refill();
-	if ((double)(log_state.kept->len + size) > share * KEEP_BYTES ||
+	if ((double)(log_state.buffer->len + size) > share * BUFFER_BYTES_MAX ||
 	    log_state.budget - (double)size < (1.0 - share) * BURST_BYTES) {
 		log_state.dropped++;
 		return false;
@@ -208,13 +208,13 @@
 	return true;
 }
 
-static void line_keep(int level, const GString *line)
+static void line_buffer(int level, const GString *line)
 {
 	uint64_t dropped = log_state.dropped;
 
-	if (!room_take(level, line->len))
+	if (!budget_take(level, line->len))
 		return;
-	g_string_append_len(log_state.kept, line->str, (gssize)line->len);
+	g_string_append_len(log_state.buffer, line->str, (gssize)line->len);
 	if (dropped == 0)
 		return;
 	log_state.dropped = 0;
@@ -229,8 +229,8 @@
 		return;
 	line = g_string_sized_new(256);
 	log_format(line, level, event, fields);
-	if (log_state.kept) {
-		line_keep(level, line);
+	if (log_state.buffer) {
+		line_buffer(level, line);
 	} else {
 		fwrite(line->str, 1, line->len, stderr);
 		fflush(stderr);
--- a/common/setting.c
+++ b/common/setting.c
@@ -14,11 +14,11 @@
 
 #define NAME_MAX_BYTES 63
 #define FILE_BYTES_MAX (64u << 10)
-#define KEY_FIRST 256
-#define KEY_HELP '?'
-#define KEY_VERSION 'V'
+#define OPTION_KEY_FIRST 256
+#define OPTION_KEY_HELP '?'
+#define OPTION_KEY_VERSION 'V'
 
-struct reading {
+struct settings_parse {
 	const struct setting_program *program;
 	void *target;
 	bool *given;
@@ -44,8 +44,8 @@
 			    "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_") == size;
 }
 
-static bool whole_parse(const struct setting *setting, const char *text,
-			int64_t *value, struct error *err)
+static bool integer_parse(const struct setting *setting, const char *text,
+			  int64_t *value, struct error *err)
 {
 	char *end = NULL;
 
@@ -62,12 +62,12 @@
 	return true;
 }
 
-static bool whole_store(const struct setting *setting, void *field,
-			const char *text, struct error *err)
+static bool integer_store(const struct setting *setting, void *field,
+			  const char *text, struct error *err)
 {
 	int64_t value;
 
-	if (!whole_parse(setting, text, &value, err))
+	if (!integer_parse(setting, text, &value, err))
 		return false;
 	if (setting->kind == SETTING_U32)
 		*(uint32_t *)field = (uint32_t)value;
@@ -93,8 +93,8 @@
 	return true;
 }
 
-static bool text_store(const char **field, const char *text, bool valid,
-		       const char *what, struct error *err)
+static bool string_store(const char **field, const char *text, bool valid,
+			 const char *what, struct error *err)
 {
 	if (!valid)
 		return error_set(err, RESULT_BAD_SETTING, "'%s' is not %s",
@@ -120,21 +120,21 @@
 
 	switch (setting->kind) {
 	case SETTING_NAME:
-		return text_store(field, text, setting_name_valid(text),
-				  "a name of 1 to 63 letters, digits, '.', "
-				  "'-' or '_'",
-				  err);
+		return string_store(field, text, setting_name_valid(text),
+				    "a name of 1 to 63 letters, digits, '.', "
+				    "'-' or '_'",
+				    err);
 	case SETTING_LISTEN:
-		return text_store(field, text,
-				  setting_address_valid(text, true),
-				  "an address IP:PORT", err);
+		return string_store(field, text,
+				    setting_address_valid(text, true),
+				    "an address IP:PORT", err);
 	case SETTING_ADDRESS:
-		return text_store(field, text,
-				  setting_address_valid(text, false),
-				  "an address IP:PORT", err);
+		return string_store(field, text,
+				    setting_address_valid(text, false),
+				    "an address IP:PORT", err);
 	case SETTING_PATH:
-		return text_store(field, text, text[0] != '\0', "a file name",
-				  err);
+		return string_store(field, text, text[0] != '\0', "a file name",
+				    err);
 	case SETTING_EACH:
 		return program->each(target, setting->flag, text, err);
 	case SETTING_BOOL:
@@ -144,37 +144,36 @@
 	case SETTING_REAL:
 		return real_store(setting, field, text, err);
 	default:
-		return whole_store(setting, field, text, err);
+		return integer_store(setting, field, text, err);
 	}
 }
 
-static bool setting_apply(struct reading *reading, size_t at, const char *text,
-			  const char *source)
+static bool setting_apply(struct settings_parse *parse, size_t at,
+			  const char *text, const char *source)
 {
-	const struct setting *setting = &reading->program->table[at];
+	const struct setting *setting = &parse->program->table[at];
 
-	reading->given[at] = true;
-	if (value_store(reading->program, setting, reading->target, text,
-			reading->err))
+	parse->given[at] = true;
+	if (value_store(parse->program, setting, parse->target, text,
+			parse->err))
 		return true;
-	if (reading->err)
-		reading->err->code = RESULT_BAD_SETTING;
-	return error_prefix(reading->err, "%s", source);
+	if (parse->err)
+		parse->err->code = RESULT_BAD_SETTING;
+	return error_prefix(parse->err, "%s", source);
 }
 
 /* One text of a variable or a line may hold several of what may be repeated;
  * each is cut out and kept for ever. */
-static bool texts_apply(struct reading *reading, size_t at, const char *text,
-			const char *source)
+static bool values_apply(struct settings_parse *parse, size_t at,
+			 const char *text, const char *source)
 {
 	g_auto(GStrv) parts = NULL;
 
-	if (reading->program->table[at].kind != SETTING_EACH)
-		return setting_apply(reading, at, g_intern_string(text),
-				     source);
+	if (parse->program->table[at].kind != SETTING_EACH)
+		return setting_apply(parse, at, g_intern_string(text), source);
 	parts = g_strsplit(text, ",", -1);
 	for (char **part = parts; *part; part++)
-		if (!setting_apply(reading, at, g_intern_string(*part), source))
+		if (!setting_apply(parse, at, g_intern_string(*part), source))
 			return false;
 	return true;
 }
@@ -190,25 +189,28 @@
 
 static error_t option_parse(int key, char *arg, struct argp_state *state)
 {
-	struct reading *reading = state->input;
-	const struct setting_program *program = reading->program;
+	struct settings_parse *parse = state->input;
+	const struct setting_program *program = parse->program;
 	g_autofree char *source = NULL;
 
-	if (key == KEY_HELP)
+	if (key == OPTION_KEY_HELP)
 		help_print(state->root_argp, program->name);
-	if (key == KEY_VERSION) {
+	if (key == OPTION_KEY_VERSION) {
 		printf("%s %s\n", program->name, JT_VERSION);
 		exit(EXIT_SUCCESS);
 	}
 	if (key == ARGP_KEY_ARG) {
-		error_set(reading->err, RESULT_BAD_SETTING,
+		error_set(parse->err, RESULT_BAD_SETTING,
 			  "unexpected argument '%s'", arg);
 		return EINVAL;
 	}
-	if (key < KEY_FIRST || key >= KEY_FIRST + (int)program->count)
+	if (key < OPTION_KEY_FIRST ||
+	    key >= OPTION_KEY_FIRST + (int)program->count)
 		return ARGP_ERR_UNKNOWN;
-	source = g_strconcat("--", program->table[key - KEY_FIRST].flag, NULL);
-	return setting_apply(reading, (size_t)(key - KEY_FIRST), arg, source)
+	source = g_strconcat("--", program->table[key - OPTION_KEY_FIRST].flag,
+			     NULL);
+	return setting_apply(parse, (size_t)(key - OPTION_KEY_FIRST), arg,
+			     source)
 		       ? 0
 		       : EINVAL;
 }
@@ -220,35 +222,34 @@
 
 	for (size_t i = 0; i < program->count; i++) {
 		options[i].name = program->table[i].flag;
-		options[i].key = KEY_FIRST + (int)i;
+		options[i].key = OPTION_KEY_FIRST + (int)i;
 		options[i].arg = program->table[i].arg;
 		options[i].doc = program->table[i].help;
 	}
 	options[program->count].name = "help";
-	options[program->count].key = KEY_HELP;
+	options[program->count].key = OPTION_KEY_HELP;
 	options[program->count].doc = "print this text";
 	options[program->count + 1].name = "version";
-	options[program->count + 1].key = KEY_VERSION;
+	options[program->count + 1].key = OPTION_KEY_VERSION;
 	options[program->count + 1].doc = "print the version";
 	return options;
 }
 
-static bool flags_read(struct reading *reading, int argc, char **argv)
+static bool flags_read(struct settings_parse *parse, int argc, char **argv)
 {
-	g_autofree struct argp_option *options =
-		options_create(reading->program);
+	g_autofree struct argp_option *options = options_create(parse->program);
 	struct argp argp = {
 		.options = options,
 		.parser = option_parse,
-		.doc = reading->program->doc,
+		.doc = parse->program->doc,
 	};
-	struct error *err = reading->err;
+	struct error *err = parse->err;
 
 	error_set(err, RESULT_BAD_SETTING,
 		  "unknown flag, or one without its value; see --help");
 	if (argp_parse(&argp, argc, argv,
 		       ARGP_NO_ERRS | ARGP_NO_HELP | ARGP_NO_EXIT, NULL,
-		       reading) != 0)
+		       parse) != 0)
 		return false;
 	if (err)
 		*err = (struct error){.code = RESULT_OK};
@@ -257,23 +258,23 @@
 
 /* ---- variables, file, fallbacks: each only for what is not given yet ---- */
 
-static bool variables_read(struct reading *reading)
+static bool variables_read(struct settings_parse *parse)
 {
-	for (size_t i = 0; i < reading->program->count; i++) {
-		const char *variable = reading->program->table[i].variable;
+	for (size_t i = 0; i < parse->program->count; i++) {
+		const char *variable = parse->program->table[i].variable;
 		const char *text = getenv(variable);
 
-		if (text && !reading->given[i] &&
-		    !texts_apply(reading, i, text, variable))
+		if (text && !parse->given[i] &&
+		    !values_apply(parse, i, text, variable))
 			return false;
 	}
 	return true;
 }
 
-static bool line_apply(struct reading *reading, const bool *before,
+static bool line_apply(struct settings_parse *parse, const bool *given_before,
 		       unsigned int number, char *line)
 {
-	const struct setting_program *program = reading->program;
+	const struct setting_program *program = parse->program;
 	g_autofree char *source = NULL;
 	char *value;
 
@@ -282,7 +283,7 @@
 		return true;
 	value = strchr(line, '=');
 	if (!value)
-		return error_set(reading->err, RESULT_BAD_SETTING,
+		return error_set(parse->err, RESULT_BAD_SETTING,
 				 "%s:%u: not NAME=VALUE: '%s'", program->file,
 				 number, line);
 	*value++ = '\0';
@@ -291,53 +292,52 @@
 	source = g_strdup_printf("%s:%u: %s", program->file, number, line);
 	for (size_t i = 0; i < program->count; i++)
 		if (strcmp(program->table[i].flag, line) == 0)
-			return before[i] ||
-			       texts_apply(reading, i, value, source);
+			return given_before[i] ||
+			       values_apply(parse, i, value, source);
 	log_event(LOG_NOTICE, "setting_unknown", LOG_S("file", program->file),
 		  LOG_D("line", number), LOG_S("name", line));
 	return true;
 }
 
-static bool file_read(struct reading *reading)
+static bool file_read(struct settings_parse *parse)
 {
-	const struct setting_program *program = reading->program;
-	g_autofree bool *before =
-		g_memdup2(reading->given, program->count * sizeof(bool));
+	const struct setting_program *program = parse->program;
+	g_autofree bool *given_before =
+		g_memdup2(parse->given, program->count * sizeof(bool));
 	g_autofree char *text = NULL;
 	g_auto(GStrv) lines = NULL;
 	GError *error = NULL;
 	gsize size;
 
 	if (!g_file_get_contents(program->file, &text, &size, &error)) {
-		error_set(reading->err, RESULT_IO, "%s", error->message);
+		error_set(parse->err, RESULT_IO, "%s", error->message);
 		g_error_free(error);
 		return false;
 	}
 	if (size > FILE_BYTES_MAX || strlen(text) != size)
-		return error_set(reading->err, RESULT_BAD_SETTING,
+		return error_set(parse->err, RESULT_BAD_SETTING,
 				 "%s: not a text of at most %u bytes",
 				 program->file, FILE_BYTES_MAX);
 	lines = g_strsplit(text, "\n", -1);
 	for (unsigned int i = 0; lines[i]; i++)
-		if (!line_apply(reading, before, i + 1, lines[i]))
+		if (!line_apply(parse, given_before, i + 1, lines[i]))
 			return false;
 	return true;
 }
 
-static bool rest_apply(struct reading *reading)
+static bool defaults_apply(struct settings_parse *parse)
 {
-	for (size_t i = 0; i < reading->program->count; i++) {
-		const struct setting *setting = &reading->program->table[i];
+	for (size_t i = 0; i < parse->program->count; i++) {
+		const struct setting *setting = &parse->program->table[i];
 
-		if (reading->given[i])
+		if (parse->given[i])
 			continue;
 		if (setting->required)
-			return error_set(reading->err, RESULT_BAD_SETTING,
+			return error_set(parse->err, RESULT_BAD_SETTING,
 					 "--%s (or %s) is missing",
 					 setting->flag, setting->variable);
 		if (setting->fallback &&
-		    !setting_apply(reading, i, setting->fallback,
-				   setting->flag))
+		    !setting_apply(parse, i, setting->fallback, setting->flag))
 			return false;
 	}
 	return true;
@@ -347,8 +347,8 @@
 		   int argc, char **argv, struct error *err)
 {
 	g_autofree bool *given = g_new0(bool, program->count);
-	struct reading reading = {program, target, given, err};
+	struct settings_parse parse = {program, target, given, err};
 
-	return flags_read(&reading, argc, argv) && variables_read(&reading) &&
-	       (!program->file || file_read(&reading)) && rest_apply(&reading);
+	return flags_read(&parse, argc, argv) && variables_read(&parse) &&
+	       (!program->file || file_read(&parse)) && defaults_apply(&parse);
 }
--- a/common/timer.c
+++ b/common/timer.c
@@ -14,37 +14,37 @@
 	timer->slot = i + 1;
 }
 
-static void heap_rise(GPtrArray *heap, size_t i)
+static void heap_sift_up(GPtrArray *heap, size_t i)
 {
 	struct timer *timer = heap->pdata[i];
 
 	while (i > 0) {
-		size_t up = (i - 1) / 2;
+		size_t parent = (i - 1) / 2;
 
-		if (!timer_before(timer, heap->pdata[up]))
+		if (!timer_before(timer, heap->pdata[parent]))
 			break;
-		heap_put(heap, i, heap->pdata[up]);
-		i = up;
+		heap_put(heap, i, heap->pdata[parent]);
+		i = parent;
 	}
 	heap_put(heap, i, timer);
 }
 
-static void heap_sink(GPtrArray *heap, size_t i)
+static void heap_sift_down(GPtrArray *heap, size_t i)
 {
 	struct timer *timer = heap->pdata[i];
 
 	for (;;) {
-		size_t down = 2 * i + 1;
+		size_t child = 2 * i + 1;
 
-		if (down >= heap->len)
+		if (child >= heap->len)
 			break;
-		if (down + 1 < heap->len &&
-		    timer_before(heap->pdata[down + 1], heap->pdata[down]))
-			down++;
-		if (!timer_before(heap->pdata[down], timer))
+		if (child + 1 < heap->len &&
+		    timer_before(heap->pdata[child + 1], heap->pdata[child]))
+			child++;
+		if (!timer_before(heap->pdata[child], timer))
 			break;
-		heap_put(heap, i, heap->pdata[down]);
-		i = down;
+		heap_put(heap, i, heap->pdata[child]);
+		i = child;
 	}
 	heap_put(heap, i, timer);
 }
@@ -71,9 +71,9 @@
 		timer->due = CLOCK_NEVER;
 	else
 		timer->due = clock->now + delay_us;
-	timer->order = clock->orders++;
+	timer->order = clock->starts++;
 	g_ptr_array_add(clock->heap, timer);
-	heap_rise(clock->heap, clock->heap->len - 1);
+	heap_sift_up(clock->heap, clock->heap->len - 1);
 }
 
 void timer_stop(struct timer *timer)
@@ -92,8 +92,8 @@
 	if (last == timer)
 		return;
 	heap_put(heap, i, last);
-	heap_rise(heap, i);
-	heap_sink(heap, last->slot - 1);
+	heap_sift_up(heap, i);
+	heap_sift_down(heap, last->slot - 1);
 }
 
 bool timer_running(const struct timer *timer)
--- a/common/unpack.c
+++ b/common/unpack.c
@@ -73,7 +73,7 @@
 /* Measures one item's own bytes and the items that it holds; false when it
  * does not fit into size. */
 static bool item_measure(const uint8_t *data, size_t size, size_t *used,
-			 uint64_t *holds)
+			 uint64_t *elements)
 {
 	uint64_t length;
 	struct item item = item_format(data[0], &length);
@@ -83,11 +83,11 @@
 	for (uint8_t i = 0; i < item.length_bytes; i++)
 		length = length << 8 | data[1 + i];
 	*used = (size_t)1 + item.length_bytes;
-	*holds = 0;
+	*elements = 0;
 	if (item.kind == ITEM_ARRAY)
-		*holds = length;
+		*elements = length;
 	else if (item.kind == ITEM_MAP)
-		*holds = 2 * length;
+		*elements = 2 * length;
 	else if (length + item.extra > size - *used)
 		return false;
 	else
@@ -99,19 +99,19 @@
 bool message_measure(const void *data, size_t size)
 {
 	const uint8_t *at = data;
-	uint64_t due = 1;
+	uint64_t remaining = 1;
 
-	while (due && due <= size) {
-		uint64_t holds;
+	while (remaining && remaining <= size) {
+		uint64_t elements;
 		size_t used;
 
-		if (!item_measure(at, size, &used, &holds))
+		if (!item_measure(at, size, &used, &elements))
 			return false;
 		at += used;
 		size -= used;
-		due += holds - 1;
+		remaining += elements - 1;
 	}
-	return !due && !size;
+	return !remaining && !size;
 }
 
 bool message_unpack(msgpack_unpacked *result, const void *data, size_t size,
