--- a/common/clock.c
+++ b/common/clock.c
@@ -19,8 +19,8 @@
 	return clock;
 }
 
-/* CLOCK_BOOTTIME also counts the time that the machine was suspended, so a
- * lease is not held longer for it. */
+/* CLOCK_BOOTTIME includes the time that the machine was suspended, so a suspend
+ * does not prolong a lease. */
 struct clock *clock_create_system(void)
 {
 	struct clock *clock = clock_create(system_time(CLOCK_REALTIME));
@@ -76,8 +76,8 @@
 	clock->now = MAX(clock->now, now_us);
 }
 
-/* Timers started meanwhile wait for the next call, so that one that restarts
- * itself with no delay cannot hold the loop. */
+/* Timers started during the call fire in the next one, so that a timer that
+ * restarts itself without delay cannot block the loop. */
 void clock_fire_due(struct clock *clock)
 {
 	uint64_t starts = clock->starts;
--- a/common/clock_heap.h
+++ b/common/clock_heap.h
@@ -1,5 +1,6 @@
 /*
- * clock_heap.h - the heap of running timers, shared by clock.c and timer.c
+ * clock_heap.h - the clock and its heap of running timers, for clock.c and
+ * timer.c
  */
 #ifndef COMMON_CLOCK_HEAP_H
 #define COMMON_CLOCK_HEAP_H
@@ -10,13 +11,14 @@
 
 struct clock {
 	int64_t now;
-	int64_t unix_zero; /* wall-clock time at zero */
-	int64_t system_zero;
-	uint64_t starts; /* timers started so far */
-	GPtrArray *heap; /* struct timer, earliest first */
+	int64_t unix_zero;   /* wall-clock time at zero */
+	int64_t system_zero; /* CLOCK_BOOTTIME at zero */
+	uint64_t starts;     /* timers started so far */
+	GPtrArray *heap; /* struct timer, a binary heap; the first to fire is at
+			    0 */
 };
 
-/* The earliest timer, or NULL. */
+/* Returns the next timer to fire, or NULL. */
 struct timer *clock_first(const struct clock *clock);
 
 #endif
--- a/common/compress.c
+++ b/common/compress.c
@@ -8,7 +8,7 @@
 #include "common/error.h"
 #include "common/log.h"
 
-/* The first byte of zlib's format with a window of 32 KiB. */
+/* First byte of the zlib format with a window of 32 KiB (RFC 1950). */
 #define ZLIB_FIRST_BYTE 0x78
 #define INFLATE_CHUNK_BYTES (64u << 10)
 
--- a/common/counter.c
+++ b/common/counter.c
@@ -78,8 +78,9 @@
 	return series;
 }
 
-/* The overflow series of a name is made past the bound: names are few, being
- * written in the code, and only labels may come from outside. */
+/* Overflow series are not counted against COUNTER_SERIES_MAX: there is one per
+ * name, and names are constants of the code; only labels may come from outside.
+ */
 static struct series *series_get(struct counter_set *set, enum series_kind kind,
 				 const char *name, const char *help,
 				 const char *labels)
@@ -150,8 +151,8 @@
 			       suffix, open, series->labels, close, value);
 }
 
-/* Only each doubling is printed: a scraper needs no finer, and pays by the
- * line. */
+/* Prints only the bounds that are powers of two: a scraper needs no finer
+ * resolution, and each line has a cost. */
 static void print_histogram(const struct series *series, GString *out)
 {
 	const struct histogram *histogram = series->histogram;
--- a/common/error.c
+++ b/common/error.c
@@ -34,8 +34,8 @@
 	return &unknown;
 }
 
-/* Texts go into JSON, which takes UTF-8 only: what a caller sent may be none,
- * and the cut at the text's end may split a character. */
+/* Error texts are put into JSON, which must be UTF-8. A text may quote invalid
+ * bytes from a caller, and truncation may split a character. */
 static void text_make_utf8(char *text)
 {
 	const char *end;
--- a/common/frame.c
+++ b/common/frame.c
@@ -6,7 +6,8 @@
 #include "common/error.h"
 #include "common/unpack.h"
 
-/* The most that an array header, or a channel and a payload header, take. */
+/* Maximum size in bytes of an array header, and of a channel with the header of
+ * its payload. */
 #define ARRAY_HEADER_MAX 5u
 #define MESSAGE_HEADER_MAX 6u
 
@@ -46,11 +47,11 @@
 	msgpack_packer packer;
 
 	if (channel < CHANNEL_HELLO || channel >= CHANNEL_MAX)
-		return error_set(err, RESULT_BAD_MESSAGE, "no channel %d",
-				 (int)channel);
+		return error_set(err, RESULT_BAD_MESSAGE,
+				 "channel %d does not exist", (int)channel);
 	if (writer->body.size > max_size || size > max_size - writer->body.size)
 		return error_set(err, RESULT_TOO_LARGE,
-				 "%zu bytes do not fit into a frame with %zu",
+				 "%zu bytes do not fit into a frame of %zu",
 				 size, writer->body.size);
 	msgpack_packer_init(&packer, &writer->body, msgpack_sbuffer_write);
 	msgpack_pack_int(&packer, (int)channel);
@@ -129,7 +130,7 @@
 	return true;
 }
 
-/* Delivers nothing of a body that is not sound as a whole. */
+/* Delivers no message of a body unless the whole body is valid. */
 static bool reader_body(struct frame_reader *reader, const char *data,
 			size_t size, struct error *err)
 {
@@ -148,8 +149,8 @@
 	return true;
 }
 
-/* Reads the frame at the offset. Returns the bytes used, 0 when it is not
- * whole yet, -1 when it is none. */
+/* Reads the frame at the offset. Returns the number of bytes consumed, 0 when
+ * the frame is incomplete, or -1 when it is malformed. */
 static int64_t reader_frame(struct frame_reader *reader, size_t offset,
 			    struct error *err)
 {
@@ -162,7 +163,8 @@
 	memcpy(&length, data, sizeof(length));
 	length = GUINT32_FROM_BE(length);
 	if (!length || length > FRAME_MAX) {
-		error_set(err, RESULT_BAD_MESSAGE, "frame length %u", length);
+		error_set(err, RESULT_BAD_MESSAGE,
+			  "frame length %u is out of range", length);
 		return -1;
 	}
 	if (left - FRAME_HEADER < length)
@@ -173,7 +175,7 @@
 	return (int64_t)FRAME_HEADER + length;
 }
 
-/* Frames at most this long are buffered, so a peer cannot make the buffer grow
+/* Frames over FRAME_MAX are refused, so a peer cannot make the buffer grow
  * beyond one frame and one read. */
 bool frame_reader_feed(struct frame_reader *reader, const void *data,
 		       size_t size, struct error *err)
@@ -182,8 +184,9 @@
 	int64_t used;
 
 	if (reader->broken)
-		return error_set(err, RESULT_BAD_MESSAGE,
-				 "the stream is broken already");
+		return error_set(
+			err, RESULT_BAD_MESSAGE,
+			"an earlier frame of the stream was malformed");
 	if (size)
 		g_byte_array_append(reader->buffer, data, (guint)size);
 	while ((used = reader_frame(reader, offset, err)) > 0)
--- a/common/histogram.c
+++ b/common/histogram.c
@@ -18,7 +18,7 @@
 	steps = log2((double)usec / HISTOGRAM_FIRST) * HISTOGRAM_STEPS;
 	if (steps > HISTOGRAM_BOUNDS)
 		return HISTOGRAM_BOUNDS;
-	/* Bounds are rounded, so the bucket may be one off either way. */
+	/* Bounds are rounded, so the computed index may be one off. */
 	i = (size_t)steps;
 	while (i < HISTOGRAM_BOUNDS && usec > histogram_bound(i))
 		i++;
--- a/common/log.c
+++ b/common/log.c
@@ -11,13 +11,14 @@
 #include "common/clock.h"
 #include "common/error.h"
 
-/* Lines that wait for a reader, in bytes: a second of a busy instance's. */
+/* Size of the buffer: one second of the lines of a busy instance. */
 #define BUFFER_BYTES_MAX ((size_t)256 << 10)
-/* Written in a second on average, and at most at once: 200 requests a second
- * with two lines each take half of it. */
+/* Token bucket for the bytes written: 200 requests per second with two lines
+ * each take half of the rate. */
 #define BYTES_PER_SEC (128 << 10)
 #define BURST_BYTES (256 << 10)
-/* Lines of this level and below leave the second half of it to the others. */
+/* Lines of this level and of the more verbose ones use at most half of the
+ * buffer and of the burst. */
 #define LOW_PRIORITY_LEVEL LOG_INFO
 
 static struct {
@@ -25,10 +26,10 @@
 	const char *program;
 	int level;
 	int fd;
-	GString *buffer; /* NULL: lines go to standard error at once */
-	double budget;	 /* bytes that may be written now */
-	int64_t budget_at;
-	uint64_t dropped;
+	GString *buffer; /* NULL: lines are written to standard error at once */
+	double budget;	 /* bytes left in the token bucket */
+	int64_t budget_at; /* time of the last refill */
+	uint64_t dropped;  /* lines since the last log_lines_dropped */
 } log_state = {.level = LOG_INFO};
 
 static const struct {
@@ -89,8 +90,8 @@
 	g_string_append_c(out, '"');
 }
 
-/* Numbers are written on the stack: g_string_append_printf() allocates for
- * each, which was half of what a line cost. */
+/* Numbers are formatted on the stack: g_string_append_printf() allocates memory
+ * for each, which took half of the time of a line. */
 static void append_field(GString *out, const struct log_field *field)
 {
 	char text[32] = "";
@@ -193,7 +194,8 @@
 	log_state.budget_at = now;
 }
 
-/* False when there is no room for a line of that level. */
+/* Returns false, and counts a dropped line, when the buffer or the token bucket
+ * has no room for a line of that level. */
 static bool budget_take(int level, size_t size)
 {
 	double share = level >= LOW_PRIORITY_LEVEL ? 0.5 : 1.0;
--- a/common/setting.c
+++ b/common/setting.c
@@ -162,8 +162,9 @@
 	return error_prefix(parse->err, "%s", source);
 }
 
-/* One text of a variable or a line may hold several of what may be repeated;
- * each is cut out and kept for ever. */
+/* A variable or a line of the file may hold several values of a repeated
+ * setting, separated by commas. The values are interned, so that the target may
+ * point to them. */
 static bool values_apply(struct settings_parse *parse, size_t at,
 			 const char *text, const char *source)
 {
@@ -256,7 +257,8 @@
 	return true;
 }
 
-/* ---- variables, file, fallbacks: each only for what is not given yet ---- */
+/* ---- variables, file, defaults: each applies only to settings not yet given
+ */
 
 static bool variables_read(struct settings_parse *parse)
 {
--- a/common/table.c
+++ b/common/table.c
@@ -6,7 +6,7 @@
 #define CHUNK_SLOTS 256u
 #define SLOT_NONE UINT32_MAX
 
-/* Precedes each object; 16 bytes keep the object's alignment. */
+/* Precedes each object; its 16 bytes keep the object aligned. */
 struct slot {
 	uint32_t generation;
 	uint32_t next_free;
@@ -18,9 +18,9 @@
 	size_t stride;
 	size_t size;
 	uint32_t max;
-	uint32_t slots; /* made so far */
+	uint32_t slots; /* allocated so far */
 	uint32_t count;
-	uint32_t free;
+	uint32_t free; /* first of the free list, or SLOT_NONE */
 	GPtrArray *chunks;
 };
 
@@ -37,7 +37,8 @@
 	return (uint64_t)slot->generation << 32 | i;
 }
 
-/* Takes a free slot, or makes one; the table is not full. */
+/* Takes a slot from the free list or allocates one. The table must not be full.
+ */
 static uint32_t table_take(struct table *table)
 {
 	uint32_t i = table->free;
--- a/common/timer.c
+++ b/common/timer.c
@@ -1,4 +1,4 @@
-/* Timers in a binary heap; a timer's slot is its index plus one. */
+/* Timers are kept in a binary heap; a timer's slot is its index plus one. */
 #include "clock_heap.h"
 
 static bool timer_before(const struct timer *a, const struct timer *b)
--- a/common/unpack.c
+++ b/common/unpack.c
@@ -14,11 +14,11 @@
 
 struct item {
 	enum item_kind kind;
-	uint8_t length_bytes; /* of the length that follows the first byte */
-	uint8_t extra;	      /* bytes besides that length */
+	uint8_t length_bytes; /* size of the length after the first byte */
+	uint8_t extra;	      /* further bytes, besides the length */
 };
 
-/* The MessagePack specification's formats 0xc0 to 0xdf. */
+/* Formats 0xc0 to 0xdf of the MessagePack specification. */
 static const struct item formats[32] = {
 	{ITEM_BYTES, 0, 0},    /* nil */
 	{ITEM_RESERVED, 0, 0}, /* never used */
@@ -54,7 +54,8 @@
 	{ITEM_MAP, 4, 0},      /* map 32 */
 };
 
-/* The format of a first byte; size holds a length that is in the byte. */
+/* Returns the format that a first byte selects; size is set to the length that
+ * the byte contains, or to 0. */
 static struct item item_format(uint8_t byte, uint64_t *size)
 {
 	*size = 0;
@@ -70,8 +71,8 @@
 	return (struct item){byte >= 0x90 ? ITEM_ARRAY : ITEM_MAP, 0, 0};
 }
 
-/* Measures one item's own bytes and the items that it holds; false when it
- * does not fit into size. */
+/* Computes the size of one item without its elements, and the number of its
+ * elements. Returns false when the item does not fit into size. */
 static bool item_measure(const uint8_t *data, size_t size, size_t *used,
 			 uint64_t *elements)
 {
@@ -95,7 +96,7 @@
 	return true;
 }
 
-/* Each item takes a byte at least, so as many may be due as bytes are left. */
+/* Each item takes at least one byte, so no more items may remain than bytes. */
 bool message_measure(const void *data, size_t size)
 {
 	const uint8_t *at = data;
@@ -124,7 +125,8 @@
 		    MSGPACK_UNPACK_SUCCESS)
 		return true;
 	return error_set(err, RESULT_BAD_MESSAGE,
-			 "%zu bytes are no one MessagePack value", size);
+			 "%zu bytes are not exactly one MessagePack value",
+			 size);
 }
 
 bool unpack_text(const msgpack_object *object, char *text, size_t size)
--- a/include/common/address.h
+++ b/include/common/address.h
@@ -1,8 +1,9 @@
 /*
- * address.h - numeric "IP:port" texts and socket addresses
+ * address.h - conversion between "IP:port" strings and socket addresses
  *
  * DESCRIPTION
- *	IPv4 as "127.0.0.1:80", IPv6 as "[::1]:80". Names are not looked up.
+ *	IPv4 is written "127.0.0.1:80", IPv6 "[::1]:80". Host names are not
+ *	resolved.
  */
 #ifndef COMMON_ADDRESS_H
 #define COMMON_ADDRESS_H
@@ -14,7 +15,7 @@
 
 #define ADDRESS_TEXT_MAX 64
 
-/* False with RESULT_BAD_SETTING when text is no address. */
+/* Returns false with RESULT_BAD_SETTING when text is not a numeric address. */
 bool address_parse(const char *text, struct sockaddr_storage *address,
 		   socklen_t *size, struct error *err);
 void address_print(const struct sockaddr_storage *address,
--- a/include/common/compress.h
+++ b/include/common/compress.h
@@ -1,14 +1,14 @@
 /*
- * compress.h - messages that may be compressed, in the format of zlib
+ * compress.h - optional compression of messages in the zlib format
  *
  * DESCRIPTION
- *	A message is told from a compressed one by its first byte: no
- *	MessagePack array or map begins with that of zlib's format (RFC 1950).
+ *	The first byte tells whether a message is compressed: no MessagePack
+ *	array or map begins with the first byte of the zlib format (RFC 1950).
  *
  * RETURN VALUE
- *	message_expand() returns the bytes, to be freed with
- *	g_byte_array_unref(), or NULL with RESULT_BAD_MESSAGE when they cannot
- *	be read or are more than most.
+ *	message_expand() returns the decompressed bytes, to be freed with
+ *	g_byte_array_unref(), or NULL with RESULT_BAD_MESSAGE when the data is
+ *	corrupt or decompresses to more than max_size bytes.
  */
 #ifndef COMMON_COMPRESS_H
 #define COMMON_COMPRESS_H
@@ -18,9 +18,10 @@
 
 struct error;
 
-/* Compresses the message in place when it has that many bytes or more. */
-void message_compress(GByteArray *message, size_t least);
-GByteArray *message_expand(const void *data, size_t size, size_t most,
+/* Compresses the message in place when it has at least min_size bytes. */
+void message_compress(GByteArray *message, size_t min_size);
+/* Copies data that is not compressed as it is, whatever its size. */
+GByteArray *message_expand(const void *data, size_t size, size_t max_size,
 			   struct error *err);
 
 #endif
--- a/include/common/error.h
+++ b/include/common/error.h
@@ -1,19 +1,20 @@
 /*
- * error.h - numbered result codes and the error struct that is passed down
+ * error.h - numbered result codes and error details
  *
  * DESCRIPTION
- *	Every function that can fail takes a struct error pointer as its last
- *	argument and returns false, NULL or a negative number when it filled
- *	it. A NULL pointer is allowed and drops the detail. Codes are stable:
- *	a number is never given a second meaning. docs/ERRORS.md lists them,
- *	and tests/common/test_error.c checks that page against this header.
+ *	Every function that can fail takes a pointer to a struct error as its
+ *	last argument, fills it on failure and returns false, NULL or a
+ *	negative number. The pointer may be NULL; the details are then
+ *	discarded. Codes are stable: a number is never reused for another
+ *	meaning. docs/ERRORS.md lists them, and tests/common/test_error.c checks
+ *	that page against this header.
  */
 #ifndef COMMON_ERROR_H
 #define COMMON_ERROR_H
 
 #include <stdbool.h>
 
-/* What is known of the request's effect on a backend server. */
+/* Whether a backend server has run the request, as far as is known. */
 enum outcome {
 	OUTCOME_NOT_RUN,
 	OUTCOME_UNKNOWN,
@@ -24,7 +25,7 @@
  * X(name, number, label, outcome, HTTP status)
  *	1xx settings and files, 2xx refused before running, 3xx the caller's
  *	request, 4xx failed after a backend server was reached, 5xx platform
- *	and peers, 9xx defects
+ *	and peers, 9xx defects of the router itself
  */
 #define RESULT_CODES(X)                                                        \
 	X(RESULT_OK, 0, "ok", OUTCOME_RUN, 200)                                \
@@ -89,13 +90,14 @@
 	char text[ERROR_TEXT_MAX];
 };
 
-/* Fills e when it is not NULL; the text is cut at ERROR_TEXT_MAX and is always
- * UTF-8, with '?' for each byte that is not. Always returns false, so that
- * callers can return it. */
+/* Fills e unless it is NULL. The text is truncated to ERROR_TEXT_MAX and is
+ * valid UTF-8, with '?' in place of each invalid byte. Always returns false, so
+ * that callers can return the result. */
 bool error_set(struct error *e, enum result_code code, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
-/* Puts "prefix: " before the text that e holds; always returns false. */
+/* Prepends the formatted text and ": " to the text of e; always returns false.
+ */
 bool error_prefix(struct error *e, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 
--- a/include/common/hex.h
+++ b/include/common/hex.h
@@ -10,10 +10,10 @@
 
 #define HEX_ID_SIZE 17
 
-/* Writes the digits and a NUL into text, which holds HEX_ID_SIZE; returns it.
- */
+/* Writes the digits and a NUL to text, which holds HEX_ID_SIZE bytes; returns
+ * text. */
 char *hex_id(char *text, uint64_t id);
-/* Parses exactly 16 digits; false otherwise. */
+/* Parses exactly 16 digits; returns false for anything else. */
 bool hex_parse(const char *text, size_t size, uint64_t *id);
 
 #endif
--- a/include/common/id.h
+++ b/include/common/id.h
@@ -1,10 +1,10 @@
 /*
- * id.h - names of instances, requests and keys, as 64-bit hashes
+ * id.h - 64-bit identifiers of instances, requests and keys
  *
  * DESCRIPTION
- *	Names are hashed with XXH3 (64 bits, seed 0). An instance is named by
- *	the hash of its name and by its incarnation, which rises at each start
- *	(microseconds since 1970 at the start).
+ *	An identifier is the XXH3 hash of a name (64 bits, seed 0). An instance
+ *	is identified by the hash of its name and its incarnation, which is its
+ *	start time in microseconds since 1970 and so increases at each start.
  */
 #ifndef COMMON_ID_H
 #define COMMON_ID_H
@@ -19,7 +19,8 @@
 
 uint64_t id_hash(const void *data, size_t size);
 uint64_t id_of(const char *name);
-/* Mixes two identifiers, for rendezvous hashing and composed keys. */
+/* Hashes two identifiers into one, for rendezvous hashing and composite keys.
+ */
 uint64_t id_mix(uint64_t a, uint64_t b);
 
 #endif
--- a/include/common/json_text.h
+++ b/include/common/json_text.h
@@ -1,9 +1,10 @@
 /*
- * json_text.h - writing a string into a JSON text that is built by hand
+ * json_text.h - JSON strings for output that is written without jansson
  *
  * DESCRIPTION
- *	For answers written once a token, where a tree of JSON objects would
- *cost more than the relaying itself. Everything else uses jansson.
+ *	Used for answers that are written once per token, where building a tree
+ *	of JSON objects would cost more than relaying the token. All other code
+ *	uses jansson.
  */
 #ifndef COMMON_JSON_TEXT_H
 #define COMMON_JSON_TEXT_H
@@ -11,7 +12,7 @@
 #include <glib.h>
 #include <stddef.h>
 
-/* Appends text as a JSON string, quotes included; the text is UTF-8. */
+/* Appends text, which must be UTF-8, as a JSON string with its quotes. */
 void json_text_append(GString *out, const char *text, size_t size);
 
 #endif
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -1,17 +1,19 @@
 /*
- * log.h - one line of key=value pairs an event
+ * log.h - structured log lines of key=value pairs, one per event
  *
  * DESCRIPTION
  *	A line is "<N>time=... level=... event=... key=value ...", N being the
- *	syslog priority as in syslog(3). Values with spaces, quotes or control
- *	characters are quoted and escaped. The time is that of the clock given
- *	to log_setup(); lines before it carry time=0.
+ *	syslog priority as in syslog(3). Values with spaces, quotes,
+ *backslashes,
+ *	"=" or control characters are quoted and escaped. The time is read from
+ *	the clock given to log_setup(); lines before that call have time=0.
  *
- *	Lines go to standard error at once, unless log_to() has chosen another
- *	file: then they are kept and written by log_flush(), which never waits.
- *	What is kept, and what is written a second, is bounded: when a reader
- *	does not keep up, or there are too many lines, those of level info and
- *	below go first, and a line log_lines_dropped counts them.
+ *	Lines are written to standard error at once, unless log_to() has set
+ *	another file: then they are buffered and written by log_flush(), which
+ *	never blocks. The buffer and the bytes written per second are bounded.
+ *	When the reader does not keep up, or there are too many lines, those of
+ *	level info and debug are dropped first, and a line log_lines_dropped
+ *	gives the number dropped.
  *
  *	log_event(LOG_INFO, "lease_renewed", LOG_S("holder", name),
  *		  LOG_D("offset", offset));
@@ -59,14 +61,15 @@
 		  (struct log_field[]){                                        \
 			  __VA_ARGS__ __VA_OPT__(, ){.kind = LOG_KIND_END}})
 
-/* Sets the clock, the component's name and the most verbose level kept. */
+/* Sets the clock, the name of the program and the most verbose level that is
+ * logged. */
 void log_setup(const struct clock *clock, const char *program, int level);
-/* Lines go to fd from now on, bounded; fd is made non-blocking. */
+/* Buffers further lines for fd, which is made non-blocking. */
 void log_to(int fd);
-/* Writes what is kept as far as fd takes it. */
+/* Writes as much of the buffer as fd accepts without blocking. */
 void log_flush(void);
 void log_write(int level, const char *event, const struct log_field *fields);
-/* Appends the line that log_write() would print, with its newline. */
+/* Appends the line that log_write() would write, newline included. */
 void log_format(GString *out, int level, const char *event,
 		const struct log_field *fields);
 /* Parses "err", "warning", "notice", "info" or "debug". */
--- a/include/common/model_text.h
+++ b/include/common/model_text.h
@@ -1,11 +1,11 @@
 /*
- * model_text.h - the tokens of the answer that stand-in models give
+ * model_text.h - tokens of the answers of stand-in models
  *
  * DESCRIPTION
  *	"Model text" of docs/PROTOCOLS.md: token k is "w", the low 16 bits of
  *	id_mix(prompt, k) in four hex digits, and a space, where prompt is
- *	id_hash() of the whole prompt. So a reader can check that it got every
- *	token once and in order.
+ *	id_hash() of the whole prompt. A caller can so check that it received
+ *	every token exactly once and in order.
  */
 #ifndef COMMON_MODEL_TEXT_H
 #define COMMON_MODEL_TEXT_H
@@ -14,7 +14,7 @@
 
 #define MODEL_TOKEN_SIZE 6u
 
-/* Writes the text of token k with a final NUL. */
+/* Writes token k and a terminating NUL to text. */
 void model_token(uint64_t prompt, uint32_t k, char text[MODEL_TOKEN_SIZE + 1]);
 
 #endif
--- a/include/common/option.h
+++ b/include/common/option.h
@@ -1,13 +1,13 @@
 /*
- * option.h - numbers on the command line
+ * option.h - numeric command-line options
  */
 #ifndef COMMON_OPTION_H
 #define COMMON_OPTION_H
 
 struct argp_state;
 
-/* The number that text is; ends the program by argp_error() when it is none or
- * not from min to max. */
+/* Parses text as a number from min to max. Reports anything else with
+ * argp_error(), which exits. */
 double option_number(const char *text, double min, double max,
 		     struct argp_state *state);
 
--- a/include/common/pack.h
+++ b/include/common/pack.h
@@ -1,8 +1,8 @@
 /*
- * pack.h - MessagePack into byte arrays
+ * pack.h - MessagePack encoding into byte arrays
  *
  * DESCRIPTION
- *	The counterpart of unpack.h for messages that are built in a GByteArray.
+ *	The counterpart of unpack.h; messages are built in a GByteArray.
  */
 #ifndef COMMON_PACK_H
 #define COMMON_PACK_H
@@ -10,7 +10,8 @@
 #include <msgpack.h>
 #include <stddef.h>
 
-/* Appends to the GByteArray out: the callback of msgpack_packer_init(). */
+/* Appends to the GByteArray out; the write callback for msgpack_packer_init().
+ */
 int pack_append(void *out, const char *data, size_t size);
 void pack_text(msgpack_packer *packer, const char *text);
 
--- a/include/common/setting.h
+++ b/include/common/setting.h
@@ -1,19 +1,19 @@
 /*
- * setting.h - settings of a program through one table
+ * setting.h - program settings described by a table
  *
  * DESCRIPTION
  *	Each setting has a flag (--data-centre), an environment variable
  *	(JT_DATA_CENTRE), and, for programs that read one, a line of a settings
- *	file (data-centre=...). Flags go before variables, these before the
- *	file, and this before the fallback. Every value is checked; a bad one
- *	is refused with RESULT_BAD_SETTING, and the error names the file and
- *	line, variable or flag. Empty values of the file count as not given,
- *	and names that are not known there are passed over with a log line, so
- *	that a newer file can be read.
+ *	file (data-centre=...). Flags take precedence over variables, variables
+ *	over the file, and the file over the default. Every value is validated;
+ *	an invalid one is refused with RESULT_BAD_SETTING, and the error names
+ *	the flag, the variable, or the file and line. An empty value in the file
+ *	counts as not given. An unknown name in the file is logged and ignored,
+ *	so that an older program can read a newer file.
  *
- *	A field of the target is a const char * for texts, which point into
- *	argv, the environment, or live for ever; and the type that the kind
- *	names.
+ *	The field in the target has the type that the setting's kind implies.
+ *	Strings are stored as const char * and are not freed: they point into
+ *	argv, or to interned strings or literals.
  */
 #ifndef COMMON_SETTING_H
 #define COMMON_SETTING_H
@@ -26,16 +26,16 @@
 
 enum setting_kind {
 	SETTING_NAME,	 /* 1 to 63 letters, digits, '.', '-' or '_' */
-	SETTING_LISTEN,	 /* "IP:port", port 0 picks a free one */
+	SETTING_LISTEN,	 /* "IP:port"; port 0 selects a free port */
 	SETTING_ADDRESS, /* "IP:port" */
 	SETTING_PATH,
-	SETTING_LEVEL, /* int, of syslog */
+	SETTING_LEVEL, /* int, a syslog priority */
 	SETTING_U32,
 	SETTING_U64,
-	SETTING_MSEC, /* int64_t, in microseconds */
+	SETTING_MSEC, /* given in ms, stored as int64_t in microseconds */
 	SETTING_REAL, /* double */
-	SETTING_BOOL, /* yes or no */
-	SETTING_EACH, /* may be repeated */
+	SETTING_BOOL, /* "yes" or "no" */
+	SETTING_EACH, /* may be repeated; commas separate values in a text */
 };
 
 struct setting {
@@ -45,7 +45,7 @@
 	size_t offset;
 	double min;
 	double max;
-	const char *fallback; /* as the flag would give it; NULL: none */
+	const char *fallback; /* default, as the flag takes it, or NULL */
 	bool required;
 	const char *arg;
 	const char *help;
@@ -57,18 +57,18 @@
 	const char *file; /* settings file, or NULL */
 	const struct setting *table;
 	size_t count;
-	/* Takes each text of a setting of SETTING_EACH, named by its flag; NULL
-	 * where there is none. */
+	/* Stores one value of a SETTING_EACH setting, identified by its flag;
+	 * NULL when the table has no such setting. */
 	bool (*each)(void *target, const char *flag, const char *text,
 		     struct error *err);
 };
 
-/* Fills target, which must be zeroed. Exits by itself only for --help and
- * --version. */
+/* Fills target, which must be zeroed. Exits only for --help and --version. */
 bool settings_fill(const struct setting_program *program, void *target,
 		   int argc, char **argv, struct error *err);
 bool setting_name_valid(const char *text);
-/* Whether text is "IP:port", IPv6 in brackets. Port 0 only when zero_port. */
+/* Whether text is "IP:port", IPv6 in brackets. Port 0 is valid only with
+ * zero_port. */
 bool setting_address_valid(const char *text, bool zero_port);
 
 #endif
--- a/include/common/table.h
+++ b/include/common/table.h
@@ -1,11 +1,11 @@
 /*
- * table.h - objects of one size, named by small handles
+ * table.h - objects of one size, referred to by 64-bit handles
  *
  * DESCRIPTION
- *	A handle holds a slot number and the slot's generation, so a handle to
- *	an object that was freed never finds the object that follows it in the
- *	slot. Pointers stay valid until the object is freed; handles are what
- *	is stored and sent. HANDLE_NONE names nothing. All operations are O(1).
+ *	A handle consists of a slot index and the slot's generation, so a handle
+ *	to a removed object does not match the next object in the same slot.
+ *	Pointers are valid until the object is removed; store or send handles
+ *	instead. HANDLE_NONE refers to no object. All operations are O(1).
  */
 #ifndef COMMON_TABLE_H
 #define COMMON_TABLE_H
@@ -17,7 +17,7 @@
 
 struct table;
 
-/* Creates a table of objects of size bytes, at most max of them at once. */
+/* Creates a table for at most max objects of size bytes each. */
 struct table *table_create(size_t size, uint32_t max);
 void table_destroy(struct table *table);
 /* Returns a zeroed object and its handle, or NULL when the table is full. */
@@ -26,7 +26,8 @@
 void *table_get(const struct table *table, uint64_t handle);
 void table_remove(struct table *table, uint64_t handle);
 uint32_t table_count(const struct table *table);
-/* Walks all objects; start with cursor 0. Removal while walking is allowed. */
+/* Iterates over all objects, starting from cursor 0; returns NULL at the end.
+ * Objects may be removed during the iteration. */
 void *table_next(const struct table *table, uint32_t *cursor, uint64_t *handle);
 
 #endif
--- a/include/common/unpack.h
+++ b/include/common/unpack.h
@@ -1,12 +1,12 @@
 /*
- * unpack.h - MessagePack from peers, checked before it is unpacked
+ * unpack.h - validation and decoding of MessagePack from peers
  *
  * DESCRIPTION
- *	msgpack-c allocates what an array's or map's header claims before it
- *	has seen the elements: five bytes can ask for 100 GB. So bytes from
- *	outside are first measured: every length and count must fit into the
- *	bytes that follow. What is unpacked then takes at most about 24 bytes
- *	a byte.
+ *	msgpack-c allocates memory for the count in an array or map header
+ *	before it has read the elements, so five bytes can request 100 GB.
+ *	Untrusted bytes are therefore validated first: every length and count
+ *	must fit into the bytes that follow. Decoding then allocates at most
+ *	about 24 bytes per byte of input.
  */
 #ifndef COMMON_UNPACK_H
 #define COMMON_UNPACK_H
@@ -17,16 +17,17 @@
 
 struct error;
 
-/* Whether data is exactly one value, all of whose lengths and counts together
+/* Whether data is exactly one value whose lengths and counts, taken together,
  * fit into it. */
 bool message_measure(const void *data, size_t size);
-/* Unpacks exactly one value that takes all of data. The caller has made result
- * with msgpack_unpacked_init() and destroys it; strings and binaries point into
- * data. False, with RESULT_BAD_MESSAGE, for anything else. */
+/* Decodes exactly one value that takes up all of data; returns false with
+ * RESULT_BAD_MESSAGE for anything else. The caller initialises result with
+ * msgpack_unpacked_init() and destroys it. Strings and binaries point into
+ * data. */
 bool message_unpack(msgpack_unpacked *result, const void *data, size_t size,
 		    struct error *err);
-/* Copies a string that is neither empty nor holds a NUL, when it and its final
- * NUL fit into size. */
+/* Copies a string to text and terminates it. Returns false when the object is
+ * no string, is empty, contains a NUL, or does not fit into size bytes. */
 bool unpack_text(const msgpack_object *object, char *text, size_t size);
 
 #endif
