--- a/tests/common/fuzz_frame.c
+++ b/tests/common/fuzz_frame.c
@@ -35,23 +35,23 @@
 {
 	struct frame_reader *reader =
 		frame_reader_create(digest_message, digest);
-	bool sound = true;
+	bool valid = true;
 
 	if (!step)
 		step = size + 1;
-	for (size_t i = 0; i < size && sound; i += step)
-		sound = frame_reader_feed(reader, data + i, MIN(step, size - i),
+	for (size_t i = 0; i < size && valid; i += step)
+		valid = frame_reader_feed(reader, data + i, MIN(step, size - i),
 					  NULL);
 	frame_reader_destroy(reader);
-	return sound;
+	return valid;
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct digest whole = {0}, pieces = {0};
-	bool sound = feed(data, size, 0, &whole);
+	bool valid = feed(data, size, 0, &whole);
 
-	g_assert_cmpint(feed(data, size, 3, &pieces), ==, sound);
+	g_assert_cmpint(feed(data, size, 3, &pieces), ==, valid);
 	g_assert_cmpuint(whole.value, ==, pieces.value);
 	return 0;
 }
--- a/tests/common/test_clock.c
+++ b/tests/common/test_clock.c
@@ -10,7 +10,8 @@
 	struct timer timer;
 	GString *trace;
 	char name;
-	int64_t again; /* restarts itself with this delay when not below 0 */
+	int64_t restart_delay; /* restarts itself with this delay when not below
+				  0 */
 	int fired;
 };
 
@@ -21,16 +22,17 @@
 	probe->fired++;
 	g_string_append_printf(probe->trace, "%c%" PRId64 " ", probe->name,
 			       clock_now(timer->clock));
-	if (probe->again >= 0)
-		timer_start(timer, probe->again);
+	if (probe->restart_delay >= 0)
+		timer_start(timer, probe->restart_delay);
 }
 
 static void probes_init(struct probe *probes, int count, struct clock *clock,
 			GString *trace)
 {
 	for (int i = 0; i < count; i++) {
-		probes[i] = (struct probe){
-			.trace = trace, .name = (char)('a' + i), .again = -1};
+		probes[i] = (struct probe){.trace = trace,
+					   .name = (char)('a' + i),
+					   .restart_delay = -1};
 		timer_init(&probes[i].timer, clock, probe_fired, &probes[i]);
 	}
 }
@@ -68,11 +70,11 @@
 	struct probe probes[2];
 
 	probes_init(probes, 2, clock, trace);
-	probes[0].again = 10;
+	probes[0].restart_delay = 10;
 	timer_start(&probes[0].timer, 10);
 	clock_advance(clock, 25);
 	g_assert_cmpstr(trace->str, ==, "a10 a20 ");
-	probes[1].again = 0;
+	probes[1].restart_delay = 0;
 	timer_start(&probes[1].timer, 0);
 	clock_jump(clock, 100);
 	g_assert_cmpstr(trace->str, ==, "a10 a20 b100 a100 ");
--- a/tests/common/test_frame.c
+++ b/tests/common/test_frame.c
@@ -79,7 +79,7 @@
 	const char *name;
 	const char *data;
 	size_t size;
-	bool sound;
+	bool valid;
 } faults[] = {
 	{"length nought", BYTES("\0\0\0\0"), false},
 	{"length over the limit", BYTES("\0\x10\0\x01"), false},
@@ -112,17 +112,17 @@
 		struct frame_reader *reader =
 			frame_reader_create(trace_message, trace);
 		struct error err = {.code = RESULT_OK};
-		bool sound = frame_reader_feed(reader, faults[i].data,
+		bool valid = frame_reader_feed(reader, faults[i].data,
 					       faults[i].size, &err);
 
 		g_test_message("%s", faults[i].name);
-		g_assert_cmpint(sound, ==, faults[i].sound);
+		g_assert_cmpint(valid, ==, faults[i].valid);
 		g_assert_cmpstr(trace->str, ==, "");
-		if (!sound)
+		if (!valid)
 			g_assert_cmpint(err.code, ==, RESULT_BAD_MESSAGE);
 		/* A broken link stays broken. */
 		g_assert_cmpint(frame_reader_feed(reader, "", 0, NULL), ==,
-				faults[i].sound);
+				faults[i].valid);
 		frame_reader_destroy(reader);
 		g_string_free(trace, TRUE);
 	}
--- a/tests/common/test_log.c
+++ b/tests/common/test_log.c
@@ -128,7 +128,7 @@
 	g_autofree char *text = NULL;
 	g_autofree char *later = NULL;
 	int fds[2];
-	int64_t left_out = 0;
+	int64_t dropped = 0;
 
 	g_assert_cmpint(pipe2(fds, O_NONBLOCK), ==, 0);
 	log_setup(clock, "p", LOG_INFO);
@@ -141,11 +141,11 @@
 	g_assert_cmpuint(strlen(text), <=, 600 << 10);
 	g_assert_cmpuint(lines_count(text, "event=failure"), ==, 100);
 	g_assert_cmpuint(lines_count(text, "event=often"), <, 20000);
-	left_out = 20000 - lines_count(text, "event=often");
+	dropped = 20000 - lines_count(text, "event=often");
 	g_assert_cmpint(
 		g_ascii_strtoll(strstr(text, " lines=") + strlen(" lines="),
 				NULL, 10),
-		==, left_out);
+		==, dropped);
 	clock_advance(clock, 10 * USEC_PER_SEC);
 	log_event(LOG_INFO, "again");
 	later = pipe_read(fds[0]);
--- a/tests/common/test_unpack.c
+++ b/tests/common/test_unpack.c
@@ -12,7 +12,7 @@
 	const char *name;
 	const char *data;
 	size_t size;
-	bool sound;
+	bool valid;
 } values[] = {
 	{"nothing", BYTES(""), false},
 	{"nil", BYTES("\xc0"), true},
@@ -50,9 +50,9 @@
 		g_test_message("%s", values[i].name);
 		g_assert_cmpint(message_unpack(&result, values[i].data,
 					       values[i].size, &err),
-				==, values[i].sound);
+				==, values[i].valid);
 		g_assert_cmpint(err.code, ==,
-				values[i].sound ? RESULT_OK
+				values[i].valid ? RESULT_OK
 						: RESULT_BAD_MESSAGE);
 		msgpack_unpacked_destroy(&result);
 	}
--- a/tests/fake/fake_log.c
+++ b/tests/fake/fake_log.c
@@ -33,7 +33,7 @@
 	struct log_page page;
 };
 
-static int64_t log_draw(struct fake_log *log, int64_t limit)
+static int64_t log_random(struct fake_log *log, int64_t limit)
 {
 	return (int64_t)(g_rand_double(log->rand) * (double)limit);
 }
@@ -43,7 +43,7 @@
 	return g_rand_int_range(log->rand, 0, 100) < percent;
 }
 
-static bool log_strikes(struct fake_log *log, int per_thousand)
+static bool log_chance_permille(struct fake_log *log, int per_thousand)
 {
 	return per_thousand > 0 &&
 	       g_rand_int_range(log->rand, 0, 1000) < per_thousand;
@@ -51,7 +51,7 @@
 
 static int64_t log_delay(struct fake_log *log)
 {
-	return log->slow + log_draw(log, log->delay);
+	return log->slow + log_random(log, log->delay);
 }
 
 static void record_free(void *data)
@@ -187,7 +187,7 @@
 }
 
 /* As if a copy of the append were still on its way for a while. */
-static void append_later(const struct append *append, int64_t delay)
+static void append_apply_late(const struct append *append, int64_t delay)
 {
 	gsize size;
 	const void *data = g_bytes_get_data(append->data, &size);
@@ -200,18 +200,18 @@
 }
 
 /* What becomes of an append that the log would take. */
-static void append_faults(struct append *append)
+static void append_draw_fault(struct append *append)
 {
 	struct fake_log *log = append->log;
 
-	if (log_strikes(log, log->refuse)) {
+	if (log_chance_permille(log, log->refuse)) {
 		append->code = RESULT_LOG_DOWN;
 		append->apply = false;
-	} else if (log_strikes(log, log->late)) {
+	} else if (log_chance_permille(log, log->late)) {
 		append->code = RESULT_LOG_UNKNOWN;
 		append->apply = false;
-		append_later(append, LATE_USEC);
-	} else if (log_strikes(log, log->lose)) {
+		append_apply_late(append, LATE_USEC);
+	} else if (log_chance_permille(log, log->lose)) {
 		append->code = RESULT_LOG_UNKNOWN;
 	}
 }
@@ -232,9 +232,10 @@
 		append->code = RESULT_LOG_UNKNOWN;
 		append->apply = append->apply && log_chance(log, 50);
 		if (!append->apply && log_chance(log, 50))
-			append_later(append, log_draw(log, 2 * USEC_PER_SEC));
+			append_apply_late(append,
+					  log_random(log, 2 * USEC_PER_SEC));
 	} else if (append->apply) {
-		append_faults(append);
+		append_draw_fault(append);
 	}
 	later_call(log->later, log_delay(log), append_arrived, append, NULL);
 }
--- a/tests/fake/seeds.c
+++ b/tests/fake/seeds.c
@@ -2,20 +2,20 @@
 
 #include <glib.h>
 
-static uint32_t environment(const char *name, const char *what,
-			    uint32_t otherwise)
+static uint32_t env_number(const char *name, const char *suffix,
+			   uint32_t fallback)
 {
-	g_autofree char *variable = g_strconcat(name, "_", what, NULL);
+	g_autofree char *variable = g_strconcat(name, "_", suffix, NULL);
 	const char *text = g_getenv(variable);
 
-	return text ? (uint32_t)g_ascii_strtoull(text, NULL, 10) : otherwise;
+	return text ? (uint32_t)g_ascii_strtoull(text, NULL, 10) : fallback;
 }
 
 struct seeds seeds_wanted(const char *name)
 {
 	struct seeds seeds;
 
-	seeds.first = environment(name, "SEED", 0);
-	seeds.count = environment(name, "COUNT", seeds.first ? 1 : SEEDS);
+	seeds.first = env_number(name, "SEED", 0);
+	seeds.count = env_number(name, "COUNT", seeds.first ? 1 : SEEDS);
 	return seeds;
 }
