--- a/include/common/clock.h
+++ b/include/common/clock.h
@@ -58,8 +58,7 @@
  * clock_fire_due(). */
 void clock_skip(struct clock *clock, int64_t now_us);
 /* Sets a system clock to the present and fires the timers that are due. Returns
- * the time since the last call: a long gap means that the process was paused.
- */
+ * by how much it advanced: a large gap means that the process was paused. */
 int64_t clock_follow(struct clock *clock);
 /* The two steps of clock_follow(): the first sets the clock without firing
  * timers, the second fires those that are due. In between, the caller can react
--- a/include/common/setting.h
+++ b/include/common/setting.h
@@ -35,7 +35,8 @@
 	SETTING_MSEC, /* given in ms, stored as int64_t in microseconds */
 	SETTING_REAL, /* double */
 	SETTING_BOOL, /* "yes" or "no" */
-	SETTING_EACH, /* may be repeated; commas separate values in a text */
+	SETTING_EACH, /* may be repeated; a variable or line separates values
+			 with commas */
 };
 
 struct setting {
--- a/tests/common/fuzz_frame.c
+++ b/tests/common/fuzz_frame.c
@@ -1,7 +1,8 @@
 /*
- * Feeds bytes to a frame reader, whole and in pieces: both ways must deliver
- * the same. With clang's -fsanitize=fuzzer and -DFUZZ_ENGINE this is a fuzz
- * target; as a test it replays tests/common/seeds and seeded mutations.
+ * Feeds bytes to a frame reader at once and in pieces; both must deliver the
+ * same messages. Built with clang's -fsanitize=fuzzer and -DFUZZ_ENGINE this is
+ * a fuzz target; as a test it runs the inputs in tests/common/seeds and random
+ * mutations of them.
  */
 #include <glib.h>
 #include <stdint.h>
@@ -29,7 +30,7 @@
 	digest->value = id_mix(digest->value, id_hash(payload, size));
 }
 
-/* Returns whether the bytes are sound; step 0 feeds them at once. */
+/* Returns whether the bytes are valid. A step of 0 feeds them all at once. */
 static bool feed(const uint8_t *data, size_t size, size_t step,
 		 struct digest *digest)
 {
@@ -67,7 +68,7 @@
 
 	g_assert_true(g_file_get_contents(data, &text, &size, NULL));
 	feed((const uint8_t *)text, size, 0, &digest);
-	/* Seeds named bad-* deliver nothing, all others something. */
+	/* Inputs named bad-* deliver no message, all others at least one. */
 	g_assert_cmpint(digest.messages != 0, ==,
 			strstr(data, "/bad-") == NULL);
 	for (int i = 0; i < MUTATIONS; i++) {
--- a/tests/common/test_clock.c
+++ b/tests/common/test_clock.c
@@ -1,4 +1,4 @@
-/* Timers fire by due time, then by order of starting, at their own time. */
+/* Tests that timers fire by due time, then in the order of their start. */
 #include <glib.h>
 #include <inttypes.h>
 
@@ -10,8 +10,7 @@
 	struct timer timer;
 	GString *trace;
 	char name;
-	int64_t restart_delay; /* restarts itself with this delay when not below
-				  0 */
+	int64_t restart_delay; /* restarts itself unless negative */
 	int fired;
 };
 
@@ -61,8 +60,8 @@
 	clock_destroy(clock);
 }
 
-/* Advancing visits each due time; jumping shows the new time at once, and a
- * timer that restarts itself fires once a jump. */
+/* clock_advance() fires each timer at its due time. clock_jump() sets the new
+ * time first, and a timer that restarts itself fires once per call. */
 static void test_jump(void)
 {
 	struct clock *clock = clock_create(0);
@@ -98,15 +97,16 @@
 	g_assert_cmpint(clock_next(clock), ==, CLOCK_NEVER);
 	timer_start(&probes[1].timer, -3);
 	g_assert_cmpint(clock_next(clock), ==, 5);
-	timer_start(&probes[1].timer, 4); /* restarting moves it */
+	timer_start(&probes[1].timer, 4); /* a restart changes the due time */
 	g_assert_cmpint(clock_next(clock), ==, 9);
 	clock_destroy(clock);
 	g_assert_false(timer_running(&probes[0].timer));
-	timer_stop(&probes[0].timer); /* harmless after its clock */
+	timer_stop(&probes[0].timer); /* allowed after clock_destroy() */
 	g_string_free(trace, TRUE);
 }
 
-/* Random starts, stops and steps: none fires early, late, or twice. */
+/* With random starts, stops and advances, no timer fires early, late or twice.
+ */
 static void test_random(void)
 {
 	struct clock *clock = clock_create(0);
@@ -146,7 +146,7 @@
 	clock_destroy(clock);
 }
 
-/* The system's clock goes on, and timers on it fire. */
+/* A system clock advances by itself, and its timers fire. */
 static void test_follow(void)
 {
 	struct clock *clock = clock_create_system();
--- a/tests/common/test_compress.c
+++ b/tests/common/test_compress.c
@@ -1,4 +1,4 @@
-/* Messages that are compressed, and bytes that only look so. */
+/* Compressed and uncompressed messages, and malformed compressed data. */
 #include <glib.h>
 #include <string.h>
 
@@ -14,7 +14,7 @@
 	g_byte_array_set_size(message, size);
 	for (guint i = 0; i < size; i++)
 		message->data[i] = (guint8)(i / 100 % 7);
-	/* As a MessagePack array begins. */
+	/* First byte of a MessagePack array. */
 	if (size > 0)
 		message->data[0] = 0x96;
 	return message;
--- a/tests/common/test_counter.c
+++ b/tests/common/test_counter.c
@@ -1,4 +1,5 @@
-/* The text of counters against a golden file, bounds and quantiles. */
+/* Compares the text output with a golden file; bound on series, histogram
+ * buckets and quantiles. */
 #include <glib.h>
 
 #include "common/counter.h"
@@ -49,7 +50,7 @@
 
 static const struct {
 	int64_t usec;
-	int64_t bound; /* of the bucket that it falls in */
+	int64_t bound; /* upper bound of its bucket */
 } buckets[] = {
 	{0, 64},
 	{64, 64},
@@ -80,7 +81,7 @@
 	}
 }
 
-/* A quantile is never below the true one and at most 2^(1/4) above. */
+/* A quantile is at least the true one and at most 2^(1/4) times it. */
 static void test_quantile(void)
 {
 	struct counter_set *set = counter_set_create();
--- a/tests/common/test_error.c
+++ b/tests/common/test_error.c
@@ -1,4 +1,4 @@
-/* The result codes, and docs/ERRORS.md against the header. */
+/* Checks the result codes, and docs/ERRORS.md against error.h. */
 #include <glib.h>
 #include <string.h>
 
@@ -19,7 +19,7 @@
 	return text;
 }
 
-/* Counts lines that begin like a row with a number. */
+/* Counts the table rows that begin with a number. */
 static size_t doc_rows(const char *text)
 {
 	size_t count = 0;
@@ -51,7 +51,7 @@
 	g_free(text);
 }
 
-/* A refusal with no effect may never be taken for a success. */
+/* Codes and labels are unique, and no failure has an HTTP status of success. */
 static void test_codes(void)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(codes); i++) {
@@ -71,7 +71,8 @@
 			OUTCOME_UNKNOWN);
 }
 
-/* A text that is cut within a character, or was none, stays UTF-8. */
+/* A text that is truncated within a character, or contains invalid bytes,
+ * becomes valid UTF-8. */
 static void test_utf8(void)
 {
 	char big[2 * ERROR_TEXT_MAX] = "";
--- a/tests/common/test_frame.c
+++ b/tests/common/test_frame.c
@@ -1,4 +1,4 @@
-/* Frames: whole, in pieces, and every way of being malformed. */
+/* Frames received whole and in pieces, and malformed frames. */
 #include <glib.h>
 #include <string.h>
 
@@ -25,7 +25,7 @@
 	g_assert_true(frame_writer_add(writer, CHANNEL_CLAIM, big, 300, NULL));
 	frame_writer_take(writer, bytes);
 	g_assert_cmpuint(frame_writer_pending(writer), ==, 0);
-	frame_writer_take(writer, bytes); /* nothing open: adds nothing */
+	frame_writer_take(writer, bytes); /* no open frame: appends nothing */
 	g_assert_true(
 		frame_writer_add(writer, CHANNEL_DIRECTORY, NULL, 0, NULL));
 	frame_writer_take(writer, bytes);
@@ -53,7 +53,8 @@
 	g_byte_array_unref(bytes);
 }
 
-/* Each prefix is silent about what is not whole, and is no error. */
+/* A prefix of valid frames delivers no message of an incomplete frame, and is
+ * no error. */
 static void test_truncated(void)
 {
 	GByteArray *bytes = three_messages();
@@ -81,12 +82,12 @@
 	size_t size;
 	bool valid;
 } faults[] = {
-	{"length nought", BYTES("\0\0\0\0"), false},
+	{"length zero", BYTES("\0\0\0\0"), false},
 	{"length over the limit", BYTES("\0\x10\0\x01"), false},
 	{"length of all ones", BYTES("\xff\xff\xff\xff"), false},
 	{"HTTP", BYTES("GET / HTTP/1.1\r\n"), false},
 	{"empty array", BYTES("\0\0\0\1\x90"), true},
-	{"no array", BYTES("\0\0\0\1\xc0"), false},
+	{"not an array", BYTES("\0\0\0\1\xc0"), false},
 	{"a map", BYTES("\0\0\0\1\x80"), false},
 	{"one element", BYTES("\0\0\0\2\x91\x01"), false},
 	{"a string for payload", BYTES("\0\0\0\4\x92\x01\xa1x"), false},
@@ -100,7 +101,7 @@
 	{"array of 2^32 - 1", BYTES("\0\0\0\5\xdd\xff\xff\xff\xff"), false},
 	{"payload of 2^32 - 1", BYTES("\0\0\0\7\x92\1\xc6\xff\xff\xff\xff"),
 	 false},
-	{"sound, then unsound message",
+	{"valid, then invalid message",
 	 BYTES("\0\0\0\x09\x94\1\xc4\1x\0\xc4\1x"), false},
 	{"reserved byte", BYTES("\0\0\0\1\xc1"), false},
 };
@@ -120,7 +121,7 @@
 		g_assert_cmpstr(trace->str, ==, "");
 		if (!valid)
 			g_assert_cmpint(err.code, ==, RESULT_BAD_MESSAGE);
-		/* A broken link stays broken. */
+		/* After a malformed frame the reader refuses all input. */
 		g_assert_cmpint(frame_reader_feed(reader, "", 0, NULL), ==,
 				faults[i].valid);
 		frame_reader_destroy(reader);
--- a/tests/common/test_log.c
+++ b/tests/common/test_log.c
@@ -1,4 +1,4 @@
-/* The text of log lines. */
+/* Text, levels and bounds of log lines. */
 #include <fcntl.h>
 #include <glib.h>
 #include <string.h>
@@ -67,7 +67,7 @@
 	clock_destroy(clock);
 }
 
-/* A line goes to standard error; one that is too verbose does not. */
+/* Lines go to standard error, except those above the configured level. */
 static void test_write(void)
 {
 	if (g_test_subprocess()) {
@@ -120,8 +120,8 @@
 	return count;
 }
 
-/* A reader that stops reading costs lines, those of level info first, and no
- * time; what was left out is counted. */
+/* When the reader stops, writes do not block. Lines are dropped, those of level
+ * info first, and their number is logged. */
 static void test_bounded(void)
 {
 	struct clock *clock = clock_create(0);
@@ -161,7 +161,7 @@
 	g_test_add_func("/log/line", test_line);
 	g_test_add_func("/log/write", test_write);
 	g_test_add_func("/log/level", test_level);
-	/* Last: lines go to the pipe from then on. */
+	/* Must be the last test: it redirects all further lines to a pipe. */
 	g_test_add_func("/log/bounded", test_bounded);
 	return g_test_run();
 }
--- a/tests/common/test_table.c
+++ b/tests/common/test_table.c
@@ -1,4 +1,4 @@
-/* Handles, generations and bounds of tables. */
+/* Handles, generations and size limits of tables. */
 #include <glib.h>
 
 #include "common/table.h"
@@ -21,20 +21,21 @@
 	g_assert_null(table_add(table, &handle));
 	table_remove(table, old);
 	g_assert_null(table_get(table, old));
-	table_remove(table, old); /* twice is harmless */
+	table_remove(table, old); /* a second removal has no effect */
 	g_assert_cmpuint(table_count(table), ==, 0);
 	object = table_add(table, &handle);
 	g_assert_cmpuint(object->number, ==, 0);
 	g_assert_cmpuint(handle, !=, old);
 	g_assert_null(table_get(table, old));
-	table_remove(table, old); /* a stale handle frees nothing */
+	table_remove(table, old); /* a stale handle removes nothing */
 	g_assert_true(table_get(table, handle) == object);
 	g_assert_null(table_get(table, HANDLE_NONE));
 	g_assert_null(table_get(table, UINT64_MAX));
 	table_destroy(table);
 }
 
-/* Against a plain array: random additions and removals, by a printed seed. */
+/* Compares random additions and removals with a plain array; GLib prints the
+ * seed. */
 static void test_random(void)
 {
 	struct table *table = table_create(sizeof(struct object), SLOTS);
--- a/tests/common/test_unpack.c
+++ b/tests/common/test_unpack.c
@@ -1,5 +1,5 @@
-/* What msgpack-c packs is unpacked; what claims too much is refused before
- * anything is allocated for it. */
+/* Whatever msgpack-c packs can be unpacked. Headers that claim more than the
+ * input holds are refused before memory is allocated for them. */
 #include <glib.h>
 #include <string.h>
 
@@ -58,7 +58,7 @@
 	}
 }
 
-/* Packs one value of random type, holding others down to a depth. */
+/* Packs one value of a random type, nested up to the given depth. */
 static void pack_random(msgpack_packer *packer, int depth)
 {
 	static const char text[70000];
@@ -104,7 +104,7 @@
 	}
 }
 
-/* All that the library packs passes; no true prefix of it does. */
+/* Every packed value is accepted, and no proper prefix of it. */
 static void test_packed(void)
 {
 	for (int i = 0; i < 300; i++) {
@@ -127,7 +127,7 @@
 	}
 }
 
-/* Texts for a field of four bytes. */
+/* Strings unpacked into a buffer of four bytes. */
 static const struct {
 	const char *name;
 	const char *data;
@@ -161,7 +161,7 @@
 	}
 }
 
-/* The most address space that this process has had, in kilobytes. */
+/* Returns the peak size of the address space of this process, in KiB. */
 static uint64_t address_space_peak(void)
 {
 	char *text = NULL;
@@ -177,8 +177,8 @@
 	return peak;
 }
 
-/* Five bytes ask for 1.6 GB; a megabyte of arrays within arrays, each of which
- * alone would fit, asks for 0.9 GB. */
+/* Five bytes request 1.6 GB; 1 MiB of nested arrays, each of which would fit on
+ * its own, requests 0.9 GB. */
 static void test_allocates_nothing(void)
 {
 	static const char header[] = {'\xdd', 0, '\x0f', 0, 0};
--- a/tests/fake/address_free.c
+++ b/tests/fake/address_free.c
@@ -6,10 +6,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Each process has a loopback address of its own: ports that one test gives
- * back would be taken by another, whose instances would then meet those of the
- * first.
- */
+/* Returns a loopback address of this process alone. With a shared one, a test
+ * could get a port that another test has just released, and the instances of
+ * the two would reach each other. */
 static uint32_t own_loopback(void)
 {
 	return (127u << 24) | (1u << 22) | ((uint32_t)getpid() & 0x3fffffu);
--- a/tests/fake/address_free.h
+++ b/tests/fake/address_free.h
@@ -1,13 +1,13 @@
 /*
- * address_free.h - an address on the process's own loopback address that nobody
- * has bound
+ * address_free.h - an unused port on a loopback address of this process
  */
 #ifndef TESTS_FAKE_ADDRESS_FREE_H
 #define TESTS_FAKE_ADDRESS_FREE_H
 
 #define ADDRESS_FREE_MAX 32
 
-/* For datagrams, as "127.64.62.37:PORT". */
+/* Writes an unused UDP address, such as "127.64.62.37:PORT". The port is not
+ * kept bound. */
 void address_free(char out[ADDRESS_FREE_MAX]);
 
 #endif
--- a/tests/fake/fake_log.c
+++ b/tests/fake/fake_log.c
@@ -186,7 +186,8 @@
 	return append;
 }
 
-/* As if a copy of the append were still on its way for a while. */
+/* Applies a copy of the append after the delay, as a network might that holds
+ * it back. */
 static void append_apply_late(const struct append *append, int64_t delay)
 {
 	gsize size;
@@ -199,7 +200,7 @@
 	later_call(late->log->later, delay, append_arrived, late, NULL);
 }
 
-/* What becomes of an append that the log would take. */
+/* Draws the fault of an append that would otherwise succeed. */
 static void append_draw_fault(struct append *append)
 {
 	struct fake_log *log = append->log;
--- a/tests/fake/fake_log.h
+++ b/tests/fake/fake_log.h
@@ -1,12 +1,13 @@
 /*
- * fake_log.h - an append-only log for tests, with faults
+ * fake_log.h - a simulated append-only log store with faults
  *
  * DESCRIPTION
- *	Appends and reads take random times, so they overtake each other. An
- *	append whose answer is lost was applied, or will be much later, or
- *	never. In an outage nothing is taken. Retention drops old records.
- *	A page with a hole breaks the contract of log_store.h. Every call is
- *	answered, at the latest when its clock has run out of timers.
+ *	Appends and reads have random delays, so they may be reordered. An
+ *	append whose answer is lost has been applied, is applied much later, or
+ *	never is. During an outage every call fails. Records older than the
+ *	retention are not returned. A page that lacks a record violates the
+ *	contract of log_store.h. Every call is answered, at the latest when
+ *	the clock has no more timers.
  */
 #ifndef TESTS_FAKE_LOG_H
 #define TESTS_FAKE_LOG_H
@@ -19,40 +20,40 @@
 	struct later *later;
 	GRand *rand;
 	GHashTable *streams; /* name to GPtrArray of struct log_record */
-	int64_t delay;	     /* most that one way takes, besides slow */
-	int64_t slow;
-	int lost_percent; /* appends whose answer is lost, applied or not */
-	int hole_percent; /* pages that leave out a record */
-	int lose;	  /* per thousand: applied, and the answer is lost */
-	int late;	  /* ... and applied only seconds after that */
-	int refuse;	  /* per thousand: refused */
+	int64_t delay;	     /* maximum random delay in each direction */
+	int64_t slow;	     /* added to each random delay */
+	int lost_percent;    /* appends without an answer, applied or not */
+	int hole_percent;    /* pages that lack a record */
+	int lose;   /* per thousand: applied, but the result is unknown */
+	int late;   /* per thousand: unknown, and applied seconds later */
+	int refuse; /* per thousand: refused */
 	bool outage;
-	bool outage_at_arrival; /* refuses also what was on its way before */
-	int64_t retention;	/* 0: for ever */
-	uint64_t appends;	/* calls */
+	bool outage_at_arrival; /* also fails appends sent before the outage */
+	int64_t retention;	/* 0: unlimited */
+	uint64_t appends;	/* number of append calls */
 };
 
-/* What a node's modules are given; lives as long as the log. */
+/* One node's access to the log; must live as long as the log. */
 struct fake_log_client {
 	struct fake_log *log;
-	/* Calls fn(data) in the node's turn, delay from now, and then
-	 * destroy(data); whatever became of the node. */
+	/* Calls fn(data) in the node's event loop after delay, and then
+	 * destroy(data), even if the node has stopped by then. */
 	void (*post)(void *node, int64_t delay, void (*fn)(void *data),
 		     void *data, GDestroyNotify destroy);
 	void *node;
-	bool cut;    /* this node alone does not reach the log */
-	bool silent; /* its calls are not answered until it is false again */
+	bool cut;    /* this node cannot reach the log */
+	bool silent; /* calls stay unanswered while this is set */
 };
 
 struct fake_log *fake_log_create(struct clock *clock, struct later *later,
 				 GRand *rand);
 void fake_log_destroy(struct fake_log *log);
 struct log_store fake_log_store(struct fake_log_client *client);
-/* All records of a stream, kept or not. */
+/* Returns all records of a stream, also those older than the retention. */
 const GPtrArray *fake_log_records(struct fake_log *log, const char *stream);
-/* Offset of the oldest that is kept. */
+/* Returns the offset of the oldest record within the retention. */
 uint64_t fake_log_first(struct fake_log *log, const char *stream);
-/* Appends at once, as another writer might. */
+/* Appends without delay, for a record of another writer. */
 void fake_log_put(struct fake_log *log, const char *stream, const void *data,
 		  size_t size);
 
--- a/tests/fake/fake_world.c
+++ b/tests/fake/fake_world.c
@@ -20,7 +20,7 @@
 	return world;
 }
 
-/* Lets all that is under way arrive, so that nothing leaks. */
+/* Runs all pending calls first, so that their data is freed. */
 void world_destroy(struct world *world)
 {
 	for (guint i = 0; i < world->nodes->len; i++)
--- a/tests/fake/fake_world.h
+++ b/tests/fake/fake_world.h
@@ -1,10 +1,10 @@
 /*
- * fake_world.h - a few cores on clocks of their own, for tests
+ * fake_world.h - simulated nodes, each with its own clock
  *
  * DESCRIPTION
- *	The world's clock is the true time. Each node has a clock that follows
- *	it at the node's own rate, and stands still while the node is paused;
- *	what is posted to it then waits for it to wake, as in a socket.
+ *	The clock of the world is the true time. The clock of each node runs at
+ *	the node's own rate and stops while the node is paused. Calls posted to
+ *	a paused node wait until it resumes, as data in a socket would.
  */
 #ifndef TESTS_FAKE_WORLD_H
 #define TESTS_FAKE_WORLD_H
@@ -23,11 +23,11 @@
 struct node {
 	struct world *world;
 	struct clock *clock; /* NULL while down */
-	double rate;	     /* of its clock */
-	int64_t started;     /* true time */
+	double rate;	     /* of its clock; 1.0 is the true rate */
+	int64_t started;     /* true time of the last start */
 	bool paused;
-	uint64_t epoch; /* rises with each start and kill */
-	GQueue inbox;	/* struct post, come while paused */
+	uint64_t epoch; /* incremented at each start and stop */
+	GQueue inbox;	/* struct post, received while paused */
 };
 
 struct world {
@@ -35,8 +35,9 @@
 	struct later *later;
 	GRand *rand;
 	GPtrArray *nodes;
-	/* Times in a hundred that a node was stopped between its clock and its
-	 * sockets: it then reads them by an old clock when it wakes. */
+	/* Probability, in percent, that a pause fell between a node's reads of
+	 * its clock and of its sockets: on resuming it handles its inbox with
+	 * the old clock. */
 	int stale_percent;
 };
 
@@ -44,18 +45,21 @@
 void world_destroy(struct world *world);
 struct node *world_add(struct world *world);
 void node_start(struct node *node);
-/* The node's modules must have been destroyed; its clock goes too. */
+/* Stops the node and destroys its clock. Its modules must be destroyed first.
+ */
 void node_stop(struct node *node);
-/* Moves the true time by one step, then each running node's clock. */
+/* Advances the true time by one step, then the clock of each running node. */
 void world_step(struct world *world);
-/* A random number from 0 up to below limit, and a chance in a hundred. */
+/* Returns a random number from 0 to below limit. */
 int64_t world_draw(struct world *world, int64_t limit);
+/* Returns true with a probability of percent in 100. */
 bool world_chance(struct world *world, int percent);
-/* Calls fn(data) in the node's turn, delay from now; data is then freed. When
- * the node has been stopped meanwhile, fn is called only if always is set. */
+/* Calls fn(data) in the node's event loop after delay, then frees data. If the
+ * node has stopped or restarted by then, fn is called only when always is set.
+ */
 void world_post(struct node *node, int64_t delay, void (*fn)(void *data),
 		void *data, GDestroyNotify data_free, bool always);
-/* As struct fake_log_client has it: always calls fn. */
+/* The post function of struct fake_log_client; always calls fn. */
 void node_post(void *node, int64_t delay, void (*fn)(void *data), void *data,
 	       GDestroyNotify data_free);
 
--- a/tests/fake/later.h
+++ b/tests/fake/later.h
@@ -1,11 +1,11 @@
 /*
- * later.h - what is under way in a test: calls that a clock makes later
+ * later.h - delayed calls, for messages in flight in a test
  *
  * DESCRIPTION
- *	Messages, answers and news are on their way for a while. Each is a
- *	function with its data, called once when its time has come, in the
- *	order of the clock's timers. What is still under way at the end is
- *	dropped, and its data freed.
+ *	Simulates the delay of messages and answers. Each delayed call is a
+ *	function with its data; it runs once when its delay has passed, in the
+ *	order of the clock's timers. Destroying the queue drops the pending
+ *	calls and frees their data.
  */
 #ifndef TESTS_FAKE_LATER_H
 #define TESTS_FAKE_LATER_H
@@ -18,7 +18,7 @@
 
 struct later *later_create(struct clock *clock);
 void later_destroy(struct later *later);
-/* Calls fn(data) once, delay from now, and then destroy(data) unless that is
+/* Calls fn(data) once after delay, and then destroy(data) unless destroy is
  * NULL. */
 void later_call(struct later *later, int64_t delay, void (*fn)(void *data),
 		void *data, GDestroyNotify destroy);
--- a/tests/fake/letter.h
+++ b/tests/fake/letter.h
@@ -1,5 +1,5 @@
 /*
- * letter.h - a message of one instance to another that is on its way
+ * letter.h - a message in flight from one instance to another
  */
 #ifndef TESTS_FAKE_LETTER_H
 #define TESTS_FAKE_LETTER_H
--- a/tests/fake/mutate.h
+++ b/tests/fake/mutate.h
@@ -1,13 +1,13 @@
 /*
- * mutate.h - random edits of sound bytes
+ * mutate.h - random mutations of valid input
  */
 #ifndef TESTS_FAKE_MUTATE_H
 #define TESTS_FAKE_MUTATE_H
 
 #include <glib.h>
 
-/* Sets, flips, removes, adds or cuts at one to edits_max places, by the random
- * numbers of the test. */
+/* Applies one to edits_max random edits: sets, flips, removes or appends a
+ * byte, or truncates. Uses the random numbers of GLib's test framework. */
 void bytes_mutate(GByteArray *bytes, int edits_max);
 
 #endif
--- a/tests/fake/seeds.h
+++ b/tests/fake/seeds.h
@@ -1,5 +1,5 @@
 /*
- * seeds.h - which seeds a program of schedules runs
+ * seeds.h - the seeds that a test of random schedules runs
  */
 #ifndef TESTS_FAKE_SEEDS_H
 #define TESTS_FAKE_SEEDS_H
@@ -13,8 +13,8 @@
 	uint32_t count;
 };
 
-/* SEEDS seeds from 0; NAME_SEED in the environment runs one, and NAME_COUNT
- * another number. */
+/* Returns SEEDS seeds from 0. The environment variable NAME_SEED selects a
+ * first seed and, unless it is 0, a count of one; NAME_COUNT sets the count. */
 struct seeds seeds_wanted(const char *name);
 
 #endif
--- a/tests/golden/golden.h
+++ b/tests/golden/golden.h
@@ -1,13 +1,14 @@
 /*
- * golden.h - expected output in files, and the one way to write it anew
+ * golden.h - comparison with expected output in files
  */
 #ifndef TESTS_GOLDEN_H
 #define TESTS_GOLDEN_H
 
 #include <stdbool.h>
 
-/* Whether text is what the file holds; both are printed when not. Where
- * JT_GOLDEN_WRITE is set the file is written first, for review. */
+/* Whether text equals the content of the file; prints both when it does not. If
+ * the environment variable JT_GOLDEN_WRITE is set, the file is first
+ * overwritten with text, for review. */
 bool golden_same(const char *path, const char *text);
 
 #endif
