--- a/common/compress.c
+++ b/common/compress.c
@@ -49,8 +49,8 @@
 	       out->len <= max_size;
 }
 
-GByteArray *message_expand(const void *data, size_t size, size_t max_size,
-			   struct error *err)
+GByteArray *message_decompress(const void *data, size_t size, size_t max_size,
+			       struct error *err)
 {
 	GByteArray *out = g_byte_array_new();
 	z_stream stream = {
--- a/common/log.c
+++ b/common/log.c
@@ -157,7 +157,7 @@
 	log_state.level = level;
 }
 
-void log_to(int fd)
+void log_redirect(int fd)
 {
 	int flags = fcntl(fd, F_GETFL);
 
--- a/common/setting.c
+++ b/common/setting.c
@@ -135,7 +135,7 @@
 	case SETTING_PATH:
 		return string_store(field, text, text[0] != '\0', "a file name",
 				    err);
-	case SETTING_EACH:
+	case SETTING_REPEATED:
 		return program->each(target, setting->flag, text, err);
 	case SETTING_BOOL:
 		return bool_store(field, text, err);
@@ -170,7 +170,7 @@
 {
 	g_auto(GStrv) parts = NULL;
 
-	if (parse->program->table[at].kind != SETTING_EACH)
+	if (parse->program->table[at].kind != SETTING_REPEATED)
 		return setting_apply(parse, at, g_intern_string(text), source);
 	parts = g_strsplit(text, ",", -1);
 	for (char **part = parts; *part; part++)
--- a/common/unpack.c
+++ b/common/unpack.c
@@ -97,7 +97,7 @@
 }
 
 /* Each item takes at least one byte, so no more items may remain than bytes. */
-bool message_measure(const void *data, size_t size)
+bool message_validate(const void *data, size_t size)
 {
 	const uint8_t *at = data;
 	uint64_t remaining = 1;
@@ -120,7 +120,7 @@
 {
 	size_t used = 0;
 
-	if (message_measure(data, size) &&
+	if (message_validate(data, size) &&
 	    msgpack_unpack_next(result, data, size, &used) ==
 		    MSGPACK_UNPACK_SUCCESS)
 		return true;
--- a/coord/codec.c
+++ b/coord/codec.c
@@ -7,7 +7,7 @@
 {
 	size_t offset = 0;
 
-	return message_measure(data, size) &&
+	return message_validate(data, size) &&
 	       msgpack_unpack(data, size, &offset, zone, object) ==
 		       MSGPACK_UNPACK_SUCCESS;
 }
--- a/coord/codec.h
+++ b/coord/codec.h
@@ -9,7 +9,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Unpacks one object that fills data exactly, after message_measure() of
+/* Unpacks one object that fills data exactly, after message_validate() of
  * common/unpack.h accepted it. The object is valid until the zone is cleared,
  * and points into data. */
 bool codec_unpack(msgpack_zone *zone, const void *data, size_t size,
--- a/entry/main.c
+++ b/entry/main.c
@@ -118,7 +118,7 @@
 	files_raise();
 	entry.clock = clock_create_system();
 	log_setup(entry.clock, PROGRAM, LOG_INFO);
-	log_to(STDOUT_FILENO);
+	log_redirect(STDOUT_FILENO);
 	if (!settings_read(&entry.settings, argc, argv, &err)) {
 		log_event(LOG_ERR, "bad_setting", LOG_D("code", err.code),
 			  LOG_S("reason", err.text));
--- a/entry/settings.c
+++ b/entry/settings.c
@@ -72,7 +72,7 @@
 	 0, "127.0.0.1:8082", false, "IP:PORT", "address for other instances"},
 	{"platform", "JT_PLATFORM", SETTING_ADDRESS, FIELD(platform), 0, 0,
 	 NULL, false, "IP:PORT", "the platform's service"},
-	{"seed", "JT_SEEDS", SETTING_EACH, FIELD(seeds), 0, 0, NULL, false,
+	{"seed", "JT_SEEDS", SETTING_REPEATED, FIELD(seeds), 0, 0, NULL, false,
 	 "NAME@DATA_CENTRE@IP:PORT",
 	 "another instance; may be repeated (in the variable: commas)"},
 	{"config-file", "JT_CONFIG_FILE", SETTING_PATH, FIELD(config_file), 0,
--- a/forward/node.c
+++ b/forward/node.c
@@ -473,7 +473,7 @@
 
 	signals_block();
 	log_setup(node.clock, PROGRAM, LOG_INFO);
-	log_to(STDOUT_FILENO);
+	log_redirect(STDOUT_FILENO);
 	if (!forward_settings_read(&node.settings, file, argc, argv, &err)) {
 		log_event(LOG_ERR, "bad_setting", LOG_D("code", err.code),
 			  LOG_S("reason", err.text));
--- a/forward/node_feeds.c
+++ b/forward/node_feeds.c
@@ -224,7 +224,7 @@
 			  size_t size, struct error *err)
 {
 	g_autoptr(GByteArray) whole =
-		message_expand(body, size, MIRROR_BYTES_MAX, err);
+		message_decompress(body, size, MIRROR_BYTES_MAX, err);
 
 	return whole &&
 	       mirror_decode(mirror->mirror, whole->data, whole->len, err);
--- a/forward/settings.c
+++ b/forward/settings.c
@@ -28,11 +28,11 @@
 	 "address for other instances (TCP and UDP) and for metrics"},
 	{"platform", "JT_PLATFORM", SETTING_ADDRESS, FIELD(platform), 0, 0,
 	 NULL, true, "IP:PORT", "the platform's store"},
-	{"seed", "JT_SEEDS", SETTING_EACH, FIELD(seeds), 0, 0, NULL, false,
+	{"seed", "JT_SEEDS", SETTING_REPEATED, FIELD(seeds), 0, 0, NULL, false,
 	 "IP:PORT",
 	 "peer-listen of another instance, for discovery without the "
 	 "platform's store; may be repeated"},
-	{"region", "JT_REGIONS", SETTING_EACH, FIELD(regions), 0, 0, NULL,
+	{"region", "JT_REGIONS", SETTING_REPEATED, FIELD(regions), 0, 0, NULL,
 	 false, "DATA-CENTRE:REGION",
 	 "the region of a data centre; may be repeated"},
 	{"log-level", "JT_LOG_LEVEL", SETTING_LEVEL, FIELD(log_level), 0, 0,
--- a/include/common/compress.h
+++ b/include/common/compress.h
@@ -6,7 +6,7 @@
  *	array or map begins with the first byte of the zlib format (RFC 1950).
  *
  * RETURN VALUE
- *	message_expand() returns the decompressed bytes, to be freed with
+ *	message_decompress() returns the decompressed bytes, to be freed with
  *	g_byte_array_unref(), or NULL with RESULT_BAD_MESSAGE when the data is
  *	corrupt or decompresses to more than max_size bytes.
  */
@@ -21,7 +21,7 @@
 /* Compresses the message in place when it has at least min_size bytes. */
 void message_compress(GByteArray *message, size_t min_size);
 /* Copies data that is not compressed as it is, whatever its size. */
-GByteArray *message_expand(const void *data, size_t size, size_t max_size,
-			   struct error *err);
+GByteArray *message_decompress(const void *data, size_t size, size_t max_size,
+			       struct error *err);
 
 #endif
--- a/include/common/counter.h
+++ b/include/common/counter.h
@@ -1,6 +1,5 @@
 /*
- * counter.h - counters, gauges and latency histograms, in the Prometheus text
- *format
+ * counter.h - counters, gauges and histograms in the Prometheus text format
  *
  * DESCRIPTION
  *	A set holds named series. Callers look a series up once, which creates
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -4,16 +4,16 @@
  * DESCRIPTION
  *	A line is "<N>time=... level=... event=... key=value ...", N being the
  *	syslog priority as in syslog(3). Values with spaces, quotes,
- *backslashes,
- *	"=" or control characters are quoted and escaped. The time is read from
- *	the clock given to log_setup(); lines before that call have time=0.
+ *	backslashes, "=" or control characters are quoted and escaped. The time
+ *	is read from the clock given to log_setup(); lines before that call
+ *	have time=0.
  *
- *	Lines are written to standard error at once, unless log_to() has set
- *	another file: then they are buffered and written by log_flush(), which
- *	never blocks. The buffer and the bytes written per second are bounded.
- *	When the reader does not keep up, or there are too many lines, those of
- *	level info and debug are dropped first, and a line log_lines_dropped
- *	gives the number dropped.
+ *	Lines are written to standard error at once, unless log_redirect()
+ *	has set another file: then they are buffered and written by log_flush(),
+ *	which never blocks. The buffer and the bytes written per second are
+ *	bounded. When the reader does not keep up, or there are too many lines,
+ *	those of level info and debug are dropped first, and a line
+ *	log_lines_dropped gives the number dropped.
  *
  *	log_event(LOG_INFO, "lease_renewed", LOG_S("holder", name),
  *		  LOG_D("offset", offset));
@@ -65,7 +65,7 @@
  * logged. */
 void log_setup(const struct clock *clock, const char *program, int level);
 /* Buffers further lines for fd, which is made non-blocking. */
-void log_to(int fd);
+void log_redirect(int fd);
 /* Writes as much of the buffer as fd accepts without blocking. */
 void log_flush(void);
 void log_write(int level, const char *event, const struct log_field *fields);
--- a/include/common/setting.h
+++ b/include/common/setting.h
@@ -32,11 +32,10 @@
 	SETTING_LEVEL, /* int, a syslog priority */
 	SETTING_U32,
 	SETTING_U64,
-	SETTING_MSEC, /* given in ms, stored as int64_t in microseconds */
-	SETTING_REAL, /* double */
-	SETTING_BOOL, /* "yes" or "no" */
-	SETTING_EACH, /* may be repeated; a variable or line separates values
-			 with commas */
+	SETTING_MSEC,	  /* given in ms, stored as int64_t in microseconds */
+	SETTING_REAL,	  /* double */
+	SETTING_BOOL,	  /* "yes" or "no" */
+	SETTING_REPEATED, /* may be repeated */
 };
 
 struct setting {
@@ -58,8 +57,9 @@
 	const char *file; /* settings file, or NULL */
 	const struct setting *table;
 	size_t count;
-	/* Stores one value of a SETTING_EACH setting, identified by its flag;
-	 * NULL when the table has no such setting. */
+	/* Stores one value of a SETTING_REPEATED setting, identified by its
+	 * flag; a variable or line may hold several, separated by commas. NULL
+	 * when the table has no such setting. */
 	bool (*each)(void *target, const char *flag, const char *text,
 		     struct error *err);
 };
--- a/include/common/unpack.h
+++ b/include/common/unpack.h
@@ -19,7 +19,7 @@
 
 /* Whether data is exactly one value whose lengths and counts, taken together,
  * fit into it. */
-bool message_measure(const void *data, size_t size);
+bool message_validate(const void *data, size_t size);
 /* Decodes exactly one value that takes up all of data; returns false with
  * RESULT_BAD_MESSAGE for anything else. The caller initialises result with
  * msgpack_unpacked_init() and destroys it. Strings and binaries point into
--- a/tests/common/test_compress.c
+++ b/tests/common/test_compress.c
@@ -35,7 +35,7 @@
 			g_assert_cmpuint(sent->len, ==, sizes[i]);
 		else
 			g_assert_cmpuint(sent->len, <, sizes[i] / 10);
-		got = message_expand(sent->data, sent->len, MOST, &err);
+		got = message_decompress(sent->data, sent->len, MOST, &err);
 		g_assert_cmpmem(got->data, got->len, whole->data, whole->len);
 	}
 }
@@ -44,7 +44,7 @@
 {
 	struct error err = {0};
 
-	g_assert_null(message_expand(data, size, most, &err));
+	g_assert_null(message_decompress(data, size, most, &err));
 	g_assert_cmpint(err.code, ==, RESULT_BAD_MESSAGE);
 }
 
--- a/tests/common/test_log.c
+++ b/tests/common/test_log.c
@@ -132,7 +132,7 @@
 
 	g_assert_cmpint(pipe2(fds, O_NONBLOCK), ==, 0);
 	log_setup(clock, "p", LOG_INFO);
-	log_to(fds[1]);
+	log_redirect(fds[1]);
 	for (int i = 0; i < 20000; i++)
 		log_event(LOG_INFO, "often", LOG_D("i", i));
 	for (int i = 0; i < 100; i++)
--- a/tests/coord/claim_fleet.c
+++ b/tests/coord/claim_fleet.c
@@ -11,13 +11,13 @@
 
 static void message_arrived(void *data)
 {
-	const struct letter *letter = data;
-	const struct instance *from = letter->from;
-	const struct instance *to = letter->to;
+	const struct packet *packet = data;
+	const struct instance *from = packet->from;
+	const struct instance *to = packet->to;
 
 	if (to->claims)
 		claims_receive(to->claims, from->membership.self.id,
-			       letter->data, letter->size);
+			       packet->data, packet->size);
 }
 
 static void message_send(struct instance *from, struct instance *to,
@@ -27,7 +27,7 @@
 
 	world_post(to->node, world_draw(fleet->world, fleet->link_delay),
 		   message_arrived,
-		   letter_create(from, to, CHANNEL_CLAIM, payload, size),
+		   packet_create(from, to, CHANNEL_CLAIM, payload, size),
 		   g_free, false);
 }
 
@@ -127,8 +127,9 @@
 	struct fleet *fleet = g_new0(struct fleet, 1);
 
 	fleet->world = world_create(seed);
-	fleet->log = fake_log_create(fleet->world->clock, fleet->world->later,
-				     fleet->world->rand);
+	fleet->log =
+		fake_log_create(fleet->world->clock, fleet->world->call_queue,
+				fleet->world->rand);
 	fleet->submissions = g_ptr_array_new_with_free_func(g_free);
 	fleet->link_delay = 2 * USEC_PER_MSEC;
 	fleet->view_lag = 1;
--- a/tests/coord/lease_trial.c
+++ b/tests/coord/lease_trial.c
@@ -103,8 +103,9 @@
 	struct trial *trial = g_new0(struct trial, 1);
 
 	trial->world = world_create(seed);
-	trial->log = fake_log_create(trial->world->clock, trial->world->later,
-				     trial->world->rand);
+	trial->log =
+		fake_log_create(trial->world->clock, trial->world->call_queue,
+				trial->world->rand);
 	for (uint32_t i = 0; i < HOLDERS; i++) {
 		struct holder *holder = &trial->holders[i];
 
--- a/tests/coord/test_claim_schedules.c
+++ b/tests/coord/test_claim_schedules.c
@@ -69,9 +69,9 @@
 	else if (occurs(world, 10))
 		fleet->isolated = 0;
 	if (occurs(world, faults->cuts))
-		instance->client.cut = true;
+		instance->client.partitioned = true;
 	else if (occurs(world, 10))
-		instance->client.cut = false;
+		instance->client.partitioned = false;
 }
 
 static void step_submit(struct fleet *fleet)
@@ -94,7 +94,7 @@
 	fleet->isolated = 0;
 	for (uint32_t i = 0; i < FAKE_MEMBERS; i++) {
 		fleet->instances[i].node->paused = false;
-		fleet->instances[i].client.cut = false;
+		fleet->instances[i].client.partitioned = false;
 		if (!fleet->instances[i].claims)
 			fleet_start(fleet, i);
 	}
@@ -137,7 +137,7 @@
 
 static void test_schedules(void)
 {
-	const struct seeds seeds = seeds_wanted("CLAIM");
+	const struct seeds seeds = seeds_from_env("CLAIM");
 	int winners = 0, silent = 0;
 	bool won;
 
--- a/tests/coord/test_lease.c
+++ b/tests/coord/test_lease.c
@@ -57,7 +57,7 @@
 			holder_start(holder);
 		break;
 	case FAULT_CUT:
-		holder->client.cut = on;
+		holder->client.partitioned = on;
 		break;
 	case FAULT_PAUSE:
 		holder->node->paused = on;
@@ -191,7 +191,7 @@
 	trial_run(trial, 3400 * USEC_PER_MSEC);
 	holder->node->paused = false;
 	trial_run(trial, 300 * USEC_PER_MSEC);
-	holder->client.cut = true;
+	holder->client.partitioned = true;
 	trial_run(trial, 7500 * USEC_PER_MSEC);
 	taker->node->paused = false;
 	trial_run(trial, 500 * USEC_PER_MSEC);
--- a/tests/coord/test_lease_schedules.c
+++ b/tests/coord/test_lease_schedules.c
@@ -28,9 +28,9 @@
 		return;
 	}
 	if (happens(world, rate / 3))
-		holder->client.cut = true;
+		holder->client.partitioned = true;
 	else if (happens(world, 0.5))
-		holder->client.cut = false;
+		holder->client.partitioned = false;
 	if (happens(world, rate))
 		holder->node->paused = true;
 	else if (happens(world, 0.5))
@@ -67,7 +67,7 @@
 		struct holder *holder = &trial->holders[i];
 
 		holder->node->paused = false;
-		holder->client.cut = false;
+		holder->client.partitioned = false;
 		if (!holder->leases)
 			holder_start(holder);
 		if (!holder->wants)
@@ -110,7 +110,7 @@
 
 static void test_schedules(void)
 {
-	const struct seeds seeds = seeds_wanted("LEASE");
+	const struct seeds seeds = seeds_from_env("LEASE");
 	int64_t refused = 0;
 	int taken = 0;
 
--- a/tests/data_centres/site.c
+++ b/tests/data_centres/site.c
@@ -29,16 +29,16 @@
 
 static void letter_arrive(void *data)
 {
-	const struct letter *letter = data;
-	const struct instance *from = letter->from;
-	const struct instance *to = letter->to;
-
-	if (to->up && letter->channel == CHANNEL_MEMBER)
-		membership_receive(to->membership, from->id, letter->data,
-				   letter->size);
-	else if (to->up && letter->channel == CHANNEL_LEDGER)
-		ledger_receive(to->ledger, from->id, letter->data,
-			       letter->size);
+	const struct packet *packet = data;
+	const struct instance *from = packet->from;
+	const struct instance *to = packet->to;
+
+	if (to->up && packet->channel == CHANNEL_MEMBER)
+		membership_receive(to->membership, from->id, packet->data,
+				   packet->size);
+	else if (to->up && packet->channel == CHANNEL_LEDGER)
+		ledger_receive(to->ledger, from->id, packet->data,
+			       packet->size);
 }
 
 static double latency_of(const struct site *site, int from, int to)
@@ -64,7 +64,7 @@
 
 void site_arrives(struct site *site, struct job *job, int64_t delay)
 {
-	later_call(site->later, delay, job_arrive, job, NULL);
+	call_queue_add(site->call_queue, delay, job_arrive, job, NULL);
 }
 
 static struct instance *instance_of(struct site *site, uint64_t id)
@@ -93,9 +93,10 @@
 	if (from->centre != to->centre &&
 	    (site->cut[from->centre] || site->cut[to->centre]))
 		return;
-	later_call(site->later, site_delay(site, from->centre, to->centre),
-		   letter_arrive,
-		   letter_create(from, to, channel, payload, size), g_free);
+	call_queue_add(site->call_queue,
+		       site_delay(site, from->centre, to->centre),
+		       letter_arrive,
+		       packet_create(from, to, channel, payload, size), g_free);
 }
 
 static void changed(void *ctx, const struct member *member,
@@ -262,7 +263,7 @@
 	site->clock = clock_create(USEC_PER_SEC);
 	site->rand = g_rand_new_with_seed(settings->seed);
 	site->jobs = g_ptr_array_new_with_free_func(g_free);
-	site->later = later_create(site->clock);
+	site->call_queue = call_queue_create(site->clock);
 	config_fill(site);
 	for (int c = 0; c < settings->centres; c++)
 		for (int i = 0; i < settings->instances; i++)
@@ -298,7 +299,7 @@
 		for (int i = 0; i < site->settings.instances; i++)
 			if (site->instances[c][i].up)
 				site_kill(site, c, i);
-	later_destroy(site->later);
+	call_queue_destroy(site->call_queue);
 	for (guint i = 0; i < site->jobs->len; i++)
 		timer_stop(&((struct job *)site->jobs->pdata[i])->timer);
 	g_ptr_array_free(site->jobs, TRUE);
--- a/tests/data_centres/site.h
+++ b/tests/data_centres/site.h
@@ -78,7 +78,7 @@
 	uint32_t down[CENTRES_MAX]; /* bit mask of unreachable runners */
 	uint32_t unlisted[CENTRES_MAX];
 	GPtrArray *jobs;
-	struct later *later;
+	struct call_queue *call_queue;
 	uint64_t runs; /* grants */
 	/* Announcements of keys, with all headers. */
 	uint64_t key_messages;
--- a/tests/fake/address_free.c
+++ b/tests/fake/address_free.c
@@ -14,7 +14,7 @@
 	return (127u << 24) | (1u << 22) | ((uint32_t)getpid() & 0x3fffffu);
 }
 
-void address_free(char out[ADDRESS_FREE_MAX])
+void address_pick_unused(char out[ADDRESS_UNUSED_MAX])
 {
 	char host[INET_ADDRSTRLEN];
 	struct sockaddr_in address = {.sin_family = AF_INET};
@@ -25,7 +25,7 @@
 	g_assert_cmpint(bind(fd, (struct sockaddr *)&address, size), ==, 0);
 	getsockname(fd, (struct sockaddr *)&address, &size);
 	inet_ntop(AF_INET, &address.sin_addr, host, sizeof(host));
-	g_snprintf(out, ADDRESS_FREE_MAX, "%s:%d", host,
+	g_snprintf(out, ADDRESS_UNUSED_MAX, "%s:%d", host,
 		   ntohs(address.sin_port));
 	close(fd);
 }
--- a/tests/fake/address_free.h
+++ b/tests/fake/address_free.h
@@ -1,13 +1,13 @@
 /*
- * address_free.h - an unused port on a loopback address of this process
+ * address_pick_unused.h - an unused port on a loopback address of this process
  */
 #ifndef TESTS_FAKE_ADDRESS_FREE_H
 #define TESTS_FAKE_ADDRESS_FREE_H
 
-#define ADDRESS_FREE_MAX 32
+#define ADDRESS_UNUSED_MAX 32
 
 /* Writes an unused UDP address, such as "127.64.62.37:PORT". The port is not
  * kept bound. */
-void address_free(char out[ADDRESS_FREE_MAX]);
+void address_pick_unused(char out[ADDRESS_UNUSED_MAX]);
 
 #endif
--- a/tests/fake/fake_log.c
+++ b/tests/fake/fake_log.c
@@ -78,13 +78,13 @@
 	return stream;
 }
 
-struct fake_log *fake_log_create(struct clock *clock, struct later *later,
-				 GRand *rand)
+struct fake_log *fake_log_create(struct clock *clock,
+				 struct call_queue *call_queue, GRand *rand)
 {
 	struct fake_log *log = g_new0(struct fake_log, 1);
 
 	log->clock = clock;
-	log->later = later;
+	log->call_queue = call_queue;
 	log->rand = rand;
 	log->delay = 10 * USEC_PER_MSEC;
 	log->streams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
@@ -150,8 +150,8 @@
 	struct fake_log *log = append->log;
 
 	if (append->client->silent && append->answer) {
-		later_call(log->later, SILENT_USEC, append_arrived, append,
-			   NULL);
+		call_queue_add(log->call_queue, SILENT_USEC, append_arrived,
+			       append, NULL);
 		return;
 	}
 	if (append->apply && log->outage && log->outage_at_arrival) {
@@ -197,7 +197,8 @@
 
 	late->apply = true;
 	late->answer = false;
-	later_call(late->log->later, delay, append_arrived, late, NULL);
+	call_queue_add(late->log->call_queue, delay, append_arrived, late,
+		       NULL);
 }
 
 /* Draws the fault of an append that would otherwise succeed. */
@@ -205,14 +206,14 @@
 {
 	struct fake_log *log = append->log;
 
-	if (log_chance_permille(log, log->refuse)) {
+	if (log_chance_permille(log, log->refused_permille)) {
 		append->code = RESULT_LOG_DOWN;
 		append->apply = false;
-	} else if (log_chance_permille(log, log->late)) {
+	} else if (log_chance_permille(log, log->late_permille)) {
 		append->code = RESULT_LOG_UNKNOWN;
 		append->apply = false;
 		append_apply_late(append, LATE_USEC);
-	} else if (log_chance_permille(log, log->lose)) {
+	} else if (log_chance_permille(log, log->answer_lost_permille)) {
 		append->code = RESULT_LOG_UNKNOWN;
 	}
 }
@@ -227,7 +228,7 @@
 	log->appends++;
 	append->fn = fn;
 	append->fn_ctx = fn_ctx;
-	append->apply = !log->outage && !client->cut;
+	append->apply = !log->outage && !client->partitioned;
 	append->code = append->apply ? RESULT_OK : RESULT_LOG_DOWN;
 	if (log_chance(log, log->lost_percent)) {
 		append->code = RESULT_LOG_UNKNOWN;
@@ -238,7 +239,8 @@
 	} else if (append->apply) {
 		append_draw_fault(append);
 	}
-	later_call(log->later, log_delay(log), append_arrived, append, NULL);
+	call_queue_add(log->call_queue, log_delay(log), append_arrived, append,
+		       NULL);
 }
 
 static void read_free(void *data)
@@ -284,15 +286,17 @@
 	const GPtrArray *records = stream_get(log, read->stream);
 
 	if (read->client->silent) {
-		later_call(log->later, SILENT_USEC, read_arrived, read, NULL);
+		call_queue_add(log->call_queue, SILENT_USEC, read_arrived, read,
+			       NULL);
 		return;
 	}
-	read->code =
-		log->outage || read->client->cut ? RESULT_LOG_DOWN : RESULT_OK;
+	read->code = log->outage || read->client->partitioned ? RESULT_LOG_DOWN
+							      : RESULT_OK;
 	read_fill(read, records);
 	if (read->code == RESULT_OK && !read->page.count &&
 	    clock_now(log->clock) < read->until) {
-		later_call(log->later, POLL_USEC, read_arrived, read, NULL);
+		call_queue_add(log->call_queue, POLL_USEC, read_arrived, read,
+			       NULL);
 		return;
 	}
 	read->client->post(read->client->node, log_delay(log), read_answer,
@@ -315,7 +319,8 @@
 	read->fn = fn;
 	read->fn_ctx = fn_ctx;
 	read->records = g_array_new(FALSE, FALSE, sizeof(struct log_record));
-	later_call(log->later, log_delay(log), read_arrived, read, NULL);
+	call_queue_add(log->call_queue, log_delay(log), read_arrived, read,
+		       NULL);
 }
 
 struct log_store fake_log_store(struct fake_log_client *client)
--- a/tests/fake/fake_log.h
+++ b/tests/fake/fake_log.h
@@ -17,16 +17,16 @@
 
 struct fake_log {
 	struct clock *clock;
-	struct later *later;
+	struct call_queue *call_queue;
 	GRand *rand;
 	GHashTable *streams; /* name to GPtrArray of struct log_record */
 	int64_t delay;	     /* maximum random delay in each direction */
 	int64_t slow;	     /* added to each random delay */
-	int lost_percent;    /* appends without an answer, applied or not */
+	int lost_percent;    /* appends of unknown result, applied or not */
 	int hole_percent;    /* pages that lack a record */
-	int lose;   /* per thousand: applied, but the result is unknown */
-	int late;   /* per thousand: unknown, and applied seconds later */
-	int refuse; /* per thousand: refused */
+	int answer_lost_permille; /* applied, result unknown */
+	int late_permille;	  /* result unknown, applied seconds later */
+	int refused_permille;	  /* refused, not applied */
 	bool outage;
 	bool outage_at_arrival; /* also fails appends sent before the outage */
 	int64_t retention;	/* 0: unlimited */
@@ -41,12 +41,12 @@
 	void (*post)(void *node, int64_t delay, void (*fn)(void *data),
 		     void *data, GDestroyNotify destroy);
 	void *node;
-	bool cut;    /* this node cannot reach the log */
-	bool silent; /* calls stay unanswered while this is set */
+	bool partitioned; /* this node cannot reach the log */
+	bool silent;	  /* calls stay unanswered while this is set */
 };
 
-struct fake_log *fake_log_create(struct clock *clock, struct later *later,
-				 GRand *rand);
+struct fake_log *fake_log_create(struct clock *clock,
+				 struct call_queue *call_queue, GRand *rand);
 void fake_log_destroy(struct fake_log *log);
 struct log_store fake_log_store(struct fake_log_client *client);
 /* Returns all records of a stream, also those older than the retention. */
--- a/tests/fake/fake_world.c
+++ b/tests/fake/fake_world.c
@@ -14,7 +14,7 @@
 	struct world *world = g_new0(struct world, 1);
 
 	world->clock = clock_create(1700000000 * USEC_PER_SEC);
-	world->later = later_create(world->clock);
+	world->call_queue = call_queue_create(world->clock);
 	world->rand = g_rand_new_with_seed(seed);
 	world->nodes = g_ptr_array_new_with_free_func(g_free);
 	return world;
@@ -27,7 +27,7 @@
 		node_stop(world->nodes->pdata[i]);
 	while (clock_next(world->clock) != CLOCK_NEVER)
 		clock_advance(world->clock, clock_next(world->clock));
-	later_destroy(world->later);
+	call_queue_destroy(world->call_queue);
 	clock_destroy(world->clock);
 	g_ptr_array_free(world->nodes, TRUE);
 	g_rand_free(world->rand);
@@ -129,7 +129,7 @@
 	post->data = data;
 	post->data_free = data_free;
 	post->always = always;
-	later_call(node->world->later, delay, post_due, post, NULL);
+	call_queue_add(node->world->call_queue, delay, post_due, post, NULL);
 }
 
 void node_post(void *node, int64_t delay, void (*fn)(void *data), void *data,
--- a/tests/fake/fake_world.h
+++ b/tests/fake/fake_world.h
@@ -32,7 +32,7 @@
 
 struct world {
 	struct clock *clock;
-	struct later *later;
+	struct call_queue *call_queue;
 	GRand *rand;
 	GPtrArray *nodes;
 	/* Probability, in percent, that a pause fell between a node's reads of
--- a/tests/fake/later.h
+++ b/tests/fake/later.h
@@ -14,13 +14,13 @@
 
 #include "common/clock.h"
 
-struct later;
+struct call_queue;
 
-struct later *later_create(struct clock *clock);
-void later_destroy(struct later *later);
+struct call_queue *call_queue_create(struct clock *clock);
+void call_queue_destroy(struct call_queue *call_queue);
 /* Calls fn(data) once after delay, and then destroy(data) unless destroy is
  * NULL. */
-void later_call(struct later *later, int64_t delay, void (*fn)(void *data),
-		void *data, GDestroyNotify destroy);
+void call_queue_add(struct call_queue *call_queue, int64_t delay,
+		    void (*fn)(void *data), void *data, GDestroyNotify destroy);
 
 #endif
--- a/tests/fake/letter.c
+++ b/tests/fake/letter.c
@@ -3,16 +3,16 @@
 #include <glib.h>
 #include <string.h>
 
-struct letter *letter_create(void *from, void *to, enum channel channel,
+struct packet *packet_create(void *from, void *to, enum channel channel,
 			     const void *payload, size_t size)
 {
-	struct letter *letter = g_malloc(sizeof(*letter) + size);
+	struct packet *packet = g_malloc(sizeof(*packet) + size);
 
-	letter->from = from;
-	letter->to = to;
-	letter->channel = channel;
-	letter->size = size;
+	packet->from = from;
+	packet->to = to;
+	packet->channel = channel;
+	packet->size = size;
 	if (size)
-		memcpy(letter->data, payload, size);
-	return letter;
+		memcpy(packet->data, payload, size);
+	return packet;
 }
--- a/tests/fake/letter.h
+++ b/tests/fake/letter.h
@@ -9,7 +9,7 @@
 
 #include "common/frame.h"
 
-struct letter {
+struct packet {
 	void *from;
 	void *to;
 	enum channel channel;
@@ -18,7 +18,7 @@
 };
 
 /* Copies the payload; freed with g_free(). */
-struct letter *letter_create(void *from, void *to, enum channel channel,
+struct packet *packet_create(void *from, void *to, enum channel channel,
 			     const void *payload, size_t size);
 
 #endif
--- a/tests/fake/seeds.h
+++ b/tests/fake/seeds.h
@@ -6,15 +6,16 @@
 
 #include <stdint.h>
 
-#define SEEDS 1000
+#define SEEDS_DEFAULT 1000
 
 struct seeds {
 	uint32_t first;
 	uint32_t count;
 };
 
-/* Returns SEEDS seeds from 0. The environment variable NAME_SEED selects a
- * first seed and, unless it is 0, a count of one; NAME_COUNT sets the count. */
-struct seeds seeds_wanted(const char *name);
+/* Returns SEEDS_DEFAULT seeds from 0. The environment variable NAME_SEED
+ * selects a first seed and, unless it is 0, a count of one; NAME_COUNT sets the
+ * count. */
+struct seeds seeds_from_env(const char *name);
 
 #endif
--- a/tests/forward/gossip_world.c
+++ b/tests/forward/gossip_world.c
@@ -180,7 +180,7 @@
 	instance->centre = site->count % CENTRES;
 	g_snprintf(instance->name, sizeof(instance->name), "%s%03u",
 		   centres[instance->centre], site->count);
-	address_free(instance->address);
+	address_pick_unused(instance->address);
 	site->count++;
 	instance_start(instance);
 	return instance;
--- a/tests/forward/gossip_world.h
+++ b/tests/forward/gossip_world.h
@@ -26,7 +26,7 @@
 	struct site *site;
 	uint32_t centre;
 	char name[16];
-	char address[ADDRESS_FREE_MAX];
+	char address[ADDRESS_UNUSED_MAX];
 	struct fleet *fleet;
 	struct quarantine *quarantine;
 	struct backpressure *backpressure;
--- a/tests/forward/test_gossip.c
+++ b/tests/forward/test_gossip.c
@@ -14,7 +14,7 @@
 	struct loop *loop;
 	struct fleet *fleets[PEERS];
 	struct gossip *gossips[PEERS];
-	char addresses[PEERS][ADDRESS_FREE_MAX];
+	char addresses[PEERS][ADDRESS_UNUSED_MAX];
 };
 
 /* The instance of a callback. */
@@ -88,7 +88,7 @@
 		};
 		struct error err;
 
-		address_free(site->addresses[i]);
+		address_pick_unused(site->addresses[i]);
 		site->fleets[i] =
 			fleet_create(site->clock, settings.data_centre);
 		server(site, i);
--- a/tests/forward/test_groups.c
+++ b/tests/forward/test_groups.c
@@ -72,7 +72,7 @@
  */
 static void test_nameless_first(void)
 {
-	char address[ADDRESS_FREE_MAX];
+	char address[ADDRESS_UNUSED_MAX];
 	struct gossip_settings settings = {
 		.name = "b", .data_centre = "here", .address = address};
 	struct clock *clock = clock_create(0);
@@ -82,7 +82,7 @@
 	struct gossip *gossip;
 	struct error err;
 
-	address_free(address);
+	address_pick_unused(address);
 	gossip = gossip_create(loop, fleet, &settings,
 			       &(struct gossip_ops){.summary = NULL}, NULL,
 			       &err);
--- a/tests/forward/test_roles.c
+++ b/tests/forward/test_roles.c
@@ -23,7 +23,7 @@
 
 struct site {
 	struct clock *clock;
-	struct later *later;
+	struct call_queue *call_queue;
 	GRand *rand;
 	struct fake_log *log;
 	struct catalog *catalog;
@@ -40,7 +40,7 @@
 {
 	struct decider *decider = node;
 
-	later_call(decider->site->later, delay, fn, data, destroy);
+	call_queue_add(decider->site->call_queue, delay, fn, data, destroy);
 }
 
 static bool decides(void *ctx)
@@ -101,7 +101,7 @@
 		site->orders, "%s:%s>%s ", order->holder, order->to->id,
 		order->stage == STAGE_DECODE ? "decode" : "prefill");
 	g_array_append_val(site->times, now);
-	later_call(site->later, 5000, answer_send, answer, g_free);
+	call_queue_add(site->call_queue, 5000, answer_send, answer, g_free);
 	if (!site->list_stale)
 		runner_put(site, order->to->id, order->stage);
 }
@@ -139,9 +139,9 @@
 	};
 	site->times = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	site->clock = clock_create(0);
-	site->later = later_create(site->clock);
+	site->call_queue = call_queue_create(site->clock);
 	site->rand = g_rand_new_with_seed(4);
-	site->log = fake_log_create(site->clock, site->later, site->rand);
+	site->log = fake_log_create(site->clock, site->call_queue, site->rand);
 	site->log->delay = 4 * USEC_PER_MSEC;
 	site->catalog = catalog_create(1);
 	service = catalog_add_service(site->catalog, "model");
@@ -161,7 +161,7 @@
 	}
 	/* Pending answers arrive after their receiver is gone. */
 	clock_advance(site->clock, clock_now(site->clock) + SECOND);
-	later_destroy(site->later);
+	call_queue_destroy(site->call_queue);
 	fake_log_destroy(site->log);
 	catalog_unref(site->catalog);
 	g_rand_free(site->rand);
@@ -322,7 +322,7 @@
 	site.demand = 33000;
 	runners_put(&site, "p1 d1 d2 d3 d4 d5 d6 d7");
 	wait_usec(&site, 4 * SECOND);
-	site.deciders[0].client.cut = true;
+	site.deciders[0].client.partitioned = true;
 	site.deciders[0].decides = false;
 	site.deciders[1].decides = true;
 	for (int i = 0; i < DECIDERS; i++)
--- a/tests/ledger/world.c
+++ b/tests/ledger/world.c
@@ -33,7 +33,7 @@
 void world_after(struct world *world, int64_t delay, void (*fn)(void *),
 		 void *ctx, GDestroyNotify destroy)
 {
-	later_call(world->later, delay, fn, ctx, destroy);
+	call_queue_add(world->call_queue, delay, fn, ctx, destroy);
 }
 
 static int index_of(struct world *world, uint64_t id)
@@ -47,19 +47,19 @@
 
 static void deliver(void *data)
 {
-	const struct letter *letter = data;
-	const struct instance *from = letter->from;
-	struct instance *to = letter->to;
+	const struct packet *packet = data;
+	const struct instance *from = packet->from;
+	struct instance *to = packet->to;
 
 	if (!to->up)
 		return;
 	if (to->paused)
 		g_queue_push_tail(
 			&to->inbox,
-			g_memdup2(letter, sizeof(*letter) + letter->size));
+			g_memdup2(packet, sizeof(*packet) + packet->size));
 	else
-		ledger_receive(to->ledger, from->id, letter->data,
-			       letter->size);
+		ledger_receive(to->ledger, from->id, packet->data,
+			       packet->size);
 }
 
 static void send(void *ctx, uint64_t instance, enum channel channel,
@@ -68,7 +68,7 @@
 	struct instance *from = ctx;
 	struct world *world = from->world;
 	int to = index_of(world, instance);
-	struct letter *letter;
+	struct packet *packet;
 	int copies = 1;
 
 	if (to < 0 || channel != CHANNEL_LEDGER)
@@ -82,15 +82,15 @@
 		copies += world_chance(world, world->duplicate_rate);
 	}
 	while (copies-- > 0) {
-		letter = letter_create(from, &world->instances[to], channel,
+		packet = packet_create(from, &world->instances[to], channel,
 				       payload, size);
 		if (size > 0 && world_chance(world, world->corruption_rate))
-			letter->data[world_range(world, 0, (int64_t)size)] ^=
+			packet->data[world_range(world, 0, (int64_t)size)] ^=
 				(uint8_t)world_range(world, 1, 256);
 		world_after(world,
 			    world->extra_delay[from->index][to] +
 				    world_range(world, 100, world->delay_max),
-			    deliver, letter, g_free);
+			    deliver, packet, g_free);
 	}
 }
 
@@ -192,7 +192,7 @@
 	world->config = make_config(world, policy, queue_max);
 	world->count = instances;
 	world->jobs = g_ptr_array_new_with_free_func(g_free);
-	world->later = later_create(world->clock);
+	world->call_queue = call_queue_create(world->clock);
 	world->violation = g_string_new(NULL);
 	world->delay_max = 3 * USEC_PER_MSEC;
 	world->poll = 100 * USEC_PER_MSEC;
@@ -237,7 +237,7 @@
 	for (guint i = 0; i < world->jobs->len; i++)
 		timer_stop(&((struct job *)g_ptr_array_index(world->jobs, i))
 				    ->timer);
-	later_destroy(world->later);
+	call_queue_destroy(world->call_queue);
 	for (int i = 0; i < world->count; i++) {
 		struct instance *instance = &world->instances[i];
 
@@ -336,15 +336,15 @@
 void world_resume(struct world *world, int index)
 {
 	struct instance *instance = &world->instances[index];
-	struct letter *letter;
+	struct packet *packet;
 
 	if (!instance->up || !instance->paused)
 		return;
 	instance->paused = false;
 	clock_advance(instance->clock, clock_now(world->clock));
-	while ((letter = g_queue_pop_head(&instance->inbox)) != NULL) {
-		deliver(letter);
-		g_free(letter);
+	while ((packet = g_queue_pop_head(&instance->inbox)) != NULL) {
+		deliver(packet);
+		g_free(packet);
 	}
 	world_after(world, world_range(world, 0, REFUTE_DELAY_MAX_USEC),
 		    refute_death, instance, NULL);
--- a/tests/ledger/world.h
+++ b/tests/ledger/world.h
@@ -121,7 +121,7 @@
 	uint32_t split_brains;
 	uint64_t messages;
 	uint64_t bytes;
-	struct later *later;
+	struct call_queue *call_queue;
 	GString *violation; /* of the first invariant that did not hold */
 };
 
--- a/tests/limit/test_cell_load.c
+++ b/tests/limit/test_cell_load.c
@@ -21,7 +21,7 @@
 	for (int i = 0; i < MEMBERS; i++)
 		if (id_of(names[i]) == instance)
 			g_queue_push_tail(&letters,
-					  letter_create(ctx, (void *)&names[i],
+					  packet_create(ctx, (void *)&names[i],
 							channel, payload,
 							size));
 }
@@ -73,14 +73,14 @@
 
 static void messages_deliver(struct membership *const *members)
 {
-	struct letter *letter;
+	struct packet *packet;
 
-	while ((letter = g_queue_pop_head(&letters))) {
-		const char *const *to = letter->to;
+	while ((packet = g_queue_pop_head(&letters))) {
+		const char *const *to = packet->to;
 
-		membership_receive(members[to - names], id_of(letter->from),
-				   letter->data, letter->size);
-		g_free(letter);
+		membership_receive(members[to - names], id_of(packet->from),
+				   packet->data, packet->size);
+		g_free(packet);
 	}
 }
 
--- a/tests/member/test_fold.c
+++ b/tests/member/test_fold.c
@@ -163,7 +163,7 @@
 	struct attempt *attempt;
 
 	apply_first();
-	run.world->log->lose = 1000;
+	run.world->log->answer_lost_permille = 1000;
 	attempt = apply(1, 1, "second");
 	run_for(SECONDS(2));
 	assert_answered(attempt, RESULT_OK);
@@ -176,10 +176,10 @@
 	struct attempt *attempt;
 
 	apply_first();
-	run.world->log->late = 1000;
+	run.world->log->late_permille = 1000;
 	attempt = apply(1, 1, "second");
 	run_for(SECONDS(1));
-	run.world->log->late = 0;
+	run.world->log->late_permille = 0;
 	run_for(SECONDS(6));
 	assert_answered(attempt, RESULT_OK);
 	g_assert_cmpuint(records_all(), >, 2);
@@ -392,7 +392,7 @@
 		if (!reachable && !fold_reading(fold(i)))
 			reachable = node;
 		else
-			node->client.cut = true;
+			node->client.partitioned = true;
 	}
 	g_assert_nonnull(reachable);
 	run_for(SECONDS(10));
--- a/tests/member/test_fold_schedules.c
+++ b/tests/member/test_fold_schedules.c
@@ -67,13 +67,13 @@
 		log->outage = !log->outage;
 		break;
 	case 1:
-		log->lose = pick(w, 500);
+		log->answer_lost_permille = pick(w, 500);
 		break;
 	case 2:
-		log->late = pick(w, 300);
+		log->late_permille = pick(w, 300);
 		break;
 	case 3:
-		log->refuse = pick(w, 500);
+		log->refused_permille = pick(w, 500);
 		break;
 	case 4:
 		w->nodes[pick(w, w->count)]->client.silent = true;
@@ -166,7 +166,8 @@
 
 	world_heal(w);
 	log->outage = false;
-	log->lose = log->late = log->refuse = 0;
+	log->answer_lost_permille = log->late_permille = log->refused_permille =
+		0;
 	for (int i = 0; i < w->count; i++) {
 		w->nodes[i]->client.silent = false;
 		node_wake(w->nodes[i]);
--- a/tests/member/world.c
+++ b/tests/member/world.c
@@ -54,36 +54,37 @@
 			       void (*fn)(void *data), void *data,
 			       GDestroyNotify destroy)
 {
-	later_call(((struct node *)node)->world->later, delay, delivery_arrive,
-		   delivery_create(node, fn, data, destroy), NULL);
+	call_queue_add(((struct node *)node)->world->call_queue, delay,
+		       delivery_arrive,
+		       delivery_create(node, fn, data, destroy), NULL);
 }
 
 static void letter_deliver(void *data)
 {
-	const struct letter *letter = data;
-	const struct node *from = letter->from;
-	const struct node *to = letter->to;
+	const struct packet *packet = data;
+	const struct node *from = packet->from;
+	const struct node *to = packet->to;
 
-	if (to->up && letter->channel == CHANNEL_MEMBER)
-		membership_receive(to->membership, from->self.id, letter->data,
-				   letter->size);
-	if (to->up && letter->channel == CHANNEL_CONFIG && to->fold)
-		fold_receive(to->fold, from->self.id, letter->data,
-			     letter->size);
+	if (to->up && packet->channel == CHANNEL_MEMBER)
+		membership_receive(to->membership, from->self.id, packet->data,
+				   packet->size);
+	if (to->up && packet->channel == CHANNEL_CONFIG && to->fold)
+		fold_receive(to->fold, from->self.id, packet->data,
+			     packet->size);
 }
 
 static void letter_arrive(void *data)
 {
-	struct letter *letter = data;
-	const struct node *from = letter->from;
-	struct node *to = letter->to;
+	struct packet *packet = data;
+	const struct node *from = packet->from;
+	struct node *to = packet->to;
 
 	if (!to->up || to->world->cut[from->index][to->index]) {
-		g_free(letter);
+		g_free(packet);
 		return;
 	}
-	to->received_bytes += letter->size + WIRE_HEADERS;
-	delivery_arrive(delivery_create(to, letter_deliver, letter, g_free));
+	to->received_bytes += packet->size + WIRE_HEADERS;
+	delivery_arrive(delivery_create(to, letter_deliver, packet, g_free));
 }
 
 static void letter_send(struct node *from, struct node *to,
@@ -91,9 +92,9 @@
 {
 	struct world *w = from->world;
 
-	later_call(w->later, between(w, w->delay_min, w->delay_max),
-		   letter_arrive, letter_create(from, to, channel, data, size),
-		   NULL);
+	call_queue_add(w->call_queue, between(w, w->delay_min, w->delay_max),
+		       letter_arrive,
+		       packet_create(from, to, channel, data, size), NULL);
 }
 
 static void node_send(void *ctx, uint64_t instance, enum channel channel,
@@ -172,8 +173,8 @@
 	w->clock = clock_create(UNIX_ZERO);
 	w->delay_min = 500;
 	w->delay_max = 3000;
-	w->later = later_create(w->clock);
-	w->log = fake_log_create(w->clock, w->later, w->rand);
+	w->call_queue = call_queue_create(w->clock);
+	w->log = fake_log_create(w->clock, w->call_queue, w->rand);
 	w->log->slow = 1 * USEC_PER_MSEC;
 	w->log->delay = 19 * USEC_PER_MSEC;
 	w->log->outage_at_arrival = true;
@@ -203,7 +204,7 @@
 		g_free(w->nodes[i]);
 	}
 	fake_log_destroy(w->log);
-	later_destroy(w->later);
+	call_queue_destroy(w->call_queue);
 	clock_destroy(w->clock);
 	g_rand_free(w->rand);
 	g_free(w);
--- a/tests/member/world.h
+++ b/tests/member/world.h
@@ -60,7 +60,7 @@
 	int duplicate;	   /* per thousand */
 	bool cut[WORLD_MAX][WORLD_MAX]; /* [from][to] */
 	struct membership_settings settings;
-	struct later *later;
+	struct call_queue *call_queue;
 	struct fake_log *log;
 	int64_t clock_behind; /* subtracted from wall clocks at node_start() */
 	/* Called when a node starts, and before it stops. */
--- a/tests/order/world.c
+++ b/tests/order/world.c
@@ -243,8 +243,9 @@
 	struct order_world *world = g_new0(struct order_world, 1);
 
 	world->world = world_create(seed);
-	world->log = fake_log_create(world->world->clock, world->world->later,
-				     world->world->rand);
+	world->log =
+		fake_log_create(world->world->clock, world->world->call_queue,
+				world->world->rand);
 	world->checks_fencing = checks_fencing;
 	world->min_interval = CLOCK_NEVER;
 	world->engine_node = world_add(world->world);
