--- a/common/unpack.c
+++ b/common/unpack.c
@@ -14,11 +14,11 @@
 
 struct item {
 	enum item_kind kind;
-	uint8_t length_bytes; /* of the length that follows the first byte */
-	uint8_t extra;	      /* bytes besides that length */
+	uint8_t length_bytes; /* size of the length after the first byte */
+	uint8_t extra;	      /* further bytes, besides the length */
 };
 
-/* The MessagePack specification's formats 0xc0 to 0xdf. */
+/* Formats 0xc0 to 0xdf of the MessagePack specification. */
 static const struct item formats[32] = {
 	{ITEM_BYTES, 0, 0},    /* nil */
 	{ITEM_RESERVED, 0, 0}, /* never used */
@@ -54,7 +54,8 @@
 	{ITEM_MAP, 4, 0},      /* map 32 */
 };
 
-/* The format of a first byte; size holds a length that is in the byte. */
+/* Returns the format that a first byte selects; size is set to the length that
+ * the byte contains, or to 0. */
 static struct item item_format(uint8_t byte, uint64_t *size)
 {
 	*size = 0;
@@ -70,10 +71,10 @@
 	return (struct item){byte >= 0x90 ? ITEM_ARRAY : ITEM_MAP, 0, 0};
 }
 
-/* Measures one item's own bytes and the items that it holds; false when it
- * does not fit into size. */
+/* Computes the size of one item without its elements, and the number of its
+ * elements. Returns false when the item does not fit into size. */
 static bool item_measure(const uint8_t *data, size_t size, size_t *used,
-			 uint64_t *holds)
+			 uint64_t *elements)
 {
 	uint64_t length;
 	struct item item = item_format(data[0], &length);
@@ -83,11 +84,11 @@
 	for (uint8_t i = 0; i < item.length_bytes; i++)
 		length = length << 8 | data[1 + i];
 	*used = (size_t)1 + item.length_bytes;
-	*holds = 0;
+	*elements = 0;
 	if (item.kind == ITEM_ARRAY)
-		*holds = length;
+		*elements = length;
 	else if (item.kind == ITEM_MAP)
-		*holds = 2 * length;
+		*elements = 2 * length;
 	else if (length + item.extra > size - *used)
 		return false;
 	else
@@ -95,23 +96,23 @@
 	return true;
 }
 
-/* Each item takes a byte at least, so as many may be due as bytes are left. */
-bool message_measure(const void *data, size_t size)
+/* Each item takes at least one byte, so no more items may remain than bytes. */
+bool message_validate(const void *data, size_t size)
 {
 	const uint8_t *at = data;
-	uint64_t due = 1;
+	uint64_t remaining = 1;
 
-	while (due && due <= size) {
-		uint64_t holds;
+	while (remaining && remaining <= size) {
+		uint64_t elements;
 		size_t used;
 
-		if (!item_measure(at, size, &used, &holds))
+		if (!item_measure(at, size, &used, &elements))
 			return false;
 		at += used;
 		size -= used;
-		due += holds - 1;
+		remaining += elements - 1;
 	}
-	return !due && !size;
+	return !remaining && !size;
 }
 
 bool message_unpack(msgpack_unpacked *result, const void *data, size_t size,
@@ -119,12 +120,13 @@
 {
 	size_t used = 0;
 
-	if (message_measure(data, size) &&
+	if (message_validate(data, size) &&
 	    msgpack_unpack_next(result, data, size, &used) ==
 		    MSGPACK_UNPACK_SUCCESS)
 		return true;
 	return error_set(err, RESULT_BAD_MESSAGE,
-			 "%zu bytes are no one MessagePack value", size);
+			 "%zu bytes are not exactly one MessagePack value",
+			 size);
 }
 
 bool unpack_text(const msgpack_object *object, char *text, size_t size)
--- a/tests/common/test_compress.c
+++ b/tests/common/test_compress.c
@@ -1,4 +1,4 @@
-/* Messages that are compressed, and bytes that only look so. */
+/* Compressed and uncompressed messages, and malformed compressed data. */
 #include <glib.h>
 #include <string.h>
 
@@ -14,7 +14,7 @@
 	g_byte_array_set_size(message, size);
 	for (guint i = 0; i < size; i++)
 		message->data[i] = (guint8)(i / 100 % 7);
-	/* As a MessagePack array begins. */
+	/* First byte of a MessagePack array. */
 	if (size > 0)
 		message->data[0] = 0x96;
 	return message;
@@ -35,7 +35,7 @@
 			g_assert_cmpuint(sent->len, ==, sizes[i]);
 		else
 			g_assert_cmpuint(sent->len, <, sizes[i] / 10);
-		got = message_expand(sent->data, sent->len, MOST, &err);
+		got = message_decompress(sent->data, sent->len, MOST, &err);
 		g_assert_cmpmem(got->data, got->len, whole->data, whole->len);
 	}
 }
@@ -44,7 +44,7 @@
 {
 	struct error err = {0};
 
-	g_assert_null(message_expand(data, size, most, &err));
+	g_assert_null(message_decompress(data, size, most, &err));
 	g_assert_cmpint(err.code, ==, RESULT_BAD_MESSAGE);
 }
 
--- a/tests/common/test_log.c
+++ b/tests/common/test_log.c
@@ -1,4 +1,4 @@
-/* The text of log lines. */
+/* Text, levels and bounds of log lines. */
 #include <fcntl.h>
 #include <glib.h>
 #include <string.h>
@@ -67,7 +67,7 @@
 	clock_destroy(clock);
 }
 
-/* A line goes to standard error; one that is too verbose does not. */
+/* Lines go to standard error, except those above the configured level. */
 static void test_write(void)
 {
 	if (g_test_subprocess()) {
@@ -120,19 +120,19 @@
 	return count;
 }
 
-/* A reader that stops reading costs lines, those of level info first, and no
- * time; what was left out is counted. */
+/* When the reader stops, writes do not block. Lines are dropped, those of level
+ * info first, and their number is logged. */
 static void test_bounded(void)
 {
 	struct clock *clock = clock_create(0);
 	g_autofree char *text = NULL;
 	g_autofree char *later = NULL;
 	int fds[2];
-	int64_t left_out = 0;
+	int64_t dropped = 0;
 
 	g_assert_cmpint(pipe2(fds, O_NONBLOCK), ==, 0);
 	log_setup(clock, "p", LOG_INFO);
-	log_to(fds[1]);
+	log_redirect(fds[1]);
 	for (int i = 0; i < 20000; i++)
 		log_event(LOG_INFO, "often", LOG_D("i", i));
 	for (int i = 0; i < 100; i++)
@@ -141,11 +141,11 @@
 	g_assert_cmpuint(strlen(text), <=, 600 << 10);
 	g_assert_cmpuint(lines_count(text, "event=failure"), ==, 100);
 	g_assert_cmpuint(lines_count(text, "event=often"), <, 20000);
-	left_out = 20000 - lines_count(text, "event=often");
+	dropped = 20000 - lines_count(text, "event=often");
 	g_assert_cmpint(
 		g_ascii_strtoll(strstr(text, " lines=") + strlen(" lines="),
 				NULL, 10),
-		==, left_out);
+		==, dropped);
 	clock_advance(clock, 10 * USEC_PER_SEC);
 	log_event(LOG_INFO, "again");
 	later = pipe_read(fds[0]);
@@ -161,7 +161,7 @@
 	g_test_add_func("/log/line", test_line);
 	g_test_add_func("/log/write", test_write);
 	g_test_add_func("/log/level", test_level);
-	/* Last: lines go to the pipe from then on. */
+	/* Must be the last test: it redirects all further lines to a pipe. */
 	g_test_add_func("/log/bounded", test_bounded);
 	return g_test_run();
 }
--- a/tests/fake/fake_log.c
+++ b/tests/fake/fake_log.c
@@ -33,7 +33,7 @@
 	struct log_page page;
 };
 
-static int64_t log_draw(struct fake_log *log, int64_t limit)
+static int64_t log_random(struct fake_log *log, int64_t limit)
 {
 	return (int64_t)(g_rand_double(log->rand) * (double)limit);
 }
@@ -43,7 +43,7 @@
 	return g_rand_int_range(log->rand, 0, 100) < percent;
 }
 
-static bool log_strikes(struct fake_log *log, int per_thousand)
+static bool log_chance_permille(struct fake_log *log, int per_thousand)
 {
 	return per_thousand > 0 &&
 	       g_rand_int_range(log->rand, 0, 1000) < per_thousand;
@@ -51,7 +51,7 @@
 
 static int64_t log_delay(struct fake_log *log)
 {
-	return log->slow + log_draw(log, log->delay);
+	return log->slow + log_random(log, log->delay);
 }
 
 static void record_free(void *data)
@@ -78,13 +78,13 @@
 	return stream;
 }
 
-struct fake_log *fake_log_create(struct clock *clock, struct later *later,
-				 GRand *rand)
+struct fake_log *fake_log_create(struct clock *clock,
+				 struct call_queue *call_queue, GRand *rand)
 {
 	struct fake_log *log = g_new0(struct fake_log, 1);
 
 	log->clock = clock;
-	log->later = later;
+	log->call_queue = call_queue;
 	log->rand = rand;
 	log->delay = 10 * USEC_PER_MSEC;
 	log->streams = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
@@ -150,8 +150,8 @@
 	struct fake_log *log = append->log;
 
 	if (append->client->silent && append->answer) {
-		later_call(log->later, SILENT_USEC, append_arrived, append,
-			   NULL);
+		call_queue_add(log->call_queue, SILENT_USEC, append_arrived,
+			       append, NULL);
 		return;
 	}
 	if (append->apply && log->outage && log->outage_at_arrival) {
@@ -186,8 +186,9 @@
 	return append;
 }
 
-/* As if a copy of the append were still on its way for a while. */
-static void append_later(const struct append *append, int64_t delay)
+/* Applies a copy of the append after the delay, as a network might that holds
+ * it back. */
+static void append_apply_late(const struct append *append, int64_t delay)
 {
 	gsize size;
 	const void *data = g_bytes_get_data(append->data, &size);
@@ -196,22 +197,23 @@
 
 	late->apply = true;
 	late->answer = false;
-	later_call(late->log->later, delay, append_arrived, late, NULL);
+	call_queue_add(late->log->call_queue, delay, append_arrived, late,
+		       NULL);
 }
 
-/* What becomes of an append that the log would take. */
-static void append_faults(struct append *append)
+/* Draws the fault of an append that would otherwise succeed. */
+static void append_draw_fault(struct append *append)
 {
 	struct fake_log *log = append->log;
 
-	if (log_strikes(log, log->refuse)) {
+	if (log_chance_permille(log, log->refused_permille)) {
 		append->code = RESULT_LOG_DOWN;
 		append->apply = false;
-	} else if (log_strikes(log, log->late)) {
+	} else if (log_chance_permille(log, log->late_permille)) {
 		append->code = RESULT_LOG_UNKNOWN;
 		append->apply = false;
-		append_later(append, LATE_USEC);
-	} else if (log_strikes(log, log->lose)) {
+		append_apply_late(append, LATE_USEC);
+	} else if (log_chance_permille(log, log->answer_lost_permille)) {
 		append->code = RESULT_LOG_UNKNOWN;
 	}
 }
@@ -226,17 +228,19 @@
 	log->appends++;
 	append->fn = fn;
 	append->fn_ctx = fn_ctx;
-	append->apply = !log->outage && !client->cut;
+	append->apply = !log->outage && !client->partitioned;
 	append->code = append->apply ? RESULT_OK : RESULT_LOG_DOWN;
 	if (log_chance(log, log->lost_percent)) {
 		append->code = RESULT_LOG_UNKNOWN;
 		append->apply = append->apply && log_chance(log, 50);
 		if (!append->apply && log_chance(log, 50))
-			append_later(append, log_draw(log, 2 * USEC_PER_SEC));
+			append_apply_late(append,
+					  log_random(log, 2 * USEC_PER_SEC));
 	} else if (append->apply) {
-		append_faults(append);
+		append_draw_fault(append);
 	}
-	later_call(log->later, log_delay(log), append_arrived, append, NULL);
+	call_queue_add(log->call_queue, log_delay(log), append_arrived, append,
+		       NULL);
 }
 
 static void read_free(void *data)
@@ -282,15 +286,17 @@
 	const GPtrArray *records = stream_get(log, read->stream);
 
 	if (read->client->silent) {
-		later_call(log->later, SILENT_USEC, read_arrived, read, NULL);
+		call_queue_add(log->call_queue, SILENT_USEC, read_arrived, read,
+			       NULL);
 		return;
 	}
-	read->code =
-		log->outage || read->client->cut ? RESULT_LOG_DOWN : RESULT_OK;
+	read->code = log->outage || read->client->partitioned ? RESULT_LOG_DOWN
+							      : RESULT_OK;
 	read_fill(read, records);
 	if (read->code == RESULT_OK && !read->page.count &&
 	    clock_now(log->clock) < read->until) {
-		later_call(log->later, POLL_USEC, read_arrived, read, NULL);
+		call_queue_add(log->call_queue, POLL_USEC, read_arrived, read,
+			       NULL);
 		return;
 	}
 	read->client->post(read->client->node, log_delay(log), read_answer,
@@ -313,7 +319,8 @@
 	read->fn = fn;
 	read->fn_ctx = fn_ctx;
 	read->records = g_array_new(FALSE, FALSE, sizeof(struct log_record));
-	later_call(log->later, log_delay(log), read_arrived, read, NULL);
+	call_queue_add(log->call_queue, log_delay(log), read_arrived, read,
+		       NULL);
 }
 
 struct log_store fake_log_store(struct fake_log_client *client)
