--- a/coord/lease.c
+++ b/coord/lease.c
@@ -15,7 +15,7 @@
 /* Records read at the start. A lease may have been taken in an earlier record,
  * so a taker waits a full term. */
 #define HISTORY_RECORDS 512u
-/* Tasks tracked from the log before lease_acquire() names them. */
+/* Tasks tracked from the log before lease_acquire() is called for them. */
 #define TASKS_MAX 4096u
 #define ORDER_TIMEOUT_MAX (3600 * USEC_PER_SEC)
 
@@ -93,7 +93,7 @@
 	leases->ops.taken(leases->ctx, lease->task, lease->fence);
 }
 
-/* The record is read back or appended again, whatever the result. */
+/* The result is ignored: appends are retried until a record is read back. */
 static void append_done(void *ctx, enum result_code code, uint64_t offset)
 {
 }
@@ -195,7 +195,7 @@
 	lease_schedule(lease);
 }
 
-/* Another instance's record came first and made ours void. */
+/* The own record is void, as a record of another instance precedes it. */
 static void lease_retry_void(struct lease *lease)
 {
 	struct leases *leases = lease->leases;
--- a/coord/order_site.c
+++ b/coord/order_site.c
@@ -9,7 +9,7 @@
 #define ASSERT_ATTEMPTS_MAX 4u
 /* ORDER_TIMEOUT_USEC is in true time, and the local clock may run fast. */
 #define ORDER_EXPIRY_USEC (ORDER_TIMEOUT_USEC + 1 * USEC_PER_SEC)
-/* A report that is younger than a change by this much shows the change. */
+/* A report that is newer than a change by this much reflects the change. */
 #define REPORT_LAG_USEC (2 * USEC_PER_SEC)
 /* A runner that has not reported for this time is unreachable. */
 #define REPORT_TIMEOUT_USEC (30 * USEC_PER_SEC)
@@ -115,7 +115,7 @@
 	return NULL;
 }
 
-/* Begins with the next runner to be asserted, or ends the step. */
+/* Reads the role of the next runner to be asserted, or ends the step. */
 static void assert_next(struct controller *ctl)
 {
 	guint left = ctl->to_assert->len;
--- a/include/coord/lease.h
+++ b/include/coord/lease.h
@@ -19,9 +19,9 @@
  *	For engines that do not, the next holder also waits for the timeout of
  *	an order.
  *
- *	The result of an append is ignored: a record counts once it has been
- *	read back, and is appended again until then. Leases expire while the log
- *	is down.
+ *	The result of an append is ignored: a record takes effect once it has
+ *	been read back, and until then the append is retried with a backoff.
+ *	While the log is down no lease can be renewed, so all expire.
  *
  *	An order under a lease must be sent in the iteration of the event loop
  *	in which lease_valid() returned true.
@@ -60,7 +60,7 @@
  * that. All users of the log must set the same term before they acquire a
  * lease. */
 void leases_set_term(struct leases *leases, int64_t term_us);
-/* Keeps trying to take and renew the task's lease until lease_release(). */
+/* Takes and renews the task's lease, with retries, until lease_release(). */
 void lease_acquire(struct leases *leases, uint64_t task);
 /* As lease_acquire(), for engines that do not check fencing numbers. An order
  * must take effect within order_timeout_us of being sent, or never. */
--- a/include/coord/limit.h
+++ b/include/coord/limit.h
@@ -130,16 +130,17 @@
 void limit_return(struct limits *limits, int64_t now, uint64_t account,
 		  double units);
 
-/* Copies at most max entries, from where the last call stopped: the own use, or
- * with sums that of the data centre. Returns how many. */
+/* Copies at most max entries, after those of the last call, and returns their
+ * number: the use of this instance, or with sums that of its data centre. */
 uint32_t limit_export(struct limits *limits, int64_t now, bool sums,
 		      struct limit_entry *entries, uint32_t max);
 void limit_merge(struct limits *limits, int64_t now,
 		 const struct limit_source *source,
 		 const struct limit_entry *entry,
 		 const struct limit_allotment *allotment);
-/* Whether so much was used since limit_exported() that entries should be sent
- * before the next regular message. */
+/* Whether entries should be sent before the next regular message: the use of an
+ * account since limit_exported() has reached a fixed part of its burst, and its
+ * bucket is no longer nearly full. Always false with LIMIT_EQUAL. */
 bool limit_urgent(const struct limits *limits);
 /* To be called when the entries of limit_export() were sent to all receivers.
  */
