--- a/include/forward/gossip.h
+++ b/include/forward/gossip.h
@@ -73,7 +73,7 @@
 /* Ten lost datagrams in a row, or five summaries of an idle peer. */
 #define GOSSIP_STALE_USEC (2500 * USEC_PER_MSEC)
 
-/* More than two summaries of an idle peer. */
+/* Longer than two intervals between the summaries of an idle peer. */
 #define GOSSIP_PARTITIONED_USEC (1200 * USEC_PER_MSEC)
 
 /* With n instances each receives such a datagram every 0.5 s on average, so one
@@ -205,8 +205,8 @@
  * one. The own address and known ones are ignored. */
 void gossip_add_peer(struct gossip *gossip, const char *address,
 		     const char *data_centre);
-/* Sorts the peers at once, after all listed instances were added. They are sent
- * a summary at the next interval. */
+/* Recomputes groups, receivers and rank at once, after all listed instances
+ * were added. The peers are sent a summary at the next interval. */
 void gossip_refresh_peers(struct gossip *gossip);
 /* Instances that may share budgets with this one, itself included: those seen
  * within the last 30 s. */
@@ -215,16 +215,17 @@
  * changes once the token buckets are empty. */
 int64_t gossip_interval(const struct gossip *gossip, bool local);
 /* This instance's load on an engine server has changed. Peers are notified at
- * once while the token buckets last, otherwise at the interval. */
+ * once while the token buckets hold tokens, otherwise at the interval. */
 void gossip_load_changed(struct gossip *gossip);
-/* This instance has changed a quarantine entry by a finding of its own. It is
- * sent to all at once. */
+/* This instance has changed a quarantine entry by a finding of its own. The
+ * entry is sent at once to the local peers and the remote receivers. */
 void gossip_quarantine_changed(struct gossip *gossip,
 			       const struct quarantine_entry *entry);
-/* Usage here has grown so that peers need it before the next summary. */
+/* To be called when limit_urgent() is true: sends usage in separate datagrams,
+ * within GOSSIP_USAGE_INTERVAL_USEC, instead of with the next summary. */
 void gossip_usage_changed(struct gossip *gossip);
-/* Whether this instance is the server's home. With may_be false it is no
- * candidate. */
+/* Whether this instance is the server's home. With may_be false it is not
+ * considered as one. */
 bool gossip_is_home(const struct gossip *gossip, uint64_t server,
 		    const char *data_centre, bool may_be);
 /* Sends the request to the server's home; false when this instance is the home.
@@ -242,21 +243,21 @@
 bool gossip_is_local(const struct gossip *gossip, const char *address);
 /* Number of live peers. */
 uint32_t gossip_live_count(const struct gossip *gossip);
-/* Whether there are peers in other data centres and none was seen for
- * GOSSIP_PARTITIONED_USEC: this data centre, or this instance, is partitioned.
- */
+/* Whether this data centre, or this instance, is partitioned: other data
+ * centres are known, but no summary of theirs was received for
+ * GOSSIP_PARTITIONED_USEC or three intervals, whichever is longer. */
 bool gossip_partitioned(const struct gossip *gossip);
 /* Rank of this instance among those that may read the store for others: the
- * number of live peers of the same data centre that precede it, plus one when
- * the lowest instance of another live data centre does. Instances that the
- * store does not answer come last; otherwise the order is that of the names. */
+ * number of live peers of its data centre that precede it, plus one when the
+ * first instance of another live data centre precedes the first of its own.
+ * Instances that reach the store precede those that do not; within each kind
+ * the order is by name. */
 uint32_t gossip_rank(const struct gossip *gossip);
 /* Fills in the rank and the counts that decide when this instance reads the
  * store. */
 void gossip_place(const struct gossip *gossip, struct reader_place *place);
-/* Whether this instance precedes all live ones: by name, and instances that
- * reach the store before those that do not. store_unreachable says which kind
- * this one is. */
+/* Whether this instance precedes all live ones in the order of gossip_rank().
+ * store_unreachable: whether this instance does not reach the store. */
 bool gossip_is_lowest(const struct gossip *gossip, bool store_unreachable);
 /* Sum of this instance's summary and those of all live peers and groups. */
 void gossip_total(const struct gossip *gossip, struct gossip_summary *total);
