--- a/tests/platform/site/site_asks.c
+++ b/tests/platform/site/site_asks.c
@@ -9,7 +9,7 @@
 
 #define DRAIN_USEC (2 * USEC_PER_SEC)
 /* Requests already in transit when a server requests a backoff arrive within
- * BACKOFF_BEGINS_USEC; BACKOFF_REQUESTS more are allowed after it. */
+ * BACKOFF_BEGINS_USEC. BACKOFF_REQUESTS more are allowed after it. */
 #define BACKOFF_BEGINS_USEC (500 * USEC_PER_MSEC)
 #define BACKOFF_REQUESTS 2u
 
--- a/tests/role/remember.c
+++ b/tests/role/remember.c
@@ -50,7 +50,8 @@
 		pressure == ROLE_TO_PREFILL ? r->point + 1 : r->point - 1;
 	bool arrived = r->previous_point != r->point;
 
-	/* P5: the last step left the congestion and gained no throughput. */
+	/* P5: undoes a step that did not relieve the congestion and gained no
+	 * throughput. */
 	if (arrived && r->last == pressure &&
 	    throughput <= r->measured[r->previous_point])
 		return pressure == ROLE_TO_PREFILL ? ROLE_TO_DECODE
--- a/tests/role/remember.h
+++ b/tests/role/remember.h
@@ -1,13 +1,13 @@
 /*
- * remember.h - the controller of a paper, for comparison with role.h
+ * remember.h - a published elastic scaling controller, to compare with role.h
  *
  * DESCRIPTION
  *	Algorithms 2 and 3 of Gedik and others, "Elastic Scaling for Data Stream
  *	Processing", IEEE TPDS 25(6), 2014, extended to two roles. The operating
- *	point is the number of prefill runners. Congestion of a role asks for a
- *	step that gives it a runner, unless the throughput measured there before
- *	was no higher. When congestion or throughput changes at a point, all
- *	measurements are discarded.
+ *	point is the number of prefill runners. When a role is congested, the
+ *	controller moves a runner to it, unless the throughput last measured at
+ *	that point was no higher than now. When congestion or throughput changes
+ *	at a point, all measurements are discarded.
  */
 #ifndef TESTS_ROLE_REMEMBER_H
 #define TESTS_ROLE_REMEMBER_H
@@ -22,7 +22,7 @@
 	double first_measured[ELASTIC_POINTS];
 	uint32_t point;
 	uint32_t previous_point;
-	enum role_move last_pressure; /* move that congestion asked for */
+	enum role_move last_pressure; /* move that helps the congested role */
 	enum role_move last;
 	double sum;
 	uint32_t ticks;
--- a/web/silence.c
+++ b/web/silence.c
@@ -11,7 +11,7 @@
 /* An idle connection is reset after PROBE_AFTER_SEC + PROBES * PROBE_EVERY_SEC.
  * That is longer than the 3.6 s after which a caller abandons a silent stream,
  * so no stream is reset while its caller still waits for it. Without probes, a
- * run on a dead connection held its memory until its time limit of 14 s. */
+ * run on a dead connection holds its memory until its time limit of 14 s. */
 #define PROBE_AFTER_SEC 2
 #define PROBE_EVERY_SEC 1
 #define PROBES 3
