--- a/coord/lease.c
+++ b/coord/lease.c
@@ -17,7 +17,7 @@
 #define HISTORY_RECORDS 512u
 /* Tasks tracked from the log before lease_acquire() is called for them. */
 #define TASKS_MAX 4096u
-#define ORDER_TIMEOUT_MAX (3600 * USEC_PER_SEC)
+#define ORDER_TIMEOUT_MAX_USEC (3600 * USEC_PER_SEC)
 
 struct lease {
 	struct leases *leases;
@@ -393,7 +393,8 @@
 	if (lease->wanted)
 		return;
 	lease->wanted = true;
-	lease->order_timeout = CLAMP(order_timeout_us, 0, ORDER_TIMEOUT_MAX);
+	lease->order_timeout =
+		CLAMP(order_timeout_us, 0, ORDER_TIMEOUT_MAX_USEC);
 	lease_schedule(lease);
 }
 
