--- a/forward/gossip_permits.c
+++ b/forward/gossip_permits.c
@@ -58,14 +58,14 @@
 }
 
 static struct home home_find(const struct gossip *gossip, uint64_t server,
-			     const char *data_centre, bool may_be)
+			     const char *data_centre, bool eligible)
 {
 	bool here = group_within(gossip->group, data_centre);
 	struct home home = {.server = server};
 	const struct group_state *group;
 	GHashTableIter iter;
 
-	if (here && may_be)
+	if (here && eligible)
 		home_consider(&home, gossip->key, NULL);
 	if (here)
 		home_consider_peers(gossip, &home, gossip->local);
@@ -75,7 +75,7 @@
 			home_consider_peers(gossip, &home, group->peers);
 	if (home.found)
 		return home;
-	if (may_be)
+	if (eligible)
 		home_consider(&home, gossip->key, NULL);
 	home_consider_peers(gossip, &home, gossip->local);
 	home_consider_peers(gossip, &home, gossip->remote);
@@ -83,9 +83,9 @@
 }
 
 bool gossip_is_home(const struct gossip *gossip, uint64_t server,
-		    const char *data_centre, bool may_be)
+		    const char *data_centre, bool eligible)
 {
-	return !home_find(gossip, server, data_centre, may_be).peer;
+	return !home_find(gossip, server, data_centre, eligible).peer;
 }
 
 /* ---- permits ---- */
@@ -102,10 +102,10 @@
 
 bool gossip_request_permit(struct gossip *gossip,
 			   const struct permit_request *request,
-			   const char *data_centre, bool may_be)
+			   const char *data_centre, bool eligible)
 {
 	struct home home =
-		home_find(gossip, request->fact.server, data_centre, may_be);
+		home_find(gossip, request->fact.server, data_centre, eligible);
 	struct gossip_message message;
 
 	if (!home.peer)
--- a/include/forward/gossip.h
+++ b/include/forward/gossip.h
@@ -169,12 +169,12 @@
 	/* Copies the next entries to send, up to the given maximum; returns
 	 * their number. */
 	uint32_t (*quarantine_next)(void *ctx, struct quarantine_entry *entries,
-				    uint32_t most);
+				    uint32_t max);
 	/* Usage of allotments: to send, as limit_export(); sent to all, as
 	 * limit_exported(); and received from a peer. NULL without allotments.
 	 */
 	uint32_t (*usage)(void *ctx, bool sums, struct limit_entry *entries,
-			  uint32_t most);
+			  uint32_t max);
 	void (*usage_sent)(void *ctx);
 	void (*usage_received)(void *ctx, const struct limit_source *source,
 			       const struct limit_entry *entry);
@@ -184,7 +184,7 @@
 	/* Facts to send, as backpressure_export(), and a fact received from a
 	 * peer. NULL: none. */
 	uint32_t (*facts)(void *ctx, struct backpressure_fact *facts,
-			  uint32_t most);
+			  uint32_t max);
 	void (*fact_received)(void *ctx, const struct backpressure_fact *fact);
 	/* A peer requests a permit; fills in granted and retry_usec. NULL:
 	 * requests are not answered. */
@@ -224,15 +224,15 @@
 /* To be called when limit_urgent() is true: sends usage in separate datagrams,
  * within GOSSIP_USAGE_INTERVAL_USEC, instead of with the next summary. */
 void gossip_usage_changed(struct gossip *gossip);
-/* Whether this instance is the server's home. With may_be false it is not
+/* Whether this instance is the server's home. With eligible false it is not
  * considered as one. */
 bool gossip_is_home(const struct gossip *gossip, uint64_t server,
-		    const char *data_centre, bool may_be);
+		    const char *data_centre, bool eligible);
 /* Sends the request to the server's home; false when this instance is the home.
  */
 bool gossip_request_permit(struct gossip *gossip,
 			   const struct permit_request *request,
-			   const char *data_centre, bool may_be);
+			   const char *data_centre, bool eligible);
 /* Recent mean delay, in microseconds, until a load change was sent to local or
  * remote peers. Received loads are about as old. */
 int64_t gossip_delay(const struct gossip *gossip, bool local);
