--- a/tests/coord/test_quarantine.c
+++ b/tests/coord/test_quarantine.c
@@ -244,11 +244,11 @@
 	const struct fingerprint_part empty[] = {
 		{"POST", 4}, {"/a", 2}, {NULL, 0}};
 	struct request_fingerprint a = fingerprint_of(one, 3);
-	struct request_fingerprint again = fingerprint_of(one, 3);
+	struct request_fingerprint same = fingerprint_of(one, 3);
 	struct request_fingerprint b = fingerprint_of(moved, 3);
 	struct request_fingerprint c = fingerprint_of(empty, 3);
 
-	g_assert_true(fingerprint_same(&a, &again));
+	g_assert_true(fingerprint_same(&a, &same));
 	g_assert_false(fingerprint_same(&a, &b));
 	g_assert_false(fingerprint_same(&a, &c));
 	g_assert_cmpuint(keyed_hash_of(one, 3, 7), ==,
--- a/tests/forward/gossip_world.c
+++ b/tests/forward/gossip_world.c
@@ -39,19 +39,19 @@
 }
 
 static uint32_t quarantine_entries(void *ctx, struct quarantine_entry *entries,
-				   uint32_t most)
+				   uint32_t max)
 {
 	const struct instance *instance = ctx;
 
-	return quarantine_next(instance->quarantine, entries, most);
+	return quarantine_next(instance->quarantine, entries, max);
 }
 
-static uint32_t facts(void *ctx, struct backpressure_fact *out, uint32_t most)
+static uint32_t facts(void *ctx, struct backpressure_fact *out, uint32_t max)
 {
 	const struct instance *instance = ctx;
 
 	return backpressure_export(instance->backpressure,
-				   clock_now(instance->site->clock), out, most);
+				   clock_now(instance->site->clock), out, max);
 }
 
 static void fact_received(void *ctx, const struct backpressure_fact *fact)
@@ -70,18 +70,18 @@
 	       backpressure_grant(instance->backpressure, now, key, retry);
 }
 
-static void permit_requested(void *ctx, const struct permit_request *ask,
+static void permit_requested(void *ctx, const struct permit_request *request,
 			     struct permit_answer *answer)
 {
 	struct instance *instance = ctx;
 	const struct backend *backend =
-		fleet_find(instance->fleet, ask->fact.server);
+		fleet_find(instance->fleet, request->fact.server);
 
-	fact_received(ctx, &ask->fact);
+	fact_received(ctx, &request->fact);
 	answer->granted =
-		gossip_is_home(instance->gossip, ask->fact.server,
+		gossip_is_home(instance->gossip, request->fact.server,
 			       backend->info.data_centre, true) &&
-		grant(instance, ask->fact.server, &answer->retry_usec);
+		grant(instance, request->fact.server, &answer->retry_usec);
 }
 
 static void permit_answered(void *ctx, const struct permit_answer *answer)
@@ -95,15 +95,15 @@
 bool permit(struct instance *instance, uint32_t centre)
 {
 	uint64_t key = server(instance, centre)->key;
-	struct permit_request ask = {.id = 1};
+	struct permit_request request = {.id = 1};
 	int64_t retry;
 
 	if (backpressure_limit(instance->backpressure, key) < 0.0 ||
 	    !backpressure_find(instance->backpressure,
 			       clock_now(instance->site->clock), key,
-			       &ask.fact))
+			       &request.fact))
 		return true;
-	if (gossip_request_permit(instance->gossip, &ask, centres[centre],
+	if (gossip_request_permit(instance->gossip, &request, centres[centre],
 				  true))
 		return false;
 	return grant(instance, key, &retry);
