--- a/web/silence.c
+++ b/web/silence.c
@@ -8,14 +8,15 @@
 
 #include "common/log.h"
 
-/* An idle connection is reset after PROBE_AFTER_SEC + PROBES * PROBE_EVERY_SEC.
- * That is longer than the 3.6 s after which a caller abandons a silent stream,
- * so no stream is reset while its caller still waits for it. Without probes, a
- * run on a dead connection holds its memory until its time limit of 14 s. */
-#define PROBE_AFTER_SEC 2
-#define PROBE_EVERY_SEC 1
-#define PROBES 3
-#define UNANSWERED_MSEC 5000
+/* An idle connection is reset after KEEPALIVE_IDLE_SEC and KEEPALIVE_PROBES
+ * intervals of KEEPALIVE_INTERVAL_SEC. That is longer than the 3.6 s after
+ * which a caller abandons a silent stream, so no stream is reset while its
+ * caller still waits for it. Without probes, a run on a dead connection holds
+ * its memory until its time limit of 14 s. */
+#define KEEPALIVE_IDLE_SEC 2
+#define KEEPALIVE_INTERVAL_SEC 1
+#define KEEPALIVE_PROBES 3
+#define USER_TIMEOUT_MSEC 5000
 
 static void option_set(int fd, int level, int name, int value)
 {
@@ -27,8 +28,8 @@
 void keepalive_enable(int fd)
 {
 	option_set(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-	option_set(fd, IPPROTO_TCP, TCP_KEEPIDLE, PROBE_AFTER_SEC);
-	option_set(fd, IPPROTO_TCP, TCP_KEEPINTVL, PROBE_EVERY_SEC);
-	option_set(fd, IPPROTO_TCP, TCP_KEEPCNT, PROBES);
-	option_set(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNANSWERED_MSEC);
+	option_set(fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_SEC);
+	option_set(fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SEC);
+	option_set(fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES);
+	option_set(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MSEC);
 }
