--- a/tests/platform/site/site.h
+++ b/tests/platform/site/site.h
@@ -93,8 +93,8 @@
 	int64_t limited_at;
 	GArray *arrivals; /* int64_t, since the limit applies */
 	bool leaving_by_answer;
-	int64_t said_leaving_at; /* first time; 0: not yet */
-	double backoff_sec;	 /* requested; 0: none */
+	int64_t leaving_announced_at; /* first time; 0: not yet */
+	double backoff_sec;	      /* requested; 0: none */
 	int64_t backoff_from;
 	int64_t backoff_until;
 	uint32_t backoff_arrivals;
--- a/tests/platform/site/site_asks.c
+++ b/tests/platform/site/site_asks.c
@@ -7,11 +7,11 @@
 #define LIMIT_TOLERANCE 1.5
 #define LIMIT_BURST 5.0
 
-#define DRAIN_USEC (2 * USEC_PER_SEC)
+#define LEAVING_GRACE_USEC (2 * USEC_PER_SEC)
 /* Requests already in transit when a server requests a backoff arrive within
- * BACKOFF_BEGINS_USEC. BACKOFF_REQUESTS more are allowed after it. */
-#define BACKOFF_BEGINS_USEC (500 * USEC_PER_MSEC)
-#define BACKOFF_REQUESTS 2u
+ * BACKOFF_GRACE_USEC. BACKOFF_REQUESTS_MAX more are allowed after it. */
+#define BACKOFF_GRACE_USEC (500 * USEC_PER_MSEC)
+#define BACKOFF_REQUESTS_MAX 2u
 
 void signals_add_headers(struct server *server, struct web_request *request)
 {
@@ -23,8 +23,8 @@
 	}
 	if (server->leaving_by_answer) {
 		web_reply_header(request, "server-leaving", "1");
-		if (server->said_leaving_at == 0)
-			server->said_leaving_at =
+		if (server->leaving_announced_at == 0)
+			server->leaving_announced_at =
 				clock_now(server->site->clock);
 	}
 }
@@ -38,7 +38,7 @@
 	web_reply_header(request, "retry-after", text);
 	if (now < server->backoff_until)
 		return;
-	server->backoff_from = now + BACKOFF_BEGINS_USEC;
+	server->backoff_from = now + BACKOFF_GRACE_USEC;
 	server->backoff_until =
 		now + (int64_t)(server->backoff_sec * (double)USEC_PER_SEC);
 	server->backoff_arrivals = 0;
@@ -77,11 +77,11 @@
 	int64_t now = clock_now(server->site->clock);
 
 	limit_check(server, now);
-	if (server->said_leaving_at != 0 &&
-	    now - server->said_leaving_at > DRAIN_USEC)
+	if (server->leaving_announced_at != 0 &&
+	    now - server->leaving_announced_at > LEAVING_GRACE_USEC)
 		server->site->ledger.after_leaving++;
 	if (now >= server->backoff_from && now < server->backoff_until &&
-	    ++server->backoff_arrivals > BACKOFF_REQUESTS)
+	    ++server->backoff_arrivals > BACKOFF_REQUESTS_MAX)
 		server->site->ledger.in_backoff++;
 }
 
@@ -89,7 +89,7 @@
 {
 	signals_set_limit(server, -1.0);
 	server->leaving_by_answer = false;
-	server->said_leaving_at = 0;
+	server->leaving_announced_at = 0;
 	server->backoff_sec = 0.0;
 	server->backoff_until = 0;
 }
