--- a/tests/role/remember.h
+++ b/tests/role/remember.h
@@ -23,11 +23,11 @@
 	uint32_t point;
 	uint32_t previous_point;
 	enum role_move last_pressure; /* move that helps the congested role */
-	enum role_move last;
+	enum role_move last_move;
 	double sum;
 	uint32_t ticks;
 	int64_t period_end;
-	int64_t rest_until;
+	int64_t dwell_until;
 };
 
 void elastic_init(struct elastic *elastic);
