--- a/coord/order_site.c
+++ b/coord/order_controller.c
@@ -1,5 +1,5 @@
 /*
- * order_site.c - the steps of a role change while the lease is held
+ * order_controller.c - the steps of a role change while the lease is held
  */
 #include "order_private.h"
 
--- a/coord/order_private.h
+++ b/coord/order_private.h
@@ -1,5 +1,6 @@
 /*
- * order_private.h - the controller of one cell, for order.c and order_site.c
+ * order_private.h - the controller of one cell, for order.c and
+ * order_controller.c
  */
 #ifndef COORD_ORDER_PRIVATE_H
 #define COORD_ORDER_PRIVATE_H
