--- a/tests/role/remember.c
+++ b/tests/role/elastic.c
@@ -1,4 +1,4 @@
-#include "remember.h"
+#include "elastic.h"
 
 #include <math.h>
 
--- a/tests/role/remember.h
+++ b/tests/role/elastic.h
@@ -1,5 +1,5 @@
 /*
- * remember.h - a published elastic scaling controller, to compare with role.h
+ * elastic.h - a published elastic scaling controller, to compare with role.h
  *
  * DESCRIPTION
  *	Algorithms 2 and 3 of Gedik and others, "Elastic Scaling for Data Stream
@@ -9,8 +9,8 @@
  *	that point was no higher than now. When congestion or throughput changes
  *	at a point, all measurements are discarded.
  */
-#ifndef TESTS_ROLE_REMEMBER_H
-#define TESTS_ROLE_REMEMBER_H
+#ifndef TESTS_ROLE_ELASTIC_H
+#define TESTS_ROLE_ELASTIC_H
 
 #include "coord/role.h"
 
--- a/tests/role/model.c
+++ b/tests/role/model.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <math.h>
 
-#include "remember.h"
+#include "elastic.h"
 
 #define SECONDS 4800
 #define STEP_USEC (100 * USEC_PER_MSEC)
