--- a/tests/web/test_silence.c
+++ b/tests/web/test_silence.c
@@ -5,7 +5,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "../../web/silence.h"
+#include "../../web/keepalive.h"
 
 static int option(int fd, int level, int name)
 {
--- a/web/call.c
+++ b/web/call.c
@@ -4,7 +4,7 @@
 #include <sys/socket.h>
 
 #include "head.h"
-#include "silence.h"
+#include "keepalive.h"
 
 #define HEADERS_MAX 100
 #define CONNECT_USEC (3 * USEC_PER_SEC)
--- a/web/silence.c
+++ b/web/keepalive.c
@@ -1,4 +1,4 @@
-#include "silence.h"
+#include "keepalive.h"
 
 #include <errno.h>
 #include <netinet/in.h>
--- a/web/server.c
+++ b/web/server.c
@@ -7,8 +7,8 @@
 #include "common/address.h"
 #include "common/clock.h"
 #include "common/error.h"
+#include "keepalive.h"
 #include "request.h"
-#include "silence.h"
 
 #ifdef __SANITIZE_ADDRESS__
 #include <sanitizer/lsan_interface.h>
