--- a/tests/platform/site/site.h
+++ b/tests/platform/site/site.h
@@ -160,7 +160,7 @@
 			   enum stage stage);
 void server_heartbeat(struct server *server);
 
-/* site_asks.c */
+/* site_signals.c */
 /* Adds the server's limit and leaving headers to an answer. */
 void signals_add_headers(struct server *server, struct web_request *request);
 /* Adds a Retry-After header. */
