--- a/entry/request_plain.c
+++ b/entry/request_plain.c
@@ -107,22 +107,23 @@
 static void call_retry(struct request *request, enum result_code code,
 		       const char *text)
 {
-	uint32_t tries = ++request->attempts;
-	bool again = request->idempotent || !request->reached;
+	uint32_t attempts = ++request->attempts;
+	bool repeatable = request->idempotent || !request->reached;
 
 	request->last_code = code;
 	log_event(LOG_NOTICE, "attempt_failed", LOG_X("request", request->id),
 		  LOG_S("service", request->service.name),
-		  LOG_D("attempt", tries), LOG_S("code", result_label(code)),
+		  LOG_D("attempt", attempts), LOG_S("code", result_label(code)),
 		  LOG_S("text", text));
-	if (!again || tries >= ATTEMPTS_MAX || !requests_may_retry(request)) {
+	if (!repeatable || attempts >= ATTEMPTS_MAX ||
+	    !requests_may_retry(request)) {
 		request_fail(request, code, USEC_PER_SEC, text);
 		return;
 	}
 	request->state = REQUEST_CALLING;
 	timer_start(&request->timer,
-		    retry_backoff(request->entry->rand, tries, RETRY_BASE_USEC,
-				  RETRY_MAX_USEC));
+		    retry_backoff(request->entry->rand, attempts,
+				  RETRY_BASE_USEC, RETRY_MAX_USEC));
 }
 
 static enum result_code failure_code(const struct web_result *result)
