--- a/tests/session/http.c
+++ b/tests/session/http.c
@@ -17,7 +17,7 @@
 	GString *body;
 	int status;
 	bool ended;
-	bool whole;
+	bool complete;
 	bool hung_up;
 };
 
@@ -62,7 +62,7 @@
 
 	call->http = NULL;
 	call->ended = true;
-	call->whole = result->ok;
+	call->complete = result->ok;
 }
 
 void call_free(void *data)
@@ -78,7 +78,7 @@
 }
 
 /* Takes "name:value" words off argv; returns how many. */
-static size_t headers_take(int argc, char **argv, struct web_header *headers)
+static size_t headers_parse(int argc, char **argv, struct web_header *headers)
 {
 	size_t count = 0;
 
@@ -96,7 +96,7 @@
 }
 
 /* "@FILE" stands for what is in the file; NULL when it cannot be read. */
-static char *body_take(const char *text)
+static char *body_load(const char *text)
 {
 	char *body = NULL;
 
@@ -113,8 +113,8 @@
 	struct web_header headers[HEADERS_MAX];
 	struct web_call_spec spec = {
 		.headers = headers,
-		.head_usec = SESSION_BOUND_SEC * USEC_PER_SEC,
-		.idle_usec = SESSION_BOUND_SEC * USEC_PER_SEC,
+		.head_usec = SESSION_TIMEOUT_SEC * USEC_PER_SEC,
+		.idle_usec = SESSION_TIMEOUT_SEC * USEC_PER_SEC,
 	};
 	struct call *call;
 	char *body;
@@ -126,9 +126,9 @@
 	spec.method = argv[2];
 	spec.address = argv[3];
 	spec.path = argv[4];
-	spec.header_count = headers_take(argc - 5, argv + 5, headers);
+	spec.header_count = headers_parse(argc - 5, argv + 5, headers);
 	rest = 5 + (int)spec.header_count;
-	body = body_take(rest < argc ? argv[rest] : "");
+	body = body_load(rest < argc ? argv[rest] : "");
 	if (body == NULL)
 		return session_fail(session, "%s: cannot read", argv[rest]);
 	spec.body = body;
@@ -161,33 +161,34 @@
 	return call->ended;
 }
 
-struct lines {
+struct event_wait {
 	const struct call *call;
 	int64_t count;
 };
 
-static bool lines_seen(void *ctx)
+static bool events_received(void *ctx)
 {
-	struct lines *lines = ctx;
-	const char *at = lines->call->body->str;
+	struct event_wait *wait = ctx;
+	const char *at = wait->call->body->str;
 	int64_t count = 0;
 
 	while ((at = strstr(at, "data: ")) != NULL) {
 		at += strlen("data: ");
 		count++;
 	}
-	return count >= lines->count || lines->call->ended;
+	return count >= wait->count || wait->call->ended;
 }
 
 /* await NAME N: until N events have come. */
 bool http_await(struct session *session, int argc, char **argv)
 {
-	struct lines lines = {.call = call_find(session, argv[1])};
+	struct event_wait wait = {.call = call_find(session, argv[1])};
 
-	if (lines.call == NULL || argc < 3)
+	if (wait.call == NULL || argc < 3)
 		return false;
-	lines.count = g_ascii_strtoll(argv[2], NULL, 10);
-	if (!session_until(session, lines_seen, &lines) || lines.call->ended)
+	wait.count = g_ascii_strtoll(argv[2], NULL, 10);
+	if (!session_wait_until(session, events_received, &wait) ||
+	    wait.call->ended)
 		return session_fail(session, "%s: too few events", argv[1]);
 	return true;
 }
@@ -226,10 +227,10 @@
 
 	if (call == NULL)
 		return false;
-	if (!session_until(session, call_ended, call))
+	if (!session_wait_until(session, call_ended, call))
 		return session_fail(session, "%s is not answered", argv[1]);
 	status = g_strdup_printf("status %d%s", call->status,
-				 call->whole ? "" : ", not whole");
+				 call->complete ? "" : ", not whole");
 	session_show(session, status);
 	g_free(status);
 	session_show(session, call->head->str);
@@ -254,7 +255,8 @@
 	for (int i = 1; ok && i < argc; i++) {
 		struct call *call = call_find(session, argv[i]);
 
-		ok = call != NULL && session_until(session, call_ended, call);
+		ok = call != NULL &&
+		     session_wait_until(session, call_ended, call);
 		if (ok)
 			g_ptr_array_add(lines,
 					g_strdup_printf("status %d\n%s",
@@ -319,11 +321,11 @@
 
 	web_fetch(session->client, &spec, BODY_MAX, fetch_answered, &fetch);
 	while (!fetch.ended)
-		session_until(session, fetch_ended, &fetch);
+		session_wait_until(session, fetch_ended, &fetch);
 	return fetch.json;
 }
 
-static bool number_holds(int64_t value, const char *op, int64_t other)
+static bool number_compare(int64_t value, const char *op, int64_t other)
 {
 	if (strcmp(op, "==") == 0)
 		return value == other;
@@ -332,7 +334,7 @@
 	return strcmp(op, "<=") == 0 && value <= other;
 }
 
-static int64_t sum_fetch(struct session *session, const char *addresses,
+static int64_t fetch_sum(struct session *session, const char *addresses,
 			 const char *path, const char *query)
 {
 	char **list = g_strsplit(addresses, ",", -1);
@@ -348,31 +350,31 @@
 	return sum;
 }
 
-static bool time_passed(void *ctx)
+static bool timer_expired(void *ctx)
 {
 	const struct timer *timer = ctx;
 
 	return !timer_running(timer);
 }
 
-static void timer_nothing(struct timer *timer, void *ctx)
+static void timer_noop(struct timer *timer, void *ctx)
 {
 }
 
-static void pause_between(struct session *session)
+static void poll_pause(struct session *session)
 {
 	struct timer timer;
 
-	timer_init(&timer, session->clock, timer_nothing, NULL);
+	timer_init(&timer, session->clock, timer_noop, NULL);
 	timer_start(&timer, POLL_USEC);
-	session_until(session, time_passed, &timer);
+	session_wait_until(session, timer_expired, &timer);
 }
 
 /* poll ADDRESS,... PATH QUERY ==|>=|<= NUMBER: until the sum is so. */
 bool http_poll(struct session *session, int argc, char **argv)
 {
 	int64_t end =
-		clock_now(session->clock) + SESSION_BOUND_SEC * USEC_PER_SEC;
+		clock_now(session->clock) + SESSION_TIMEOUT_SEC * USEC_PER_SEC;
 	int64_t wanted;
 	int64_t value;
 
@@ -381,13 +383,13 @@
 					     "==|>=|<= NUMBER");
 	wanted = g_ascii_strtoll(argv[5], NULL, 10);
 	for (;;) {
-		value = sum_fetch(session, argv[1], argv[2], argv[3]);
-		if (number_holds(value, argv[4], wanted))
+		value = fetch_sum(session, argv[1], argv[2], argv[3]);
+		if (number_compare(value, argv[4], wanted))
 			return true;
 		if (clock_now(session->clock) > end)
 			return session_fail(session, "%s is %" G_GINT64_FORMAT,
 					    argv[3], value);
-		pause_between(session);
+		poll_pause(session);
 	}
 }
 
@@ -415,13 +417,13 @@
 	g_hash_table_replace(
 		session->variables, g_strdup(argv[1]),
 		g_strdup_printf("%" G_GINT64_FORMAT,
-				sum_fetch(session, argv[2], argv[3], argv[4])));
+				fetch_sum(session, argv[2], argv[3], argv[4])));
 	return true;
 }
 
 /* All addresses answer with the same member, which is not missing. */
-static bool members_same(struct session *session, const char *addresses,
-			 const char *path, const char *member)
+static bool members_equal(struct session *session, const char *addresses,
+			  const char *path, const char *member)
 {
 	char **list = g_strsplit(addresses, ",", -1);
 	json_t *first = NULL;
@@ -446,14 +448,14 @@
 bool http_same(struct session *session, int argc, char **argv)
 {
 	int64_t end =
-		clock_now(session->clock) + SESSION_BOUND_SEC * USEC_PER_SEC;
+		clock_now(session->clock) + SESSION_TIMEOUT_SEC * USEC_PER_SEC;
 
 	if (argc != 4)
 		return session_fail(session, "same ADDRESS,... PATH MEMBER");
-	while (!members_same(session, argv[1], argv[2], argv[3])) {
+	while (!members_equal(session, argv[1], argv[2], argv[3])) {
 		if (clock_now(session->clock) > end)
 			return session_fail(session, "%s differs", argv[3]);
-		pause_between(session);
+		poll_pause(session);
 	}
 	return true;
 }
--- a/tests/session/normal.c
+++ b/tests/session/normal.c
@@ -5,7 +5,7 @@
 /* What differs from run to run. */
 static const struct {
 	const char *pattern;
-	const char *with;
+	const char *replacement;
 } rules[] = {
 	{"127\\.0\\.0\\.1:\\d+", "<address>"},
 	{"\\b(cmpl|chatcmpl)-[0-9a-f]{16}\\b", "\\1-<id>"},
@@ -31,30 +31,30 @@
 	g_hash_table_iter_init(&iter, session->variables);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		char **parts;
-		char *with;
+		char *replacement;
 
 		/* Numbers and words stand for nothing but themselves. */
 		if (strpbrk(value, ":/") == NULL ||
 		    strpbrk(value, " ,") != NULL)
 			continue;
 		parts = g_strsplit(text, value, -1);
-		with = g_strdup_printf("<%s>", (char *)name);
+		replacement = g_strdup_printf("<%s>", (char *)name);
 		g_free(text);
-		text = g_strjoinv(with, parts);
+		text = g_strjoinv(replacement, parts);
 		g_strfreev(parts);
-		g_free(with);
+		g_free(replacement);
 	}
 	return text;
 }
 
-char *normal_text(struct session *session, const char *text)
+char *text_normalise(struct session *session, const char *text)
 {
 	char *out = variables_replace(session, g_strdup(text));
 
 	for (size_t i = 0; i < G_N_ELEMENTS(rules); i++) {
 		GRegex *regex = g_regex_new(rules[i].pattern, 0, 0, NULL);
-		char *next = g_regex_replace(regex, out, -1, 0, rules[i].with,
-					     0, NULL);
+		char *next = g_regex_replace(regex, out, -1, 0,
+					     rules[i].replacement, 0, NULL);
 
 		g_regex_unref(regex);
 		g_free(out);
--- a/tests/session/process.c
+++ b/tests/session/process.c
@@ -22,7 +22,7 @@
 	const char *name;
 	const char *path;
 	unsigned int roles; /* addresses that it listens on */
-	bool log_on_output;
+	bool log_on_stdout;
 } programs[] = {
 	{"jtentry", "entry/jtentry", 3, true},
 	{"jtctl", "ctl/jtctl", 1, false},
@@ -51,11 +51,11 @@
 	return g_find_program_in_path(name);
 }
 
-static bool logs_on_output(const char *program)
+static bool program_logs_on_stdout(const char *program)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(programs); i++)
 		if (strcmp(programs[i].name, program) == 0)
-			return programs[i].log_on_output;
+			return programs[i].log_on_stdout;
 	return false;
 }
 
@@ -70,9 +70,9 @@
 {
 	int flags = O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC;
 	char *program = argv[0];
-	bool on_output = logs_on_output(program);
-	int out = open(on_output ? process->log : process->out, flags, 0600);
-	int log = open(on_output ? process->out : process->log, flags, 0600);
+	bool on_stdout = program_logs_on_stdout(program);
+	int out = open(on_stdout ? process->log : process->out, flags, 0600);
+	int log = open(on_stdout ? process->out : process->log, flags, 0600);
 	GError *error = NULL;
 	gboolean ok;
 
@@ -158,7 +158,7 @@
 	return value;
 }
 
-static unsigned int addresses_take(struct session *session,
+static unsigned int addresses_read(struct session *session,
 				   const struct process *process)
 {
 	char *text = file_read(process->log);
@@ -186,23 +186,23 @@
 	return found;
 }
 
-struct listening {
+struct listening_wait {
 	struct session *session;
 	struct process *process;
 	unsigned int expected;
 };
 
-static bool listening(void *ctx)
+static bool is_listening(void *ctx)
 {
-	struct listening *wait = ctx;
+	struct listening_wait *wait = ctx;
 
-	return addresses_take(wait->session, wait->process) >= wait->expected ||
+	return addresses_read(wait->session, wait->process) >= wait->expected ||
 	       process_ended(wait->process);
 }
 
 bool process_start(struct session *session, int argc, char **argv)
 {
-	struct listening wait = {.session = session, .expected = 1};
+	struct listening_wait wait = {.session = session, .expected = 1};
 	char *log;
 
 	if (argc < 3)
@@ -213,7 +213,8 @@
 	wait.process = process_create(session, argv[1], argv + 2);
 	if (wait.process == NULL)
 		return false;
-	if (session_until(session, listening, &wait) && !wait.process->ended)
+	if (session_wait_until(session, is_listening, &wait) &&
+	    !wait.process->ended)
 		return true;
 	log = file_read(wait.process->log);
 	session_fail(session, "%s does not listen:\n%s", argv[1], log);
@@ -272,7 +273,7 @@
 
 	if (process == NULL)
 		return false;
-	if (!session_until(session, process_ended, process))
+	if (!session_wait_until(session, process_ended, process))
 		return session_fail(session, "%s does not end", argv[1]);
 	output_show(session, process->out);
 	if (argc > 2 && strcmp(argv[2], "log") == 0)
@@ -312,7 +313,7 @@
 	GRegex *regex;
 };
 
-static bool pattern_seen(void *ctx)
+static bool pattern_found(void *ctx)
 {
 	struct pattern *pattern = ctx;
 	char *text = file_read(pattern->file);
@@ -333,7 +334,7 @@
 	pattern.file = process->log;
 	pattern.regex = g_regex_new(argv[2], 0, 0, NULL);
 	ok = pattern.regex != NULL &&
-	     session_until(session, pattern_seen, &pattern);
+	     session_wait_until(session, pattern_found, &pattern);
 	if (pattern.regex != NULL)
 		g_regex_unref(pattern.regex);
 	return ok || session_fail(session, "log has no %s", argv[2]);
--- a/tests/session/relay.c
+++ b/tests/session/relay.c
@@ -12,7 +12,7 @@
 struct relay {
 	struct session *session;
 	h2o_socket_t *listener;
-	struct sockaddr_in to;
+	struct sockaddr_in target;
 	GQueue pipes; /* of struct pipe */
 	bool cut;
 };
@@ -20,40 +20,40 @@
 /* A connection and its other half; what one reads the other writes. */
 struct pipe {
 	struct relay *relay;
-	h2o_socket_t *ends[2];
-	size_t written[2]; /* being written to the end */
+	h2o_socket_t *socks[2];
+	size_t in_flight[2]; /* being written to the end */
 };
 
 static void pipe_free(struct pipe *pipe)
 {
 	g_queue_remove(&pipe->relay->pipes, pipe);
 	for (int i = 0; i < 2; i++)
-		if (pipe->ends[i] != NULL)
-			h2o_socket_close(pipe->ends[i]);
+		if (pipe->socks[i] != NULL)
+			h2o_socket_close(pipe->socks[i]);
 	g_free(pipe);
 }
 
-static void end_read(h2o_socket_t *sock, const char *err);
+static void pipe_read(h2o_socket_t *sock, const char *err);
 
-static void end_written(h2o_socket_t *sock, const char *err)
+static void pipe_written(h2o_socket_t *sock, const char *err)
 {
 	struct pipe *pipe = sock->data;
-	int to = pipe->ends[1] == sock;
-	h2o_socket_t *from = pipe->ends[!to];
+	int to = pipe->socks[1] == sock;
+	h2o_socket_t *from = pipe->socks[!to];
 
 	if (err != NULL) {
 		pipe_free(pipe);
 		return;
 	}
-	h2o_buffer_consume(&from->input, pipe->written[to]);
-	pipe->written[to] = 0;
-	h2o_socket_read_start(from, end_read);
+	h2o_buffer_consume(&from->input, pipe->in_flight[to]);
+	pipe->in_flight[to] = 0;
+	h2o_socket_read_start(from, pipe_read);
 }
 
-static void end_read(h2o_socket_t *sock, const char *err)
+static void pipe_read(h2o_socket_t *sock, const char *err)
 {
 	struct pipe *pipe = sock->data;
-	int from = pipe->ends[1] == sock;
+	int from = pipe->socks[1] == sock;
 	h2o_iovec_t data;
 
 	if (err != NULL) {
@@ -62,11 +62,11 @@
 	}
 	h2o_socket_read_stop(sock);
 	data = h2o_iovec_init(sock->input->bytes, sock->input->size);
-	pipe->written[!from] = data.len;
-	h2o_socket_write(pipe->ends[!from], &data, 1, end_written);
+	pipe->in_flight[!from] = data.len;
+	h2o_socket_write(pipe->socks[!from], &data, 1, pipe_written);
 }
 
-static void end_connected(h2o_socket_t *sock, const char *err)
+static void pipe_connected(h2o_socket_t *sock, const char *err)
 {
 	struct pipe *pipe = sock->data;
 
@@ -74,8 +74,8 @@
 		pipe_free(pipe);
 		return;
 	}
-	h2o_socket_read_start(pipe->ends[0], end_read);
-	h2o_socket_read_start(pipe->ends[1], end_read);
+	h2o_socket_read_start(pipe->socks[0], pipe_read);
+	h2o_socket_read_start(pipe->socks[1], pipe_read);
 }
 
 static void relay_accept(h2o_socket_t *listener, const char *err)
@@ -92,16 +92,17 @@
 	}
 	pipe = g_new0(struct pipe, 1);
 	pipe->relay = relay;
-	pipe->ends[0] = sock;
-	pipe->ends[1] = h2o_socket_connect(loop_h2o(relay->session->loop),
-					   (struct sockaddr *)&relay->to,
-					   sizeof(relay->to), end_connected);
+	pipe->socks[0] = sock;
+	pipe->socks[1] =
+		h2o_socket_connect(loop_h2o(relay->session->loop),
+				   (struct sockaddr *)&relay->target,
+				   sizeof(relay->target), pipe_connected);
 	g_queue_push_tail(&relay->pipes, pipe);
 	sock->data = pipe;
-	if (pipe->ends[1] == NULL)
+	if (pipe->socks[1] == NULL)
 		pipe_free(pipe);
 	else
-		pipe->ends[1]->data = pipe;
+		pipe->socks[1]->data = pipe;
 }
 
 static void relay_cut(struct relay *relay)
@@ -167,7 +168,7 @@
 	unsigned int port;
 
 	relay->session = session;
-	if (argc != 3 || !address_parse(argv[2], &relay->to) ||
+	if (argc != 3 || !address_parse(argv[2], &relay->target) ||
 	    (port = relay_listen(relay)) == 0) {
 		g_free(relay);
 		return session_fail(session, "relay NAME ADDRESS");
--- a/tests/session/session.c
+++ b/tests/session/session.c
@@ -11,7 +11,7 @@
 #include "web/client.h"
 #include "web/loop.h"
 
-#define TICK_USEC (5 * USEC_PER_MSEC)
+#define CONDITION_POLL_USEC (5 * USEC_PER_MSEC)
 
 static const struct step {
 	const char *name;
@@ -32,14 +32,14 @@
 
 struct wait {
 	struct session *session;
-	session_fn fn;
+	session_predicate fn;
 	void *ctx;
-	struct timer tick;
+	struct timer poll_timer;
 	int64_t end;
 	bool done;
 };
 
-static void wait_tick(struct timer *timer, void *ctx)
+static void wait_poll(struct timer *timer, void *ctx)
 {
 	struct wait *wait = ctx;
 
@@ -47,21 +47,22 @@
 	if (wait->done || clock_now(wait->session->clock) >= wait->end)
 		loop_stop(wait->session->loop);
 	else
-		timer_start(timer, TICK_USEC);
+		timer_start(timer, CONDITION_POLL_USEC);
 }
 
-bool session_until(struct session *session, session_fn fn, void *ctx)
+bool session_wait_until(struct session *session, session_predicate fn,
+			void *ctx)
 {
 	struct wait wait = {
 		.session = session,
 		.fn = fn,
 		.ctx = ctx,
 		.end = clock_now(session->clock) +
-		       SESSION_BOUND_SEC * USEC_PER_SEC,
+		       SESSION_TIMEOUT_SEC * USEC_PER_SEC,
 	};
 
-	timer_init(&wait.tick, session->clock, wait_tick, &wait);
-	timer_start(&wait.tick, 0);
+	timer_init(&wait.poll_timer, session->clock, wait_poll, &wait);
+	timer_start(&wait.poll_timer, 0);
 	loop_run(session->loop);
 	return wait.done;
 }
@@ -81,15 +82,15 @@
 
 void session_show(struct session *session, const char *text)
 {
-	char *normal = normal_text(session, text);
-	char **lines = g_strsplit(normal, "\n", -1);
+	char *normalised = text_normalise(session, text);
+	char **lines = g_strsplit(normalised, "\n", -1);
 
 	for (char **line = lines; *line != NULL; line++)
 		if (**line != '\0')
 			g_string_append_printf(session->out, "  %s\n",
 					       g_strchomp(*line));
 	g_strfreev(lines);
-	g_free(normal);
+	g_free(normalised);
 }
 
 /* Puts values in the place of ${NAME}; NULL when one is not set. */
@@ -137,7 +138,7 @@
 }
 
 /* Steps that concern the script itself. */
-static bool words_run(struct session *session, int argc, char **argv)
+static bool directive_run(struct session *session, int argc, char **argv)
 {
 	if (strcmp(argv[0], "include") == 0 && argc == 2)
 		return script_run(session, argv[1]);
@@ -163,7 +164,7 @@
 	if (text == NULL)
 		return false;
 	if (g_shell_parse_argv(text, &argc, &argv, &error)) {
-		ok = words_run(session, argc, argv);
+		ok = directive_run(session, argc, argv);
 	} else {
 		ok = session_fail(session, "%s", error->message);
 		g_error_free(error);
--- a/tests/session/session.h
+++ b/tests/session/session.h
@@ -16,7 +16,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define SESSION_BOUND_SEC 30
+#define SESSION_TIMEOUT_SEC 30
 
 struct web_client;
 struct clock;
@@ -37,10 +37,11 @@
 	GRegex *filter; /* lines of output to show; NULL: all */
 };
 
-typedef bool (*session_fn)(void *ctx);
+typedef bool (*session_predicate)(void *ctx);
 
 /* Turns the loop until fn says true; false after the bound. */
-bool session_until(struct session *session, session_fn fn, void *ctx);
+bool session_wait_until(struct session *session, session_predicate fn,
+			void *ctx);
 /* Says why the session failed; always returns false. */
 bool session_fail(struct session *session, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
@@ -48,7 +49,7 @@
 void session_show(struct session *session, const char *text);
 
 /* Replaces ports, identifiers and times. */
-char *normal_text(struct session *session, const char *text);
+char *text_normalise(struct session *session, const char *text);
 
 /* Value at a path like "requests/ * /finished" (without the spaces): a star
  * sums over all members, "#" is the number of them, "?" stands for 1 when the
