--- a/tests/session/http.c
+++ b/tests/session/http.c
@@ -13,7 +13,7 @@
 	struct session *session;
 	char *name;
 	struct web_call *http;
-	GString *head; /* lines that the transcript shows */
+	GString *head; /* header lines that the transcript shows */
 	GString *body;
 	int status;
 	bool ended;
@@ -21,7 +21,7 @@
 	bool hung_up;
 };
 
-/* The other headers vary, or say nothing of the session. */
+/* All other headers vary from run to run or are irrelevant to a session. */
 static const char *const shown_headers[] = {"content-type",  "jt-outcome",
 					    "jt-request-id", "jt-result",
 					    "retry-after",   NULL};
@@ -77,7 +77,7 @@
 	g_free(call);
 }
 
-/* Takes "name:value" words off argv; returns how many. */
+/* Parses leading "name:value" arguments; returns how many there are. */
 static size_t headers_parse(int argc, char **argv, struct web_header *headers)
 {
 	size_t count = 0;
@@ -95,7 +95,8 @@
 	return count;
 }
 
-/* "@FILE" stands for what is in the file; NULL when it cannot be read. */
+/* "@FILE" is replaced by the content of the file; NULL when it cannot be read.
+ */
 static char *body_load(const char *text)
 {
 	char *body = NULL;
@@ -179,7 +180,7 @@
 	return count >= wait->count || wait->call->ended;
 }
 
-/* await NAME N: until N events have come. */
+/* await NAME N: waits until N events have arrived. */
 bool http_await(struct session *session, int argc, char **argv)
 {
 	struct event_wait wait = {.call = call_find(session, argv[1])};
@@ -193,7 +194,8 @@
 	return true;
 }
 
-/* Text of the events together, however they were cut up, and what else came. */
+/* Shows the concatenated text of the events, independent of how the text was
+ * split, followed by all other lines. */
 static void events_show(struct session *session, const char *body)
 {
 	GString *text = g_string_new("text: ");
@@ -219,7 +221,8 @@
 	g_string_free(text, TRUE);
 }
 
-/* answer NAME [text]: shows it whole, or of a stream its text together. */
+/* answer NAME [text]: shows the complete answer, or with "text" the joined text
+ * of a stream. */
 bool http_answer(struct session *session, int argc, char **argv)
 {
 	struct call *call = call_find(session, argv[1]);
@@ -246,7 +249,8 @@
 	return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* answers NAME...: their statuses and result codes, in no order. */
+/* answers NAME...: shows statuses and headers, sorted, since the calls end in
+ * any order. */
 bool http_answers(struct session *session, int argc, char **argv)
 {
 	GPtrArray *lines = g_ptr_array_new_with_free_func(g_free);
@@ -370,7 +374,8 @@
 	session_wait_until(session, timer_expired, &timer);
 }
 
-/* poll ADDRESS,... PATH QUERY ==|>=|<= NUMBER: until the sum is so. */
+/* poll ADDRESS,... PATH QUERY ==|>=|<= NUMBER: waits until the sum over all
+ * addresses satisfies the comparison. */
 bool http_poll(struct session *session, int argc, char **argv)
 {
 	int64_t end =
@@ -393,7 +398,8 @@
 	}
 }
 
-/* set METHOD ADDRESS PATH BODY: a call whose answer must be a 200 object. */
+/* set METHOD ADDRESS PATH [BODY]: a call that must be answered with a JSON
+ * object without a member "error". */
 bool http_set(struct session *session, int argc, char **argv)
 {
 	json_t *json;
@@ -408,7 +414,8 @@
 	return ok || session_fail(session, "%s is refused", argv[3]);
 }
 
-/* read NAME ADDRESS,... PATH QUERY: sets a variable to the sum. */
+/* read NAME ADDRESS,... PATH QUERY: sets a variable to the sum over all
+ * addresses. */
 bool http_read(struct session *session, int argc, char **argv)
 {
 	if (argc != 5)
@@ -421,7 +428,7 @@
 	return true;
 }
 
-/* All addresses answer with the same member, which is not missing. */
+/* Whether all addresses return an equal member; false when it is missing. */
 static bool members_equal(struct session *session, const char *addresses,
 			  const char *path, const char *member)
 {
@@ -444,7 +451,8 @@
 	return same;
 }
 
-/* same ADDRESS,... PATH MEMBER: until all answer with the same. */
+/* same ADDRESS,... PATH MEMBER: waits until the member is equal at all
+ * addresses. */
 bool http_same(struct session *session, int argc, char **argv)
 {
 	int64_t end =
--- a/tests/session/normal.c
+++ b/tests/session/normal.c
@@ -2,7 +2,7 @@
 
 #include "session.h"
 
-/* What differs from run to run. */
+/* Parts of the output that differ from run to run. */
 static const struct {
 	const char *pattern;
 	const char *replacement;
@@ -33,7 +33,8 @@
 		char **parts;
 		char *replacement;
 
-		/* Numbers and words stand for nothing but themselves. */
+		/* Only addresses and paths are replaced: a plain number or word
+		 * may occur in the text by chance. */
 		if (strpbrk(value, ":/") == NULL ||
 		    strpbrk(value, " ,") != NULL)
 			continue;
--- a/tests/session/process.c
+++ b/tests/session/process.c
@@ -21,7 +21,7 @@
 static const struct {
 	const char *name;
 	const char *path;
-	unsigned int roles; /* addresses that it listens on */
+	unsigned int roles; /* number of addresses that it listens on */
 	bool log_on_stdout;
 } programs[] = {
 	{"jtentry", "entry/jtentry", 3, true},
@@ -59,7 +59,7 @@
 	return false;
 }
 
-/* Runs in the child: it must not outlive the session. */
+/* Runs in the child, which must not outlive the session. */
 static void child_setup(gpointer data)
 {
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -143,7 +143,7 @@
 	return text;
 }
 
-/* Value of key in a line of key=value pairs; NULL when it is not there. */
+/* Value of key in a line of key=value pairs; NULL when the key is missing. */
 static char *line_value(const char *line, const char *key)
 {
 	char *mark = g_strdup_printf(" %s=", key);
@@ -158,6 +158,8 @@
 	return value;
 }
 
+/* Sets a variable for each address that the process logged as listening;
+ * returns their number. */
 static unsigned int addresses_read(struct session *session,
 				   const struct process *process)
 {
--- a/tests/session/relay.c
+++ b/tests/session/relay.c
@@ -8,7 +8,7 @@
 #include "session.h"
 #include "web/loop.h"
 
-/* A relay of TCP connections that can be cut, as a network can. */
+/* A TCP relay that simulates a network partition while it is cut. */
 struct relay {
 	struct session *session;
 	h2o_socket_t *listener;
@@ -17,11 +17,12 @@
 	bool cut;
 };
 
-/* A connection and its other half; what one reads the other writes. */
+/* An accepted connection and its connection to the target. Data read from one
+ * socket is written to the other. */
 struct pipe {
 	struct relay *relay;
 	h2o_socket_t *socks[2];
-	size_t in_flight[2]; /* being written to the end */
+	size_t in_flight[2]; /* bytes being written to the socket */
 };
 
 static void pipe_free(struct pipe *pipe)
@@ -138,7 +139,7 @@
 	return ok;
 }
 
-/* Listens on a port that the system picks; its number, or 0. */
+/* Listens on a port that the system assigns; returns the port, 0 on failure. */
 static unsigned int relay_listen(struct relay *relay)
 {
 	struct sockaddr_in here = {.sin_family = AF_INET};
@@ -161,7 +162,8 @@
 	return ntohs(here.sin_port);
 }
 
-/* relay NAME ADDRESS: sets NAME to the address of a relay to it. */
+/* relay NAME ADDRESS: starts a relay to ADDRESS and sets the variable NAME to
+ * the address of the relay. */
 bool relay_start(struct session *session, int argc, char **argv)
 {
 	struct relay *relay = g_new0(struct relay, 1);
@@ -179,7 +181,8 @@
 	return true;
 }
 
-/* cut NAME: closes its connections and takes no more; mend NAME ends it. */
+/* cut NAME: closes all connections of the relay, and new ones on arrival;
+ * mend NAME ends that. */
 bool relay_switch(struct session *session, int argc, char **argv)
 {
 	struct relay *relay =
--- a/tests/session/session.c
+++ b/tests/session/session.c
@@ -93,7 +93,7 @@
 	g_free(normalised);
 }
 
-/* Puts values in the place of ${NAME}; NULL when one is not set. */
+/* Replaces each ${NAME} by its value; NULL when a variable is not set. */
 static char *variables_expand(struct session *session, const char *line)
 {
 	GString *out = g_string_new(NULL);
@@ -137,7 +137,7 @@
 	return session->filter != NULL;
 }
 
-/* Steps that concern the script itself. */
+/* Runs the directives of the script itself; all other lines are steps. */
 static bool directive_run(struct session *session, int argc, char **argv)
 {
 	if (strcmp(argv[0], "include") == 0 && argc == 2)
@@ -174,7 +174,7 @@
 	return ok;
 }
 
-/* A line that ends with a backslash goes on in the next. */
+/* Splits into lines; a trailing backslash continues a line on the next. */
 static char **lines_split(char *text)
 {
 	char **parts = g_strsplit(text, "\\\n", -1);
--- a/tests/session/session.h
+++ b/tests/session/session.h
@@ -2,10 +2,10 @@
  * session.h - scripted sessions of real processes, compared with golden files
  *
  * DESCRIPTION
- *	A script has one step a line; see tests/session/README.md. Each step
- *	adds to a transcript in which ports, identifiers and times are replaced
- *	by names. Waits are for conditions, polled, with a bound; a wait that
- *	ends at its bound ends the session as failed.
+ *	A script has one step per line, see tests/session/README.md. Each step
+ *	appends to a transcript, in which ports, identifiers and times are
+ *	replaced by placeholders. A wait polls a condition; when it times out,
+ *	the session fails.
  */
 #ifndef TESTS_SESSION_H
 #define TESTS_SESSION_H
@@ -26,37 +26,38 @@
 	struct clock *clock;
 	struct loop *loop;
 	struct web_client *client;
-	const char *build;  /* folder of the programs */
-	const char *source; /* root of the sources */
-	char *dir;	    /* logs and other files of the run */
+	const char *build;  /* build folder, with the programs */
+	const char *source; /* root of the source tree */
+	char *dir;	    /* temporary folder of logs and output files */
 	GHashTable *variables;
 	GHashTable *processes;
 	GHashTable *calls;
 	GHashTable *relays;
 	GString *out;
-	GRegex *filter; /* lines of output to show; NULL: all */
+	GRegex *filter; /* output lines to show; NULL: all */
 };
 
 typedef bool (*session_predicate)(void *ctx);
 
-/* Turns the loop until fn says true; false after the bound. */
+/* Runs the loop until fn returns true; false after SESSION_TIMEOUT_SEC. */
 bool session_wait_until(struct session *session, session_predicate fn,
 			void *ctx);
-/* Says why the session failed; always returns false. */
+/* Appends the reason of a failure to the transcript; always returns false. */
 bool session_fail(struct session *session, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
-/* Appends text to the transcript, normalised, each line indented. */
+/* Appends text to the transcript, normalised, with each line indented. */
 void session_show(struct session *session, const char *text);
 
-/* Replaces ports, identifiers and times. */
+/* Replaces addresses, identifiers and times by placeholders; the caller frees
+ * the result. */
 char *text_normalise(struct session *session, const char *text);
 
 /* Value at a path like "requests/ * /finished" (without the spaces): a star
- * sums over all members, "#" is the number of them, "?" stands for 1 when the
- * member is there. */
+ * sums over all members, "#" is the number of members, "?" is 1 when the member
+ * exists. Missing members count as 0. */
 int64_t query_number(const json_t *json, const char *path);
 
-/* Steps; argv ends with NULL, argv[0] is the step's name. */
+/* Steps: argv ends with NULL, argv[0] is the name of the step. */
 bool process_start(struct session *session, int argc, char **argv);
 bool process_spawn(struct session *session, int argc, char **argv);
 bool process_run(struct session *session, int argc, char **argv);
