--- a/tests/soak/asks.c
+++ b/tests/soak/asks.c
@@ -3,10 +3,10 @@
 
 #include "soak.h"
 
-#define ASK_USEC (700 * USEC_PER_MSEC)
+#define CHANGE_INTERVAL_USEC (700 * USEC_PER_MSEC)
 /* From when on what a server asks for binds all instances. */
-#define CONTACT_USEC (3200 * USEC_PER_MSEC)
-#define CALM_USEC (5 * USEC_PER_SEC)
+#define PROPAGATION_USEC (3200 * USEC_PER_MSEC)
+#define OBSERVATION_USEC (5 * USEC_PER_SEC)
 
 static const char *const servers[] = {"s1", "s2", "p1", "p2", "d1", "d2"};
 
@@ -15,7 +15,7 @@
 	g_autofree char *body = g_strdup_printf(
 		"{\"server\":\"%s\",\"per_s\":%.1f}", server, limit);
 
-	site_tell(soak, "/site/limit", body);
+	site_post(soak, "/site/limit", body);
 }
 
 static void backoff_set(struct soak *soak, const char *server, double sec)
@@ -23,72 +23,75 @@
 	g_autofree char *body = g_strdup_printf(
 		"{\"server\":\"%s\",\"sec\":%.2f}", server, sec);
 
-	site_tell(soak, "/site/backoff", body);
+	site_post(soak, "/site/backoff", body);
 }
 
 static void leaving_set(struct soak *soak, const char *server)
 {
 	g_autofree char *body = g_strdup_printf("{\"server\":\"%s\"}", server);
 
-	site_tell(soak, "/site/leaving", body);
+	site_post(soak, "/site/leaving", body);
 }
 
 /* Begins a new life, which asks for nothing. */
-static void start_again(struct soak *soak, const char *server)
+static void server_restart(struct soak *soak, const char *server)
 {
 	g_autofree char *body = g_strdup_printf(
 		"{\"server\":\"%s\",\"state\":\"again\"}", server);
 
-	site_tell(soak, "/site/state", body);
+	site_post(soak, "/site/state", body);
 }
 
-static void on_ask(struct timer *timer, void *ctx)
+static void on_backpressure(struct timer *timer, void *ctx)
 {
 	struct soak *soak = ctx;
-	const char *server =
-		servers[g_rand_int_range(soak->asks, 0, G_N_ELEMENTS(servers))];
+	const char *server = servers[g_rand_int_range(
+		soak->backpressure_rand, 0, G_N_ELEMENTS(servers))];
 
 	if (clock_now(soak->clock) >= soak->end_at)
 		return;
-	switch (g_rand_int_range(soak->asks, 0, 5)) {
+	switch (g_rand_int_range(soak->backpressure_rand, 0, 5)) {
 	case 0:
-		limit_set(soak, server, g_rand_int_range(soak->asks, 0, 12));
+		limit_set(soak, server,
+			  g_rand_int_range(soak->backpressure_rand, 0, 12));
 		break;
 	case 1:
 		limit_set(soak, server, -1.0);
 		break;
 	case 2:
 		backoff_set(soak, server,
-			    g_rand_int_range(soak->asks, 0, 4) / 2.0);
+			    g_rand_int_range(soak->backpressure_rand, 0, 4) /
+				    2.0);
 		break;
 	case 3:
 		leaving_set(soak, server);
 		break;
 	default:
-		start_again(soak, server);
+		server_restart(soak, server);
 		break;
 	}
-	timer_start(timer, ASK_USEC);
+	timer_start(timer, CHANGE_INTERVAL_USEC);
 }
 
-void asks_start(struct soak *soak)
+void backpressure_start(struct soak *soak)
 {
-	timer_init(&soak->ask_timer, soak->clock, on_ask, soak);
-	timer_start(&soak->ask_timer, 0);
+	timer_init(&soak->backpressure_timer, soak->clock, on_backpressure,
+		   soak);
+	timer_start(&soak->backpressure_timer, 0);
 }
 
-void asks_heal(struct soak *soak)
+void backpressure_clear(struct soak *soak)
 {
-	site_tell_end(soak);
+	site_post_wait(soak);
 	for (size_t i = 0; i < G_N_ELEMENTS(servers); i++) {
 		limit_set(soak, servers[i], -1.0);
 		backoff_set(soak, servers[i], 0.0);
-		start_again(soak, servers[i]);
+		server_restart(soak, servers[i]);
 	}
-	site_tell_end(soak);
+	site_post_wait(soak);
 }
 
-static int64_t broken(struct soak *soak)
+static int64_t violations_count(struct soak *soak)
 {
 	return site_call(soak, "GET", "/site/ledger", NULL, "over_limit") +
 	       site_call(soak, "GET", "/site/ledger", NULL, "after_leaving");
@@ -96,7 +99,7 @@
 
 /* Instances that were killed or cut off are excused for what they send before
  * they are told again, so what counts is a calm time after all of it. */
-void asks_check(struct soak *soak)
+void backpressure_check(struct soak *soak)
 {
 	int64_t before;
 	int64_t after;
@@ -105,13 +108,14 @@
 	limit_set(soak, "s2", 6.0);
 	limit_set(soak, "d1", 2.0);
 	leaving_set(soak, "p1");
-	site_tell_end(soak);
-	soak->end_at = clock_now(soak->clock) + CONTACT_USEC + CALM_USEC;
+	site_post_wait(soak);
+	soak->end_at =
+		clock_now(soak->clock) + PROPAGATION_USEC + OBSERVATION_USEC;
 	timer_start(&soak->call_timer, 0);
-	soak_turn(soak, CONTACT_USEC);
-	before = broken(soak);
-	soak_turn(soak, CALM_USEC);
-	after = broken(soak);
+	soak_loop_run(soak, PROPAGATION_USEC);
+	before = violations_count(soak);
+	soak_loop_run(soak, OBSERVATION_USEC);
+	after = violations_count(soak);
 	if (after > before)
 		soak_fail(soak, "%d requests against what servers asked for",
 			  (int)(after - before));
--- a/tests/soak/callers.c
+++ b/tests/soak/callers.c
@@ -5,12 +5,12 @@
 #include "soak.h"
 
 /* Tokens of a stream here, and what beta may use: a sixth of what it asks. */
-#define RATE 300.0
-#define BURST 900.0
+#define BETA_RATE_PER_SEC 300.0
+#define BETA_BURST_TOKENS 900.0
 /* A window may hold a tenth more, and what instances that were killed had not
  * told yet. */
-#define OVER 1.1
-#define SLACK BURST
+#define USAGE_MARGIN 1.1
+#define UNREPORTED_TOKENS BETA_BURST_TOKENS
 
 #define ORGANISATIONS                                                          \
 	"{\"version\":%d,\"tenants\":["                                        \
@@ -24,8 +24,8 @@
 } callers[CALLERS] = {
 	[CALLER_ACME] = {"acme", "Token ka"},
 	[CALLER_BETA] = {"beta", "Token kb"},
-	[CALLER_LIAR] = {"liar", "Token kx"},
-	[CALLER_NOBODY] = {"nobody", NULL},
+	[CALLER_WRONG_KEY] = {"liar", "Token kx"},
+	[CALLER_NO_KEY] = {"nobody", NULL},
 };
 
 static struct web_header header(const char *name, const char *value)
@@ -52,14 +52,14 @@
 
 enum caller caller_draw(struct soak *soak)
 {
-	double point = g_rand_double(soak->callers);
+	double point = g_rand_double(soak->caller_rand);
 
 	if (point < 0.1)
-		return point < 0.05 ? CALLER_LIAR : CALLER_NOBODY;
+		return point < 0.05 ? CALLER_WRONG_KEY : CALLER_NO_KEY;
 	return point < 0.5 ? CALLER_BETA : CALLER_ACME;
 }
 
-void callers_begin(struct soak *soak)
+void organisations_configure(struct soak *soak)
 {
 	g_autofree char *body =
 		g_strdup_printf(ORGANISATIONS, (int)++soak->version);
@@ -67,7 +67,7 @@
 	soak->began = clock_now(soak->clock);
 	/* A call of a busy machine may be lost; without it all run unasked. */
 	while (site_call(soak, "POST", "/site/config", body, "runs") < 0)
-		soak_turn(soak, 50 * USEC_PER_MSEC);
+		soak_loop_run(soak, 50 * USEC_PER_MSEC);
 }
 
 void callers_check(struct soak *soak)
@@ -81,7 +81,9 @@
 		soak_fail(soak, "a server was told a wrong organisation");
 	if (site_call(soak, "GET", "/site/ledger", NULL, "secrets") != 0)
 		soak_fail(soak, "a server was shown a key");
-	if ((double)used > (RATE * sec + BURST) * OVER + SLACK)
+	if ((double)used >
+	    (BETA_RATE_PER_SEC * sec + BETA_BURST_TOKENS) * USAGE_MARGIN +
+		    UNREPORTED_TOKENS)
 		soak_fail(soak, "beta used %d tokens in %.1f s", (int)used,
 			  sec);
 }
--- a/tests/soak/calls.c
+++ b/tests/soak/calls.c
@@ -50,7 +50,7 @@
 {
 	struct call *call = ctx;
 
-	call->whole = result->ok;
+	call->complete = result->ok;
 	call->done = true;
 	call->web = NULL;
 }
@@ -103,15 +103,15 @@
 		*answer = json_object();
 }
 
-static void on_told(void *ctx, const struct web_result *result, int status,
-		    const void *body, size_t size)
+static void on_posted(void *ctx, const struct web_result *result, int status,
+		      const void *body, size_t size)
 {
 	struct soak *soak = ctx;
 
-	soak->telling--;
+	soak->posts_pending--;
 }
 
-void site_tell(struct soak *soak, const char *path, const char *body)
+void site_post(struct soak *soak, const char *path, const char *body)
 {
 	const struct web_call_spec spec = {
 		.address = soak->site_address,
@@ -121,14 +121,14 @@
 		.body_size = strlen(body),
 	};
 
-	soak->telling++;
-	web_fetch(soak->client, &spec, 1 << 16, on_told, soak);
+	soak->posts_pending++;
+	web_fetch(soak->client, &spec, 1 << 16, on_posted, soak);
 }
 
-void site_tell_end(struct soak *soak)
+void site_post_wait(struct soak *soak)
 {
-	while (soak->telling > 0)
-		soak_turn(soak, USEC_PER_MSEC);
+	while (soak->posts_pending > 0)
+		soak_loop_run(soak, USEC_PER_MSEC);
 }
 
 int64_t site_call(struct soak *soak, const char *method, const char *path,
@@ -147,7 +147,7 @@
 
 	web_fetch(soak->client, &spec, 1 << 16, on_answer, &answer);
 	while (!answer)
-		soak_turn(soak, USEC_PER_MSEC);
+		soak_loop_run(soak, USEC_PER_MSEC);
 	value = name ? json_object_get(answer, name) : NULL;
 	if (json_is_integer(value))
 		number = json_integer_value(value);
@@ -163,7 +163,7 @@
 	if (kinds[call->kind].stream) {
 		GString *text = g_string_new(NULL);
 
-		for (int i = 1; i <= EVENTS; i++)
+		for (int i = 1; i <= STREAM_EVENTS; i++)
 			g_string_append_printf(text, "id: %d\ndata: t%d\n\n", i,
 					       i);
 		expected = g_string_free(text, FALSE);
@@ -171,10 +171,10 @@
 		expected = g_strdup_printf("%s %s \n", kinds[call->kind].method,
 					   kinds[call->kind].path);
 	}
-	if (call->whole && strcmp(call->body->str, expected) != 0)
+	if (call->complete && strcmp(call->body->str, expected) != 0)
 		soak_fail(soak, "%s: not its whole answer: %s", call->id,
 			  call->body->str);
-	if (!call->whole && kinds[call->kind].stream &&
+	if (!call->complete && kinds[call->kind].stream &&
 	    strncmp(call->body->str, expected, call->body->len) != 0)
 		soak_fail(soak, "%s: pieces out of order: %s", call->id,
 			  call->body->str);
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -57,14 +57,14 @@
 {
 	proxy_set(
 		instance_pick(soak)->store,
-		(enum proxy_mood)g_rand_int_range(soak->rand, 0, PROXY_MOODS));
+		(enum proxy_mode)g_rand_int_range(soak->rand, 0, PROXY_MODES));
 }
 
 static void callers_proxy(struct soak *soak)
 {
 	proxy_set(
 		instance_pick(soak)->callers,
-		(enum proxy_mood)g_rand_int_range(soak->rand, 0, PROXY_MOODS));
+		(enum proxy_mode)g_rand_int_range(soak->rand, 0, PROXY_MODES));
 }
 
 static void server_fault(struct soak *soak)
@@ -110,23 +110,24 @@
 	site_call(soak, "POST", "/site/config", body, NULL);
 }
 
-static void (*const strikes[])(struct soak *soak) = {
+static void (*const injectors[])(struct soak *soak) = {
 	kill_one,     kill_all,	     stop_one,	    pause_one,	   reload_one,
 	store_proxy,  callers_proxy, server_fault,  server_fault,  server_fault,
 	server_state, store_state,   config_change, config_change,
 };
 
-void fault_strike(struct soak *soak)
+void fault_inject(struct soak *soak)
 {
 	soak->faults++;
-	strikes[g_rand_int_range(soak->rand, 0, G_N_ELEMENTS(strikes))](soak);
+	injectors[g_rand_int_range(soak->rand, 0, G_N_ELEMENTS(injectors))](
+		soak);
 }
 
-void faults_heal(struct soak *soak)
+void faults_clear(struct soak *soak)
 {
 	for (int i = 0; i < INSTANCES; i++) {
-		proxy_set(soak->instances[i].store, PROXY_SOUND);
-		proxy_set(soak->instances[i].callers, PROXY_SOUND);
+		proxy_set(soak->instances[i].store, PROXY_FORWARD);
+		proxy_set(soak->instances[i].callers, PROXY_FORWARD);
 		soak->instances[i].wake_at = 1;
 	}
 	site_call(soak, "POST", "/site/store", "{\"state\":\"up\"}", NULL);
--- a/tests/soak/process.c
+++ b/tests/soak/process.c
@@ -12,7 +12,7 @@
 /* Callers, health, peers. */
 #define ROLES 3
 #define FIRST_PORT 20001
-#define RESTART_USEC (300 * USEC_PER_MSEC)
+#define RESTART_DELAY_USEC (300 * USEC_PER_MSEC)
 
 static void child_setup(gpointer data)
 {
@@ -90,7 +90,7 @@
 		address_make(addresses[i], sizeof(addresses[i]),
 			     (int)(instance - soak->instances), i);
 	instance->pid = spawn(soak, argv, instance->name);
-	instance->lives++;
+	instance->starts++;
 	instance->stopping = false;
 	instance->reloaded = false;
 	instance->wake_at = 0;
@@ -111,7 +111,7 @@
 	g_free(argv[0]);
 	while (!(soak->site_address = site_listening(soak)))
 		g_usleep(10000);
-	callers_begin(soak);
+	organisations_configure(soak);
 	for (int i = 0; i < INSTANCES; i++) {
 		struct instance *instance = &soak->instances[i];
 		char address[32];
@@ -132,7 +132,7 @@
 }
 
 /* Lives that got as far as their first line. */
-static uint32_t lives_started(const struct soak *soak,
+static uint32_t starts_logged(const struct soak *soak,
 			      const struct instance *instance)
 {
 	g_autofree char *file =
@@ -151,10 +151,10 @@
  * that has not taken its signals over yet is ended by the signal itself. It has
  * served nobody. Seen with seeds 9203 and 9241 beside simulated days, and 30
  * times of 30 when the signal follows the spawn at once. */
-static bool is_stillborn(const struct instance *instance, bool begun,
-			 int status)
+static bool ended_before_started(const struct instance *instance, bool started,
+				 int status)
 {
-	if (begun || !WIFSIGNALED(status))
+	if (started || !WIFSIGNALED(status))
 		return false;
 	return (instance->stopping && WTERMSIG(status) == SIGTERM) ||
 	       (instance->reloaded && WTERMSIG(status) == SIGHUP);
@@ -168,16 +168,17 @@
 	bool stopped = WIFEXITED(status) && WEXITSTATUS(status) == 0 &&
 		       instance->stopping;
 
-	bool begun = lives_started(soak, instance) >= instance->lives;
+	bool started = starts_logged(soak, instance) >= instance->starts;
 
-	if (!begun)
-		instance->lives--;
-	if (!killed && !stopped && !is_stillborn(instance, begun, status))
+	if (!started)
+		instance->starts--;
+	if (!killed && !stopped &&
+	    !ended_before_started(instance, started, status))
 		soak_fail(soak, "%s ended by itself, wait status %d",
 			  instance->name, status);
 	instance->pid = 0;
 	instance->wake_at = 0;
-	instance->start_at = clock_now(soak->clock) + RESTART_USEC;
+	instance->start_at = clock_now(soak->clock) + RESTART_DELAY_USEC;
 }
 
 void instances_watch(struct soak *soak)
--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -8,14 +8,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define SLOW_USEC 100000
+#define SLOW_DELAY_USEC 100000
 #define POLL_MSEC 50
 
 struct proxy {
 	int listener;
 	char address[32];
 	struct sockaddr_in to;
-	gint mood;  /* atomic */
+	gint mode;  /* atomic */
 	gint epoch; /* atomic; connections of an earlier one are reset */
 };
 
@@ -23,10 +23,10 @@
 	struct proxy *proxy;
 	int from;
 	int to;
-	gboolean answers;
+	gboolean responses;
 	gint epoch;
-	gboolean swallowed; /* passes nothing more: a connection has no holes */
-	gint *users;	    /* of the two sockets */
+	gboolean discarding; /* for good: a stream must not have gaps */
+	gint *open_pumps;    /* of the two sockets */
 };
 
 static void sock_reset(int fd)
@@ -39,14 +39,14 @@
 
 /* What is swallowed is never made good, so nothing may follow it: the
  * connection stays silent for good, while new ones are as the mood says. */
-static gboolean passes(struct pump *pump, enum proxy_mood mood)
+static gboolean pump_forwards(struct pump *pump, enum proxy_mode mode)
 {
-	if (mood == PROXY_SILENT || (mood == PROXY_ONE_WAY && pump->answers))
-		pump->swallowed = TRUE;
-	return !pump->swallowed;
+	if (mode == PROXY_SILENT || (mode == PROXY_ONE_WAY && pump->responses))
+		pump->discarding = TRUE;
+	return !pump->discarding;
 }
 
-static void sent_all(int fd, const char *data, ssize_t size)
+static void send_all(int fd, const char *data, ssize_t size)
 {
 	while (size > 0) {
 		ssize_t n = send(fd, data, (size_t)size, MSG_NOSIGNAL);
@@ -64,23 +64,23 @@
 	char data[16384];
 
 	while (pump->epoch == g_atomic_int_get(&pump->proxy->epoch)) {
-		enum proxy_mood mood;
+		enum proxy_mode mode;
 		ssize_t n;
 
 		if (poll(&pfd, 1, POLL_MSEC) <= 0)
 			continue;
 		n = recv(pump->from, data, sizeof(data), 0);
-		mood = (enum proxy_mood)g_atomic_int_get(&pump->proxy->mood);
-		if (n <= 0 && passes(pump, mood)) {
+		mode = (enum proxy_mode)g_atomic_int_get(&pump->proxy->mode);
+		if (n <= 0 && pump_forwards(pump, mode)) {
 			shutdown(pump->to, SHUT_WR);
 			return;
 		}
 		if (n <= 0)
 			return;
-		if (mood == PROXY_SLOW)
-			g_usleep(SLOW_USEC);
-		if (passes(pump, mood))
-			sent_all(pump->to, data, n);
+		if (mode == PROXY_SLOW)
+			g_usleep(SLOW_DELAY_USEC);
+		if (pump_forwards(pump, mode))
+			send_all(pump->to, data, n);
 	}
 	sock_reset(pump->from);
 	sock_reset(pump->to);
@@ -91,32 +91,36 @@
 	struct pump *pump = data;
 
 	pump_run(pump);
-	if (g_atomic_int_dec_and_test(pump->users)) {
+	if (g_atomic_int_dec_and_test(pump->open_pumps)) {
 		close(pump->from);
 		close(pump->to);
-		g_free(pump->users);
+		g_free(pump->open_pumps);
 	}
 	g_free(pump);
 	return NULL;
 }
 
-static void pump_start(struct proxy *proxy, int from, int to, gboolean answers,
-		       gint *users)
+static void pump_start(struct proxy *proxy, int from, int to,
+		       gboolean responses, gint *open_pumps)
 {
 	struct pump *pump = g_new0(struct pump, 1);
 
-	*pump = (struct pump){
-		proxy, from, to, answers, g_atomic_int_get(&proxy->epoch),
-		FALSE, users};
+	*pump = (struct pump){proxy,
+			      from,
+			      to,
+			      responses,
+			      g_atomic_int_get(&proxy->epoch),
+			      FALSE,
+			      open_pumps};
 	g_thread_unref(g_thread_new("pump", pump_thread, pump));
 }
 
 static void connection_start(struct proxy *proxy, int fd)
 {
 	int to = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-	gint *users;
+	gint *open_pumps;
 
-	if (g_atomic_int_get(&proxy->mood) == PROXY_RESET ||
+	if (g_atomic_int_get(&proxy->mode) == PROXY_RESET ||
 	    connect(to, (struct sockaddr *)&proxy->to, sizeof(proxy->to)) !=
 		    0) {
 		sock_reset(fd);
@@ -124,10 +128,10 @@
 		close(to);
 		return;
 	}
-	users = g_new(gint, 1);
-	*users = 2;
-	pump_start(proxy, fd, to, FALSE, users);
-	pump_start(proxy, to, fd, TRUE, users);
+	open_pumps = g_new(gint, 1);
+	*open_pumps = 2;
+	pump_start(proxy, fd, to, FALSE, open_pumps);
+	pump_start(proxy, to, fd, TRUE, open_pumps);
 }
 
 static gpointer proxy_thread(gpointer data)
@@ -172,9 +176,9 @@
 	return proxy->address;
 }
 
-void proxy_set(struct proxy *proxy, enum proxy_mood mood)
+void proxy_set(struct proxy *proxy, enum proxy_mode mode)
 {
-	g_atomic_int_set(&proxy->mood, (gint)mood);
-	if (mood == PROXY_RESET)
+	g_atomic_int_set(&proxy->mode, (gint)mode);
+	if (mode == PROXY_RESET)
 		g_atomic_int_inc(&proxy->epoch);
 }
--- a/tests/soak/proxy.h
+++ b/tests/soak/proxy.h
@@ -9,14 +9,14 @@
 #ifndef TESTS_SOAK_PROXY_H
 #define TESTS_SOAK_PROXY_H
 
-enum proxy_mood {
-	PROXY_SOUND,
+enum proxy_mode {
+	PROXY_FORWARD,
 	PROXY_SLOW,    /* each piece waits 100 ms */
 	PROXY_RESET,   /* connections are reset, new ones too */
 	PROXY_SILENT,  /* takes everything, passes nothing on; what is open when
 			* something is taken stays so */
 	PROXY_ONE_WAY, /* the same for answers; requests pass */
-	PROXY_MOODS,
+	PROXY_MODES,
 };
 
 struct proxy;
@@ -24,6 +24,6 @@
 /* Listens on a port of its own before address. */
 struct proxy *proxy_create(const char *address);
 const char *proxy_address(const struct proxy *proxy);
-void proxy_set(struct proxy *proxy, enum proxy_mood mood);
+void proxy_set(struct proxy *proxy, enum proxy_mode mode);
 
 #endif
--- a/tests/soak/repeats.c
+++ b/tests/soak/repeats.c
@@ -5,20 +5,20 @@
 #include "soak.h"
 
 /* It waits for an answer and sends the request again, elsewhere. */
-#define REPEAT_USEC (150 * USEC_PER_MSEC)
+#define REPEAT_INTERVAL_USEC (150 * USEC_PER_MSEC)
 /* Servers that may end under it for each time that all instances were lost at
  * once, with what they knew if it had not reached the store: three, and those
  * under way when the third ended. */
-#define ENDED_MAX 5u
+#define CRASHED_SERVERS_MAX 5u
 
 /* So many ends without a refusal are no chance: of two works each is held from
  * its third on, unless all instances were lost right then, or the store hid all
  * servers from the repeats. */
-#define UNREFUSED_MAX 10
+#define UNREFUSED_CRASHES_MAX 10
 /* More for each time that all were lost: what two ends told of two works is not
  * kept, only what is held. Seed 9219: lost three times, each time with two ends
  * known, 14 servers in all. */
-#define UNREFUSED_LOST 4
+#define UNREFUSED_CRASHES_PER_LOSS 4
 
 static void on_answer(void *ctx, const struct web_result *result, int status,
 		      const void *body, size_t size)
@@ -50,8 +50,8 @@
 		.host = {"site.example", 12},
 		.headers = headers,
 		.header_count = G_N_ELEMENTS(headers),
-		.body = SOAK_ENDS_SERVER,
-		.body_size = strlen(SOAK_ENDS_SERVER),
+		.body = SOAK_CRASH_BODY,
+		.body_size = strlen(SOAK_CRASH_BODY),
 		.head_usec = USEC_PER_SEC,
 		.idle_usec = USEC_PER_SEC,
 		.fresh = true,
@@ -62,7 +62,7 @@
 	headers[0].value.size =
 		(size_t)snprintf(id, sizeof(id), "acme.e%u", ++soak->repeats);
 	web_fetch(soak->client, &spec, 1 << 16, on_answer, soak);
-	timer_start(timer, REPEAT_USEC);
+	timer_start(timer, REPEAT_INTERVAL_USEC);
 }
 
 void repeats_start(struct soak *soak)
@@ -74,7 +74,8 @@
 void repeats_check(struct soak *soak)
 {
 	/* Of two works: one of streams, one of plain calls. */
-	int64_t most = 2 * (int64_t)ENDED_MAX * (1 + soak->all_killed);
+	int64_t most =
+		2 * (int64_t)CRASHED_SERVERS_MAX * (1 + soak->all_killed);
 	int64_t ended = site_call(soak, "GET", "/site/ledger", NULL, "ended");
 
 	printf("  %u repeats, %u refused, %d servers ended, all killed %u "
@@ -84,7 +85,8 @@
 	if (ended > most)
 		soak_fail(soak, "%d servers ended under two works, %d may",
 			  (int)ended, (int)most);
-	if (ended >= UNREFUSED_MAX + UNREFUSED_LOST * soak->all_killed &&
+	if (ended >= UNREFUSED_CRASHES_MAX +
+			     UNREFUSED_CRASHES_PER_LOSS * soak->all_killed &&
 	    soak->repeats_refused == 0)
 		soak_fail(soak, "%d servers ended and no repeat was refused",
 			  (int)ended);
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -23,9 +23,9 @@
 #include "web/loop.h"
 
 #define INSTANCES 3
-#define EVENTS 8
+#define STREAM_EVENTS 8
 /* A body that ends the server, see tests/platform/site/site.h. */
-#define SOAK_ENDS_SERVER "ends the server"
+#define SOAK_CRASH_BODY "ends the server"
 
 enum call_kind {
 	KIND_PLAIN,
@@ -40,8 +40,8 @@
 enum caller {
 	CALLER_ACME,
 	CALLER_BETA,
-	CALLER_LIAR, /* a wrong key, and the name of an organisation */
-	CALLER_NOBODY,
+	CALLER_WRONG_KEY, /* a wrong key, and the name of an organisation */
+	CALLER_NO_KEY,
 	CALLERS,
 };
 
@@ -53,7 +53,7 @@
 	struct web_call *web;
 	int status;
 	GString *body;
-	bool whole;
+	bool complete;
 	bool done;
 	bool hung_up;
 };
@@ -64,8 +64,8 @@
 	int64_t start_at;
 	int64_t wake_at; /* paused until then; 0: running */
 	bool stopping;
-	bool reloaded;	/* told to, in this life */
-	uint32_t lives; /* that were begun, and are to say so in the log */
+	bool reloaded;	 /* told to, in this life */
+	uint32_t starts; /* that were begun, and are to say so in the log */
 	struct proxy *callers;
 	struct proxy *store;
 };
@@ -77,7 +77,7 @@
 	struct loop *loop;
 	struct web_client *client;
 	GRand *rand;
-	GRand *callers; /* of its own: kept seeds play as they did */
+	GRand *caller_rand; /* of its own: kept seeds play as they did */
 	int64_t began;
 	pid_t site;
 	char *site_address;
@@ -91,17 +91,17 @@
 	struct timer fault_timer;
 	struct timer watch_timer;
 	/* Of a run with a caller whose request ends servers. */
-	bool repeating;
+	bool repeats_enabled;
 	uint32_t repeats;
 	uint32_t repeats_refused;
 	uint32_t all_killed; /* times */
 	struct timer repeat_timer;
 	/* Of a run with servers that ask for less. */
-	bool asking;
-	GRand *asks;
-	struct timer ask_timer;
-	uint32_t telling; /* calls of site_tell() not answered yet */
-	bool turning;	  /* the loop runs */
+	bool backpressure_enabled;
+	GRand *backpressure_rand;
+	struct timer backpressure_timer;
+	uint32_t posts_pending; /* calls of site_post() not answered yet */
+	bool loop_running;	/* the loop runs */
 };
 
 /* process.c */
@@ -114,7 +114,7 @@
 
 /* callers.c */
 /* Has the site tell callers apart. */
-void callers_begin(struct soak *soak);
+void organisations_configure(struct soak *soak);
 /* Fills in what the caller shows of itself; returns how many headers. */
 size_t caller_headers(enum caller caller, struct web_header *headers);
 const char *caller_name(enum caller caller);
@@ -130,27 +130,27 @@
 void soak_fail(struct soak *soak, const char *format, ...) G_GNUC_PRINTF(2, 3);
 /* Tells the site's control, without waiting for its answer: also from a timer.
  */
-void site_tell(struct soak *soak, const char *path, const char *body);
+void site_post(struct soak *soak, const char *path, const char *body);
 /* Until all that was told is answered. */
-void site_tell_end(struct soak *soak);
+void site_post_wait(struct soak *soak);
 /* A call to the site's control; the answer's number of that name, or -1. It
  * turns the loop, so no callback of the loop may make it. */
 int64_t site_call(struct soak *soak, const char *method, const char *path,
 		  const char *body, const char *name);
-void soak_turn(struct soak *soak, int64_t usec);
+void soak_loop_run(struct soak *soak, int64_t usec);
 
 /* repeats.c */
 void repeats_start(struct soak *soak);
 void repeats_check(struct soak *soak);
 
 /* asks.c */
-void asks_start(struct soak *soak);
+void backpressure_start(struct soak *soak);
 /* No server asks for anything any more. */
-void asks_heal(struct soak *soak);
-void asks_check(struct soak *soak);
+void backpressure_clear(struct soak *soak);
+void backpressure_check(struct soak *soak);
 
 /* faults.c */
-void fault_strike(struct soak *soak);
-void faults_heal(struct soak *soak);
+void fault_inject(struct soak *soak);
+void faults_clear(struct soak *soak);
 
 #endif
