--- a/tests/soak/asks.c
+++ b/tests/soak/asks.c
@@ -1,10 +1,11 @@
-/* Servers that ask for less, for a pause, or leave, beside all other faults. */
+/* Backpressure: servers announce rate limits, request backoffs and announce
+ * that they are leaving, in addition to all other faults. */
 #include <stdio.h>
 
 #include "soak.h"
 
 #define CHANGE_INTERVAL_USEC (700 * USEC_PER_MSEC)
-/* From when on what a server asks for binds all instances. */
+/* Time after which all instances must observe what a server announced. */
 #define PROPAGATION_USEC (3200 * USEC_PER_MSEC)
 #define OBSERVATION_USEC (5 * USEC_PER_SEC)
 
@@ -33,7 +34,7 @@
 	site_post(soak, "/site/leaving", body);
 }
 
-/* Begins a new life, which asks for nothing. */
+/* Starts a new incarnation, which announces nothing. */
 static void server_restart(struct soak *soak, const char *server)
 {
 	g_autofree char *body = g_strdup_printf(
@@ -97,8 +98,9 @@
 	       site_call(soak, "GET", "/site/ledger", NULL, "after_leaving");
 }
 
-/* Instances that were killed or cut off are excused for what they send before
- * they are told again, so what counts is a calm time after all of it. */
+/* An instance that was killed or partitioned may violate limits until it learns
+ * of them again. So violations are counted only after the faults are cleared
+ * and the announcements have had time to spread. */
 void backpressure_check(struct soak *soak)
 {
 	int64_t before;
--- a/tests/soak/callers.c
+++ b/tests/soak/callers.c
@@ -1,14 +1,14 @@
-/* Organisations, their keys and allotments, and callers that lie. */
+/* Organisations, their keys and allotments, and callers without a valid key. */
 #include <stdio.h>
 #include <string.h>
 
 #include "soak.h"
 
-/* Tokens of a stream here, and what beta may use: a sixth of what it asks. */
+/* Allotment of beta, a sixth of the tokens that it requests. */
 #define BETA_RATE_PER_SEC 300.0
 #define BETA_BURST_TOKENS 900.0
-/* A window may hold a tenth more, and what instances that were killed had not
- * told yet. */
+/* A window may exceed the allotment by a tenth, and by the usage that killed
+ * instances had not reported. */
 #define USAGE_MARGIN 1.1
 #define UNREPORTED_TOKENS BETA_BURST_TOKENS
 
@@ -65,7 +65,8 @@
 		g_strdup_printf(ORGANISATIONS, (int)++soak->version);
 
 	soak->began = clock_now(soak->clock);
-	/* A call of a busy machine may be lost; without it all run unasked. */
+	/* The call may fail on a busy machine; without organisations all
+	 * requests would run without authentication. */
 	while (site_call(soak, "POST", "/site/config", body, "runs") < 0)
 		soak_loop_run(soak, 50 * USEC_PER_MSEC);
 }
--- a/tests/soak/calls.c
+++ b/tests/soak/calls.c
@@ -1,4 +1,5 @@
-/* Callers of every kind, and what they and the site's ledger must agree on. */
+/* Calls of each kind, and the checks of their answers against the site's
+ * ledger. */
 #include <jansson.h>
 #include <stdarg.h>
 #include <stdio.h>
@@ -155,7 +156,8 @@
 	return number;
 }
 
-/* A whole answer is that of its own request, and nothing else. */
+/* A complete answer must be exactly that of its request, an interrupted stream
+ * a prefix of it. */
 static void answer_check(struct soak *soak, const struct call *call)
 {
 	g_autofree char *expected = NULL;
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -1,4 +1,4 @@
-/* What goes wrong, and its end. */
+/* Injects random faults and clears them. */
 #include <signal.h>
 #include <stdio.h>
 
--- a/tests/soak/process.c
+++ b/tests/soak/process.c
@@ -1,4 +1,4 @@
-/* Starting, watching and ending the processes of a run. */
+/* Starts, watches and ends the processes of a run. */
 #include <errno.h>
 #include <signal.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 
 #include "soak.h"
 
-/* Callers, health, peers. */
+/* Listeners of an instance: callers, health, peers. */
 #define ROLES 3
 #define FIRST_PORT 20001
 #define RESTART_DELAY_USEC (300 * USEC_PER_MSEC)
@@ -36,8 +36,9 @@
 	return pid;
 }
 
-/* An address that no other run has: several run at once, and a port that was
- * free may be taken by a connection of another before it is listened on. */
+/* Makes an address on a loopback IP derived from the process id. Several runs
+ * go on at once, and on a shared IP a free port may be taken by a connection of
+ * another run before the instance listens on it. */
 static void address_make(char *out, size_t size, int instance, int role)
 {
 	guint pid = (guint)getpid();
@@ -131,7 +132,7 @@
 		kill(instance->pid, number);
 }
 
-/* Lives that got as far as their first line. */
+/* Number of starts that have written their first log line. */
 static uint32_t starts_logged(const struct soak *soak,
 			      const struct instance *instance)
 {
@@ -147,10 +148,10 @@
 	return count;
 }
 
-/* Told to stop or to reload between its spawn and its first line, a process
- * that has not taken its signals over yet is ended by the signal itself. It has
- * served nobody. Seen with seeds 9203 and 9241 beside simulated days, and 30
- * times of 30 when the signal follows the spawn at once. */
+/* SIGTERM or SIGHUP ends a process by default until it has installed its signal
+ * handlers, shortly before its first log line. It has not served any request
+ * then. Seeds 9203 and 9241 can cause this; a signal sent directly after the
+ * spawn always does. */
 static bool ended_before_started(const struct instance *instance, bool started,
 				 int status)
 {
@@ -160,7 +161,8 @@
 	       (instance->reloaded && WTERMSIG(status) == SIGHUP);
 }
 
-/* One that was not told to end must not have. */
+/* Fails the run when an instance ended without having been stopped or killed.
+ */
 static void instance_ended(struct soak *soak, struct instance *instance,
 			   int status)
 {
--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -16,7 +16,7 @@
 	char address[32];
 	struct sockaddr_in to;
 	gint mode;  /* atomic */
-	gint epoch; /* atomic; connections of an earlier one are reset */
+	gint epoch; /* atomic; connections of earlier epochs are reset */
 };
 
 struct pump {
@@ -25,8 +25,9 @@
 	int to;
 	gboolean responses;
 	gint epoch;
-	gboolean discarding; /* for good: a stream must not have gaps */
-	gint *open_pumps;    /* of the two sockets */
+	gboolean discarding; /* until the end, since a stream must not have gaps
+			      */
+	gint *open_pumps;    /* pumps that use the two sockets */
 };
 
 static void sock_reset(int fd)
@@ -37,8 +38,8 @@
 	shutdown(fd, SHUT_RDWR);
 }
 
-/* What is swallowed is never made good, so nothing may follow it: the
- * connection stays silent for good, while new ones are as the mood says. */
+/* Discarded data is never delivered later, so nothing may follow it: the pump
+ * discards until the connection ends, while new connections follow the mode. */
 static gboolean pump_forwards(struct pump *pump, enum proxy_mode mode)
 {
 	if (mode == PROXY_SILENT || (mode == PROXY_ONE_WAY && pump->responses))
--- a/tests/soak/proxy.h
+++ b/tests/soak/proxy.h
@@ -1,27 +1,27 @@
 /*
- * proxy.h - a loopback proxy that harms connections on purpose
+ * proxy.h - a loopback proxy that injects connection faults
  *
  * DESCRIPTION
- *	One thread for each proxy and two for each connection, so that it goes
- *	on whatever the programs between it do. Each mood holds for what passes
- *	from then on; PROXY_RESET also ends what is open.
+ *	Each proxy has one thread, and two for each connection, so that it is
+ *	independent of the programs on either side. A mode applies to data
+ *	received from then on; PROXY_RESET also resets open connections.
  */
 #ifndef TESTS_SOAK_PROXY_H
 #define TESTS_SOAK_PROXY_H
 
 enum proxy_mode {
 	PROXY_FORWARD,
-	PROXY_SLOW,    /* each piece waits 100 ms */
-	PROXY_RESET,   /* connections are reset, new ones too */
-	PROXY_SILENT,  /* takes everything, passes nothing on; what is open when
-			* something is taken stays so */
-	PROXY_ONE_WAY, /* the same for answers; requests pass */
+	PROXY_SLOW,    /* delays each read by 100 ms */
+	PROXY_RESET,   /* resets open and new connections */
+	PROXY_SILENT,  /* accepts and discards all data; a connection with
+			* discarded data stays silent in later modes */
+	PROXY_ONE_WAY, /* the same for responses only; requests pass */
 	PROXY_MODES,
 };
 
 struct proxy;
 
-/* Listens on a port of its own before address. */
+/* Listens on a free loopback port and forwards to address. */
 struct proxy *proxy_create(const char *address);
 const char *proxy_address(const struct proxy *proxy);
 void proxy_set(struct proxy *proxy, enum proxy_mode mode);
--- a/tests/soak/repeats.c
+++ b/tests/soak/repeats.c
@@ -1,23 +1,25 @@
-/* A caller whose request ends each server that begins to run it. */
+/* A caller that repeats a request which crashes each server that runs it. */
 #include <stdio.h>
 #include <string.h>
 
 #include "soak.h"
 
-/* It waits for an answer and sends the request again, elsewhere. */
+/* Time between two repeats, each at the next instance. */
 #define REPEAT_INTERVAL_USEC (150 * USEC_PER_MSEC)
-/* Servers that may end under it for each time that all instances were lost at
- * once, with what they knew if it had not reached the store: three, and those
- * under way when the third ended. */
+/* Servers that one request fingerprint may crash before it is quarantined:
+ * three, and those running it at the third crash. As many more are allowed for
+ * each time that all instances were killed at once, since entries that had not
+ * reached the store are lost then. */
 #define CRASHED_SERVERS_MAX 5u
 
-/* So many ends without a refusal are no chance: of two works each is held from
- * its third on, unless all instances were lost right then, or the store hid all
- * servers from the repeats. */
+/* With this many crashes a repeat must have been refused: each of the two
+ * fingerprints is held from its third crash on, unless all instances were
+ * killed just then or the store hid all servers from the repeats. */
 #define UNREFUSED_CRASHES_MAX 10
-/* More for each time that all were lost: what two ends told of two works is not
- * kept, only what is held. Seed 9219: lost three times, each time with two ends
- * known, 14 servers in all. */
+/* More for each time that all instances were killed: of two fingerprints with
+ * two crashes each nothing is kept, since only held entries are stored. Seed
+ * 9219: killed three times, each time with two crashes known, 14 crashed
+ * servers. */
 #define UNREFUSED_CRASHES_PER_LOSS 4
 
 static void on_answer(void *ctx, const struct web_result *result, int status,
@@ -73,7 +75,7 @@
 
 void repeats_check(struct soak *soak)
 {
-	/* Of two works: one of streams, one of plain calls. */
+	/* Two fingerprints: one of streams, one of plain calls. */
 	int64_t most =
 		2 * (int64_t)CRASHED_SERVERS_MAX * (1 + soak->all_killed);
 	int64_t ended = site_call(soak, "GET", "/site/ledger", NULL, "ended");
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -1,7 +1,7 @@
 /* soak BUILD SEED [SECONDS [repeats|asks]]: one run; exit status 1 when a
- * promise broke. With "repeats" a caller sends again and again what ends
- * servers, with "asks" servers name limits, ask for rest and say that they
- * leave. */
+ * guarantee was violated. With "repeats" a caller repeats a request that
+ * crashes servers, with "asks" servers announce rate limits, request backoffs
+ * and announce that they are leaving. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,8 +15,8 @@
 #define CALL_INTERVAL_USEC (12 * USEC_PER_MSEC)
 #define WATCH_INTERVAL_USEC (20 * USEC_PER_MSEC)
 #define HANG_UP_SHARE 0.05
-/* After all faults have ended: calls end, all instances are back, and what was
- * held for nobody has run out. */
+/* After the faults are cleared: time for calls to end, instances to restart,
+ * and abandoned reservations and results to expire. */
 #define SETTLE_USEC (10 * USEC_PER_SEC)
 #define QUIET_USEC (4 * USEC_PER_SEC)
 
@@ -40,7 +40,8 @@
 	timer_start(timer, CALL_INTERVAL_USEC);
 }
 
-/* Set apart from the timer, since a strike may call and so turn the loop. */
+/* The fault is injected outside the loop, since it may call site_call(), which
+ * runs the loop. */
 static void on_fault(struct timer *timer, void *ctx)
 {
 	loop_stop(((struct soak *)ctx)->loop);
@@ -61,7 +62,7 @@
 {
 	struct timer end;
 
-	/* A callback may be using what a turn within it would free. */
+	/* A nested run could free objects that a callback is using. */
 	g_assert_false(soak->loop_running);
 	soak->loop_running = true;
 	timer_init(&end, soak->clock, on_loop_end, soak);
@@ -71,7 +72,7 @@
 	soak->loop_running = false;
 }
 
-/* Every instance serves every kind again, with the version that came last. */
+/* Each instance serves each kind of call again, with the last version. */
 static void recovery_check(struct soak *soak)
 {
 	guint first = soak->calls->len;
@@ -115,7 +116,7 @@
 	recovery_check(soak);
 	if (soak->backpressure_enabled) {
 		backpressure_check(soak);
-		/* The last calls are still under way. */
+		/* The last calls are still in progress. */
 		soak_loop_run(soak, QUIET_USEC);
 	}
 	calls_check(soak);
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,13 +1,15 @@
 /*
- * soak.h - real processes, faults from outside them, promises checked
+ * soak.h - randomised soak: real processes under injected faults
  *
  * DESCRIPTION
- *	A run has a stand-in site and a few forwarding instances, each behind a
- *	proxy towards its callers and one towards the store. Callers of every
- *	kind call all the time; processes are killed, paused, stopped and
- *	restarted, proxies harm connections, servers and the store fail. What
- *	happens when follows from the seed; how the processes interleave does
- *	not, so a seed that failed once may have to be run again and again.
+ *	A run has a stand-in site and several forwarding instances, each with
+ *	one proxy towards its callers and one towards the store. Callers of each
+ *	kind send requests throughout the run. Processes are killed, paused,
+ *	stopped and restarted, proxies disturb connections, servers and the
+ *	store fail. At the end the guarantees to callers and servers are
+ *	checked. The seed determines the sequence of faults but not how the
+ *	processes interleave, so a failure may need several runs of its seed to
+ *	reproduce.
  */
 #ifndef TESTS_SOAK_SOAK_H
 #define TESTS_SOAK_SOAK_H
@@ -24,7 +26,7 @@
 
 #define INSTANCES 3
 #define STREAM_EVENTS 8
-/* A body that ends the server, see tests/platform/site/site.h. */
+/* Body of a request that crashes its server, see tests/platform/site/site.h. */
 #define SOAK_CRASH_BODY "ends the server"
 
 enum call_kind {
@@ -35,12 +37,12 @@
 	KINDS,
 };
 
-/* Who calls: with a key of one of two organisations, the second of which asks
- * for more than its allotment; or with none that is known. */
+/* Callers with a key of one of two organisations, of which beta requests more
+ * than its allotment, and callers without a valid key. */
 enum caller {
 	CALLER_ACME,
 	CALLER_BETA,
-	CALLER_WRONG_KEY, /* a wrong key, and the name of an organisation */
+	CALLER_WRONG_KEY, /* sends an unknown key and an organisation's name */
 	CALLER_NO_KEY,
 	CALLERS,
 };
@@ -64,8 +66,8 @@
 	int64_t start_at;
 	int64_t wake_at; /* paused until then; 0: running */
 	bool stopping;
-	bool reloaded;	 /* told to, in this life */
-	uint32_t starts; /* that were begun, and are to say so in the log */
+	bool reloaded;	 /* SIGHUP was sent since the last start */
+	uint32_t starts; /* starts that are expected in the log */
 	struct proxy *callers;
 	struct proxy *store;
 };
@@ -77,7 +79,8 @@
 	struct loop *loop;
 	struct web_client *client;
 	GRand *rand;
-	GRand *caller_rand; /* of its own: kept seeds play as they did */
+	GRand *caller_rand; /* separate, so that the sequences of kept seeds do
+			     * not change */
 	int64_t began;
 	pid_t site;
 	char *site_address;
@@ -90,53 +93,56 @@
 	struct timer call_timer;
 	struct timer fault_timer;
 	struct timer watch_timer;
-	/* Of a run with a caller whose request ends servers. */
+	/* For runs with a caller whose request crashes servers. */
 	bool repeats_enabled;
 	uint32_t repeats;
 	uint32_t repeats_refused;
-	uint32_t all_killed; /* times */
+	uint32_t all_killed; /* times that all instances were killed at once */
 	struct timer repeat_timer;
-	/* Of a run with servers that ask for less. */
+	/* For runs with servers that apply backpressure. */
 	bool backpressure_enabled;
 	GRand *backpressure_rand;
 	struct timer backpressure_timer;
-	uint32_t posts_pending; /* calls of site_post() not answered yet */
-	bool loop_running;	/* the loop runs */
+	uint32_t posts_pending; /* calls of site_post() without an answer */
+	bool loop_running;
 };
 
 /* process.c */
 void soak_start(struct soak *soak);
 void soak_stop(struct soak *soak);
 void instance_start(struct soak *soak, struct instance *instance);
-/* Reaps what ended and starts it again; wakes what was paused. */
+/* Reaps and restarts instances that ended, and resumes paused ones whose time
+ * has come. */
 void instances_watch(struct soak *soak);
 void instance_signal(struct instance *instance, int number);
 
 /* callers.c */
-/* Has the site tell callers apart. */
+/* Configures the organisations and their keys at the site. */
 void organisations_configure(struct soak *soak);
-/* Fills in what the caller shows of itself; returns how many headers. */
+/* Sets the headers that identify the caller; returns their number. */
 size_t caller_headers(enum caller caller, struct web_header *headers);
 const char *caller_name(enum caller caller);
-/* Servers saw no key and no wrong name, and no allotment was passed. */
+/* Fails the run when a server received a key or a wrong organisation, or an
+ * allotment was exceeded. */
 void callers_check(struct soak *soak);
 
 /* calls.c */
 void call_start(struct soak *soak, enum call_kind kind, int instance,
 		enum caller caller);
 enum caller caller_draw(struct soak *soak);
-/* Fails the run when a promise was broken. */
+/* Fails the run when a guarantee was violated. */
 void calls_check(struct soak *soak);
 void soak_fail(struct soak *soak, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/* Tells the site's control, without waiting for its answer: also from a timer.
- */
+/* Sends a control call to the site without waiting for the answer; may be
+ * called from a timer. */
 void site_post(struct soak *soak, const char *path, const char *body);
-/* Until all that was told is answered. */
+/* Waits until all calls of site_post() are answered. */
 void site_post_wait(struct soak *soak);
-/* A call to the site's control; the answer's number of that name, or -1. It
- * turns the loop, so no callback of the loop may make it. */
+/* Makes a control call to the site and returns the number of that name in the
+ * answer, or -1. It runs the loop, so it must not be called from a callback. */
 int64_t site_call(struct soak *soak, const char *method, const char *path,
 		  const char *body, const char *name);
+/* Runs the loop for that time; not from a callback of the loop. */
 void soak_loop_run(struct soak *soak, int64_t usec);
 
 /* repeats.c */
@@ -145,7 +151,7 @@
 
 /* asks.c */
 void backpressure_start(struct soak *soak);
-/* No server asks for anything any more. */
+/* Removes the limits and backoffs of all servers and restarts them. */
 void backpressure_clear(struct soak *soak);
 void backpressure_check(struct soak *soak);
 
