--- a/tests/soak/process.c
+++ b/tests/soak/process.c
@@ -161,8 +161,7 @@
 	       (instance->reloaded && WTERMSIG(status) == SIGHUP);
 }
 
-/* Fails the run when an instance ended without having been stopped or killed.
- */
+/* Fails the run when an instance ended that was neither stopped nor killed. */
 static void instance_ended(struct soak *soak, struct instance *instance,
 			   int status)
 {
--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -25,8 +25,7 @@
 	int to;
 	gboolean responses;
 	gint epoch;
-	gboolean discarding; /* until the end, since a stream must not have gaps
-			      */
+	gboolean discarding; /* for good: no gaps in a stream */
 	gint *open_pumps;    /* pumps that use the two sockets */
 };
 
