--- a/tests/session/http.c
+++ b/tests/session/http.c
@@ -95,8 +95,7 @@
 	return count;
 }
 
-/* "@FILE" is replaced by the content of the file; NULL when it cannot be read.
- */
+/* "@FILE" stands for the content of the file; NULL when it cannot be read. */
 static char *body_load(const char *text)
 {
 	char *body = NULL;
