--- a/tests/coord/claim_fleet.c
+++ b/tests/coord/claim_fleet.c
@@ -1,7 +1,7 @@
 #include "claim_fleet.h"
 
 #include "claim_codec.h"
-#include "letter.h"
+#include "packet.h"
 
 struct view_update {
 	struct instance *to;
--- a/tests/data_centres/site.c
+++ b/tests/data_centres/site.c
@@ -27,7 +27,7 @@
 	return &services[0];
 }
 
-static void letter_arrive(void *data)
+static void packet_arrive(void *data)
 {
 	const struct packet *packet = data;
 	const struct instance *from = packet->from;
@@ -95,7 +95,7 @@
 		return;
 	call_queue_add(site->call_queue,
 		       site_delay(site, from->centre, to->centre),
-		       letter_arrive,
+		       packet_arrive,
 		       packet_create(from, to, channel, payload, size), g_free);
 }
 
--- a/tests/data_centres/site.h
+++ b/tests/data_centres/site.h
@@ -11,10 +11,10 @@
 
 #include <glib.h>
 
+#include "call_queue.h"
 #include "common/clock.h"
 #include "coord/ledger_level.h"
-#include "later.h"
-#include "letter.h"
+#include "packet.h"
 
 #define CENTRES_MAX 7
 #define INSTANCES_MAX 3
--- a/tests/fake/address_free.c
+++ b/tests/fake/address_unused.c
@@ -1,4 +1,4 @@
-#include "address_free.h"
+#include "address_unused.h"
 
 #include <arpa/inet.h>
 #include <glib.h>
--- a/tests/fake/address_free.h
+++ b/tests/fake/address_unused.h
@@ -1,8 +1,8 @@
 /*
- * address_pick_unused.h - an unused port on a loopback address of this process
+ * address_unused.h - an unused UDP port on a loopback address of this process
  */
-#ifndef TESTS_FAKE_ADDRESS_FREE_H
-#define TESTS_FAKE_ADDRESS_FREE_H
+#ifndef TESTS_FAKE_ADDRESS_UNUSED_H
+#define TESTS_FAKE_ADDRESS_UNUSED_H
 
 #define ADDRESS_UNUSED_MAX 32
 
--- a/tests/fake/later.c
+++ b/tests/fake/call_queue.c
@@ -1,4 +1,4 @@
-#include "later.h"
+#include "call_queue.h"
 
 struct call_queue {
 	struct clock *clock;
--- a/tests/fake/later.h
+++ b/tests/fake/call_queue.h
@@ -1,5 +1,5 @@
 /*
- * later.h - delayed calls, for messages in flight in a test
+ * call_queue.h - delayed calls, for messages in flight in a test
  *
  * DESCRIPTION
  *	Simulates the delay of messages and answers. Each delayed call is a
@@ -7,8 +7,8 @@
  *	order of the clock's timers. Destroying the queue drops the pending
  *	calls and frees their data.
  */
-#ifndef TESTS_FAKE_LATER_H
-#define TESTS_FAKE_LATER_H
+#ifndef TESTS_FAKE_CALL_QUEUE_H
+#define TESTS_FAKE_CALL_QUEUE_H
 
 #include <glib.h>
 
--- a/tests/fake/fake_log.h
+++ b/tests/fake/fake_log.h
@@ -12,8 +12,8 @@
 #ifndef TESTS_FAKE_LOG_H
 #define TESTS_FAKE_LOG_H
 
+#include "call_queue.h"
 #include "coord/log_store.h"
-#include "later.h"
 
 struct fake_log {
 	struct clock *clock;
--- a/tests/fake/fake_world.h
+++ b/tests/fake/fake_world.h
@@ -13,8 +13,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+#include "call_queue.h"
 #include "common/clock.h"
-#include "later.h"
 
 #define WORLD_STEP_USEC (5 * USEC_PER_MSEC)
 
--- a/tests/fake/letter.c
+++ b/tests/fake/packet.c
@@ -1,4 +1,4 @@
-#include "letter.h"
+#include "packet.h"
 
 #include <glib.h>
 #include <string.h>
--- a/tests/fake/letter.h
+++ b/tests/fake/packet.h
@@ -1,8 +1,8 @@
 /*
- * letter.h - a message in flight from one instance to another
+ * packet.h - a message in flight from one instance to another
  */
-#ifndef TESTS_FAKE_LETTER_H
-#define TESTS_FAKE_LETTER_H
+#ifndef TESTS_FAKE_PACKET_H
+#define TESTS_FAKE_PACKET_H
 
 #include <stddef.h>
 #include <stdint.h>
--- a/tests/forward/gossip_world.h
+++ b/tests/forward/gossip_world.h
@@ -13,7 +13,7 @@
 
 #include <glib.h>
 
-#include "address_free.h"
+#include "address_unused.h"
 #include "coord/quarantine.h"
 #include "forward/gossip.h"
 #include "web/loop.h"
--- a/tests/forward/test_gossip.c
+++ b/tests/forward/test_gossip.c
@@ -2,7 +2,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "address_free.h"
+#include "address_unused.h"
 #include "common/id.h"
 #include "forward/gossip.h"
 #include "web/loop.h"
--- a/tests/forward/test_groups.c
+++ b/tests/forward/test_groups.c
@@ -3,7 +3,7 @@
 
 #include "../../forward/gossip_private.h"
 #include "../fake/rows.h"
-#include "address_free.h"
+#include "address_unused.h"
 
 struct size {
 	const char *name;
--- a/tests/forward/test_roles.c
+++ b/tests/forward/test_roles.c
@@ -2,8 +2,8 @@
 #include <glib.h>
 #include <string.h>
 
+#include "../fake/call_queue.h"
 #include "../fake/fake_log.h"
-#include "../fake/later.h"
 #include "common/id.h"
 #include "forward/rates.h"
 #include "forward/roles.h"
--- a/tests/ledger/world.h
+++ b/tests/ledger/world.h
@@ -11,10 +11,10 @@
 
 #include <glib.h>
 
+#include "call_queue.h"
 #include "common/clock.h"
 #include "coord/ledger.h"
-#include "later.h"
-#include "letter.h"
+#include "packet.h"
 
 #define INSTANCES_MAX 4
 #define ENGINES_MAX 4
--- a/tests/limit/test_cell_load.c
+++ b/tests/limit/test_cell_load.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "coord/cell_load.h"
-#include "letter.h"
+#include "packet.h"
 
 #define NONE NULL
 
@@ -13,14 +13,14 @@
 static const char *const names[MEMBERS] = {"a1", "b1", "c1"};
 static const char *const places[MEMBERS] = {"a", "b", "c"};
 
-static GQueue letters = G_QUEUE_INIT;
+static GQueue packets = G_QUEUE_INIT;
 
-static void send_later(void *ctx, uint64_t instance, enum channel channel,
-		       const void *payload, size_t size)
+static void packet_queue(void *ctx, uint64_t instance, enum channel channel,
+			 const void *payload, size_t size)
 {
 	for (int i = 0; i < MEMBERS; i++)
 		if (id_of(names[i]) == instance)
-			g_queue_push_tail(&letters,
+			g_queue_push_tail(&packets,
 					  packet_create(ctx, (void *)&names[i],
 							channel, payload,
 							size));
@@ -75,7 +75,7 @@
 {
 	struct packet *packet;
 
-	while ((packet = g_queue_pop_head(&letters))) {
+	while ((packet = g_queue_pop_head(&packets))) {
 		const char *const *to = packet->to;
 
 		membership_receive(members[to - names], id_of(packet->from),
@@ -91,7 +91,7 @@
 
 	for (int i = 0; i < MEMBERS; i++) {
 		struct member self = member_make(names[i], places[i]);
-		struct transport transport = {send_later, (void *)names[i]};
+		struct transport transport = {packet_queue, (void *)names[i]};
 
 		members[i] = membership_create(clock, &self, &settings,
 					       &transport, &ops, NULL);
--- a/tests/member/world.c
+++ b/tests/member/world.c
@@ -59,7 +59,7 @@
 		       delivery_create(node, fn, data, destroy), NULL);
 }
 
-static void letter_deliver(void *data)
+static void packet_deliver(void *data)
 {
 	const struct packet *packet = data;
 	const struct node *from = packet->from;
@@ -73,7 +73,7 @@
 			     packet->size);
 }
 
-static void letter_arrive(void *data)
+static void packet_arrive(void *data)
 {
 	struct packet *packet = data;
 	const struct node *from = packet->from;
@@ -84,16 +84,16 @@
 		return;
 	}
 	to->received_bytes += packet->size + WIRE_HEADERS;
-	delivery_arrive(delivery_create(to, letter_deliver, packet, g_free));
+	delivery_arrive(delivery_create(to, packet_deliver, packet, g_free));
 }
 
-static void letter_send(struct node *from, struct node *to,
+static void packet_send(struct node *from, struct node *to,
 			enum channel channel, const void *data, size_t size)
 {
 	struct world *w = from->world;
 
 	call_queue_add(w->call_queue, between(w, w->delay_min, w->delay_max),
-		       letter_arrive,
+		       packet_arrive,
 		       packet_create(from, to, channel, data, size), NULL);
 }
 
@@ -113,9 +113,9 @@
 			continue;
 		if (w->cut[from->index][i] || chance(w, w->drop))
 			return;
-		letter_send(from, to, channel, payload, size);
+		packet_send(from, to, channel, payload, size);
 		if (chance(w, w->duplicate))
-			letter_send(from, to, channel, payload, size);
+			packet_send(from, to, channel, payload, size);
 	}
 }
 
--- a/tests/member/world.h
+++ b/tests/member/world.h
@@ -13,7 +13,7 @@
 #include "coord/fold.h"
 #include "coord/member.h"
 #include "fake_log.h"
-#include "letter.h"
+#include "packet.h"
 
 #define WORLD_MAX 360
 /* Ethernet, IP and TCP with timestamps; then the frame's length, array header,
