--- a/tests/coord/claim_fleet.c
+++ b/tests/coord/claim_fleet.c
@@ -37,7 +37,7 @@
 	struct instance *from = ctx;
 	struct fleet *fleet = from->fleet;
 	struct instance *to = NULL;
-	uint32_t ends = 1u << from->index;
+	uint32_t from_bit = 1u << from->index;
 
 	g_assert_cmpint(channel, ==, CHANNEL_CLAIM);
 	for (uint32_t i = 0; i < FAKE_MEMBERS; i++) {
@@ -45,7 +45,7 @@
 			to = &fleet->instances[i];
 	}
 	g_assert_nonnull(to);
-	if (to != from && (fleet->isolated & (ends | 1u << to->index)))
+	if (to != from && (fleet->isolated & (from_bit | 1u << to->index)))
 		return;
 	if (to != from && world_chance(fleet->world, fleet->drop_percent))
 		return;
--- a/tests/coord/test_claim.c
+++ b/tests/coord/test_claim.c
@@ -96,7 +96,7 @@
 		fleet->log->lost_percent = 100;
 		break;
 	case FAULT_SLOW_LOG:
-		fleet->log->slow = 5 * USEC_PER_SEC;
+		fleet->log->fixed_delay = 5 * USEC_PER_SEC;
 		break;
 	case FAULT_OUTAGE:
 		fleet->log->outage = true;
@@ -181,7 +181,7 @@
 	 * in the log. */
 	fleet->log->outage = false;
 	fleet->log->lost_percent = 0;
-	fleet->log->slow = 0;
+	fleet->log->fixed_delay = 0;
 	fleet_run(fleet, 25 * USEC_PER_SEC);
 	rival = fleet_submit(fleet, 4, KEY, TIMEOUT);
 	fleet_run(fleet, TIMEOUT + USEC_PER_SEC);
--- a/tests/coord/test_claim_schedules.c
+++ b/tests/coord/test_claim_schedules.c
@@ -138,7 +138,7 @@
 static void test_schedules(void)
 {
 	const struct seeds seeds = seeds_from_env("CLAIM");
-	int winners = 0, silent = 0;
+	int winners = 0, none_won = 0;
 	bool won;
 
 	for (uint32_t i = 0; i < seeds.count; i++) {
@@ -146,12 +146,12 @@
 
 		g_test_message("seed %u", seed);
 		winners += schedule_run(seed, &won);
-		silent += !won;
+		none_won += !won;
 	}
 	g_test_message("%u schedules, %d claims won, none won in %d",
-		       seeds.count, winners, silent);
+		       seeds.count, winners, none_won);
 	/* The faults must leave some claims possible in most schedules. */
-	g_assert_cmpint(silent, <=, (int)seeds.count / 20);
+	g_assert_cmpint(none_won, <=, (int)seeds.count / 20);
 }
 
 int main(int argc, char **argv)
--- a/tests/coord/test_lease.c
+++ b/tests/coord/test_lease.c
@@ -72,7 +72,7 @@
 		log->lost_percent = on ? 100 : 0;
 		break;
 	case FAULT_SLOW_LOG:
-		log->slow = on ? USEC_PER_SEC : 0;
+		log->fixed_delay = on ? USEC_PER_SEC : 0;
 		break;
 	case FAULT_OUTAGE:
 		log->outage = on;
@@ -217,7 +217,7 @@
 
 	trial->engine.checks_fencing = true;
 	trial->world->stale_percent = 100;
-	trial->log->slow = 100 * USEC_PER_MSEC;
+	trial->log->fixed_delay = 100 * USEC_PER_MSEC;
 	holder_start(first);
 	while (!fake_log_records(trial->log, LOG_STREAM_LEASES)->len)
 		trial_step(trial);
--- a/tests/coord/test_quarantine.c
+++ b/tests/coord/test_quarantine.c
@@ -37,7 +37,7 @@
 }
 
 /* A request is held from the third server on; each server counts once. */
-static void test_third(void)
+static void test_crash_threshold(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
 	struct request_fingerprint id = fingerprint_make(1);
@@ -260,7 +260,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/quarantine/third", test_third);
+	g_test_add_func("/quarantine/third", test_crash_threshold);
 	g_test_add_func("/quarantine/proved", test_succeeded);
 	g_test_add_func("/quarantine/cleared", test_cleared);
 	g_test_add_func("/quarantine/bounds", test_bounds);
--- a/tests/data_centres/calls.c
+++ b/tests/data_centres/calls.c
@@ -62,7 +62,7 @@
 	job->no_redirect = true;
 	job->centre = centre;
 	job->instance = number;
-	site_arrives(site, job, site_delay(site, from, centre));
+	site_submit_after(site, job, site_delay(site, from, centre));
 	return true;
 }
 
@@ -140,7 +140,7 @@
 {
 }
 
-static void on_homes(void *ctx)
+static void on_homes_changed(void *ctx)
 {
 }
 
@@ -150,7 +150,7 @@
 	.duplicate = on_duplicate,
 	.revoked = on_revoked,
 	.cancel = on_cancel,
-	.homes_changed = on_homes,
+	.homes_changed = on_homes_changed,
 };
 
 void calls_submit(struct job *job)
--- a/tests/data_centres/calls.h
+++ b/tests/data_centres/calls.h
@@ -15,6 +15,6 @@
 extern const char *const site_names[CENTRES_MAX];
 int64_t site_delay(const struct site *site, int from, int to);
 /* Submits the job after the delay. */
-void site_arrives(struct site *site, struct job *job, int64_t delay);
+void site_submit_after(struct site *site, struct job *job, int64_t delay);
 
 #endif
--- a/tests/data_centres/site.c
+++ b/tests/data_centres/site.c
@@ -62,7 +62,7 @@
 	calls_submit(data);
 }
 
-void site_arrives(struct site *site, struct job *job, int64_t delay)
+void site_submit_after(struct site *site, struct job *job, int64_t delay)
 {
 	call_queue_add(site->call_queue, delay, job_arrive, job, NULL);
 }
--- a/tests/data_centres/test_keys.c
+++ b/tests/data_centres/test_keys.c
@@ -7,7 +7,7 @@
 #define MSEC USEC_PER_MSEC
 #define SEC USEC_PER_SEC
 #define KEY UINT64_C(0x1234567890abcdef)
-#define GENERATIONS 65536u
+#define MANY_KEYS 65536u
 
 static struct site *site;
 
@@ -77,7 +77,7 @@
 {
 	uint64_t cell = cell_id(site_service(), "b");
 
-	for (uint32_t i = 0; i < GENERATIONS; i++) {
+	for (uint32_t i = 0; i < MANY_KEYS; i++) {
 		uint32_t key = i * 2654435761u;
 
 		keys_send(cell, &key, sizeof(key), false);
--- a/tests/data_centres/test_level.c
+++ b/tests/data_centres/test_level.c
@@ -128,7 +128,7 @@
 	const char *name;
 	uint32_t queue_max;
 	int64_t work;
-	int64_t pause; /* half the time between two bursts */
+	int64_t half_period; /* of the bursts */
 	uint32_t changes_min;
 	uint32_t changes_max;
 };
@@ -152,13 +152,13 @@
 					.queue_max = row->queue_max});
 	if (row->queue_max == 200)
 		spec.class = CLASS_URGENT;
-	for (int64_t at = 0; at < 60 * SEC; at += 2 * row->pause) {
+	for (int64_t at = 0; at < 60 * SEC; at += 2 * row->half_period) {
 		for (int j = 0; j < 32; j++) {
 			site_submit(site, 0, &spec);
 			if (j % 4 == 3)
 				site_run(site, 5 * MSEC);
 		}
-		site_run(site, 2 * row->pause - 40 * MSEC);
+		site_run(site, 2 * row->half_period - 40 * MSEC);
 	}
 	g_test_message("%u changes in a minute", site->level_changes);
 	g_assert_cmpuint(site->level_changes, >=, row->changes_min);
@@ -287,7 +287,7 @@
 	outcome->changes = site->level_changes;
 }
 
-static struct measured load_measure(const struct load_row *row, bool stay,
+static struct measured load_measure(const struct load_row *row, bool local_only,
 				    uint32_t seed)
 {
 	struct measured outcome = {0};
@@ -296,13 +296,13 @@
 						   .centres = row->centres,
 						   .instances = 3,
 						   .remote_ms = row->remote_ms,
-						   .local_only = stay});
+						   .local_only = local_only});
 	load_run(row, row->time ? row->time : 60 * SEC);
 	outcome_count(row, &outcome);
 	g_test_message("%s, seed %u, %s: in time %.3f (a %.3f b %.3f c %.3f), "
 		       "moved %.3f, %u level changes",
-		       row->name, seed, stay ? "stay" : "move", outcome.all,
-		       outcome.in_time[0], outcome.in_time[1],
+		       row->name, seed, local_only ? "stay" : "move",
+		       outcome.all, outcome.in_time[0], outcome.in_time[1],
 		       row->centres > 2 ? outcome.in_time[2] : 0, outcome.moved,
 		       outcome.changes);
 	site_destroy(site);
@@ -314,16 +314,18 @@
 	const struct load_row *row = data;
 
 	for (uint32_t seed = 1; seed <= 3; seed++) {
-		struct measured stay = load_measure(row, true, seed);
-		struct measured move = load_measure(row, false, seed);
+		struct measured local = load_measure(row, true, seed);
+		struct measured redirected = load_measure(row, false, seed);
 
-		g_assert_cmpfloat(move.all, >=, stay.all + row->gain_min);
+		g_assert_cmpfloat(redirected.all, >=,
+				  local.all + row->gain_min);
 		for (int c = 0; c < row->centres; c++)
-			g_assert_cmpfloat(move.in_time[c], >=,
-					  stay.in_time[c] - row->harm_max);
-		g_assert_cmpfloat(move.moved, <=, row->moved_max);
+			g_assert_cmpfloat(redirected.in_time[c], >=,
+					  local.in_time[c] - row->harm_max);
+		g_assert_cmpfloat(redirected.moved, <=, row->moved_max);
 		if (row->changes_max)
-			g_assert_cmpuint(move.changes, <=, row->changes_max);
+			g_assert_cmpuint(redirected.changes, <=,
+					 row->changes_max);
 	}
 }
 
--- a/tests/fake/fake_log.c
+++ b/tests/fake/fake_log.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 #define POLL_USEC (20 * USEC_PER_MSEC)
-#define SILENT_USEC (100 * USEC_PER_MSEC)
-#define LATE_USEC (3 * USEC_PER_SEC)
+#define SILENT_RECHECK_USEC (100 * USEC_PER_MSEC)
+#define LATE_APPLY_USEC (3 * USEC_PER_SEC)
 
 struct append {
 	struct fake_log *log;
@@ -51,7 +51,7 @@
 
 static int64_t log_delay(struct fake_log *log)
 {
-	return log->slow + log_random(log, log->delay);
+	return log->fixed_delay + log_random(log, log->delay);
 }
 
 static void record_free(void *data)
@@ -150,8 +150,8 @@
 	struct fake_log *log = append->log;
 
 	if (append->client->silent && append->answer) {
-		call_queue_add(log->call_queue, SILENT_USEC, append_arrived,
-			       append, NULL);
+		call_queue_add(log->call_queue, SILENT_RECHECK_USEC,
+			       append_arrived, append, NULL);
 		return;
 	}
 	if (append->apply && log->outage && log->outage_at_arrival) {
@@ -212,7 +212,7 @@
 	} else if (log_chance_permille(log, log->late_permille)) {
 		append->code = RESULT_LOG_UNKNOWN;
 		append->apply = false;
-		append_apply_late(append, LATE_USEC);
+		append_apply_late(append, LATE_APPLY_USEC);
 	} else if (log_chance_permille(log, log->answer_lost_permille)) {
 		append->code = RESULT_LOG_UNKNOWN;
 	}
@@ -286,8 +286,8 @@
 	const GPtrArray *records = stream_get(log, read->stream);
 
 	if (read->client->silent) {
-		call_queue_add(log->call_queue, SILENT_USEC, read_arrived, read,
-			       NULL);
+		call_queue_add(log->call_queue, SILENT_RECHECK_USEC,
+			       read_arrived, read, NULL);
 		return;
 	}
 	read->code = log->outage || read->client->partitioned ? RESULT_LOG_DOWN
--- a/tests/fake/fake_log.h
+++ b/tests/fake/fake_log.h
@@ -21,7 +21,7 @@
 	GRand *rand;
 	GHashTable *streams; /* name to GPtrArray of struct log_record */
 	int64_t delay;	     /* maximum random delay in each direction */
-	int64_t slow;	     /* added to each random delay */
+	int64_t fixed_delay; /* added to each random delay */
 	int lost_percent;    /* appends of unknown result, applied or not */
 	int hole_percent;    /* pages that lack a record */
 	int answer_lost_permille; /* applied, result unknown */
--- a/tests/ledger/app.c
+++ b/tests/ledger/app.c
@@ -70,8 +70,8 @@
 	job->submitted_at = clock_now(world->clock);
 	job->decode_usec = spec->decode_usec != 0 ? spec->decode_usec
 						  : 100 * USEC_PER_MSEC;
-	job->prefill =
-		spec->prefill != 0 ? spec->prefill : PREFILL_DEFAULT_USEC;
+	job->prefill_usec = spec->prefill_usec != 0 ? spec->prefill_usec
+						    : PREFILL_DEFAULT_USEC;
 	timer_init(&job->timer, world->clock, job_timer, job);
 	g_ptr_array_add(world->jobs, job);
 	ledger_submit(instance->ledger, &request);
@@ -111,7 +111,7 @@
 				job->stream);
 	}
 	timer_start(&job->timer,
-		    grant->decode != 0 ? job->prefill : job->decode_usec);
+		    grant->decode != 0 ? job->prefill_usec : job->decode_usec);
 }
 
 static void app_refused(void *ctx, const struct ledger_refusal *refusal)
@@ -146,11 +146,11 @@
 	job_end(job, JOB_REVOKED);
 }
 
-static void app_homes(void *ctx)
+static void app_homes_changed(void *ctx)
 {
 }
 
-static void app_cancels(void *ctx, uint64_t runner, const char *stream)
+static void app_cancel_stream(void *ctx, uint64_t runner, const char *stream)
 {
 	engine_cancel(ctx, runner, stream);
 }
@@ -160,8 +160,8 @@
 	.refused = app_refused,
 	.duplicate = app_duplicate,
 	.revoked = app_revoked,
-	.cancel = app_cancels,
-	.homes_changed = app_homes,
+	.cancel = app_cancel_stream,
+	.homes_changed = app_homes_changed,
 };
 
 static void job_retry(struct job *job, enum result_code why)
--- a/tests/ledger/engine.c
+++ b/tests/ledger/engine.c
@@ -149,7 +149,7 @@
 		if (ledger_is_home(instance->ledger, world->engines[i].id))
 			runner_poll(instance, &world->engines[i]);
 	}
-	timer_start(&instance->poll, world->poll);
+	timer_start(&instance->poll, world->poll_interval);
 }
 
 static void cancel_receive_answer(void *data)
--- a/tests/ledger/test_faults.c
+++ b/tests/ledger/test_faults.c
@@ -149,7 +149,7 @@
 	world_leave(world, holder);
 }
 
-static void caller_gone(void)
+static void caller_disconnects(void)
 {
 	app_cancel(job);
 }
@@ -160,7 +160,7 @@
 		world->engines[i].ignores_cancel = ignores;
 }
 
-static void caller_gone_cancel_lost(void)
+static void caller_disconnects_cancel_lost(void)
 {
 	set_ignores_cancel(true);
 	app_cancel(job);
@@ -218,9 +218,9 @@
 	{"replica killed", kill_replica, restart_replica, "DDDDDD", "dddddd"},
 	{"home leaves", leave_home, nothing, "DDDDDD", "dddddd"},
 	{"holder leaves", leave_holder, nothing, "DDDDDD", "dddddd"},
-	{"caller gone", caller_gone, nothing, "WWWWWD", "fffffd"},
-	{"caller gone, cancel lost", caller_gone_cancel_lost, accept_cancels,
-	 "WWWWWD", "fffffd"},
+	{"caller gone", caller_disconnects, nothing, "WWWWWD", "fffffd"},
+	{"caller gone, cancel lost", caller_disconnects_cancel_lost,
+	 accept_cancels, "WWWWWD", "fffffd"},
 	{"holder killed, cancel lost", kill_holder_cancel_lost, accept_cancels,
 	 "LLLLLD", "ffffad"},
 	{"runner leaves", runner_leaves, nothing, "DDDDDD", "dddddd"},
--- a/tests/ledger/test_path.c
+++ b/tests/ledger/test_path.c
@@ -424,7 +424,7 @@
 	int64_t waited;
 
 	world_start("reserve", 100);
-	world->poll = 30 * USEC_PER_SEC;
+	world->poll_interval = 30 * USEC_PER_SEC;
 	world_run(world, 200 * MSEC);
 	report_prefill(&report, 40);
 	for (int i = 0; row->granted_tokens > 0 && i < 2; i++)
@@ -439,7 +439,7 @@
 	g_test_message("waited %ld ms", (long)(waited / MSEC));
 	g_assert_cmpint(waited, >=, MAX(row->expected_wait - 35 * MSEC, 0));
 	g_assert_cmpint(waited, <=, row->expected_wait + 15 * MSEC);
-	world->poll = 100 * MSEC;
+	world->poll_interval = 100 * MSEC;
 	world_run(world, 30 * USEC_PER_SEC);
 	world_end(world);
 }
@@ -546,7 +546,7 @@
 		app_submit(world, home->index,
 			   &(struct spec){.tokens = 100,
 					  .key = key,
-					  .prefill = MSEC,
+					  .prefill_usec = MSEC,
 					  .decode_usec = MSEC});
 		world_run(world, 5 * MSEC);
 	}
--- a/tests/ledger/test_prefill.c
+++ b/tests/ledger/test_prefill.c
@@ -11,7 +11,7 @@
 {
 	world = world_create(1, 3, "reserve", 100);
 	world_run(world, 500 * MSEC);
-	world->poll = 60 * USEC_PER_SEC;
+	world->poll_interval = 60 * USEC_PER_SEC;
 	world_run(world, 200 * MSEC);
 }
 
@@ -66,7 +66,7 @@
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(ends); i++) {
 		struct spec first = {.key = ends[i].key,
-				     .prefill = 50 * MSEC,
+				     .prefill_usec = 50 * MSEC,
 				     .decode_usec = 2 * USEC_PER_SEC};
 		struct job *job;
 		int64_t waited;
--- a/tests/ledger/test_rehome.c
+++ b/tests/ledger/test_rehome.c
@@ -40,10 +40,11 @@
 }
 
 /* Submits two requests that fill both decode runners. */
-static void submit_both(int index, int64_t prefill, struct job *jobs[2])
+static void submit_both(int index, int64_t prefill_usec, struct job *jobs[2])
 {
-	struct spec spec = {
-		.tokens = 16000, .prefill = prefill, .decode_usec = 500 * MSEC};
+	struct spec spec = {.tokens = 16000,
+			    .prefill_usec = prefill_usec,
+			    .decode_usec = 500 * MSEC};
 
 	for (int i = 0; i < 2; i++)
 		jobs[i] = app_submit(world, index, &spec);
@@ -120,7 +121,7 @@
 	struct job *job;
 
 	world_start();
-	world->poll = 30 * USEC_PER_SEC;
+	world->poll_interval = 30 * USEC_PER_SEC;
 	world_run(world, 200 * MSEC);
 	world_kill(world, home);
 	world_run(world, USEC_PER_SEC);
@@ -131,7 +132,7 @@
 	job = app_submit(world, other, &(struct spec){.tokens = 16000});
 	world_run(world, 300 * MSEC);
 	g_assert_cmpuint(job->answers, ==, 0);
-	world->poll = 100 * MSEC;
+	world->poll_interval = 100 * MSEC;
 	engine_poll(&world->instances[next_home]);
 	world_run(world, 100 * MSEC);
 	g_assert_cmpuint(job->answers, ==, 1);
@@ -204,7 +205,7 @@
 	struct job *first, *retry;
 
 	world_start();
-	world->poll = 30 * USEC_PER_SEC;
+	world->poll_interval = 30 * USEC_PER_SEC;
 	world_run(world, 200 * MSEC);
 	first = app_submit(world, other, &spec);
 	world_until(world, first->state == JOB_DECODE);
@@ -215,7 +216,7 @@
 	retry->adopt = true;
 	world_run(world, 100 * MSEC);
 	g_assert_true(retry->adopted);
-	world->poll = 100 * MSEC;
+	world->poll_interval = 100 * MSEC;
 	world_run(world, 30 * USEC_PER_SEC);
 	world_end(world);
 }
--- a/tests/ledger/world.c
+++ b/tests/ledger/world.c
@@ -195,7 +195,7 @@
 	world->call_queue = call_queue_create(world->clock);
 	world->violation = g_string_new(NULL);
 	world->delay_max = 3 * USEC_PER_MSEC;
-	world->poll = 100 * USEC_PER_MSEC;
+	world->poll_interval = 100 * USEC_PER_MSEC;
 	world->engine_count = ENGINES_MAX;
 	for (int i = 0; i < ENGINES_MAX; i++)
 		engine_init(world, i, i < 2 ? POOL_PREFILL : POOL_DECODE, 8);
--- a/tests/ledger/world.h
+++ b/tests/ledger/world.h
@@ -38,11 +38,11 @@
 	uint64_t key;
 	uint64_t fingerprint;
 	enum request_class class;
-	uint32_t tokens;     /* default 4,000: two pieces */
-	int64_t decode_usec; /* default 100 ms */
-	int64_t prefill;     /* default 20 ms */
-	int64_t timeout;     /* to the deadline; 0: none */
-	uint64_t block;	     /* first block of the prompt; 0: none */
+	uint32_t tokens;      /* default 4,000: two pieces */
+	int64_t decode_usec;  /* default 100 ms */
+	int64_t prefill_usec; /* default 20 ms */
+	int64_t timeout;      /* to the deadline; 0: none */
+	uint64_t block;	      /* first block of the prompt; 0: none */
 	bool not_idempotent;
 };
 
@@ -61,7 +61,7 @@
 	int64_t submitted_at;
 	int64_t answered_at;
 	int64_t decode_usec;
-	int64_t prefill;
+	int64_t prefill_usec;
 	bool adopt; /* takes over the stream of a dead owner */
 	bool adopted;
 	struct ledger_grant grant;
@@ -115,7 +115,7 @@
 	double duplicate_rate;
 	double corruption_rate; /* of messages with one byte changed */
 	struct ledger_settings settings;
-	int64_t poll; /* interval between polls of a runner */
+	int64_t poll_interval; /* between polls of a runner */
 	int64_t delay_max;
 	int64_t split_brain_until; /* invariants are not checked until then */
 	uint32_t split_brains;
--- a/tests/member/invariants.c
+++ b/tests/member/invariants.c
@@ -156,7 +156,7 @@
 			 size_t size)
 {
 	struct node *node = ctx;
-	struct watch *watch = node->extra;
+	struct watch *watch = node->watch;
 
 	if (revision <= watch->revision)
 		violation(watch->checker, node, "decreased its revision to",
@@ -171,7 +171,7 @@
 static void fold_audited(void *ctx, const struct fold_audit *audit)
 {
 	struct node *node = ctx;
-	struct watch *watch = node->extra;
+	struct watch *watch = node->watch;
 	struct checker *c = watch->checker;
 	struct fold_audit *known =
 		g_hash_table_lookup(c->verdicts, &audit->offset);
@@ -220,14 +220,14 @@
 	struct watch *watch = g_new0(struct watch, 1);
 
 	watch->checker = c;
-	node->extra = watch;
+	node->watch = watch;
 	node->fold = fold_create(node->clock, node->membership, &store,
 				 &transport, &ops, node);
 }
 
 void checker_stop(struct node *node)
 {
-	struct watch *watch = node->extra;
+	struct watch *watch = node->watch;
 	const GPtrArray *attempts = watch->checker->attempts;
 
 	for (guint i = 0; i < attempts->len; i++) {
@@ -238,8 +238,8 @@
 	}
 	fold_destroy(node->fold);
 	node->fold = NULL;
-	g_free(node->extra);
-	node->extra = NULL;
+	g_free(node->watch);
+	node->watch = NULL;
 }
 
 static void attempt_done(void *ctx, enum result_code code, uint64_t revision,
--- a/tests/member/test_fold.c
+++ b/tests/member/test_fold.c
@@ -427,7 +427,7 @@
 	run_for(SECONDS(2));
 	assert_answered(attempt, RESULT_OK);
 	run_for(SECONDS(60));
-	node_wake(reader);
+	node_resume(reader);
 	run_for(SECONDS(3));
 	assert_in_force(2);
 }
--- a/tests/member/test_fold_schedules.c
+++ b/tests/member/test_fold_schedules.c
@@ -122,7 +122,7 @@
 			node_pause(node);
 		break;
 	default:
-		node_wake(node);
+		node_resume(node);
 	}
 }
 
@@ -170,7 +170,7 @@
 		0;
 	for (int i = 0; i < w->count; i++) {
 		w->nodes[i]->client.silent = false;
-		node_wake(w->nodes[i]);
+		node_resume(w->nodes[i]);
 		if (!w->nodes[i]->up)
 			node_start(w->nodes[i]);
 	}
--- a/tests/member/test_member.c
+++ b/tests/member/test_member.c
@@ -70,7 +70,7 @@
 {
 	node_pause(w->nodes[2]);
 	world_run(w, SECONDS(1));
-	node_wake(w->nodes[2]);
+	node_resume(w->nodes[2]);
 	g_assert_true(membership_certain(w->nodes[2]->membership));
 	run_without_deaths(w, SECONDS(6));
 	g_assert_cmpuint(refuted(w), ==, 0);
@@ -81,7 +81,7 @@
 {
 	node_pause(w->nodes[2]);
 	world_run(w, 2200 * USEC_PER_MSEC);
-	node_wake(w->nodes[2]);
+	node_resume(w->nodes[2]);
 	g_assert_false(membership_certain(w->nodes[2]->membership));
 	world_run(w, SECONDS(1));
 	g_assert_true(membership_certain(w->nodes[2]->membership));
@@ -94,7 +94,7 @@
 	node_pause(w->nodes[2]);
 	world_run(w, SECONDS(7));
 	g_assert_cmpint(state(w, 0, 2), ==, MEMBER_DEAD);
-	node_wake(w->nodes[2]);
+	node_resume(w->nodes[2]);
 	/* A message that arrived meanwhile may have raised its incarnation
 	 * already. */
 	g_assert_true(!membership_certain(w->nodes[2]->membership) ||
@@ -112,7 +112,7 @@
 	world_run(w, SECONDS(2));
 	for (int i = 0; i < w->count; i++)
 		w->cut[2][i] = w->cut[i][2] = true;
-	node_wake(w->nodes[2]);
+	node_resume(w->nodes[2]);
 	world_run(w, SECONDS(1));
 	g_assert_false(membership_certain(w->nodes[2]->membership));
 	world_run(w, SECONDS(3));
@@ -127,7 +127,7 @@
 	world_run(w, SECONDS(10));
 	node_pause(w->nodes[0]);
 	world_run(w, SECONDS(10));
-	node_wake(w->nodes[0]);
+	node_resume(w->nodes[0]);
 	g_assert_true(membership_certain(w->nodes[0]->membership));
 	g_assert_cmpuint(w->nodes[0]->refuted, ==, 0);
 }
--- a/tests/member/test_member_schedules.c
+++ b/tests/member/test_member_schedules.c
@@ -76,7 +76,7 @@
 		node_pause(node);
 		break;
 	case 4:
-		node_wake(node);
+		node_resume(node);
 		break;
 	case 5:
 		partition(w);
@@ -95,7 +95,7 @@
 {
 	world_heal(w);
 	for (int i = 0; i < w->count; i++) {
-		node_wake(w->nodes[i]);
+		node_resume(w->nodes[i]);
 		if (!w->nodes[i]->up && pick(w, 3) > 0)
 			node_start(w->nodes[i]);
 	}
--- a/tests/member/world.c
+++ b/tests/member/world.c
@@ -10,7 +10,7 @@
 	GDestroyNotify destroy;
 };
 
-static int64_t between(struct world *w, int64_t low, int64_t high)
+static int64_t random_between(struct world *w, int64_t low, int64_t high)
 {
 	return low >= high ? low
 			   : g_rand_int_range(w->rand, (gint32)low,
@@ -92,7 +92,8 @@
 {
 	struct world *w = from->world;
 
-	call_queue_add(w->call_queue, between(w, w->delay_min, w->delay_max),
+	call_queue_add(w->call_queue,
+		       random_between(w, w->delay_min, w->delay_max),
 		       packet_arrive,
 		       packet_create(from, to, channel, data, size), NULL);
 }
@@ -175,7 +176,7 @@
 	w->delay_max = 3000;
 	w->call_queue = call_queue_create(w->clock);
 	w->log = fake_log_create(w->clock, w->call_queue, w->rand);
-	w->log->slow = 1 * USEC_PER_MSEC;
+	w->log->fixed_delay = 1 * USEC_PER_MSEC;
 	w->log->delay = 19 * USEC_PER_MSEC;
 	w->log->outage_at_arrival = true;
 	return w;
@@ -300,7 +301,7 @@
 	node->paused_at = clock_now(node->world->clock);
 }
 
-void node_wake(struct node *node)
+void node_resume(struct node *node)
 {
 	int64_t now = clock_now(node->world->clock);
 
--- a/tests/member/world.h
+++ b/tests/member/world.h
@@ -33,7 +33,7 @@
 	bool up;
 	bool paused;
 	int64_t paused_at;
-	GQueue queued; /* struct delivery, until a paused node wakes */
+	GQueue queued; /* struct delivery, until a paused node resumes */
 	struct fake_log_client client;
 	uint64_t bytes;
 	uint64_t messages;
@@ -45,7 +45,7 @@
 	uint64_t facts[8];	     /* newest version of each fact, by key */
 	GHashTable *other_facts;     /* the same for larger keys */
 	bool leaving;
-	void *extra;
+	void *watch; /* of invariants.c */
 };
 
 struct world {
@@ -79,7 +79,7 @@
 /* Stops it without notice to the others. */
 void node_kill(struct node *node);
 void node_pause(struct node *node);
-void node_wake(struct node *node);
+void node_resume(struct node *node);
 /* Gives the node hints for every node that is up, as the platform's list does.
  */
 void node_hint(struct node *node);
--- a/tests/order/test_order.c
+++ b/tests/order/test_order.c
@@ -64,7 +64,7 @@
 
 static void fault_log_slow(struct order_world *world)
 {
-	world->log->slow = 500 * USEC_PER_MSEC;
+	world->log->fixed_delay = 500 * USEC_PER_MSEC;
 }
 
 static void fault_log_loses_answers(struct order_world *world)
@@ -346,7 +346,7 @@
 	order_world_destroy(world);
 }
 
-static void all_busy(struct order_world *world, bool busy)
+static void engines_set_busy(struct order_world *world, bool busy)
 {
 	for (uint32_t i = 0; i < ENGINES; i++)
 		world->engines[i].busy = busy;
@@ -360,10 +360,10 @@
 
 	g_assert_true(order_world_until(world, FIRST_CHANGE_USEC, draining));
 	world->log->outage = true;
-	all_busy(world, true);
+	engines_set_busy(world, true);
 	order_world_run(world, 15 * SEC);
 	g_assert_cmpuint(withheld_count(world), ==, 0);
-	all_busy(world, false);
+	engines_set_busy(world, false);
 	order_world_run(world, 300 * SEC);
 	g_assert_cmpuint(world->changes, ==, 0);
 	world->log->outage = false;
@@ -386,11 +386,11 @@
 			order_world_until(world, FIRST_CHANGE_USEC, draining));
 		world->first_order_delay =
 			ORDER_TIMEOUT_USEC - 50 * USEC_PER_MSEC;
-		all_busy(world, true);
+		engines_set_busy(world, true);
 		order_world_run(world, 10 * SEC);
 		world->log->outage = true;
 		order_world_run(world, msec * USEC_PER_MSEC);
-		all_busy(world, false);
+		engines_set_busy(world, false);
 		order_world_run(world, 30 * SEC);
 		g_assert_cmpuint(withheld_count(world), ==, 0);
 		changes += world->changes;
--- a/tests/order/world.c
+++ b/tests/order/world.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define LIST_LAG (1 * USEC_PER_SEC)
-#define DECODE_REPORT_LAG (3 * USEC_PER_SEC)
+#define LIST_LAG_USEC (1 * USEC_PER_SEC)
+#define DECODE_REPORT_LAG_USEC (3 * USEC_PER_SEC)
 #define GRANT_USEC (5 * USEC_PER_SEC)
 #define CALL_USEC (20 * USEC_PER_MSEC)
 
@@ -305,7 +305,7 @@
 	int64_t now = clock_now(world->world->clock);
 
 	if (engine->listed != engine->role && !world->list_frozen &&
-	    now - engine->changed_at > LIST_LAG)
+	    now - engine->changed_at > LIST_LAG_USEC)
 		engine->listed = engine->role;
 	if (now >= engine->grants_end && !engine->busy)
 		engine->grants = 0;
@@ -317,9 +317,10 @@
 	engine->grants_end = now + GRANT_USEC;
 	/* A prefill ends before its grant, a decode may report work after it.
 	 */
-	engine->work_until = engine->role == POOL_PREFILL
-				     ? now + GRANT_USEC / 2
-				     : engine->grants_end + DECODE_REPORT_LAG;
+	engine->work_until =
+		engine->role == POOL_PREFILL
+			? now + GRANT_USEC / 2
+			: engine->grants_end + DECODE_REPORT_LAG_USEC;
 }
 
 static void order_world_step(struct order_world *world)
--- a/tests/role/test_role.c
+++ b/tests/role/test_role.c
@@ -100,33 +100,36 @@
 /* After a pause of the process the stabilisation time starts again. */
 static void test_gap(void)
 {
-	const struct role_load reason = {LOAD(7, 7, 8, 3)};
+	const struct role_load prefill_short = {LOAD(7, 7, 8, 3)};
 	struct role role;
 	int64_t now = 0;
 
 	role_init(&role, &(struct role_settings){0});
-	g_assert_cmpint(run(&role, &now, 5 * TICK, &reason), ==, ROLE_STAY);
+	g_assert_cmpint(run(&role, &now, 5 * TICK, &prefill_short), ==,
+			ROLE_STAY);
 	now += 60 * USEC_PER_SEC;
-	g_assert_cmpint(run(&role, &now, 10 * TICK, &reason), ==, ROLE_STAY);
-	g_assert_cmpint(run(&role, &now, 3 * TICK, &reason), ==,
+	g_assert_cmpint(run(&role, &now, 10 * TICK, &prefill_short), ==,
+			ROLE_STAY);
+	g_assert_cmpint(run(&role, &now, 3 * TICK, &prefill_short), ==,
 			ROLE_TO_PREFILL);
 }
 
 /* No move within the dwell time after the end of a move, whatever the load. */
 static void test_dwell(void)
 {
-	const struct role_load up = {LOAD(7, 7, 9, 3)};
+	const struct role_load prefill_short = {LOAD(7, 7, 9, 3)};
 	const struct role_load moving = {LOAD(7, 6, 9, 3), .moving = true};
-	const struct role_load down = {LOAD(8, 6, 3, 9)};
+	const struct role_load decode_short = {LOAD(8, 6, 3, 9)};
 	struct role role;
 	int64_t now = 0;
 
 	role_init(&role, &(struct role_settings){0});
-	g_assert_cmpint(run(&role, &now, 30 * TICK, &up), ==, ROLE_TO_PREFILL);
+	g_assert_cmpint(run(&role, &now, 30 * TICK, &prefill_short), ==,
+			ROLE_TO_PREFILL);
 	g_assert_cmpint(run(&role, &now, 300 * TICK, &moving), ==, ROLE_STAY);
 	int64_t end = now;
 
-	g_assert_cmpint(run(&role, &now, 300 * TICK, &down), ==,
+	g_assert_cmpint(run(&role, &now, 300 * TICK, &decode_short), ==,
 			ROLE_TO_DECODE);
 	g_assert_cmpint(now - end, >=, ROLE_DWELL_USEC);
 	g_assert_cmpint(now - end, <=, 2 * ROLE_DWELL_USEC);
