--- a/tests/coord/claim_fleet.h
+++ b/tests/coord/claim_fleet.h
@@ -57,8 +57,8 @@
 /* Submits a claim at instance i. */
 struct submission *fleet_submit(struct fleet *fleet, uint32_t i, uint64_t key,
 				int64_t timeout);
-/* The index of the instance that is the claim writer of that rank where
- * instance i is, as i sees it. */
+/* The index of the claim writer of that rank in the data centre of instance i,
+ * according to the membership of i. */
 uint32_t fleet_writer(const struct fleet *fleet, uint32_t i, uint32_t rank);
 /* Checks the answer to every submission against the log and the guarantees of
  * claim.h; returns how many won. An answer may be missing only when the
--- a/tests/coord/lease_trial.h
+++ b/tests/coord/lease_trial.h
@@ -51,9 +51,9 @@
 void trial_destroy(struct trial *trial);
 void trial_step(struct trial *trial);
 void trial_run(struct trial *trial, int64_t usec);
-/* The number of valid leases now, 0 or 1. The holder's index goes to *holder if
- * that is not NULL. */
-int trial_check_holders(const struct trial *trial, uint32_t *holder);
+/* The number of valid leases now, 0 or 1. The holder's index goes to
+ * *holder_index if that is not NULL. */
+int trial_check_holders(const struct trial *trial, uint32_t *holder_index);
 
 void holder_start(struct holder *holder);
 void holder_kill(struct holder *holder);
--- a/tests/coord/test_claim_table.c
+++ b/tests/coord/test_claim_table.c
@@ -53,7 +53,7 @@
 	  {1, 4, 22, CLAIM_LOST, 1},
 	  {3, 5, 44, CLAIM_UNSURE, 5},
 	  {2, 6, 44, CLAIM_UNSURE, 0}}},
-	{"a key met while unsure stays so",
+	{"a key first seen while unsure stays unsure",
 	 2,
 	 {{1, 1, 0, CLAIM_WON, 1},
 	  {2, 2, 0, CLAIM_WON, 2},
--- a/tests/coord/test_retry.c
+++ b/tests/coord/test_retry.c
@@ -13,10 +13,10 @@
 	int more;     /* retries available after these requests */
 } budgets[] = {
 	{"a tenth", 10, 3.0, 3, 20, 2},
-	{"never above the most", 10, 3.0, 3, 1000, 3},
+	{"never above the maximum", 10, 3.0, 3, 1000, 3},
 	{"no retries", 0, 3.0, 0, 1000, 0},
-	{"nonsense is clamped", 400, 2.0, 2, 1, 1},
-	{"less than none", 10, -1.0, 0, 1000, 0},
+	{"a percentage above 100 is clamped", 400, 2.0, 2, 1, 1},
+	{"a negative maximum", 10, -1.0, 0, 1000, 0},
 };
 
 static int budget_drain(struct retry_budget *budget)
@@ -121,7 +121,7 @@
 	g_assert_cmpint(circuit.state, ==, CIRCUIT_OPEN);
 	g_assert_false(circuit_allow(&circuit, 1000));
 	open_until = circuit.until;
-	circuit_failure(&circuit, rand, 2000); /* a call from before */
+	circuit_failure(&circuit, rand, 2000); /* called before it opened */
 	g_assert_cmpint(circuit.until, ==, open_until);
 	g_assert_cmpint(open_until - 1000, >=, 250 * USEC_PER_MSEC);
 	g_assert_false(circuit_allow(&circuit, open_until - 1));
--- a/tests/ledger/test_faults.c
+++ b/tests/ledger/test_faults.c
@@ -16,7 +16,7 @@
 };
 
 /* Ends: D done, L lost with its instance, W withdrawn, R revoked (a paused
- * holder receives its grant before the news that it was declared dead).
+ * holder receives its grant before it learns that it was declared dead).
  * Retries: d replays the answer, f runs again, a adopts the stream. If holder
  * and home die at once, the record of the end is lost and the retry runs again
  * (claims on the log protect requests that are not idempotent). */
--- a/tests/ledger/test_schedules.c
+++ b/tests/ledger/test_schedules.c
@@ -114,7 +114,8 @@
 	world_block(action->world, action->index, action->other, false);
 }
 
-/* Shorter than the settling time: membership would notice a longer one. */
+/* The link is restored within the settling time, before membership would notice
+ * that it is blocked. */
 static void do_block(void *data)
 {
 	struct action *action = data;
--- a/tests/member/world.c
+++ b/tests/member/world.c
@@ -344,8 +344,9 @@
 	return next;
 }
 
-/* Nodes behind the time, then the network, then the nodes in order: the order
- * is the same in each run. */
+/* Nodes without a due timer advance first, so that they receive messages at the
+ * present time, then the network, then all nodes by index. The order is the
+ * same in each run. */
 static void world_step(struct world *w, int64_t now)
 {
 	for (int i = 0; i < w->count; i++) {
--- a/tests/order/test_order.c
+++ b/tests/order/test_order.c
@@ -119,7 +119,7 @@
 	return world->changes > 0;
 }
 
-/* Needs two prefill runners more than the three there are. */
+/* The load needs two prefill runners more than the three present. */
 static struct order_world *start(bool checks_fencing, const struct row *row)
 {
 	struct order_world *world = order_world_create(1, checks_fencing);
--- a/tests/order/world.h
+++ b/tests/order/world.h
@@ -30,7 +30,7 @@
 	uint32_t lose_answers;
 	uint32_t grants;
 	int64_t grants_end;
-	int64_t work_until; /* as it reports */
+	int64_t work_until; /* end of its work by its reports */
 	uint32_t orders;    /* accepted */
 	uint32_t refused;
 };
@@ -44,7 +44,7 @@
 	bool withheld[ENGINES];
 	int64_t reported[ENGINES];
 	struct order_runner view[ENGINES];
-	uint64_t last_call; /* others were cancelled */
+	uint64_t last_call; /* answers to earlier ones are ignored */
 };
 
 struct order_world {
--- a/tests/role/model.c
+++ b/tests/role/model.c
@@ -13,7 +13,7 @@
 #define SLOTS 20.0
 #define SMOOTHING_WEIGHT (STEP_SEC / 20)
 #define FIRST_TOKEN_SEC 5.0
-/* Time in which a runner finishes its work before it changes. */
+/* Time in which a runner finishes its work before its role changes. */
 #define DRAIN_PREFILL_SEC 5
 #define DRAIN_DECODE_SEC 25
 
