--- a/coord/ledger_view.c
+++ b/coord/ledger_view.c
@@ -215,8 +215,8 @@
 		if (hidden[i] == RUNNER_NONE)
 			continue;
 		runner_refresh(cell, hidden[i]);
-		placement->again_at =
-			MIN(placement->again_at, pending->avoid_until);
+		placement->retry_at =
+			MIN(placement->retry_at, pending->avoid_until);
 	}
 	return verdict;
 }
@@ -294,7 +294,7 @@
 	struct cell *cell = pass->cell;
 
 	pass->wait_counts[class]++;
-	pass->next_scan_at = MIN(pass->next_scan_at, placement->again_at);
+	pass->next_scan_at = MIN(pass->next_scan_at, placement->retry_at);
 	if (placement->hold < cell->view->len)
 		runner_view(cell, placement->hold)->held = true;
 }
@@ -305,7 +305,7 @@
 	int class = pending->need.class;
 	struct placement placement = {.prefill = RUNNER_NONE,
 				      .decode = RUNNER_NONE,
-				      .again_at = CLOCK_NEVER,
+				      .retry_at = CLOCK_NEVER,
 				      .hold = RUNNER_NONE,
 				      .code = RESULT_QUEUE_FULL};
 	enum verdict verdict;
--- a/include/policy/policy.h
+++ b/include/policy/policy.h
@@ -101,7 +101,7 @@
 struct placement {
 	uint32_t prefill; /* index into view->runners */
 	uint32_t decode;
-	int64_t again_at;      /* VERDICT_WAIT: when to decide again, or
+	int64_t retry_at;      /* VERDICT_WAIT: when to decide again, or
 				  CLOCK_NEVER: when something is released */
 	int64_t retry_after;   /* VERDICT_REFUSE: microseconds */
 	enum result_code code; /* VERDICT_REFUSE: a code that means not run */
--- a/policy/place.c
+++ b/policy/place.c
@@ -51,7 +51,7 @@
 		return VERDICT_REFUSE;
 	}
 	if (prefill == RUNNER_NONE || decode == RUNNER_NONE) {
-		placement->again_at = view->now + PLACE_RETRY_USEC;
+		placement->retry_at = view->now + PLACE_RETRY_USEC;
 		return VERDICT_WAIT;
 	}
 	placement->prefill = prefill;
--- a/policy/reserve.c
+++ b/policy/reserve.c
@@ -303,16 +303,16 @@
 {
 	int64_t waited = view->now - request->arrived;
 
-	placement->again_at = CLOCK_NEVER;
+	placement->retry_at = CLOCK_NEVER;
 	if (waited < rs->hold) {
-		placement->again_at = request->arrived + rs->hold;
+		placement->retry_at = request->arrived + rs->hold;
 		return VERDICT_WAIT;
 	}
 	if (count_held(view) >= HOLDS_MAX)
 		return VERDICT_WAIT;
 	placement->hold = choose_held(view, request);
 	if (placement->hold == RUNNER_NONE)
-		placement->again_at = view->now + PLACE_RETRY_USEC;
+		placement->retry_at = view->now + PLACE_RETRY_USEC;
 	return VERDICT_WAIT;
 }
 
@@ -345,13 +345,13 @@
 		int64_t wait = link_delay(view, request, placement);
 
 		if (wait > 0) {
-			placement->again_at = view->now + wait;
+			placement->retry_at = view->now + wait;
 			return VERDICT_WAIT;
 		}
 		credit_update(rs, view, request);
 		return VERDICT_START;
 	}
-	placement->again_at = free_at == CLOCK_NEVER
+	placement->retry_at = free_at == CLOCK_NEVER
 				      ? view->now + PLACE_RETRY_USEC
 				      : free_at - rs->ahead;
 	return VERDICT_WAIT;
--- a/tests/policy/test_policy.c
+++ b/tests/policy/test_policy.c
@@ -73,7 +73,7 @@
 					  .blocks = {11, 12, 13, 14, 15}};
 	placement = (struct placement){.prefill = RUNNER_NONE,
 				       .decode = RUNNER_NONE,
-				       .again_at = CLOCK_NEVER,
+				       .retry_at = CLOCK_NEVER,
 				       .hold = RUNNER_NONE};
 }
 
@@ -132,7 +132,7 @@
 	}
 	runners[2].usable = false;
 	g_assert_cmpint(place(), ==, VERDICT_WAIT);
-	g_assert_cmpint(placement.again_at, >, NOW);
+	g_assert_cmpint(placement.retry_at, >, NOW);
 	request.deadline = NOW;
 	g_assert_cmpint(place(), ==, VERDICT_REFUSE);
 	g_assert_cmpint(placement.code, ==, RESULT_DEADLINE);
@@ -211,7 +211,7 @@
 	g_assert_cmpuint(placement.decode, ==, 3);
 	runners[3].granted_pieces = 7;
 	g_assert_cmpint(place(), ==, VERDICT_WAIT);
-	g_assert_cmpint(placement.again_at, ==, NOW + 250 * MSEC);
+	g_assert_cmpint(placement.retry_at, ==, NOW + 250 * MSEC);
 	g_assert_cmpuint(placement.hold, ==, RUNNER_NONE);
 	request.arrived = NOW - SEC;
 	free_at[2] = NOW + 3 * SEC;
@@ -250,7 +250,7 @@
 	g_assert_cmpuint(placement.prefill, ==, 1);
 	runners[1].busy_until = NOW + 200 * MSEC;
 	g_assert_cmpint(place(), ==, VERDICT_WAIT);
-	g_assert_cmpint(placement.again_at, ==, NOW + 180 * MSEC);
+	g_assert_cmpint(placement.retry_at, ==, NOW + 180 * MSEC);
 	end();
 }
 
@@ -267,7 +267,7 @@
 	g_assert_cmpint(place(), ==, VERDICT_START);
 	runners[2].link_free = NOW + 500 * MSEC;
 	g_assert_cmpint(place(), ==, VERDICT_WAIT);
-	g_assert_cmpint(placement.again_at, ==, NOW + 100 * MSEC);
+	g_assert_cmpint(placement.retry_at, ==, NOW + 100 * MSEC);
 	prefill_pool.hold_ms = 0;
 	g_assert_cmpint(place(), ==, VERDICT_START);
 	end();
