--- a/coord/lease.c
+++ b/coord/lease.c
@@ -15,9 +15,9 @@
 /* Records read at the start. A lease may have been taken in an earlier record,
  * so a taker waits a full term. */
 #define HISTORY_RECORDS 512u
-/* Tasks tracked from the log before lease_acquire() names them. */
+/* Tasks tracked from the log before lease_acquire() is called for them. */
 #define TASKS_MAX 4096u
-#define ORDER_TIMEOUT_MAX (3600 * USEC_PER_SEC)
+#define ORDER_TIMEOUT_MAX_USEC (3600 * USEC_PER_SEC)
 
 struct lease {
 	struct leases *leases;
@@ -93,7 +93,7 @@
 	leases->ops.taken(leases->ctx, lease->task, lease->fence);
 }
 
-/* The record is read back or appended again, whatever the result. */
+/* The result is ignored: appends are retried until a record is read back. */
 static void append_done(void *ctx, enum result_code code, uint64_t offset)
 {
 }
@@ -195,7 +195,7 @@
 	lease_schedule(lease);
 }
 
-/* Another instance's record came first and made ours void. */
+/* The own record is void, as a record of another instance precedes it. */
 static void lease_retry_void(struct lease *lease)
 {
 	struct leases *leases = lease->leases;
@@ -393,7 +393,8 @@
 	if (lease->wanted)
 		return;
 	lease->wanted = true;
-	lease->order_timeout = CLAMP(order_timeout_us, 0, ORDER_TIMEOUT_MAX);
+	lease->order_timeout =
+		CLAMP(order_timeout_us, 0, ORDER_TIMEOUT_MAX_USEC);
 	lease_schedule(lease);
 }
 
--- a/tests/coord/test_quarantine.c
+++ b/tests/coord/test_quarantine.c
@@ -37,7 +37,7 @@
 }
 
 /* A request is held from the third server on; each server counts once. */
-static void test_third(void)
+static void test_crash_threshold(void)
 {
 	struct quarantine *quarantine = quarantine_create(&small);
 	struct request_fingerprint id = fingerprint_make(1);
@@ -244,11 +244,11 @@
 	const struct fingerprint_part empty[] = {
 		{"POST", 4}, {"/a", 2}, {NULL, 0}};
 	struct request_fingerprint a = fingerprint_of(one, 3);
-	struct request_fingerprint again = fingerprint_of(one, 3);
+	struct request_fingerprint same = fingerprint_of(one, 3);
 	struct request_fingerprint b = fingerprint_of(moved, 3);
 	struct request_fingerprint c = fingerprint_of(empty, 3);
 
-	g_assert_true(fingerprint_same(&a, &again));
+	g_assert_true(fingerprint_same(&a, &same));
 	g_assert_false(fingerprint_same(&a, &b));
 	g_assert_false(fingerprint_same(&a, &c));
 	g_assert_cmpuint(keyed_hash_of(one, 3, 7), ==,
@@ -260,7 +260,7 @@
 int main(int argc, char **argv)
 {
 	g_test_init(&argc, &argv, NULL);
-	g_test_add_func("/quarantine/third", test_third);
+	g_test_add_func("/quarantine/third", test_crash_threshold);
 	g_test_add_func("/quarantine/proved", test_succeeded);
 	g_test_add_func("/quarantine/cleared", test_cleared);
 	g_test_add_func("/quarantine/bounds", test_bounds);
--- a/tests/member/world.c
+++ b/tests/member/world.c
@@ -10,7 +10,7 @@
 	GDestroyNotify destroy;
 };
 
-static int64_t between(struct world *w, int64_t low, int64_t high)
+static int64_t random_between(struct world *w, int64_t low, int64_t high)
 {
 	return low >= high ? low
 			   : g_rand_int_range(w->rand, (gint32)low,
@@ -59,7 +59,7 @@
 		       delivery_create(node, fn, data, destroy), NULL);
 }
 
-static void letter_deliver(void *data)
+static void packet_deliver(void *data)
 {
 	const struct packet *packet = data;
 	const struct node *from = packet->from;
@@ -73,7 +73,7 @@
 			     packet->size);
 }
 
-static void letter_arrive(void *data)
+static void packet_arrive(void *data)
 {
 	struct packet *packet = data;
 	const struct node *from = packet->from;
@@ -84,16 +84,17 @@
 		return;
 	}
 	to->received_bytes += packet->size + WIRE_HEADERS;
-	delivery_arrive(delivery_create(to, letter_deliver, packet, g_free));
+	delivery_arrive(delivery_create(to, packet_deliver, packet, g_free));
 }
 
-static void letter_send(struct node *from, struct node *to,
+static void packet_send(struct node *from, struct node *to,
 			enum channel channel, const void *data, size_t size)
 {
 	struct world *w = from->world;
 
-	call_queue_add(w->call_queue, between(w, w->delay_min, w->delay_max),
-		       letter_arrive,
+	call_queue_add(w->call_queue,
+		       random_between(w, w->delay_min, w->delay_max),
+		       packet_arrive,
 		       packet_create(from, to, channel, data, size), NULL);
 }
 
@@ -113,9 +114,9 @@
 			continue;
 		if (w->cut[from->index][i] || chance(w, w->drop))
 			return;
-		letter_send(from, to, channel, payload, size);
+		packet_send(from, to, channel, payload, size);
 		if (chance(w, w->duplicate))
-			letter_send(from, to, channel, payload, size);
+			packet_send(from, to, channel, payload, size);
 	}
 }
 
@@ -175,7 +176,7 @@
 	w->delay_max = 3000;
 	w->call_queue = call_queue_create(w->clock);
 	w->log = fake_log_create(w->clock, w->call_queue, w->rand);
-	w->log->slow = 1 * USEC_PER_MSEC;
+	w->log->fixed_delay = 1 * USEC_PER_MSEC;
 	w->log->delay = 19 * USEC_PER_MSEC;
 	w->log->outage_at_arrival = true;
 	return w;
@@ -300,7 +301,7 @@
 	node->paused_at = clock_now(node->world->clock);
 }
 
-void node_wake(struct node *node)
+void node_resume(struct node *node)
 {
 	int64_t now = clock_now(node->world->clock);
 
@@ -343,8 +344,9 @@
 	return next;
 }
 
-/* Nodes behind the time, then the network, then the nodes in order: the order
- * is the same in each run. */
+/* Nodes without a due timer advance first, so that they receive messages at the
+ * present time, then the network, then all nodes by index. The order is the
+ * same in each run. */
 static void world_step(struct world *w, int64_t now)
 {
 	for (int i = 0; i < w->count; i++) {
--- a/tests/platform/site/site.h
+++ b/tests/platform/site/site.h
@@ -93,8 +93,8 @@
 	int64_t limited_at;
 	GArray *arrivals; /* int64_t, since the limit applies */
 	bool leaving_by_answer;
-	int64_t said_leaving_at; /* first time; 0: not yet */
-	double backoff_sec;	 /* requested; 0: none */
+	int64_t leaving_announced_at; /* first time; 0: not yet */
+	double backoff_sec;	      /* requested; 0: none */
 	int64_t backoff_from;
 	int64_t backoff_until;
 	uint32_t backoff_arrivals;
@@ -160,7 +160,7 @@
 			   enum stage stage);
 void server_heartbeat(struct server *server);
 
-/* site_asks.c */
+/* site_signals.c */
 /* Adds the server's limit and leaving headers to an answer. */
 void signals_add_headers(struct server *server, struct web_request *request);
 /* Adds a Retry-After header. */
--- a/tests/role/model.c
+++ b/tests/role/model.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <math.h>
 
-#include "remember.h"
+#include "elastic.h"
 
 #define SECONDS 4800
 #define STEP_USEC (100 * USEC_PER_MSEC)
@@ -13,7 +13,7 @@
 #define SLOTS 20.0
 #define SMOOTHING_WEIGHT (STEP_SEC / 20)
 #define FIRST_TOKEN_SEC 5.0
-/* Time in which a runner finishes its work before it changes. */
+/* Time in which a runner finishes its work before its role changes. */
 #define DRAIN_PREFILL_SEC 5
 #define DRAIN_DECODE_SEC 25
 
--- a/tests/soak/process.c
+++ b/tests/soak/process.c
@@ -1,4 +1,4 @@
-/* Starting, watching and ending the processes of a run. */
+/* Starts, watches and ends the processes of a run. */
 #include <errno.h>
 #include <signal.h>
 #include <stdio.h>
@@ -9,10 +9,10 @@
 
 #include "soak.h"
 
-/* Callers, health, peers. */
+/* Listeners of an instance: callers, health, peers. */
 #define ROLES 3
 #define FIRST_PORT 20001
-#define RESTART_USEC (300 * USEC_PER_MSEC)
+#define RESTART_DELAY_USEC (300 * USEC_PER_MSEC)
 
 static void child_setup(gpointer data)
 {
@@ -36,8 +36,9 @@
 	return pid;
 }
 
-/* An address that no other run has: several run at once, and a port that was
- * free may be taken by a connection of another before it is listened on. */
+/* Makes an address on a loopback IP derived from the process id. Several runs
+ * go on at once, and on a shared IP a free port may be taken by a connection of
+ * another run before the instance listens on it. */
 static void address_make(char *out, size_t size, int instance, int role)
 {
 	guint pid = (guint)getpid();
@@ -90,7 +91,7 @@
 		address_make(addresses[i], sizeof(addresses[i]),
 			     (int)(instance - soak->instances), i);
 	instance->pid = spawn(soak, argv, instance->name);
-	instance->lives++;
+	instance->starts++;
 	instance->stopping = false;
 	instance->reloaded = false;
 	instance->wake_at = 0;
@@ -111,7 +112,7 @@
 	g_free(argv[0]);
 	while (!(soak->site_address = site_listening(soak)))
 		g_usleep(10000);
-	callers_begin(soak);
+	organisations_configure(soak);
 	for (int i = 0; i < INSTANCES; i++) {
 		struct instance *instance = &soak->instances[i];
 		char address[32];
@@ -131,8 +132,8 @@
 		kill(instance->pid, number);
 }
 
-/* Lives that got as far as their first line. */
-static uint32_t lives_started(const struct soak *soak,
+/* Number of starts that have written their first log line. */
+static uint32_t starts_logged(const struct soak *soak,
 			      const struct instance *instance)
 {
 	g_autofree char *file =
@@ -147,20 +148,20 @@
 	return count;
 }
 
-/* Told to stop or to reload between its spawn and its first line, a process
- * that has not taken its signals over yet is ended by the signal itself. It has
- * served nobody. Seen with seeds 9203 and 9241 beside simulated days, and 30
- * times of 30 when the signal follows the spawn at once. */
-static bool is_stillborn(const struct instance *instance, bool begun,
-			 int status)
+/* SIGTERM or SIGHUP ends a process by default until it has installed its signal
+ * handlers, shortly before its first log line. It has not served any request
+ * then. Seeds 9203 and 9241 can cause this; a signal sent directly after the
+ * spawn always does. */
+static bool ended_before_started(const struct instance *instance, bool started,
+				 int status)
 {
-	if (begun || !WIFSIGNALED(status))
+	if (started || !WIFSIGNALED(status))
 		return false;
 	return (instance->stopping && WTERMSIG(status) == SIGTERM) ||
 	       (instance->reloaded && WTERMSIG(status) == SIGHUP);
 }
 
-/* One that was not told to end must not have. */
+/* Fails the run when an instance ended that was neither stopped nor killed. */
 static void instance_ended(struct soak *soak, struct instance *instance,
 			   int status)
 {
@@ -168,16 +169,17 @@
 	bool stopped = WIFEXITED(status) && WEXITSTATUS(status) == 0 &&
 		       instance->stopping;
 
-	bool begun = lives_started(soak, instance) >= instance->lives;
+	bool started = starts_logged(soak, instance) >= instance->starts;
 
-	if (!begun)
-		instance->lives--;
-	if (!killed && !stopped && !is_stillborn(instance, begun, status))
+	if (!started)
+		instance->starts--;
+	if (!killed && !stopped &&
+	    !ended_before_started(instance, started, status))
 		soak_fail(soak, "%s ended by itself, wait status %d",
 			  instance->name, status);
 	instance->pid = 0;
 	instance->wake_at = 0;
-	instance->start_at = clock_now(soak->clock) + RESTART_USEC;
+	instance->start_at = clock_now(soak->clock) + RESTART_DELAY_USEC;
 }
 
 void instances_watch(struct soak *soak)
