--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# A thin front on meson and ninja: see README.md for the commands.
+# Wrapper around meson and ninja; README.md describes the targets.
 BUILD ?= build
 
 SEEDS ?= $(shell seq 1 50)
--- a/scripts/capacity_load.py
+++ b/scripts/capacity_load.py
@@ -1,4 +1,4 @@
-"""What requests cost on the control path, for scripts/capacity."""
+"""Cost of requests on the control path, for scripts/capacity."""
 
 import http.client
 import json
@@ -11,12 +11,12 @@
 
 INSTANCES = 9
 DATA_CENTRES = 3
-ENGINES = 6  # of each role
-TIME_SCALE = 10  # of the engines, so that they are not what limits
+ENGINES = 6  # for each role
+TIME_SCALE = 10  # speeds up the engines, so that they are not the bottleneck
 RATES = (20, 40, 80, 160)
 LEAD_SECONDS = 2
-WAITING_LEAD_SECONDS = 4  # until the asks themselves are over
-WAITING_WINDOW_SECONDS = 10  # in which each that waits is asked about once
+WAITING_LEAD_SECONDS = 4  # until all requests have been submitted
+WAITING_WINDOW_SECONDS = 10  # each waiting request is resent to its home once
 WINDOW_SECONDS = 6
 WAITING = (250, 500, 1000, 2000)
 ORGANISATIONS = (3000, 6000, 12000)
@@ -58,7 +58,7 @@
 
 
 class LoadedSite(Site):
-    """A small site with engines and plain servers that carry load."""
+    """A small site with engines and plain servers, for runs with load."""
 
     def __enter__(self):
         super().__enter__()
@@ -90,7 +90,7 @@
 
 
 def totals(site):
-    """Sums over all instances."""
+    """Returns the sums over all instances."""
     samples = [entry.sample() for entry in site.entries]
     result = {key: sum(sample[key] for sample in samples)
               for key in ("cpu", "wire_sent", "segments_sent", "payload",
@@ -136,7 +136,7 @@
 
 
 def measure_requests(build, folder, rates, progress):
-    """Sums a second over all instances, with none and with some requests."""
+    """Measures sums per second over all instances, idle and with load."""
     results = []
     with LoadedSite(build, folder) as site:
         idle = window(site, WINDOW_SECONDS)
@@ -153,7 +153,7 @@
 
 
 def waiting_open(address, count):
-    """Sends requests that find no engine memory, and leaves them waiting."""
+    """Sends more requests than engine memory can hold, and leaves them waiting."""
     host, _, port = address.rpartition(":")
     body = json.dumps({"model": "m", "prompt": "@30000 x",
                        "max_tokens": 2000}).encode()
@@ -169,7 +169,7 @@
 
 
 def measure_waiting(build, folder, sizes, progress):
-    """Memory, time and bytes while so many requests wait at one instance."""
+    """Measures memory, processor time and bytes while requests wait at one instance."""
     results = []
     with LoadedSite(build, folder) as site:
         idle = window(site, WINDOW_SECONDS)
@@ -189,7 +189,7 @@
 
 
 def measure_organisations(build, folder, sizes, progress):
-    """Private memory of one instance after requests of so many."""
+    """Measures the private memory of one instance after requests of many organisations."""
     results = []
     with LoadedSite(build, folder) as site:
         entry = site.entries[0]
@@ -214,7 +214,7 @@
 
 
 def slope(points):
-    """Least squares: (value at zero, value for each)."""
+    """Fits a line by least squares; returns (value at zero, slope)."""
     x_mean = statistics.fmean(x for x, _ in points)
     y_mean = statistics.fmean(y for _, y in points)
     over = sum((x - x_mean) ** 2 for x, _ in points)
--- a/scripts/capacity_site.py
+++ b/scripts/capacity_site.py
@@ -13,15 +13,15 @@
 STOP_SECONDS = 15
 JOIN_SECONDS = 60
 TICKS = os.sysconf("SC_CLK_TCK")
-# Ethernet, IP and TCP with timestamps; loopback carries no Ethernet, but the
-# sites' networks do.
+# Bytes of the Ethernet, IP and TCP headers, with TCP timestamps. Loopback has no
+# Ethernet headers, but the networks of sites do.
 SEGMENT_HEADER = 66
 DATAGRAM_HEADER = 42
 CHANNELS = ("member", "config", "claim", "ledger", "directory")
 
 
 def fetch(address, path, body=None, method=None):
-    """Returns status and body of one HTTP call."""
+    """Makes an HTTP call; returns status and body."""
     data = body.encode() if isinstance(body, str) else body
     call = urllib.request.Request(f"http://{address}{path}", data=data,
                                   method=method)
@@ -33,7 +33,7 @@
 
 
 class Process:
-    """One of our programs, its log in a file."""
+    """A child process that logs to a file."""
 
     def __init__(self, folder, name, command):
         self.name = name
@@ -44,7 +44,7 @@
                                           stdin=subprocess.DEVNULL)
 
     def events(self, event):
-        """The log's lines of that event, as dictionaries."""
+        """Returns the log lines of the event as dictionaries."""
         found = []
         with open(self.log, encoding="utf-8", errors="replace") as log:
             for line in log:
@@ -54,7 +54,7 @@
         return found
 
     def address(self, role=None):
-        """Waits for the address that it listens on."""
+        """Waits until the process listens; returns its address."""
         end = time.monotonic() + START_SECONDS
         while time.monotonic() < end:
             for line in self.events("listening"):
@@ -71,7 +71,7 @@
         return (int(fields[11]) + int(fields[12])) / TICKS
 
     def memory(self):
-        """Resident and private bytes."""
+        """Returns resident and private memory in bytes."""
         with open(f"/proc/{self.child.pid}/status", encoding="ascii") as status:
             found = dict(re.findall(r"^(\w+):\s+(\d+) kB", status.read(),
                                     re.MULTILINE))
@@ -105,8 +105,8 @@
         self.admin = self.address("admin")
 
     def metrics(self):
-        """Counters by name; series of one name are added up, and kept apart
-        by their labels too."""
+        """Returns the metrics by series, and their sums over the series of a
+        name."""
         values = {}
         for line in fetch(self.admin, "/metrics")[1].splitlines():
             if line.startswith("#"):
@@ -122,7 +122,7 @@
         return json.loads(fetch(self.admin, "/status")[1])
 
     def sample(self):
-        """What a window is measured by."""
+        """Returns the values of which window() computes rates."""
         values = self.metrics()
         grams_out = values['jt_peer_datagrams_total{direction="sent"}']
         grams_in = values['jt_peer_datagrams_total{direction="received"}']
@@ -153,7 +153,7 @@
 
 
 class Site:
-    """A platform and instances; ends all of them on leaving."""
+    """A platform and instances; the context manager stops all of them on exit."""
 
     def __init__(self, build, folder, arguments=()):
         self.build = build
@@ -182,8 +182,8 @@
         return process
 
     def start_entries(self, count, data_centres):
-        """Starts instances over the data centres in turn; waits until each
-        knows all."""
+        """Starts instances, distributed evenly over the data centres; waits until
+        each sees all others alive. Returns the seconds taken."""
         for i in range(count):
             self.entries.append(Entry(
                 self.folder, self.build, f"e{i:03d}",
@@ -199,7 +199,7 @@
                    for member in entry.status()["members"])
 
     def wait_for(self, holds):
-        """Seconds until the condition holds at each instance."""
+        """Waits until the condition holds at each instance; returns the seconds."""
         start = time.monotonic()
         for entry in self.entries:
             while not holds(entry):
@@ -209,12 +209,12 @@
         return time.monotonic() - start
 
     def put(self, name, item):
-        """Registers what the platform's list is to show."""
+        """Registers an item in the platform's list."""
         fetch(self.platform_address, f"/instances/{name}",
               json.dumps(item), "PUT")
 
     def apply(self, base, content):
-        """Puts a file in force through the first instance; its revision."""
+        """Applies a configuration through the first instance; returns its revision."""
         status, body = fetch(self.entries[0].admin,
                              f"/config?base={base}&author=capacity", content)
         if status != 200:
--- a/scripts/failure_times.py
+++ b/scripts/failure_times.py
@@ -1,4 +1,4 @@
-"""Times what a site does about failures; run by scripts/failure-times."""
+"""Measures how fast a site reacts to failures; run by scripts/failure-times."""
 
 import http.client
 import json
@@ -38,7 +38,7 @@
 
 
 def wait_until(condition, what):
-    """Polls until it holds; returns the time at which it did."""
+    """Polls until the condition holds; returns the time at which it did."""
     end = time.monotonic() + LIMIT_S
     while time.monotonic() < end:
         try:
@@ -58,7 +58,7 @@
 
 
 class Process:
-    """A process of the site, found by its name's pid file."""
+    """A process of the site, found by its pid file."""
 
     def __init__(self, name):
         self.name = name
@@ -84,7 +84,7 @@
 
 
 def held_by(name):
-    """Engine memory held by streams of the caller's request."""
+    """Counts the streams of the request that hold engine memory."""
     count = 0
     for address in LEDGERS:
         ledger = get_json(address, "/ledger") if address in ENGINES else {}
@@ -169,7 +169,7 @@
 
 
 def run_leaving(run):
-    """Tells one plain server that it is leaving, with lookups under way."""
+    """Makes one plain server leave while lookups are running."""
     name = f"settle-{run % 3 + 1}"
     address = backend_address(name)
     stop = threading.Event()
@@ -211,7 +211,7 @@
 
 
 def run_configuration(run):
-    """Applies a changed file and waits until it is in force everywhere."""
+    """Applies a changed configuration; waits until it is in force at all instances."""
     config = get_json(ADMINS[0], "/config")
     text = config["content"].replace(
         "queue_max: 2000", "queue_max: 1999"
--- a/scripts/site.sh
+++ b/scripts/site.sh
@@ -1,18 +1,18 @@
 # shellcheck shell=sh
-# Functions that start and stop a whole site of real processes on loopback.
+# Functions that start and stop a site of real processes on loopback.
 # Source it, then: site_open BUILD; site_arequipa; ...; site_close (also done
-# on exit and on an interrupt). Ports are picked by the processes and read from
-# the lines event=listening of their logs. Everything that is written goes into
-# one folder, $site_dir, which goes away unless SITE_KEEP is set.
+# on exit and on an interrupt). The processes choose their ports, which are read from
+# the event=listening lines of their logs. All files are written to one folder,
+# $site_dir, which is removed at the end unless SITE_KEEP is set.
 #
 # SITE_PLATFORM_ARGS, SITE_ENGINE_ARGS, SITE_SERVICE_ARGS and SITE_ENTRY_ARGS
 # are added to the command lines.
 #
-# After a start: site_callers, site_admins, site_ledgers (comma-separated
+# Set after a start: site_callers, site_admins, site_ledgers (comma-separated
 # addresses) and site_platform.
 
-site_wait_tenths=50 # how long an address may take
-site_stop_tenths=80 # how long a shutdown may take before SIGKILL
+site_wait_tenths=50 # timeout for a process to log its address
+site_stop_tenths=80 # timeout of the shutdown before SIGKILL
 
 site_open() {
 	site_build=$1
@@ -29,7 +29,7 @@
 	trap 'exit 143' TERM
 }
 
-# site_run NAME PROGRAM ARGS...: starts it; its log is $site_dir/NAME.log.
+# site_run NAME PROGRAM ARGS...: starts a process that logs to $site_dir/NAME.log.
 site_run() {
 	site_name=$1
 	site_program=$2
@@ -40,7 +40,7 @@
 	site_pids="$! $site_pids"
 }
 
-# site_address NAME [ROLE]: waits for the address and prints it.
+# site_address NAME [ROLE]: waits for the address of a process and prints it.
 site_address() {
 	site_tries=0
 	while :; do
@@ -65,7 +65,7 @@
 	return 1
 }
 
-# Kills what outlives the time for a shutdown.
+# Kills the processes that are still alive after the timeout of the shutdown.
 site_watch() {
 	site_left=$site_stop_tenths
 	while [ "$site_left" -gt 0 ] && site_alive; do
@@ -77,7 +77,8 @@
 	done
 }
 
-# Entry instances were started last and go first; each drains.
+# Stops the processes in the reverse order of their start: entry instances first,
+# which drain.
 site_close() {
 	trap - EXIT
 	trap '' INT TERM
@@ -140,7 +141,8 @@
 	fi
 }
 
-# Waits until instance NAME has seen N backend servers in the platform's list.
+# site_lists NAME N: waits until the instance has read N backend servers from the
+# platform's list.
 site_lists() {
 	site_tries=0
 	until [ "$(grep -c 'event=backend_listed' "$site_dir/$1.log")" -ge "$2" ]; do
@@ -153,7 +155,7 @@
 	done
 }
 
-# Collects the addresses of all that was started.
+# Collects the addresses of all processes.
 site_ready() {
 	for site_each in $site_backend_names; do
 		site_ledgers="$site_ledgers${site_ledgers:+,}$(site_address "$site_each")"
@@ -169,8 +171,8 @@
 	done
 }
 
-# site_knows ADMIN: has the configuration, and every backend server that was
-# started (the platform's list lags).
+# site_knows ADMIN: whether the instance has the configuration and every backend
+# server that was started (the platform's list is delayed).
 site_knows() {
 	curl -s -f -o /dev/null "http://$1/health" || return 1
 	site_status=$(curl -s "http://$1/status")
@@ -179,7 +181,7 @@
 		"$(echo "$site_backend_names" | wc -w)" ]
 }
 
-# site_apply FILE: puts a configuration in force everywhere.
+# site_apply FILE: puts a configuration in force at all instances.
 site_apply() {
 	"$site_build/ctl/jtctl" --admin "$site_admin" apply "$1"
 	site_tries=0
@@ -195,8 +197,8 @@
 	done
 }
 
-# Sizes of Arequipa: lexllm has 14 runners, settle-api 3 servers. Its runners
-# change their role, so all are made alike.
+# The site of Arequipa: lexllm has 14 runners, settle-api 3 servers. Runners can change
+# their role, so all have the same parameters.
 site_arequipa() {
 	site_lex="--pieces 100 --slots 20 --link-bytes-per-s 5e9
 		--prefill-tokens-per-s 8000 --decode-tokens-per-s 40
@@ -232,7 +234,7 @@
 	esac
 }
 
-# Sizes of Vestland: drafter has 9 runners, portal 3 servers.
+# The site of Vestland: drafter has 9 runners, portal 3 servers.
 site_vestland() {
 	site_start_platform
 	for site_n in 1 2 3; do
