--- a/entry/directory_sync.c
+++ b/entry/directory_sync.c
@@ -41,7 +41,7 @@
 	uint64_t sent_until;	/* last change sent to the data centre */
 	bool reader;		/* whether it was one at the last tick */
 	int64_t listed_at; /* when a reader read the newest list received */
-	/* Of the message being decoded. */
+	/* Sender of the message being decoded, and whether it is applied. */
 	uint64_t from;
 	bool is_applied;
 };
--- a/forward/gossip_codec.h
+++ b/forward/gossip_codec.h
@@ -93,7 +93,7 @@
 	char name[BACKEND_TEXT_MAX];
 	char group[GOSSIP_GROUP_MAX]; /* of the sender */
 	struct gossip_summary summary;
-	/* Of the group, in a group summary. */
+	/* Candidate of the group, in a group summary only. */
 	struct gossip_candidate lowest;
 	/* struct gossip_address: some other instances; in a group summary all
 	 * of the group, if any. */
--- a/forward/gossip_private.h
+++ b/forward/gossip_private.h
@@ -106,7 +106,7 @@
 
 int64_t gossip_now(const struct gossip *gossip);
 
-/* Of gossip_peers.c. */
+/* Functions of gossip_peers.c. */
 struct peer *peer_add(struct gossip *gossip, const char *address);
 void peer_free(gpointer data);
 void group_state_free(gpointer data);
@@ -125,7 +125,7 @@
  * many peers it runs less often than it is called. */
 void peers_update(struct gossip *gossip);
 
-/* Of gossip_groups.c. */
+/* Functions of gossip_groups.c. */
 /* Number of groups for the given number of instances of a data centre. groups
  * is the current number, for hysteresis. */
 uint32_t groups_for(uint32_t groups, uint32_t instances);
@@ -142,11 +142,12 @@
 /* Adjusts the number of groups to the number of instances. */
 void groups_update(struct gossip *gossip);
 
-/* Of gossip_receive.c: handles a message from an address. */
+/* Functions of gossip_receive.c. */
+/* Handles a message received from that address. */
 void gossip_receive(struct gossip *gossip, const char *from,
 		    const struct gossip_message *message);
 
-/* Of gossip_send.c. */
+/* Functions of gossip_send.c. */
 /* Sends summaries to all peers that are due. */
 void gossip_send_due(struct gossip *gossip);
 /* Sends load changes, as far as the token buckets allow. */
@@ -154,13 +155,13 @@
 
 void peer_send(struct gossip *gossip, const struct peer *peer,
 	       const GByteArray *out);
-/* Sends to the live ones. */
+/* Sends to the live peers in the array. */
 void peers_send(struct gossip *gossip, const GPtrArray *peers,
 		const GByteArray *out);
 void message_begin(struct gossip *gossip, struct gossip_message *message,
 		   enum gossip_kind kind);
 
-/* Of gossip_quarantine.c. */
+/* Functions of gossip_quarantine.c. */
 void gossip_quarantine_start(struct gossip *gossip);
 void gossip_quarantine_stop(struct gossip *gossip);
 /* Sends entries to a peer that has started or was silent. */
@@ -169,26 +170,26 @@
 void gossip_quarantine_receive(struct gossip *gossip, bool local,
 			       const GArray *entries);
 
-/* Of gossip_usage.c. */
+/* Functions of gossip_usage.c. */
 void gossip_usage_start(struct gossip *gossip);
 void gossip_usage_stop(struct gossip *gossip);
 /* Adds the usage of allotments of this instance or, with sums, of the data
  * centre. */
 void gossip_usage_add(struct gossip *gossip, bool sums, GArray *usage);
-/* Merges those of a peer. */
+/* Merges the usage received from a peer. */
 void gossip_usage_receive(struct gossip *gossip, const struct peer *peer,
 			  const GArray *usage);
 
-/* Of gossip_permits.c. */
+/* Functions of gossip_permits.c. */
 /* Adds the backpressure facts of servers. */
 void gossip_facts_add(struct gossip *gossip, GArray *facts);
-/* Merges those of a peer. */
+/* Merges the facts received from a peer. */
 void gossip_facts_receive(struct gossip *gossip, const GArray *facts);
-/* Answers a permit request, or delivers an answer. */
+/* Answers a permit request, or delivers the answer to one. */
 void gossip_permit_receive(struct gossip *gossip, const struct peer *peer,
 			   const struct gossip_message *message);
 
-/* Of gossip_view.c. */
+/* Functions of gossip_view.c. */
 /* Time after which the summary of another group expires, and the addresses of
  * its instances. */
 int64_t gossip_stale(const struct gossip *gossip);
--- a/include/coord/fold.h
+++ b/include/coord/fold.h
@@ -48,7 +48,7 @@
 
 /* One line of the audit trail. */
 struct fold_audit {
-	/* Of the record plus 1: offsets start at 0, revisions at 1. */
+	/* Offset of the record plus 1: offsets start at 0, revisions at 1. */
 	uint64_t offset;
 	uint64_t base;
 	int64_t unix_us;
--- a/include/coord/ledger.h
+++ b/include/coord/ledger.h
@@ -246,7 +246,7 @@
  * is no longer its home. */
 void ledger_withhold(struct ledger *ledger, uint64_t runner, bool withheld);
 
-/* For the operators' view. */
+/* Counters for the status page and for benchmarks. */
 struct ledger_stats {
 	uint32_t waiting;
 	uint32_t grants; /* as home */
--- a/include/forward/mirror.h
+++ b/include/forward/mirror.h
@@ -33,7 +33,7 @@
 
 struct mirror;
 
-/* What an instance announces about its copy. */
+/* State of its copy that an instance announces to its peers. */
 struct mirror_status {
 	uint64_t next;	  /* offset up to which records are known */
 	uint64_t changed; /* offset just after the last record that changed
--- a/include/standin/engine_model.h
+++ b/include/standin/engine_model.h
@@ -23,8 +23,8 @@
 #define ENGINE_NAME_SIZE 48u
 #define ENGINE_MODEL_MAX 64u
 #define ENGINE_OBJECTS_MAX 65536u
-/* The most time that is caught up after the event loop ran late. An engine that
- * stood still for longer computed nothing in the rest. */
+/* Maximum time that is caught up after the event loop was delayed. An engine
+ * that was paused for longer computed nothing in the rest of the time. */
 #define ENGINE_CATCHUP_MAX_USEC (100 * USEC_PER_MSEC)
 
 struct engine_cache;
--- a/tests/entry/test_directory.c
+++ b/tests/entry/test_directory.c
@@ -172,7 +172,7 @@
 	world_teardown(&world);
 }
 
-/* What one instance spreads, another understands. */
+/* A change published by one instance is applied by another. */
 static void test_spread(void)
 {
 	struct world world;
