--- a/scripts/capacity_load.py
+++ b/scripts/capacity_load.py
@@ -107,8 +107,8 @@
     first, at = totals(site), time.monotonic()
     time.sleep(seconds)
     last = totals(site)
-    took = time.monotonic() - at
-    rates = {key: (last[key] - first[key]) / took for key in last}
+    elapsed = time.monotonic() - at
+    rates = {key: (last[key] - first[key]) / elapsed for key in last}
     rates["memory"] = last["memory"]
     return rates
 
--- a/scripts/capacity_site.py
+++ b/scripts/capacity_site.py
@@ -124,26 +124,27 @@
     def sample(self):
         """Returns the values of which window() computes rates."""
         values = self.metrics()
-        grams_out = values['jt_peer_datagrams_total{direction="sent"}']
-        grams_in = values['jt_peer_datagrams_total{direction="received"}']
+        datagrams_sent = values['jt_peer_datagrams_total{direction="sent"}']
+        datagrams_received = values['jt_peer_datagrams_total{direction="received"}']
         sent = (values["jt_peer_sent_bytes_total"]
                 + values['jt_peer_datagram_bytes_total{direction="sent"}'])
         received = (values["jt_peer_received_bytes_total"]
                     + values['jt_peer_datagram_bytes_total{direction="received"}'])
-        out = values['jt_peer_segments_total{direction="sent"}']
-        into = values['jt_peer_segments_total{direction="received"}']
+        segments_sent = values['jt_peer_segments_total{direction="sent"}']
+        segments_received = values['jt_peer_segments_total{direction="received"}']
         channels = {
             channel: values[f'jt_peer_channel_bytes_total{{channel="{channel}"}}']
             for channel in CHANNELS}
         return channels | {
             "cpu": self.cpu_seconds(),
             "payload": sent + received,
-            "wire_sent": sent + SEGMENT_HEADER * out
-            + DATAGRAM_HEADER * grams_out,
-            "wire_received": received + SEGMENT_HEADER * into
-            + DATAGRAM_HEADER * grams_in,
-            "segments": out + into + grams_out + grams_in,
-            "segments_sent": out + grams_out,
+            "wire_sent": sent + SEGMENT_HEADER * segments_sent
+            + DATAGRAM_HEADER * datagrams_sent,
+            "wire_received": received + SEGMENT_HEADER * segments_received
+            + DATAGRAM_HEADER * datagrams_received,
+            "segments": segments_sent + segments_received + datagrams_sent
+            + datagrams_received,
+            "segments_sent": segments_sent + datagrams_sent,
             "messages": values["jt_peer_sent_messages_total"],
             "list_bytes": values["jt_list_read_bytes_total"],
             "polls": values["jt_poll_reads_total"],
@@ -198,11 +199,11 @@
         return sum(member["state"] == "alive"
                    for member in entry.status()["members"])
 
-    def wait_for(self, holds):
+    def wait_for(self, condition):
         """Waits until the condition holds at each instance; returns the seconds."""
         start = time.monotonic()
         for entry in self.entries:
-            while not holds(entry):
+            while not condition(entry):
                 if time.monotonic() - start > JOIN_SECONDS:
                     raise RuntimeError(f"{entry.name} does not get there")
                 time.sleep(0.1)
--- a/scripts/failure_times.py
+++ b/scripts/failure_times.py
@@ -128,12 +128,12 @@
     process = PROCESSES[name]
     connection, request = begin_stream(CALLERS[index])
     others = [a for i, a in enumerate(ADMINS) if i != index]
-    near = [a for a in others if CENTRES[a] == CENTRES[ADMINS[index]]]
+    local = [a for a in others if CENTRES[a] == CENTRES[ADMINS[index]]]
     begin = time.monotonic()
     os.kill(process.pid, signal.SIGKILL)
     connection.close()
     seen = wait_until(
-        lambda: all(sees_dead(a, name) for a in near or others), "death noticed"
+        lambda: all(sees_dead(a, name) for a in local or others), "death noticed"
     )
     seen_all = wait_until(
         lambda: all(sees_dead(a, name) for a in others), "death known to all"
