--- a/coord/fold_reader.c
+++ b/coord/fold_reader.c
@@ -4,7 +4,7 @@
 #include "common/log.h"
 #include "fold_private.h"
 
-#define READERS 2u
+#define READER_COUNT 2u
 /* Failed reads in a row after which the log counts as refusing this instance:
  * about 0.7 s with the backoff. */
 #define REFUSED_FAILURES 3u
@@ -55,13 +55,13 @@
 		refused_set(f, false);
 }
 
-/* The first READERS by rank that the log does not refuse; each refused one is
- * replaced by the next in rank. When the log refuses all, the first READERS
- * keep trying. */
+/* The first READER_COUNT by rank that the log does not refuse; each refused one
+ * is replaced by the next in rank. When the log refuses all, the first
+ * READER_COUNT keep trying. */
 bool fold_is_reader(const struct fold *f)
 {
 	const struct member *self = membership_self(f->membership);
-	uint32_t left = READERS;
+	uint32_t left = READER_COUNT;
 	uint32_t own_rank = UINT32_MAX;
 	bool all_refused = true;
 
@@ -79,5 +79,5 @@
 		all_refused = all_refused && refused;
 		left += refused ? 1 : -1;
 	}
-	return all_refused && own_rank < READERS;
+	return all_refused && own_rank < READER_COUNT;
 }
--- a/coord/ledger_grant.c
+++ b/coord/ledger_grant.c
@@ -115,9 +115,9 @@
 	return index != RUNNER_NONE ? runner_at(cell, index)->id : 0;
 }
 
-static int64_t backoff(uint32_t tries)
+static int64_t backoff(uint32_t sends)
 {
-	return MIN(RESEND_USEC << MIN(tries, RESEND_SHIFT_MAX),
+	return MIN(RESEND_USEC << MIN(sends, RESEND_SHIFT_MAX),
 		   RESEND_MAX_USEC);
 }
 
@@ -141,7 +141,7 @@
 	pack_u(packer, runner_id(cell, grant->decode));
 	pack_u(packer, grant->pieces);
 	message_send(ledger, grant->holder.owner.instance);
-	timer_start(&grant->timer, backoff(grant->tries++));
+	timer_start(&grant->timer, backoff(grant->sends++));
 }
 
 static void send_cancel(struct grant *grant)
--- a/coord/ledger_handover.c
+++ b/coord/ledger_handover.c
@@ -127,13 +127,13 @@
 static void announce_send(struct cell *cell)
 {
 	struct announce *announce = &cell->announce;
-	uint32_t shift = MIN(announce->tries, RESEND_SHIFT_MAX);
+	uint32_t shift = MIN(announce->sends, RESEND_SHIFT_MAX);
 
 	for (guint i = 0; i < announce->sent; i++) {
 		if (g_ptr_array_index(announce->chunks, i) != NULL)
 			chunk_send(cell, i);
 	}
-	announce->tries++;
+	announce->sends++;
 	timer_start(&announce->timer,
 		    MIN(RESEND_USEC << shift, RESEND_MAX_USEC));
 }
@@ -144,7 +144,7 @@
 
 	if (announce->sent < announce->chunks->len)
 		chunk_send(cell, announce->sent++);
-	announce->tries = 0;
+	announce->sends = 0;
 }
 
 static void announce_timer(struct timer *timer, void *ctx)
@@ -174,7 +174,7 @@
 	if (cell->home == 0)
 		return;
 	announce->epoch++;
-	announce->tries = 0;
+	announce->sends = 0;
 	chunks_build(cell, announce->chunks);
 	announce->missing = announce->chunks->len;
 	announce->sent = MIN(announce->missing, CHUNK_WINDOW);
--- a/coord/ledger_holder.c
+++ b/coord/ledger_holder.c
@@ -14,7 +14,7 @@
 			continue;
 		if (item->state == ITEM_QUEUED)
 			item->state = ITEM_SUBMITTED;
-		item->tries = 0;
+		item->sends = 0;
 		if (item->state == ITEM_SUBMITTED ||
 		    item->state == ITEM_ENDING || item->progress_due)
 			item_send(item);
@@ -40,7 +40,7 @@
 	struct ledger *ledger = item->ledger;
 
 	item->state = ITEM_GRANTED;
-	item->tries = 0;
+	item->sends = 0;
 	item->grant = *grant;
 	item->attempt = grant->attempt;
 	item->adopt = item->adopt && grant->prefill == 0 && grant->decode != 0;
@@ -216,7 +216,7 @@
 			continue;
 		item->cell = service->cell;
 		item->state = ITEM_SUBMITTED;
-		item->tries = 0;
+		item->sends = 0;
 		item_send(item);
 	}
 }
@@ -230,7 +230,7 @@
 	case ITEM_QUEUED:
 		item->incarnation = item->ledger->incarnation;
 		item->state = ITEM_SUBMITTED;
-		item->tries = 0;
+		item->sends = 0;
 		return false;
 	case ITEM_GRANTED:
 		return true;
--- a/coord/ledger_home.c
+++ b/coord/ledger_home.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define HOLD_WEIGHT 0.1
+#define HOLD_EWMA_WEIGHT 0.1
 /* The next attempt avoids the runners of a failed one for this time. */
 #define AVOID_USEC (1 * USEC_PER_SEC)
 
@@ -309,7 +309,7 @@
 
 	if (grant->decode == RUNNER_NONE)
 		return;
-	*mean = *mean <= 0 ? held : *mean + HOLD_WEIGHT * (held - *mean);
+	*mean = *mean <= 0 ? held : *mean + HOLD_EWMA_WEIGHT * (held - *mean);
 }
 
 static uint32_t state_after_release(const struct grant *grant, uint32_t reason)
--- a/coord/ledger_item.c
+++ b/coord/ledger_item.c
@@ -33,7 +33,7 @@
 
 static int64_t backoff(const struct item *item)
 {
-	return MIN(RESEND_USEC << MIN(item->tries, RESEND_SHIFT_MAX),
+	return MIN(RESEND_USEC << MIN(item->sends, RESEND_SHIFT_MAX),
 		   RESEND_MAX_USEC);
 }
 
@@ -109,7 +109,7 @@
 
 	if (announce_is_complete(item->cell)) {
 		item_send_message(item);
-		item->tries++;
+		item->sends++;
 	}
 	if (is_waiting)
 		delay = MIN(delay, time_to_deadline(item));
@@ -150,7 +150,7 @@
 {
 	item->state = ITEM_ENDING;
 	item->reason = reason;
-	item->tries = 0;
+	item->sends = 0;
 	item_send(item);
 }
 
@@ -285,7 +285,7 @@
 	if (item->key == 0)
 		return;
 	item->progress_due = true;
-	item->tries = 0;
+	item->sends = 0;
 	item_send(item);
 }
 
@@ -334,7 +334,7 @@
 	item->stage = STAGE_GRANTED;
 	item->stream[0] = '\0';
 	item->progress_due = false;
-	item->tries = 0;
+	item->sends = 0;
 	item_send(item);
 }
 
@@ -346,7 +346,7 @@
 		return;
 	item->state = ITEM_SUBMITTED;
 	item->adopt = true;
-	item->tries = 0;
+	item->sends = 0;
 	item_send(item);
 }
 
@@ -355,7 +355,7 @@
 	if (item->state != ITEM_SUBMITTED || (item->attempt & 63u) != attempt)
 		return;
 	item->state = ITEM_QUEUED;
-	item->tries = 0;
+	item->sends = 0;
 	timer_start(&item->timer,
 		    MIN(QUEUED_RESEND_USEC, time_to_deadline(item)));
 }
--- a/coord/ledger_queue.c
+++ b/coord/ledger_queue.c
@@ -252,7 +252,7 @@
 	grant->state = GRANT_HELD;
 	grant->adopted = true;
 	grant->acknowledged = false;
-	grant->tries = 0;
+	grant->sends = 0;
 	record_set_owner(record, &holder.owner, holder.request);
 	grant_send(grant);
 	record_unpark(record);
--- a/coord/ledger_replica.c
+++ b/coord/ledger_replica.c
@@ -73,9 +73,9 @@
 	pack_bin(packer, data, size);
 	message_send(ledger, cell->replica);
 	timer_start(&rep->timer, MIN(2 * BATCH_DELAY_USEC << MIN(
-					     rep->tries, RESEND_SHIFT_MAX),
+					     rep->sends, RESEND_SHIFT_MAX),
 				     RESEND_MAX_USEC));
-	rep->tries++;
+	rep->sends++;
 }
 
 static void batch_build(struct cell *cell)
@@ -101,7 +101,7 @@
 	g_array_remove_range(rep->dirty, 0, count);
 	rep->sent = entries_take(&entries);
 	rep->sequence++;
-	rep->tries = 0;
+	rep->sends = 0;
 	entries_clear(&entries);
 }
 
--- a/coord/ledger_types.h
+++ b/coord/ledger_types.h
@@ -64,7 +64,7 @@
 	bool previous_freed; /* the previous attempt holds no memory */
 	bool progress_due;   /* the stream is not yet acknowledged */
 	uint32_t attempt;
-	uint32_t tries;
+	uint32_t sends;
 	uint32_t reason;
 	enum result_code refusal;
 	enum ledger_stage stage;
@@ -119,7 +119,7 @@
 	uint32_t prefill; /* indexes into the cell's runners */
 	uint32_t decode;
 	uint32_t pieces;
-	uint32_t tries;
+	uint32_t sends;
 	uint32_t absent_listings; /* while closing, without the stream */
 	int64_t granted_at;
 	int64_t expected_end;
@@ -213,7 +213,7 @@
 	GPtrArray *chunks; /* GBytes; NULL when acknowledged */
 	uint32_t missing;
 	uint32_t sent; /* number of chunks sent, in order */
-	uint32_t tries;
+	uint32_t sends;
 	struct timer timer;
 };
 
@@ -221,7 +221,7 @@
 	uint32_t sequence;
 	GBytes *sent;  /* until acknowledged */
 	GArray *dirty; /* keys of records to send */
-	uint32_t tries;
+	uint32_t sends;
 	struct timer timer;
 	/* The receiving side. */
 	struct owner from;
--- a/entry/cancel.c
+++ b/entry/cancel.c
@@ -15,7 +15,7 @@
 	struct entry *entry;
 	uint64_t runner;
 	char stream[LEDGER_STREAM_MAX];
-	uint32_t tries;
+	uint32_t attempts;
 	struct timer timer;
 	engine_cancel_fn fn;
 	void *ctx;
@@ -37,12 +37,12 @@
 {
 	struct cancel *cancel = ctx;
 
-	if (confirmed || ++cancel->tries >= CANCEL_ATTEMPTS_MAX) {
+	if (confirmed || ++cancel->attempts >= CANCEL_ATTEMPTS_MAX) {
 		cancel_end(cancel, confirmed);
 		return;
 	}
 	timer_start(&cancel->timer,
-		    retry_backoff(cancel->entry->rand, cancel->tries,
+		    retry_backoff(cancel->entry->rand, cancel->attempts,
 				  CANCEL_BASE_USEC, CANCEL_MAX_USEC));
 }
 
--- a/entry/orders.c
+++ b/entry/orders.c
@@ -16,7 +16,7 @@
 #include "entry/own_platform.h"
 
 /* Weight of one tick in the moving averages of a cell's arrivals. */
-#define SIZE_WEIGHT 0.05
+#define ARRIVAL_EWMA_WEIGHT 0.05
 
 /* A cell's arrival counters at the last tick, and their averages. */
 struct arrivals {
@@ -40,7 +40,7 @@
 	GHashTable *arrivals; /* by cell id: struct arrivals */
 	GHashTable *calls;    /* by runner id: struct runner_call */
 	GArray *runners;      /* struct order_runner of the current cell */
-	struct timer count;
+	struct timer arrivals_timer;
 };
 
 static bool is_paired_otherwise(const struct config *config,
@@ -85,7 +85,7 @@
 
 static void mean_update(double *mean, double amount, double seconds)
 {
-	*mean += SIZE_WEIGHT * (amount / seconds - *mean);
+	*mean += ARRIVAL_EWMA_WEIGHT * (amount / seconds - *mean);
 }
 
 static void arrivals_update(struct arrivals *arrivals,
@@ -354,7 +354,7 @@
 			  order->fence, &call->call);
 }
 
-static void count_fire(struct timer *timer, void *ctx)
+static void arrivals_fire(struct timer *timer, void *ctx)
 {
 	struct entry_orders *orders = ctx;
 	struct counter_set *counters = orders->entry->counters;
@@ -398,8 +398,9 @@
 	orders->orders = orders_create(entry->clock, &self,
 				       platform_log(entry->platform), &settings,
 				       &ops, orders);
-	timer_init(&orders->count, entry->clock, count_fire, orders);
-	timer_start(&orders->count, 0);
+	timer_init(&orders->arrivals_timer, entry->clock, arrivals_fire,
+		   orders);
+	timer_start(&orders->arrivals_timer, 0);
 	return orders;
 }
 
@@ -407,7 +408,7 @@
 {
 	if (!orders)
 		return;
-	timer_stop(&orders->count);
+	timer_stop(&orders->arrivals_timer);
 	orders_destroy(orders->orders);
 	g_hash_table_destroy(orders->calls);
 	g_hash_table_destroy(orders->arrivals);
--- a/entry/request_model.c
+++ b/entry/request_model.c
@@ -88,14 +88,14 @@
 			const char *text)
 {
 	int64_t now = clock_now(request->entry->clock);
-	uint32_t tries = ++request->attempts;
+	uint32_t attempts = ++request->attempts;
 
 	request->last_code = code;
 	log_event(LOG_NOTICE, "attempt_failed", LOG_X("request", request->id),
 		  LOG_D("attempt", request->grant.attempt),
 		  LOG_S("code", result_label(code)),
 		  LOG_D("tokens", request->tokens), LOG_S("text", text));
-	if (request->class == CLASS_URGENT && tries >= URGENT_ATTEMPTS) {
+	if (request->class == CLASS_URGENT && attempts >= URGENT_ATTEMPTS) {
 		request_fail(request, code, USEC_PER_SEC, text);
 		return;
 	}
@@ -103,13 +103,13 @@
 		request_fail(request, code, USEC_PER_SEC, text);
 		return;
 	}
-	if (tries == 1 && requests_may_retry(request)) {
+	if (attempts == 1 && requests_may_retry(request)) {
 		model_reassign(request);
 		return;
 	}
 	request->state = REQUEST_PAUSED;
 	timer_start(&request->timer,
-		    retry_backoff(request->entry->rand, tries,
+		    retry_backoff(request->entry->rand, attempts,
 				  MODEL_RETRY_BASE_USEC, MODEL_RETRY_MAX_USEC));
 }
 
