--- a/coord/backpressure.c
+++ b/coord/backpressure.c
@@ -25,11 +25,11 @@
 	int64_t leaving_at; /* when it last signalled leaving */
 	int64_t backoff_until;
 	int64_t cold_until;
-	double cold_limit; /* until cold_until */
+	double cold_limit; /* the limit while cold */
 	bool level_valid;
 	double level; /* tokens at level_at */
 	int64_t level_at;
-	int64_t last_retry_at; /* latest time given to a denied instance */
+	int64_t last_retry_at; /* latest retry time given to an instance */
 };
 
 struct backpressure {
--- a/coord/cell_load.c
+++ b/coord/cell_load.c
@@ -76,7 +76,7 @@
 	       id_mix(key, id_of("cell-load")) % CELL_LOAD_SHARE_ALL < share;
 }
 
-/* One way; 0 if the link is not configured. */
+/* One-way latency between two data centres; 0 if the config has no link. */
 static double latency_ms(const struct config *config, const char *from,
 			 const char *to)
 {
--- a/coord/claim.c
+++ b/coord/claim.c
@@ -36,7 +36,7 @@
 	uint32_t sent_count;
 	bool unresolved; /* a request of unknown result was dropped from sent */
 	bool accepted;	 /* the last writer has accepted the claim */
-	uint32_t rank;	 /* of the next writer to send to */
+	uint32_t rank;	 /* rank of the next writer to send to */
 	int64_t decide_by;
 	struct timer poll;
 	struct timer timeout;
--- a/coord/claim_writer.c
+++ b/coord/claim_writer.c
@@ -17,9 +17,9 @@
 struct pending_claim {
 	struct claim_writer *writer;
 	struct claim claim;
-	uint64_t serial; /* differs for a later one of the same claim */
+	uint64_t serial; /* tells it from later ones of the same claim */
 	uint64_t attempt;
-	struct timer timer; /* decide_usec */
+	struct timer timer; /* expires after decide_usec */
 	/* Appends that contain it and were not certainly refused. */
 	uint32_t appends;
 };
--- a/coord/fold_log.c
+++ b/coord/fold_log.c
@@ -74,7 +74,8 @@
 {
 	if (f->base_known && record->revision < f->folded_revision)
 		return;
-	/* The writer had not read the records that are missing here either. */
+	/* The writer had not read the missing records either, so its revision
+	 * is no base for later ones. */
 	if (!f->base_known && record->through < f->first_readable)
 		return;
 	if (record->revision > f->revision) {
@@ -83,7 +84,8 @@
 		fold_put_in_force(f, record->revision, record->author,
 				  record->content, record->size);
 	}
-	/* Records appended since the writer read the log are folded on it. */
+	/* The revision is the base for the records that were appended after the
+	 * writer last read the log. */
 	if (!f->base_known)
 		fold_set_base(f, record->revision,
 			      MIN(record->through, offset));
--- a/coord/fold_private.h
+++ b/coord/fold_private.h
@@ -19,7 +19,7 @@
 
 enum record_kind {
 	RECORD_PROPOSAL = 1,
-	RECORD_REAPPEND, /* the file in force once more, under its revision */
+	RECORD_REAPPEND, /* the file in force again, same revision */
 };
 
 /* Identifies one append uniquely. */
@@ -77,7 +77,7 @@
 	msgpack_sbuffer record;
 	enum result_code refusal; /* result of the check before the append */
 	char reason[ERROR_TEXT_MAX];
-	bool found; /* offset is known */
+	bool found; /* offset of its record is known */
 	uint64_t offset;
 	bool uncertain; /* it is unknown whether an append was made */
 	bool searching; /* reads the log to its end to find the record */
@@ -95,7 +95,7 @@
 	GRand *rand;
 	bool started;
 
-	/* In force. */
+	/* The configuration in force. */
 	uint64_t revision;
 	void *content;
 	size_t size;
@@ -107,7 +107,7 @@
 	bool base_known;	  /* folded_revision is valid */
 	uint64_t folded_revision; /* revision at the tail's position */
 	uint64_t first_readable;  /* first offset after the last gap */
-	uint64_t skip_until;	  /* folded by peers before this */
+	uint64_t skip_until; /* peers have folded the records before this */
 	int64_t base_unknown_since;
 	GQueue pending;
 
@@ -119,7 +119,7 @@
 	uint64_t log_next;
 	int64_t log_read_at; /* when the last page arrived */
 	int64_t reappend_after;
-	int64_t record_expiring_since; /* 0 if it is not */
+	int64_t record_expiring_since; /* 0 if the record is not expiring */
 	int64_t reappend_next;
 	struct fold_reappend *reappend; /* append in flight */
 
--- a/coord/lease.c
+++ b/coord/lease.c
@@ -29,7 +29,7 @@
 	bool wait_start_pending; /* wait_start is set in the next iteration */
 	uint64_t fence;
 	int64_t expires_at;
-	int64_t wait_start; /* when another's last record was read */
+	int64_t wait_start; /* when another instance's record was last read */
 	int64_t append_at;  /* earliest time of the next append */
 	int64_t order_timeout;
 	uint32_t attempts; /* appends since a record was read back */
@@ -48,7 +48,7 @@
 	struct log_tail *tail;
 	GHashTable *tasks; /* task to struct lease */
 	uint64_t known_from;
-	bool caught_up;	    /* read to the end of the stream once */
+	bool caught_up;	    /* the end of the stream was reached once */
 	bool tasks_skipped; /* records of tasks beyond TASKS_MAX were ignored */
 };
 
--- a/coord/lease_fold.h
+++ b/coord/lease_fold.h
@@ -47,7 +47,7 @@
 struct lease_state {
 	uint64_t known_from; /* all records from this offset on were read */
 	uint64_t next;	     /* offset of its last record plus one; 0: none */
-	bool released;	     /* and not taken since */
+	bool released;	     /* released, and not taken since */
 };
 
 void lease_record_pack(msgpack_sbuffer *out, const struct lease_record *record);
--- a/coord/ledger_roles.c
+++ b/coord/ledger_roles.c
@@ -2,8 +2,8 @@
 
 #include <math.h>
 
-/* From the mean time that grants were held; half of the request's limit until
- * one has ended. */
+/* Derived from the mean time for which grants were held; half of the request's
+ * limit until the first grant has ended. */
 static double output_tokens_expected(const struct cell *cell,
 				     const struct policy_request *need)
 {
@@ -84,7 +84,8 @@
 		grant_count(cell, grant->prefill);
 		grant_count(cell, grant->decode);
 	}
-	/* Grants that the holder has released and the engine may still run. */
+	/* Adds the grants that the holder has released and the engine may still
+	 * run. */
 	for (guint i = 0; i < cell->runners->len; i++) {
 		const GPtrArray *grants = runner_at(cell, i)->grants;
 
--- a/coord/ledger_types.h
+++ b/coord/ledger_types.h
@@ -28,10 +28,10 @@
 };
 
 struct service {
-	uint32_t id; /* hash of the name, in messages */
+	uint32_t id; /* hash of the name, used in messages */
 	const struct config_service *config;
 	struct cell *cell;
-	uint32_t waiting; /* queued at this home */
+	uint32_t waiting; /* number of requests queued at this home */
 	bool plain;
 };
 
@@ -39,9 +39,9 @@
 	ITEM_SUBMITTED, /* not yet acknowledged */
 	ITEM_QUEUED,
 	ITEM_GRANTED,
-	ITEM_ENDING, /* until the home acknowledges the release */
+	ITEM_ENDING, /* the home has yet to acknowledge the release */
 	ITEM_DUPLICATE,
-	ITEM_REFUSED, /* locally; the callback runs in a later iteration */
+	ITEM_REFUSED, /* refused locally; callback in a later iteration */
 	ITEM_LOCAL,   /* plain service without a key: needs no home */
 };
 
@@ -53,18 +53,18 @@
 	struct cell *cell;
 	enum item_state state;
 	uint64_t request;
-	uint64_t incarnation; /* of this instance at submission */
+	uint64_t incarnation; /* incarnation of this instance at submission */
 	uint64_t key;
 	uint64_t fingerprint;
 	uint32_t service;
 	bool idempotent;
 	bool adopt;
 	bool no_redirect;    /* as in struct ledger_request */
-	bool home_changed;   /* since submission */
+	bool home_changed;   /* the home has changed since submission */
 	bool previous_freed; /* the previous attempt holds no memory */
 	bool progress_due;   /* the stream is not yet acknowledged */
 	uint32_t attempt;
-	uint32_t sends;
+	uint32_t sends; /* since the last reset, for the backoff */
 	uint32_t reason;
 	enum result_code refusal;
 	enum ledger_stage stage;
@@ -80,7 +80,7 @@
 	struct cell *cell;
 	uint32_t service_id;
 	struct service *service; /* NULL if no longer in the config */
-	struct tag holder;	 /* owner, its identifier and attempt */
+	struct tag holder;	 /* owner, its request and attempt */
 	uint64_t key;
 	uint64_t fingerprint;
 	bool idempotent;
@@ -90,7 +90,7 @@
 	int64_t avoid_until;
 	bool unsettled;	       /* received before the home settled */
 	struct record *parked; /* record whose outcome it waits for */
-	struct record *record; /* its own */
+	struct record *record; /* record that this request owns */
 	int64_t rank;
 	GSequenceIter *lane_position; /* NULL if unsettled or parked */
 	struct policy_request need;
@@ -99,7 +99,7 @@
 enum grant_state {
 	GRANT_HELD,
 	GRANT_ORPHAN,  /* its holder is dead; a retry may adopt it */
-	GRANT_CLOSING, /* until the engine is known to have ended it */
+	GRANT_CLOSING, /* the engine is not known to have ended it yet */
 };
 
 struct grant {
@@ -111,7 +111,7 @@
 	uint64_t fingerprint;
 	uint32_t service;
 	bool idempotent;
-	bool hashed; /* in the cell's table */
+	bool hashed; /* grant_find() finds it */
 	bool acknowledged;
 	bool adopted;
 	bool revoked; /* the holder is sent a revoke until it has ended */
@@ -119,12 +119,12 @@
 	uint32_t prefill; /* indexes into the cell's runners */
 	uint32_t decode;
 	uint32_t pieces;
-	uint32_t sends;
-	uint32_t absent_listings; /* while closing, without the stream */
+	uint32_t sends;		  /* since the last reset, for the backoff */
+	uint32_t absent_listings; /* while closing: without the stream */
 	int64_t granted_at;
 	int64_t expected_end;
 	uint64_t prefilling;  /* runner that computes its prompt, or 0 */
-	int64_t prefill_time; /* expected */
+	int64_t prefill_time; /* expected duration of the prefill */
 	int64_t closing_since;
 	uint32_t record_state; /* set once the grant has ended */
 	char stream[LEDGER_STREAM_MAX];
@@ -149,7 +149,7 @@
 	bool idempotent;
 	bool dirty; /* not yet sent to the replica */
 	char stream[LEDGER_STREAM_MAX];
-	int64_t expires;    /* if ended */
+	int64_t expires;    /* set once the request has ended */
 	int64_t confirm_by; /* a grant or pending request must exist by then */
 	GList *ended;	    /* link in the cell's list */
 	struct grant *grant;
@@ -177,24 +177,24 @@
 struct runner {
 	uint64_t id;
 	char *pool;
-	bool in_list; /* of the platform */
+	bool in_list; /* in the platform's list */
 	bool list_leaving;
 	bool report_leaving;
 	bool withheld; /* by ledger_withhold(): no new work */
 	bool reachable;
-	bool listed; /* since this instance became home */
-	/* Ignore the next one: it may answer a poll from before this instance
-	 * became home. */
+	bool listed; /* streams listed since this instance became home */
+	/* Ignore the next report or listing, which may answer a poll from
+	 * before this instance became home. */
 	bool skip_report;
 	bool skip_listing;
 	uint32_t granted;
 	uint32_t stray_pieces;
 	uint32_t prefilling;  /* granted prompts not known to be computed */
-	int64_t prefill_time; /* expected, of these prompts */
-	GArray *assigned;     /* recent struct booked, oldest first */
-	GPtrArray *grants;    /* of decode runners */
-	bool sorted;	      /* grants, by expected end */
-	GHashTable *strays;   /* by stream */
+	int64_t prefill_time; /* expected duration of these prompts */
+	GArray *assigned;     /* recent struct assigned, oldest first */
+	GPtrArray *grants;    /* decode grants on this runner */
+	bool sorted;	      /* grants are sorted by expected end */
+	GHashTable *strays;   /* stream to struct stray */
 };
 
 /* A member's announcement at the home. */
@@ -212,18 +212,18 @@
 	uint32_t epoch;
 	GPtrArray *chunks; /* GBytes; NULL when acknowledged */
 	uint32_t missing;
-	uint32_t sent; /* number of chunks sent, in order */
-	uint32_t sends;
+	uint32_t sent;	/* number of chunks sent, in order */
+	uint32_t sends; /* since the last reset, for the backoff */
 	struct timer timer;
 };
 
 struct replication {
 	uint32_t sequence;
-	GBytes *sent;  /* until acknowledged */
-	GArray *dirty; /* keys of records to send */
-	uint32_t sends;
+	GBytes *sent;	/* last batch, until acknowledged */
+	GArray *dirty;	/* keys of records to send */
+	uint32_t sends; /* since the last reset, for the backoff */
 	struct timer timer;
-	/* The receiving side. */
+	/* At the replica: the home that sends, and its last sequence. */
 	struct owner from;
 	uint32_t received;
 };
@@ -233,17 +233,17 @@
 /* Load level of the cell, measured by its home. */
 struct level {
 	struct timer timer;
-	uint32_t share; /* of urgent requests that should leave */
+	uint32_t share; /* share of urgent requests to redirect */
 	int64_t announced_at;
 	int64_t raised_at;
-	bool is_waiting;		/* urgent requests wait */
-	bool busy;			/* they do, or did recently */
-	int64_t waiting_changed_at;	/* last change of is_waiting */
-	int64_t low_wait_since;		/* or the last decrease of share */
-	int64_t history[LEVEL_HISTORY]; /* longest waits, last second */
+	bool is_waiting;	    /* urgent requests wait */
+	bool busy;		    /* urgent requests wait, or did recently */
+	int64_t waiting_changed_at; /* last change of is_waiting */
+	int64_t low_wait_since;	    /* or time of the last decrease of share */
+	int64_t history[LEVEL_HISTORY]; /* longest waits of the last second */
 	uint32_t history_next;
 	bool role_missing;	/* a role has no usable runner */
-	int64_t role_agreed_at; /* last check that agreed with it */
+	int64_t role_agreed_at; /* last check that agreed with role_missing */
 };
 
 /* Keys exchanged with the homes of the same pools in other data centres. */
@@ -271,22 +271,22 @@
 	struct announce announce;
 
 	bool is_home;
-	bool was_home; /* at any earlier time */
+	bool was_home; /* this instance was its home earlier */
 	bool settled;
 	struct timer settle;
 	int64_t settle_by;
-	GHashTable *announcers; /* by member */
+	GHashTable *announcers; /* member to struct announcer */
 	GPtrArray *unsettled;	/* struct pending received before settling */
 	GSequence *lanes[CLASS_COUNT];
-	GHashTable *pending_requests; /* by tag: owner and request */
-	GHashTable *grants;	      /* by tag: owner and request */
+	GHashTable *pending_requests; /* by owner and request of the holder */
+	GHashTable *grants;	      /* by owner and request of the holder */
 	/* GBytes: entries of orphaned and closing grants for the next home. */
 	GPtrArray *orphans;
 	uint64_t waiting_pieces[CLASS_COUNT];
-	double hold_usec[CLASS_COUNT]; /* moving average; 0 unknown */
+	double hold_usec[CLASS_COUNT]; /* moving average; 0: unknown */
 	struct ledger_demand arrived;  /* while this instance was home */
 	GArray *grant_counts;	       /* per runner; see ledger_cell_next() */
-	double cached_tokens;	       /* of granted prompts */
+	double cached_tokens;	       /* cached tokens of granted prompts */
 
 	GArray *view;	    /* struct policy_runner */
 	GPtrArray *runners; /* struct runner */
@@ -298,7 +298,7 @@
 
 	GHashTable *records;
 	int64_t abandoned_check_until; /* see records_check_abandoned() */
-	GQueue ended;		       /* records, by time of their end */
+	GQueue ended; /* ended records, in the order of their end */
 	struct timer expiry;
 	struct replication replication;
 	struct level level;
@@ -337,7 +337,7 @@
 	uint64_t sent_messages;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
-	msgpack_zone zone; /* of the received message */
+	msgpack_zone zone; /* memory of the message being decoded */
 };
 
 #endif
--- a/coord/limit_account.c
+++ b/coord/limit_account.c
@@ -117,8 +117,8 @@
 		return 0.0;
 	if (now - peer->last_seen < LIMIT_SILENT_USEC)
 		return MIN(peer->demand, account->allotment.rate * fair_share);
-	/* The share before it fell silent: demand that has arrived here since
-	 * may have arrived on the other side of a partition as well. */
+	/* Uses the share from before the silence: in a partition, both sides
+	 * may count the demand that has arrived since. */
 	fair_share = peer->fair_share;
 	if (peer->source.group)
 		fair_share = fair_share * (1.0 - EQUAL_PART) +
--- a/coord/limit_account.h
+++ b/coord/limit_account.h
@@ -82,10 +82,10 @@
 	int64_t first_peer_at; /* first entry from a peer; or LIMIT_NEVER */
 	bool may_have_peers;
 	GHashTable *accounts;	 /* id to struct limit_account */
-	GQueue order;		 /* the same, least recently used first */
+	GQueue order;		 /* the accounts, least recently used first */
 	uint32_t epochs;	 /* last epoch assigned */
 	uint32_t next_export[2]; /* index into order: own use, sums */
-	bool urgent[2];		 /* the same */
+	bool urgent[2];		 /* an export is urgent: own use, sums */
 };
 
 /* In limit_exchange.c. To be called after units were used, here or by a local
--- a/coord/limit_exchange.c
+++ b/coord/limit_exchange.c
@@ -198,8 +198,8 @@
 }
 
 /* The first source of a data centre is counted until it falls silent. Then
- * another one continues from its own use at the time of the last entry of the
- * former. */
+ * another one replaces it, and its use is counted from the last entry of the
+ * silent source on. */
 static void leader_choose(struct limit_account *account,
 			  struct limit_peer *peer, int64_t now)
 {
@@ -221,8 +221,8 @@
 	leader->refundable = 0.0;
 }
 
-/* Sets from where the other sources of the group continue if this one falls
- * silent. */
+/* Sets the point from which the other sources of the group are counted if this
+ * one falls silent. */
 static void group_align(struct limit_account *account,
 			const struct limit_peer *leader)
 {
--- a/coord/member_private.h
+++ b/coord/member_private.h
@@ -56,26 +56,26 @@
 };
 
 struct centre {
-	struct update update; /* first: see update_centre() */
+	struct update update; /* must be first, see update_centre() */
 	uint64_t id;
 	char name[MEMBER_NAME_MAX];
-	uint64_t hash; /* over its members, see hashes_update() */
+	uint64_t hash; /* hash of its members, see hashes_update() */
 	enum reach reach;
-	uint64_t version;    /* of reach, for merges */
+	uint64_t version;    /* version of reach, for merges */
 	int64_t last_seen;   /* last digest received from it */
 	int64_t last_mutual; /* last digest that confirmed it receives ours */
 	bool digest_seen;    /* at least one digest was received */
 	bool gateway;
-	uint32_t round; /* digests sent: alternates the remote gateway */
+	uint32_t round; /* digests sent; selects the remote gateway */
 };
 
 struct peer {
-	struct update update; /* first: see update_peer() */
+	struct update update; /* must be first, see update_peer() */
 	struct member view;   /* as reported to the embedder */
 	uint32_t level;
 	bool leaving;
 	bool confirmed; /* its state was received, not only a hint */
-	bool reported;	/* to the embedder */
+	bool reported;	/* it was reported to the embedder */
 	bool forgotten;
 	bool watched;	      /* this instance expects heartbeats from it */
 	bool send_names;      /* its update carries name and addresses too */
@@ -93,7 +93,7 @@
 };
 
 struct fact {
-	struct update update; /* first: see update_fact() */
+	struct update update; /* must be first, see update_fact() */
 	uint64_t key;
 	uint64_t version;
 	int64_t set_at; /* when it was set at its origin, by the local clock */
@@ -114,7 +114,7 @@
 };
 
 #define WIRE_LEAVING 1u
-#define WIRE_DIGEST 2u /* between data centres */
+#define WIRE_DIGEST 2u /* a digest between data centres */
 #define WIRE_MUTUAL 4u /* the sender receives the receiver's digests */
 #define WIRE_JOIN 8u   /* the receiver answers with its row and hashes */
 /* The sender declared the receiver dead. a: number of members that the sender
@@ -123,7 +123,7 @@
 
 enum item_kind {
 	ITEM_ROW,   /* id, incarnation, level, leaving */
-	ITEM_NAMED, /* ... and name, data centre, addresses */
+	ITEM_NAMED, /* as ITEM_ROW, and name, data centre, addresses */
 	ITEM_FACT,  /* key, version, age in seconds, value */
 	ITEM_REACH, /* data centre, version, reach */
 	ITEM_HASH,  /* data centre or bucket of facts, hash */
@@ -168,9 +168,9 @@
 	GRand *rand;
 
 	struct peer *self;
-	GPtrArray *peers;   /* by id */
-	GPtrArray *centres; /* by id */
-	GPtrArray *ring;    /* of the local data centre, not dead, by id */
+	GPtrArray *peers;   /* sorted by id */
+	GPtrArray *centres; /* sorted by id */
+	GPtrArray *ring;    /* local data centre without dead peers, by id */
 	GHashTable *index;  /* id -> peer */
 	GHashTable *facts;  /* key -> fact */
 	GQueue updates;
--- a/coord/order_controller.c
+++ b/coord/order_controller.c
@@ -9,7 +9,7 @@
 #define ASSERT_ATTEMPTS_MAX 4u
 /* ORDER_TIMEOUT_USEC is in true time, and the local clock may run fast. */
 #define ORDER_EXPIRY_USEC (ORDER_TIMEOUT_USEC + 1 * USEC_PER_SEC)
-/* A report that is newer than a change by this much reflects the change. */
+/* A report taken this long after a change reflects the change. */
 #define REPORT_LAG_USEC (2 * USEC_PER_SEC)
 /* A runner that has not reported for this time is unreachable. */
 #define REPORT_TIMEOUT_USEC (30 * USEC_PER_SEC)
@@ -57,7 +57,7 @@
 
 	call_cancel(ctl);
 	if (ctl->step == STEP_LIST)
-		until = 0; /* a late order only repeats the role */
+		until = 0; /* a late order would only repeat the role */
 	if (is_changing(ctl))
 		orders_release(ctl->orders, ctl->runner, until);
 	step_enter(ctl, STEP_IDLE);
--- a/entry/directory_sync.c
+++ b/entry/directory_sync.c
@@ -17,15 +17,16 @@
 #define READER_COUNT 2
 /* Time between requests until a complete list is known. */
 #define START_REQUEST_USEC (500 * USEC_PER_MSEC)
-/* In periods of --list-ms: the time between requests to a reader; the age from
- * which the directory counts as stale; how often an instance that is not a
- * reader reads the list itself, while the directory is fresh or stale. */
+/* Times in periods of --list-ms. An instance that is not a reader requests
+ * changes from a reader every REQUEST_PERIODS. It reads the list itself every
+ * READ_FRESH_PERIODS, or every READ_STALE_PERIODS once its directory is
+ * STALE_PERIODS old. */
 #define REQUEST_PERIODS 10
 #define STALE_PERIODS 30
 #define READ_FRESH_PERIODS 300
 #define READ_STALE_PERIODS 10
 
-/* Up to which change this instance has the directory of a reader. */
+/* The last change of a reader's directory that this instance has received. */
 struct source {
 	uint64_t id;
 	uint64_t epoch;
@@ -36,10 +37,10 @@
 	struct entry *entry;
 	struct timer timer;
 	struct source sources[READER_COUNT];
-	uint32_t requests_sent; /* selects the next instance */
-	uint32_t ticks;		/* since the last request */
+	uint32_t requests_sent; /* selects the instance for the next request */
+	uint32_t ticks;		/* ticks since the last request */
 	uint64_t sent_until;	/* last change sent to the data centre */
-	bool reader;		/* whether it was one at the last tick */
+	bool reader;	   /* this instance was a reader at the last tick */
 	int64_t listed_at; /* when a reader read the newest list received */
 	/* Sender of the message being decoded, and whether it is applied. */
 	uint64_t from;
--- a/entry/orders.c
+++ b/entry/orders.c
@@ -24,7 +24,7 @@
 	double cached_tokens;
 	int64_t at;
 	struct ledger_demand mean; /* per second */
-	double uncached;	   /* prompt tokens per second */
+	double uncached;	   /* uncached prompt tokens per second */
 };
 
 /* A call to a runner on behalf of coord/order.h. */
--- a/entry/request_join.c
+++ b/entry/request_join.c
@@ -99,9 +99,9 @@
 }
 
 /*
- * No answer arrived. A forwarded request may have run there, so it is retried
- * only if it is idempotent or was never sent: at the other instances there, and
- * then here.
+ * No answer arrived. A forwarded request may have run in the remote data
+ * centre, so it is retried only if it is idempotent or was never sent: first at
+ * the other instances of that data centre, then in the local one.
  */
 static void join_failed(struct request *request,
 			const struct web_result *result)
--- a/entry/request_plain.c
+++ b/entry/request_plain.c
@@ -178,7 +178,8 @@
 {
 	const struct backend *backend =
 		directory_find(request->entry->directory, request->server);
-	static const char unlisted[] = "0.0.0.0:0"; /* fails the call at once */
+	/* A call to this address fails at once. */
+	static const char unlisted[] = "0.0.0.0:0";
 	size_t count = request->headers->len / 2;
 	struct web_header *headers = g_new0(struct web_header, count + 1);
 	char id[HEX_ID_SIZE];
--- a/include/coord/ledger.h
+++ b/include/coord/ledger.h
@@ -115,8 +115,8 @@
 	uint32_t running;
 	uint32_t waiting;
 	uint64_t queue_tokens;
-	/* While it works: over all prompts (prefill) or per stream (decode); 0
-	 * if unknown. */
+	/* Rate while the runner works: over all prompts (prefill) or per stream
+	 * (decode); 0 if unknown. */
 	double tokens_per_s;
 	int64_t age; /* microseconds since the runner measured it */
 };
@@ -139,7 +139,8 @@
 	bool leaving;
 };
 
-/* Summed demand of a cell's requests; answers count with their mean length. */
+/* Summed demand of a cell's requests. The output of a request is counted as the
+ * expected number of tokens. */
 struct ledger_demand {
 	double requests;
 	double prompt_tokens;
@@ -230,8 +231,8 @@
 		    const struct ledger_stream *streams, size_t count);
 void ledger_cancelled(struct ledger *ledger, uint64_t runner,
 		      const char *stream, bool done);
-/* stored false with no blocks: events were lost, the runner's cache counts as
- * empty. */
+/* A call with stored false and no blocks says that events were lost; the
+ * runner's cache then counts as empty. */
 void ledger_cache_event(struct ledger *ledger, uint64_t runner,
 			const uint64_t *blocks, size_t count, bool stored);
 /* Hands queue, grants and records over to the next homes. Call it after
--- a/include/coord/order.h
+++ b/include/coord/order.h
@@ -61,7 +61,7 @@
 /* Valid until the next call of cell_next(). */
 struct order_cell {
 	uint64_t id;
-	bool checks_fencing; /* all engines of both pools do */
+	bool checks_fencing; /* all engines of both pools check fences */
 	struct role_load load;
 	const struct order_runner *runners;
 	uint32_t runner_count;
@@ -78,7 +78,7 @@
 	ORDER_TAKEN,
 	ORDER_LOST, /* no answer: it may have taken effect */
 	ORDER_FENCED,
-	ORDER_REFUSED, /* it has no effect */
+	ORDER_REFUSED, /* the order has no effect */
 };
 
 struct order_ops {
--- a/include/coord/quarantine.h
+++ b/include/coord/quarantine.h
@@ -10,20 +10,20 @@
  *	is held: it is to be refused before it reaches another server. With
  *	fewer it is a suspect.
  *
- *	Why: one such request, repeated about once a second at any instances,
- *	crashed 16 to 18 of 14 servers and their restarted processes in 15 s,
- *	and cut off some three streams with each.
+ *	Without a quarantine, one such request, repeated about once a second at
+ *	any instances, causes 16 to 18 crashes in 15 s on 14 servers, which
+ *	restart in between. Each crash cuts off some three streams.
  *
- *	The threshold. Up to 64 requests run in an engine and all of them are
- *	lost with it, so one crash proves nothing. A caller that follows the
- *	retry rules sends a request at most twice, so an innocent request is
- *	lost at most twice; three is the least threshold that refuses none. A
- *	request that many callers send at once, such as a status page, could be
- *	lost at several servers in one moment. So no crash is recorded for a
- *	request that succeeded recently, and a suspect is cleared when it
- *	succeeds, or when it arrives again at an instance where it did: an
- *	instance that has just started does not know of the success and records
- *	the crash.
+ *	Up to 64 requests run in an engine and all of them are lost when it
+ *	crashes, so one crash does not show which of them caused it. A caller
+ *	that follows the retry rules sends a request at most twice, so a request
+ *	that causes no crash is lost at most twice: three is the least threshold
+ *	that holds no such request. A request that many callers send at once,
+ *	such as one for a status page, could be lost at several servers within a
+ *	moment. So no crash is recorded for a request that succeeded recently.
+ *	A suspect is cleared when it succeeds, or when it arrives again at an
+ *	instance where it succeeded before: an instance that has just started
+ *	does not know of that success and records the crash.
  *
  *	A held request is not released by time: its next repeat would crash the
  *	next server. Suspects and held requests have separate bounds, and the
--- a/include/coord/role.h
+++ b/include/coord/role.h
@@ -72,7 +72,7 @@
 	struct role_settings settings;
 	double need_prefill; /* in runners, smoothed */
 	double need_decode;
-	enum role_move wanted; /* at every tick since wanted_since */
+	enum role_move wanted; /* unchanged since wanted_since */
 	int64_t wanted_since;
 	int64_t last_tick;
 	bool started;
--- a/include/entry/measures.h
+++ b/include/entry/measures.h
@@ -24,7 +24,7 @@
 	enum result_code code;
 	bool within_targets;
 	int64_t first_token_usec;    /* -1 when none */
-	int64_t between_tokens_usec; /* 95th percentile in the request; -1 */
+	int64_t between_tokens_usec; /* 95th percentile; -1 when none */
 	int64_t total_usec;
 	uint32_t output_tokens;
 };
--- a/include/entry/peers.h
+++ b/include/entry/peers.h
@@ -51,14 +51,14 @@
 	uint64_t incarnation;
 	uint32_t seed;
 	int64_t coalesce_usec;
-	int64_t connect_usec;	     /* TCP connect and hello; default 1 s */
-	int64_t idle_usec;	     /* default 30 s */
-	int64_t backoff_usec;	     /* first reconnect; default 50 ms */
-	int64_t backoff_max;	     /* default 2 s */
-	size_t queue_bytes_max;	     /* default 4 MiB for each peer */
-	uint32_t links_max;	     /* default 1,024 */
-	int64_t probe_interval_usec; /* after an answer; default 5 s */
-	int64_t probe_timeout_usec;  /* of a probe; default 1 s */
+	int64_t connect_usec;	/* TCP connect and hello; default 1 s */
+	int64_t idle_usec;	/* default 30 s */
+	int64_t backoff_usec;	/* before the first reconnect; default 50 ms */
+	int64_t backoff_max;	/* longest backoff; default 2 s */
+	size_t queue_bytes_max; /* default 4 MiB for each peer */
+	uint32_t links_max;	/* default 1,024 */
+	int64_t probe_interval_usec; /* from answer to probe; default 5 s */
+	int64_t probe_timeout_usec;  /* wait for an answer; default 1 s */
 	bool datagrams;		     /* small messages of the ledger use UDP */
 };
 
--- a/include/entry/request.h
+++ b/include/entry/request.h
@@ -101,7 +101,7 @@
 	char handle[LEDGER_STREAM_MAX];
 	char stream[LEDGER_STREAM_MAX];
 	int64_t handle_until;
-	uint32_t computed_tokens; /* by the prefill of this handle */
+	uint32_t computed_tokens; /* in the prefill of this handle */
 	uint32_t resumes;
 	uint32_t attempts;
 	enum result_code last_code;
@@ -113,12 +113,11 @@
 	uint32_t late_gaps;
 
 	/* Requests for a plain service. */
-	struct web_call
-		*web_call; /* to a server, an instance or a data centre */
-	uint64_t server;   /* the server called; 0: none */
+	struct web_call *web_call; /* call to a server or to another instance */
+	uint64_t server;	   /* the server called; 0: none */
 	bool queued;
 	bool claimed;	 /* this request holds the claim of its key */
-	bool claim_lost; /* to a live instance; its answer is fetched */
+	bool claim_lost; /* to a live instance, whose answer is fetched */
 	bool refused;	 /* the server answered jt-not-run */
 	bool too_long;	 /* the answer exceeds the size limit */
 	GString *method;
@@ -141,7 +140,7 @@
 	GQueue kept;	    /* oldest first */
 	uint64_t kept_bytes;
 	uint64_t next;
-	uint32_t active;    /* without kept ones */
+	uint32_t active;    /* number of requests, without kept ones */
 	GArray *unreleased; /* ids failed after a stall, not released yet */
 	struct timer release_timer;
 	struct limits *limits;
--- a/include/entry/settings.h
+++ b/include/entry/settings.h
@@ -19,10 +19,10 @@
 #define SETTINGS_SEEDS_MAX 16
 
 struct settings {
-	const char *name; /* this instance's, unique in the site */
+	const char *name; /* name of this instance, unique in the site */
 	const char *data_centre;
-	const char *listen;	  /* callers, "IP:port", port 0 picks one */
-	const char *admin_listen; /* operators and the balancer */
+	const char *listen;	  /* for callers, "IP:port"; port 0: any */
+	const char *admin_listen; /* for operators and the load balancer */
 	const char *peer_listen;
 	const char *platform; /* address of the platform's service */
 	const char *seeds[SETTINGS_SEEDS_MAX]; /* "NAME@DATA_CENTRE@IP:port" */
@@ -36,14 +36,14 @@
 	int64_t coalesce_usec;
 	bool peer_datagrams;
 	int64_t drain_usec;	    /* longest graceful shutdown; 0: no bound */
-	int64_t drain_delay_usec;   /* accepting after the announcement */
+	int64_t drain_delay_usec;   /* announcement until accepting stops */
 	int64_t list_usec;	    /* between reads of the platform's list */
-	int64_t log_retention_usec; /* of the platform's log, at least */
+	int64_t log_retention_usec; /* least retention of the platform's log */
 	int64_t role_dwell_usec;    /* between two role changes of a cell */
 	int64_t poll_usec;	    /* between polls of a runner's reports */
 	uint64_t body_bytes_max;
 	uint32_t connections_max;
-	uint32_t requests_max;	   /* in flight */
+	uint32_t requests_max;	   /* limit on requests in flight */
 	uint64_t replay_bytes_max; /* for kept answers of keyed requests */
 };
 
