--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -34,7 +34,7 @@
 	GQueue messages;
 	GQueue granted_requests;
 	uint64_t next;
-	uint64_t key; /* of the next request; 0: requests have no key */
+	uint64_t key; /* key of the next request; 0: requests have no key */
 	uint32_t runners;
 };
 
--- a/bench/relay.c
+++ b/bench/relay.c
@@ -208,7 +208,7 @@
 struct in_flight_case {
 	const char *path;
 	unsigned int callers;
-	unsigned int served; /* of the callers at once; the rest wait */
+	unsigned int served; /* callers served at a time; the rest wait */
 };
 
 /* Sets the service time so that the throughput is SWEEP_RATE calls a second. */
@@ -356,7 +356,8 @@
 		.parser = option_parse,
 		.doc = "Measures a running daemon; see scripts/bench.",
 	};
-	/* Memory first: other parts leave free heap that it would reuse. */
+	/* The memory part runs first, because it would otherwise reuse heap
+	 * that the other parts have freed. */
 	static const struct {
 		const char *name;
 		void (*run)(struct bench *bench, const struct args *args);
--- a/common/log.c
+++ b/common/log.c
@@ -90,8 +90,8 @@
 	g_string_append_c(out, '"');
 }
 
-/* Numbers are formatted on the stack: g_string_append_printf() allocates memory
- * for each, which took half of the time of a line. */
+/* Numbers are formatted on the stack: g_string_append_printf() would allocate
+ * memory for each, which takes half of the time needed for a line. */
 static void append_field(GString *out, const struct log_field *field)
 {
 	char text[32] = "";
--- a/config/check_services.c
+++ b/config/check_services.c
@@ -104,7 +104,8 @@
 	return NULL;
 }
 
-/* A cell pairs one prefill with one decode pool: refuses a second partner. */
+/* Refuses a pool that is already paired with another: a cell has one prefill
+ * and one decode pool. */
 static bool pair_check(const struct subject *subject, GHashTable *partners,
 		       const char *field, const char *name, const char *other)
 {
--- a/ctl/log_file.c
+++ b/ctl/log_file.c
@@ -4,8 +4,8 @@
 
 #include "common/error.h"
 
-/* The daemons write no longer lines. Such a line would be passed on in parts.
- */
+/* The daemons write no line longer than this. A longer one is passed on in
+ * parts. */
 #define LINE_MAX_BYTES 16384
 
 bool log_file_read(const char *file, log_line_fn fn, void *ctx,
--- a/ctl/report_print.c
+++ b/ctl/report_print.c
@@ -4,7 +4,8 @@
 #include "ctl/print.h"
 #include "ctl/report.h"
 
-/* One row of the table: where in a report's object its value is found. */
+/* One row of the table: its label, and the field of a report's object that
+ * holds the value. */
 struct figure {
 	const char *label;
 	const char *field;
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -154,7 +154,8 @@
 		claims_destroy(instances[i].claims);
 		membership_destroy(instances[i].membership);
 	}
-	run(USEC_PER_SEC); /* the log's last answers are ignored */
+	/* Lets the log answer the remaining calls; the answers are ignored. */
+	run(USEC_PER_SEC);
 }
 
 int main(void)
--- a/include/common/compress.h
+++ b/include/common/compress.h
@@ -20,7 +20,7 @@
 
 /* Compresses the message in place when it has at least min_size bytes. */
 void message_compress(GByteArray *message, size_t min_size);
-/* Copies data that is not compressed as it is, whatever its size. */
+/* Data that is not compressed is copied unchanged, whatever its size. */
 GByteArray *message_decompress(const void *data, size_t size, size_t max_size,
 			       struct error *err);
 
--- a/include/common/model_text.h
+++ b/include/common/model_text.h
@@ -4,7 +4,7 @@
  * DESCRIPTION
  *	"Model text" of docs/PROTOCOLS.md: token k is "w", the low 16 bits of
  *	id_mix(prompt, k) in four hex digits, and a space, where prompt is
- *	id_hash() of the whole prompt. A caller can so check that it received
+ *	id_hash() of the whole prompt. This lets a caller check that it received
  *	every token exactly once and in order.
  */
 #ifndef COMMON_MODEL_TEXT_H
--- a/include/config/config.h
+++ b/include/config/config.h
@@ -60,12 +60,13 @@
 	uint32_t pieces;       /* KV cache of a decode runner, in pieces */
 	uint32_t slots;	       /* concurrent requests of a runner */
 	uint32_t kv_bytes_per_token;
-	uint64_t link_bytes_per_s; /* per runner: out (prefill), in (decode) */
+	/* Per runner: sent by a prefill runner, received by a decode runner. */
+	uint64_t link_bytes_per_s;
 	uint32_t prefill_tokens_per_s;
 	uint32_t decode_tokens_per_s; /* per stream at a full batch */
 	uint32_t hold_ms;	      /* retention of a prefill result */
 	bool checks_fencing;
-	bool swaps_role; /* runners can be told to change role */
+	bool swaps_role; /* runners can be ordered to change role */
 };
 
 struct config_targets {
@@ -83,14 +84,14 @@
 	const char *path_prefix; /* kind plain: NULL if routed by host */
 	const char *host;
 	const char *pool;	  /* kind plain */
-	enum request_class class; /* of a request that names none */
-	bool idempotent;	  /* of a request that does not say */
+	enum request_class class; /* for requests that name none */
+	bool idempotent;	  /* for requests that do not state it */
 	struct config_targets targets[CLASS_COUNT];
 	uint32_t queue_max; /* waiting requests per data centre */
 	uint32_t prompt_tokens_max;
 	uint32_t output_tokens_max;
 	uint32_t body_bytes_max;
-	uint32_t deadline_ms;	 /* of a request that names none */
+	uint32_t deadline_ms;	 /* for requests that name none */
 	uint32_t concurrency;	 /* kind plain: calls in flight per server */
 	uint32_t requests_per_s; /* of the whole site; 0: no limit */
 	uint32_t organisation_requests_per_s; /* of each; 0: no limit */
--- a/include/ctl/ctl.h
+++ b/include/ctl/ctl.h
@@ -31,7 +31,7 @@
 	/* From the environment; NULL: not set. */
 	const char *admin;
 	const char *author;
-	int exit_code; /* of a run without an error */
+	int exit_code; /* returned when the command ends without an error */
 };
 
 /* The parsed command line. Strings belong to argv. */
--- a/include/ctl/losses.h
+++ b/include/ctl/losses.h
@@ -36,7 +36,7 @@
 };
 
 struct losses {
-	uint32_t requests; /* that ended and that a route allows */
+	uint32_t requests; /* ended requests that a route allows */
 	uint32_t lost;
 	uint32_t causes[LOSS_COUNT];
 	GHashTable *routes;  /* route name to count */
--- a/include/load/workload.h
+++ b/include/load/workload.h
@@ -40,7 +40,7 @@
 	bool key;	     /* sends an idempotency key */
 	bool non_idempotent; /* sends jt-idempotent: false */
 	uint32_t deadline_ms;
-	uint32_t retries;	/* of one call, with the same key */
+	uint32_t retries;	/* per call, with the same key */
 	uint32_t prefix_groups; /* number of shared prefixes; 0: none */
 	uint32_t prefix_tokens; /* length of a shared prefix */
 	uint32_t max_tokens;	/* requested; 0: the length of the answer */
--- a/include/standin/engine_model.h
+++ b/include/standin/engine_model.h
@@ -63,7 +63,7 @@
 	uint32_t pieces;       /* of memory */
 	uint32_t piece_tokens; /* tokens a piece holds */
 	uint32_t slots;	       /* decode: concurrent streams */
-	uint32_t queue;	       /* prefill: most prompts waiting */
+	uint32_t queue;	       /* prefill: maximum number of waiting prompts */
 	double prefill_tokens_per_s;
 	double decode_tokens_per_s; /* of a stream alone in its batch */
 	double kv_bytes_per_token;
@@ -93,7 +93,7 @@
 /* A KV cache that one engine fetches from another. */
 struct engine_kv {
 	uint64_t prompt; /* id_hash() of the prompt's text */
-	uint32_t length; /* tokens of the answer, before the job's maximum */
+	uint32_t length; /* tokens of the answer; output_max may cut it short */
 	double bytes;
 };
 
@@ -112,11 +112,11 @@
 /* Work done for one request. */
 struct request_stats {
 	uint64_t request;
-	uint32_t prefills; /* started computing */
-	uint32_t decodes;  /* had memory reserved */
+	uint32_t prefills; /* prefills whose computation started */
+	uint32_t decodes;  /* decodes that had memory reserved */
 	uint32_t finished; /* decodes that computed their last token */
 	uint32_t cancelled;
-	uint64_t prefill_tokens; /* computed */
+	uint64_t prefill_tokens; /* tokens computed */
 	uint64_t useful_tokens;	 /* computed for the first result fetched */
 };
 
--- a/include/standin/engine_prefill.h
+++ b/include/standin/engine_prefill.h
@@ -32,7 +32,7 @@
 	uint64_t *blocks;
 	uint32_t block_count;
 	uint32_t cached;   /* tokens */
-	uint32_t computed; /* tokens; all that are not cached while computing */
+	uint32_t computed; /* tokens; PREFILL_COMPUTING: all not cached */
 	int64_t compute_started_at;
 	int64_t compute_usec;
 	struct timer hold_timer;
--- a/include/standin/engine_stream.h
+++ b/include/standin/engine_stream.h
@@ -40,8 +40,8 @@
 	struct engine_job job;
 	uint32_t pieces;
 	uint64_t prompt;
-	uint32_t length; /* offset of the end, once fetched */
-	uint32_t offset; /* of the next token to compute */
+	uint32_t length; /* offset of the end; set once fetched */
+	uint32_t offset; /* offset of the next token to compute */
 	bool fetched;	 /* the source has sent the whole KV cache */
 	bool link_done;	 /* the KV cache has passed this engine's link */
 	bool started;	 /* fetched and link_done */
--- a/include/standin/platform.h
+++ b/include/standin/platform.h
@@ -75,7 +75,7 @@
 struct platform_log *platform_log_create(struct platform *platform);
 void platform_log_destroy(struct platform_log *log);
 void platform_log_handle(void *ctx, struct web_request *request);
-/* The counters that GET /ledger returns; a new reference. */
+/* Returns the counters of GET /ledger as a new reference. */
 json_t *platform_log_ledger(const struct platform_log *log);
 
 struct platform_list *platform_list_create(struct platform *platform);
--- a/load/check.c
+++ b/load/check.c
@@ -28,7 +28,8 @@
 		return false;
 	if (record->kind->model == NULL)
 		return ledgers_key_runs(ledgers, record->key) != 0;
-	/* The ledgers cannot be searched without an id: counts as broken. */
+	/* The ledgers cannot be searched without an id, so the call counts as a
+	 * violation. */
 	if (record->request_id[0] == '\0')
 		return true;
 	return ledgers_request_sum(ledgers, record->request_id, "prefills") +
--- a/standin/engine_http.c
+++ b/standin/engine_http.c
@@ -20,11 +20,12 @@
 	void *pool_ctx;
 };
 
-/* A pending request: its prefill is not computed, or its answer is delayed. */
+/* A pending request: its prefill is not computed yet, or its answer is
+ * delayed. */
 struct waiter {
 	struct engine_model *model;
 	struct web_request *request;
-	uint64_t prefill; /* HANDLE_NONE if the request is no prefill */
+	uint64_t prefill; /* HANDLE_NONE if it is not a prefill */
 	json_t *answer;
 	struct timer late_timer;
 };
--- a/standin/engine_prefill.c
+++ b/standin/engine_prefill.c
@@ -38,7 +38,8 @@
 		result_remove(p);
 }
 
-/* Starts the next prompt at the scheduled end of the one before. */
+/* Starts the next prompt. from is the scheduled end of the previous one, or the
+ * present. */
 static void compute_next(struct engine_model *model, int64_t from)
 {
 	int64_t now = clock_now(model->clock);
@@ -120,7 +121,7 @@
 {
 	GList *l = model->waiting.head;
 
-	/* After all others of the same priority. */
+	/* Inserts it after all others of the same priority. */
 	while (l && priority_of(l) <= p->job.priority)
 		l = l->next;
 	g_queue_insert_before(&model->waiting, l, p);
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -123,8 +123,8 @@
 	stream_free(s, NULL);
 }
 
-/* Starts the next step at the given time, with all streams that are ready. A
- * step also runs without any if a slow reader has tokens left to be offered. */
+/* Starts the next step at the given time, with all streams that are ready. If
+ * none is, it still runs when a slow reader has tokens left to be offered. */
 static void step_start(struct engine_model *model, int64_t from)
 {
 	int64_t now = clock_now(model->clock);
--- a/standin/jtengine.c
+++ b/standin/jtengine.c
@@ -1,4 +1,4 @@
-/* A test double of a model engine, see docs/design/standins.md. */
+/* Stand-in for a model engine. See docs/design/standins.md. */
 #include <stdlib.h>
 
 #include "standin/backend.h"
--- a/standin/register.c
+++ b/standin/register.c
@@ -20,7 +20,7 @@
 	json_t *entry;
 	struct timer timer;
 	struct web_call *call;
-	bool changed; /* while a call was in flight */
+	bool changed; /* the entry changed while a call was in flight */
 	registration_removed_fn removed_fn;
 	void *ctx;
 };
--- a/standin/service.c
+++ b/standin/service.c
@@ -41,7 +41,7 @@
 	struct service *service;
 	struct web_request *request;
 	struct timer timer;
-	uint64_t number; /* of runs under its key, including this one */
+	uint64_t number; /* runs under its key up to and including this one */
 	bool failed;
 	bool answer_lost;
 };
