--- a/config/check_services.c
+++ b/config/check_services.c
@@ -81,7 +81,7 @@
 	GHashTable *prefill_by_decode;
 };
 
-static bool unique(GHashTable *set, char *key)
+static bool key_add_unique(GHashTable *set, char *key)
 {
 	return g_hash_table_add(set, key);
 }
@@ -174,7 +174,7 @@
 			struct services *services,
 			const struct config_service *service)
 {
-	if (!unique(services->models, (char *)service->model))
+	if (!key_add_unique(services->models, (char *)service->model))
 		return field_refuse(subject, "model",
 				    "model \"%s\" has a service already",
 				    service->model);
@@ -218,8 +218,8 @@
 		return field_refuse(subject, "host",
 				    "a host name without port or path");
 	host = g_ascii_strdown(service->host ? service->host : "", -1);
-	if (!unique(services->routes,
-		    g_strconcat(host, prefix ? prefix : "/", NULL)))
+	if (!key_add_unique(services->routes,
+			    g_strconcat(host, prefix ? prefix : "/", NULL)))
 		return field_refuse(subject, field,
 				    "another service has the same host and "
 				    "path prefix");
@@ -290,7 +290,7 @@
 		.object = service,
 	};
 
-	if (!unique(services->names, (char *)service->name))
+	if (!key_add_unique(services->names, (char *)service->name))
 		return field_refuse(&subject, "name", "duplicate name \"%s\"",
 				    service->name);
 	if (!texts_check(&subject, texts, G_N_ELEMENTS(texts)) ||
--- a/include/standin/engine_stream.h
+++ b/include/standin/engine_stream.h
@@ -55,8 +55,8 @@
 	const struct stream_ops *ops; /* NULL: no reader */
 	void *ctx;
 	bool start_sent;
-	uint32_t sent;	    /* offset of the next token to deliver */
-	uint32_t delivered; /* tokens sent to this reader */
+	uint32_t deliver_offset; /* offset of the next token to deliver */
+	uint32_t delivered;	 /* tokens delivered to this reader */
 };
 
 /* Called by engine_create() and engine_destroy(). */
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -105,16 +105,18 @@
 		s->start_sent = true;
 		s->ops->started(s->ctx);
 	}
-	count = s->offset > s->sent ? s->offset - s->sent : 0;
+	count = s->offset > s->deliver_offset ? s->offset - s->deliver_offset
+					      : 0;
 	count = MIN(count, tokens_until_fault(s));
-	if (count > 0 && !s->ops->tokens(s->ctx, s, s->sent, s->sent + count))
+	if (count > 0 && !s->ops->tokens(s->ctx, s, s->deliver_offset,
+					 s->deliver_offset + count))
 		return;
-	s->sent += count;
+	s->deliver_offset += count;
 	s->delivered += count;
 	if (reader_fault_apply(s, ENGINE_LOSE_STREAM))
 		return;
 	reader_fault_apply(s, ENGINE_DROP_STREAM);
-	if (!s->ops || !s->done || s->sent < s->offset)
+	if (!s->ops || !s->done || s->deliver_offset < s->offset)
 		return;
 	s->ops->ended(s->ctx,
 		      s->length < stream_end_offset(s) ? "stop" : "length",
@@ -139,7 +141,7 @@
 	while ((s = table_next(model->streams, &cursor, &handle))) {
 		s->in_batch = s->started && !s->done;
 		model->batch += s->in_batch;
-		unread |= s->started && s->ops && s->sent < s->offset;
+		unread |= s->started && s->ops && s->deliver_offset < s->offset;
 	}
 	if (model->batch == 0 && !unread)
 		return;
@@ -294,7 +296,7 @@
 	s->ops = ops;
 	s->ctx = ctx;
 	s->start_sent = !send_start;
-	s->sent = offset;
+	s->deliver_offset = offset;
 	s->delivered = 0;
 	stream_deliver(s);
 	step_start(model, clock_now(model->clock));
