--- a/include/standin/engine_stream.h
+++ b/include/standin/engine_stream.h
@@ -40,8 +40,8 @@
 	struct engine_job job;
 	uint32_t pieces;
 	uint64_t prompt;
-	uint32_t length; /* offset of the end, once fetched */
-	uint32_t offset; /* of the next token to compute */
+	uint32_t length; /* offset of the end; set once fetched */
+	uint32_t offset; /* offset of the next token to compute */
 	bool fetched;	 /* the source has sent the whole KV cache */
 	bool link_done;	 /* the KV cache has passed this engine's link */
 	bool started;	 /* fetched and link_done */
@@ -55,8 +55,8 @@
 	const struct stream_ops *ops; /* NULL: no reader */
 	void *ctx;
 	bool start_sent;
-	uint32_t sent;	    /* offset of the next token to deliver */
-	uint32_t delivered; /* tokens sent to this reader */
+	uint32_t deliver_offset; /* offset of the next token to deliver */
+	uint32_t delivered;	 /* tokens delivered to this reader */
 };
 
 /* Called by engine_create() and engine_destroy(). */
