--- a/forward/budget.c
+++ b/forward/budget.c
@@ -5,8 +5,9 @@
 /* The window slides by one slice, so the sum may cover up to one slice more
  * than the window, which allows fewer sends rather than more. */
 #define SLICES 10
-/* Fraction of the allowance that is used: requests are counted on arrival here
- * and sends on arrival at a server, up to a transit time apart. */
+/* Fraction of the allowance that is used. The rest is a margin: requests are
+ * counted when they arrive here, and sends reach a server up to a transit time
+ * later. */
 #define USED_FRACTION 0.85
 
 struct slice {
--- a/forward/feed.c
+++ b/forward/feed.c
@@ -141,10 +141,11 @@
 	feed->after = NULL;
 }
 
-/* The time as of which the store reported the end of the stream. A long poll
- * without records ends no sooner than its wait after it was sent, so it counts
- * as of then; else copies would look older than they are, and every instance
- * that has them would read the store as well. */
+/* The time at which the answer of the store shows the known records to be
+ * complete: when the read was sent, or wait_usec later for a long poll that
+ * returned no records. If such a poll counted from its sending, copies would
+ * look older than they are, and every instance that has one would read the
+ * store as well. */
 static int64_t end_seen_at(const struct feed *feed,
 			   const struct feed_page *page)
 {
--- a/forward/fleet.c
+++ b/forward/fleet.c
@@ -32,13 +32,14 @@
 
 /* A server that is changing its role, or whose results expire at once, still
  * grants reservations and prefills, and refuses only the run. After this many
- * refusals in a row it is avoided, then probed by one request. An instance that
- * has just started does not know of role changes ordered earlier. */
+ * refusals in a row it is avoided, then probed by one request. This also covers
+ * an instance that has just started and does not know of role changes ordered
+ * earlier. */
 #define REFUSALS_MAX 2u
 #define REFUSED_PAUSE_USEC (1 * USEC_PER_SEC)
 
-/* Reports that a server is cold arrive by several paths; their ends differ by
- * up to this. */
+/* Largest difference between the ends of one cold start as given by reports
+ * that arrive by different paths. */
 #define COLD_SKEW_USEC (300 * USEC_PER_MSEC)
 
 struct fleet {
@@ -595,7 +596,8 @@
 	       !backend_leaving(backend);
 }
 
-/* Whether at least half of the local servers are unreachable. */
+/* Whether at least half of the local servers are unreachable. Then this
+ * instance is more likely partitioned than the servers down. */
 static bool is_cut_off(const struct fleet *fleet, int64_t now)
 {
 	uint32_t unreachable = 0;
--- a/forward/forward.c
+++ b/forward/forward.c
@@ -10,14 +10,15 @@
 /* Averaging time of demand: longer than ordinary load swings of a few seconds,
  * shorter than the time in which a role change pays off. */
 #define DEMAND_USEC (8 * USEC_PER_SEC)
-/* Lower bound of the process's age, as a fraction of DEMAND_USEC (1 s): demand
- * of a shorter time is taken as that of one second. */
+/* Lower bound of the process's age in the computation of demand, as a fraction
+ * of DEMAND_USEC (1 s). A process younger than that is taken to be one second
+ * old. */
 #define DEMAND_AGE_MIN 0.125
 
 /* Initial mean time from reservation to first event. */
 #define FIRST_EVENT_USEC (250.0 * (double)USEC_PER_MSEC)
 
-/* A rate is unknown with fewer samples. */
+/* Number of samples from which on a rate counts as known. */
 #define RATE_SAMPLES 5u
 
 /* Demand for an engine service, and the measured rates of its engines. */
@@ -197,7 +198,8 @@
 	demand->at = now;
 }
 
-/* The time covered by the decayed sum: shorter soon after the start. */
+/* Time that the decayed sum covers, in seconds. It is shorter than DEMAND_USEC
+ * soon after the start. */
 static double demand_sec(const struct forward *forward, int64_t now)
 {
 	double age = (double)(now - forward->started_at) / (double)DEMAND_USEC;
--- a/forward/gossip_decode.c
+++ b/forward/gossip_decode.c
@@ -387,7 +387,7 @@
 	       facts_read(&fields[14], message->facts);
 }
 
-/* Reads the body of messages that are no summaries and hold no loads. */
+/* Reads the body of a message of any kind but summaries and load changes. */
 static bool body_read(const msgpack_object *body,
 		      struct gossip_message *message)
 {
--- a/forward/gossip_send.c
+++ b/forward/gossip_send.c
@@ -309,7 +309,8 @@
 					      ? &gossip->changes_bucket
 					      : &gossip->changes_bucket_remote;
 
-	/* A group of a large data centre has enough servers of its own. */
+	/* Groups of a divided data centre have enough servers of their own, so
+	 * they receive only the changes on these at once. */
 	if (!is_affected && !group_is_whole(group->name))
 		return;
 	if (!bucket_take(gossip, bucket, group->peers->len)) {
--- a/forward/gossip_view.c
+++ b/forward/gossip_view.c
@@ -5,9 +5,9 @@
 
 #include "gossip_private.h"
 
-/* Local peers that the base interval allows; it grows with more. Load changes
- * on engine servers are sent at once, and the instance that reads the store
- * announces its mirrors more often. */
+/* Number of local peers up to which the base interval applies. The interval
+ * grows with more, since load changes on engine servers are sent at once, and
+ * the instance that reads the store announces its mirrors more often. */
 #define FULL_RATE_LOCAL 6u
 /* The same for remote peers. Each of them has only two senders in a data
  * centre. */
--- a/forward/node.c
+++ b/forward/node.c
@@ -99,8 +99,10 @@
 			node->roles, summary->changing, GOSSIP_CHANGING_MAX);
 }
 
-/* The first instance of a data centre reads the store itself. If others know a
- * later version, the answer to its waiting read may have been lost. */
+/* Merges the summary of a peer. If a peer knows a later version of the
+ * configuration than the first instance of the data centre, which reads the
+ * store itself, the answer to that instance's waiting read may have been lost,
+ * so it reads again. */
 static void on_summary(void *ctx, const char *address, bool local,
 		       const struct gossip_summary *summary)
 {
@@ -108,8 +110,8 @@
 	const struct catalog *catalog = forward_catalog(node->forward);
 
 	node_mirrors_merge(node, address, summary);
-	/* Reachability from a remote data centre says little about the local
-	 * one. */
+	/* A server that a remote instance cannot reach may be reachable from
+	 * here, so only local reports are merged. */
 	for (uint32_t i = 0; local && i < summary->unreachable_count; i++)
 		fleet_merge_unreachable(node->fleet, id_of(address),
 					&summary->unreachable[i]);
--- a/forward/node_health.c
+++ b/forward/node_health.c
@@ -3,8 +3,8 @@
  */
 #include "node.h"
 
-/* Requests waiting for memory at an instance of a partitioned data centre, from
- * which on callers are better served by another data centre. */
+/* With this many requests waiting for memory at an instance of a partitioned
+ * data centre, callers are better served by another data centre. */
 #define STRANDED_WAITING 6u
 
 /* While partitioned from other data centres, an instance serves callers with
--- a/forward/node_permits.c
+++ b/forward/node_permits.c
@@ -10,7 +10,7 @@
 #define TRANSIT_USEC (1 * USEC_PER_MSEC)
 #define PRUNE_USEC (1 * USEC_PER_SEC)
 
-/* A draining instance leaves its homes to others. */
+/* A draining instance is not the home of any server. */
 static bool may_be_home(const struct node *node)
 {
 	return !node->draining;
--- a/forward/overload.c
+++ b/forward/overload.c
@@ -6,8 +6,9 @@
  */
 #define FIRST_EVENT_MARGIN 1.3
 /* A request is checked once it has waited for this part of its target, and
- * refused if it is unlikely to be placed in time. Its caller loses little time,
- * and a queue that is long only for a moment counts less. */
+ * refused if it is unlikely to be placed in time. A caller that is refused has
+ * lost little time, and a queue that is long only for a moment has become
+ * shorter by then. */
 #define CHECK_PART 0.1
 /* Mean time in seconds for which a request holds its memory. */
 #define MEAN_RUN_SEC 3.5
--- a/forward/place.c
+++ b/forward/place.c
@@ -8,8 +8,8 @@
 /* Cost of a remote data centre for a plain call, as a fraction of a server's
  * slots: a round trip of 3 ms against calls of about 15 ms. */
 #define PLAIN_REMOTE_COST 0.15
-/* The same for decoding: a stream from a remote data centre is lost when that
- * data centre is partitioned off. */
+/* The same for decoding: a stream from a remote data centre is lost when the
+ * two data centres are partitioned. */
 #define DECODE_REMOTE_COST 0.15
 /* The same for prefill: between data centres the transfer of the result takes
  * twice as long and costs twice as much, equal to half a prompt in the queue.
@@ -25,13 +25,15 @@
 /* Random part of the cost, so that instances with the same view do not all
  * choose the same one of several equal servers. */
 #define JITTER 0.02
-/* Growth of JITTER for each FRESH_USEC of further age: by the load that arrives
- * in that time, about half a prompt at each prefill server. */
+/* Growth of the random part, as a multiple of JITTER, for each FRESH_USEC by
+ * which the view is older than FRESH_USEC. It equals the load that arrives in
+ * that time, about half a prompt at each prefill server. */
 #define STALE_JITTER 5.0
 #define PREFILL_JITTER_TOKENS 16000.0
-/* An engine must have room for one more request for each such time by which its
- * view is older than FRESH_USEC: under load, instances with a newer view have
- * taken the little room that an old view shows. */
+/* For each STALE_REQUEST_USEC by which the view of an engine's load is older
+ * than FRESH_USEC, the engine must have room for one more request. Under load,
+ * instances with a newer view have taken the little room that an old view
+ * shows. */
 #define STALE_REQUEST_USEC (150 * USEC_PER_MSEC)
 /* A decode server prefills at half the speed, between the decode steps of its
  * running requests. */
@@ -94,8 +96,8 @@
 	return backend->in_group ? place->stale_local : place->stale_remote;
 }
 
-/* Instances with the same view choose alike until they receive each other's
- * load, so the jitter grows with the age of the view. */
+/* Instances with the same view choose the same servers until they receive each
+ * other's load, so the jitter grows with the age of the view. */
 static double jitter(const struct place *place, const struct backend *backend)
 {
 	int64_t staleness = place_staleness(place, backend);
@@ -239,7 +241,8 @@
 	uint32_t tokens;
 };
 
-/* Similar requests that other instances may have placed since the view. */
+/* Number of similar requests that other instances may have placed at the server
+ * since its known load was reported. */
 static double unseen_requests(const struct place *place,
 			      const struct backend *backend)
 {
--- a/forward/rates.c
+++ b/forward/rates.c
@@ -4,8 +4,8 @@
 
 #include "common/clock.h"
 
-/* The time of shorter prompts depends more on connections and queues than on
- * the prefill rate. */
+/* Shorter prompts are not sampled: their time depends more on connections and
+ * queues than on the prefill rate. */
 #define TOKENS_MIN 500u
 /* Upper bound of a weight, and inverse of the lower bound, because the output
  * lengths estimated by callers are often far off. */
--- a/forward/reader.c
+++ b/forward/reader.c
@@ -97,8 +97,9 @@
 {
 	if (!state->has_copy)
 		return start_staleness_bound(state, place, now);
-	/* The rank is uncertain before the peers are known. A copy from a
-	 * reader is up to two answer times old. */
+	/* The rank is uncertain before the peers are known. The copy of an
+	 * instance that reads the store may be as old as two answer times of
+	 * the store. */
 	if (place->rank > 0 || (!state->peers_listed && place->instances > 1))
 		return READER_STALENESS_USEC + place->delay_usec +
 		       rank_staleness(state, place) + 2 * state->latency;
--- a/forward/request.h
+++ b/forward/request.h
@@ -65,14 +65,16 @@
 	struct tried tried;
 	struct request_identity identity; /* set by request_identify() */
 	bool identity_known;
-	bool lost_connection;  /* during a call */
-	uint32_t sends;	       /* calls counted against the retry budget */
-	bool send_prepaid;     /* a prefill took it from the budget */
-	uint32_t runs;	       /* calls that may have begun to run */
+	bool lost_connection; /* during a call */
+	uint32_t sends;	      /* calls counted against the retry budget */
+	bool send_prepaid;    /* a prefill has already taken the run's send from
+				 the budget */
+	uint32_t runs;	      /* calls that may have begun to run */
 	uint32_t reservations; /* granted so far, for streams */
 	double weight;	       /* for streams: engine_rates_weight() */
 	bool checked_early;    /* the check for an early refusal is done */
-	bool is_probe;	       /* run at a decode server that refused others */
+	bool is_probe; /* the run is at a decode server that has refused other
+			  runs */
 	int replied_status;
 	bool replied; /* the head of an answer was sent to the caller */
 	struct charge decode;
@@ -143,8 +145,8 @@
 bool request_may_send(struct request *request);
 /* Takes one send from the retry budget; false when it is exhausted. */
 bool request_take_send(struct request *request);
-/* Uncounts the run of a call that did not run, and its send if it did not
- * connect. */
+/* Takes a call that did not run from the count of runs and, if it did not
+ * connect, also from the count of sends. */
 void request_uncount(struct request *request, const struct backend_end *end);
 /* Records a failed call. If the connection was lost during a run, starts crash
  * detection for the server. */
--- a/forward/roles.c
+++ b/forward/roles.c
@@ -30,14 +30,15 @@
  * the list for two seconds after the store was unreachable. */
 #define OVERLOAD_DELAY_USEC (3 * USEC_PER_SEC)
 /* The service is overloaded when the mean demand exceeds the prefill capacity
- * by this factor. On a site with enough capacity, the mean of a few seconds
- * with a burst among them exceeds 1.0. */
+ * by this factor. With 1.0, a few seconds with a burst among them would count
+ * as an overload on a site with enough capacity. */
 #define OVERLOAD_RATIO 1.1
-/* Averaging time of the mean demand, which is unknown before. A burst of twice
- * the demand for five seconds raises the mean by a sixth. */
+/* Averaging time of the mean demand, which is unknown until traffic has lasted
+ * this long. A burst of twice the demand for five seconds raises the mean by a
+ * sixth. */
 #define MEAN_USEC (30 * USEC_PER_SEC)
-/* Demand in tokens a second below which there is no traffic: the demand of the
- * first seconds is not known yet. */
+/* Demand in tokens a second below which there is taken to be no traffic, as in
+ * the first seconds, when the demand is not known yet. */
 #define DEMAND_MIN 1000.0
 /* Added to the time that a change takes, before its runner may be ordered
  * again. Covers orders that are carried out seconds late. */
@@ -48,10 +49,11 @@
 #define ORDER_TIMEOUT_USEC (2500 * USEC_PER_MSEC)
 /* Term of the lease. A failed holder is replaced after the term, the safety
  * margin and the time of an order, 7.7 s in all. With the library's default
- * term this took 24 s, half a minute with one prefill runner too few. Orders of
- * two holders stay at least 3 s apart. */
+ * term it would be 24 s, and a service could lack a prefill runner for half a
+ * minute. Orders of two holders stay at least 3 s apart. */
 #define ROLES_TERM_USEC (3 * USEC_PER_SEC)
-/* The list of runners may be incomplete right after the start. */
+/* Time after the start before any change is ordered, since the list of runners
+ * may still be incomplete. */
 #define SETTLE_USEC (1200 * USEC_PER_MSEC)
 
 struct move {
@@ -448,7 +450,7 @@
 	lease_drop(roles);
 	g_hash_table_destroy(roles->moves);
 	roles->destroyed = true;
-	/* The answer of the pending order frees it. */
+	/* While an order is pending, on_ordered() frees roles later. */
 	if (!roles->ordering)
 		g_free(roles);
 }
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -25,14 +25,16 @@
  * (runners prefill about 30 tokens per millisecond). */
 #define PREFILL_USEC (1200 * USEC_PER_MSEC)
 #define PREFILL_TOKEN_USEC 100
-/* Fractions of the maximum output, taken as at most twice the caller's
- * estimate: the one charged to the server, and the one reserved there. Other
- * requests end and free memory during the run, so it is not all needed now. */
+/* Fractions of the maximum output for which memory is charged to the server and
+ * reserved there. The maximum is limited to twice the caller's estimate. Other
+ * requests end and free memory during the run, so not all of it is needed at
+ * the start. */
 #define CHARGED_FRACTION 0.5
 #define RESERVED_FRACTION 0.125
-/* Longest queue of a prefill server that a prompt is sent to, as a fraction of
- * the target, by the measured rate. Otherwise the decode server computes the
- * prefill, or the request waits here, where it holds no decode memory. */
+/* A prompt is sent to a prefill server only if the server's queue takes at most
+ * this fraction of the target, by the measured prefill rate. Otherwise the
+ * decode server computes the prefill, or the request waits here, where it holds
+ * no decode memory. */
 #define PREFILL_QUEUE_FRACTION 0.45
 /* Reservations that one request may be granted. */
 #define RESERVATIONS_MAX 4u
@@ -245,9 +247,10 @@
 	return MIN(limit, request_time_left(request));
 }
 
-/* The first prefill that succeeds does not count as a send, but which one that
- * is shows only afterwards. So a prefill after another send takes from the
- * budget, and if it is the first to succeed, the run is free. */
+/* The first prefill that succeeds does not count as a send, but whether a
+ * prefill succeeds is known only afterwards. So a prefill after an earlier send
+ * takes one from the budget, and if it is the first to succeed, the run takes
+ * none. */
 static bool prefill_may_send(struct request *request)
 {
 	if (request->sends == 0 && request->prefilled_at == 0)
@@ -364,7 +367,8 @@
 	histogram_add(request->forward->wait_time,
 		      request->placed_at - request->arrived);
 	request->reservations++;
-	/* The result left by a refused run is fetched by this one. */
+	/* A refused run has left its prefill result, which the next run
+	 * fetches. */
 	if (result_usable(request)) {
 		stream_run(request);
 		return;
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -134,8 +134,9 @@
 }
 
 /* A run with reserved memory is refused if the decode server changes its role
- * or the prefill result is gone. Which of the two failed shows in later runs,
- * so both servers are recorded, unless one of them already refuses runs. */
+ * or the prefill result is gone. Which of the two it was becomes clear only
+ * from later runs, so the refusal is recorded for both servers, unless one of
+ * them is already known to refuse runs. */
 static void run_record_refusal(struct request *request, struct backend *decode)
 {
 	struct backend *source = result_source(request);
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -139,7 +139,8 @@
 	    !quarantine_holds(parts->quarantine,
 			      &request_identify(request)->fingerprint))
 		return false;
-	/* Held by instances that did not see it succeed here. */
+	/* The entry comes from instances that do not know that the request has
+	 * succeeded here. */
 	if (quarantine_has_succeeded(parts->quarantine,
 				     request->identity.keyed_hash,
 				     request_now(request))) {
--- a/include/forward/gossip.h
+++ b/include/forward/gossip.h
@@ -70,20 +70,20 @@
 #include "forward/mirror.h"
 
 #define GOSSIP_INTERVAL_USEC (100 * USEC_PER_MSEC)
-/* Ten lost datagrams in a row, or five summaries of an idle peer. */
+/* Covers ten lost datagrams in a row, or five summaries of an idle peer. */
 #define GOSSIP_STALE_USEC (2500 * USEC_PER_MSEC)
 
 /* Longer than two intervals between the summaries of an idle peer. */
 #define GOSSIP_PARTITIONED_USEC (1200 * USEC_PER_MSEC)
 
-/* With n instances each receives such a datagram every 0.5 s on average, so one
- * that was partitioned has all relevant entries well within the three seconds
- * after which it counts as recovered. */
+/* Whatever the number of instances, each receives such a datagram every 0.5 s
+ * on average. So one that was partitioned has all relevant entries well within
+ * the three seconds after which it counts as recovered. */
 #define GOSSIP_QUARANTINE_INTERVAL_USEC (500 * USEC_PER_MSEC)
 
-/* Usage within this time may exceed an allotment before peers know of it: 0.8
- * bursts at a demand of eight times an allotment with a burst of one second.
- * Urgent updates leave only a part of that. */
+/* Peers do not know of the usage within this time, which may exceed an
+ * allotment by 0.8 bursts, at a demand of eight times an allotment with a burst
+ * of one second. Urgent updates reduce the excess to a part of that. */
 #define GOSSIP_USAGE_INTERVAL_USEC (100 * USEC_PER_MSEC)
 
 /* Servers that change their role at the same time. Further changes are ordered
