--- a/policy/reserve.c
+++ b/policy/reserve.c
@@ -41,7 +41,8 @@
 			   memory */
 	int64_t hold;	/* wait after which a request holds a runner */
 	int64_t late;	/* added to the arrival of a late deferrable request */
-	double share;	/* of urgent pieces, owed to deferrable requests */
+	double share; /* fraction of the pieces of urgent requests that is owed
+			 to deferrable ones */
 	double credit_max;
 	double credit; /* pieces owed to deferrable requests */
 };
@@ -108,7 +109,8 @@
 	return (int64_t)((double)bytes / (double)rate * (double)USEC_PER_SEC);
 }
 
-/* Lower bound: the whole prompt may be cached, but must be transferred. */
+/* Shortest time to the first token: the whole prompt may be cached, but must be
+ * transferred. */
 static int64_t min_time(const struct policy_view *view,
 			const struct policy_request *request)
 {
@@ -123,8 +125,8 @@
 	return view->now - request->arrived >= rs->ageing && rs->credit >= need;
 }
 
-/* Estimate for a request that waits for another one of its size at the prefill
- * runner, and has nothing cached. */
+/* Expected time to the first token, for a request that waits for another one of
+ * its size at the prefill runner and has nothing cached. */
 static int64_t expected_time(const struct policy_view *view,
 			     const struct policy_request *request)
 {
--- a/web/call.c
+++ b/web/call.c
@@ -76,7 +76,7 @@
 	int64_t since =
 		clock_now(loop_clock(call->client->loop)) - call->last_active;
 
-	/* The call's own callback runs, so bytes have just arrived. */
+	/* One of the call's callbacks runs, so bytes have just arrived. */
 	if (call->busy)
 		since = 0;
 	if (!call->is_connected)
--- a/web/loop.c
+++ b/web/loop.c
@@ -27,7 +27,7 @@
 	h2o_loop_t *h2o;
 	struct clock *clock;
 	struct loop_deferred deferred;	/* head of a circular list */
-	h2o_timeout_t deferred_timeout; /* has h2o call deferred_run() */
+	h2o_timeout_t deferred_timeout; /* makes h2o call deferred_run() */
 	h2o_timeout_entry_t deferred_entry;
 	h2o_timeout_t drain; /* see loop_run_h2o() */
 	h2o_timeout_entry_t drain_entry;
@@ -64,10 +64,10 @@
 {
 }
 
-/* h2o_evloop_run() frees closed sockets before it runs pending callbacks. A
- * socket used and closed outside of it, as by a timer that cancels a call,
- * would be called after it was freed. h2o_timeout_run() runs the pending
- * callbacks first and skips closed sockets. */
+/* h2o_evloop_run() frees closed sockets before it runs pending callbacks. If a
+ * socket was used and closed outside of it, for example by a timer that cancels
+ * a call, its callback would run after it was freed. h2o_timeout_run() runs the
+ * pending callbacks first and skips closed sockets. */
 void loop_run_h2o(struct loop *loop, int32_t msec)
 {
 	h2o_timeout_link(loop->h2o, &loop->drain, &loop->drain_entry);
@@ -139,13 +139,14 @@
 }
 
 /* After a gap, input that arrived during it is handled before timers. With the
- * timers first, a process stopped for three seconds timed out streams whose
- * events were already in its sockets, and retried them elsewhere. */
+ * timers first, a process that was stopped for three seconds would time out
+ * streams whose events are already in its sockets, and retry them elsewhere. */
 static bool timers_are_deferred(struct loop *loop, int64_t gap)
 {
 	if (loop->resume_iterations > 0)
 		return true;
-	/* Not twice in a row: slow iterations would defer timers forever. */
+	/* Timers are not deferred twice in a row, as slow iterations would
+	 * defer them forever. */
 	if (gap >= LOOP_GAP_USEC && loop->timers_fired) {
 		loop->resume_iterations = RESUME_ITERATIONS;
 		loop->timers_fired = false;
@@ -175,7 +176,8 @@
 	int64_t next = clock_next(loop->clock);
 	int64_t usec;
 
-	/* h2o would wait despite pending callbacks of writes outside of it. */
+	/* h2o would wait even if callbacks are pending for writes that were
+	 * made outside of its loop. */
 	if (!loop->running || loop->h2o->_pending_as_client ||
 	    loop->h2o->_pending_as_server)
 		return 0;
@@ -194,8 +196,9 @@
 
 	if (loop->resume_iterations > 0)
 		loop->resume_iterations--;
-	/* Also if a callback has called loop_enter(): it may have taken long,
-	 * and the hook may read what it set. */
+	/* The clock advances again even if a socket callback has already called
+	 * loop_enter(): the callback may have taken long, and the hook may read
+	 * what it set. */
 	loop->entered = false;
 	loop_enter(loop);
 	deferred_run(loop);
