--- a/forward/fleet.c
+++ b/forward/fleet.c
@@ -598,7 +598,7 @@
 
 /* Whether at least half of the local servers are unreachable. Then this
  * instance is more likely partitioned than the servers down. */
-static bool is_cut_off(const struct fleet *fleet, int64_t now)
+static bool is_likely_partitioned(const struct fleet *fleet, int64_t now)
 {
 	uint32_t unreachable = 0;
 
@@ -637,7 +637,7 @@
 			unreachable[count++] = (struct unreachable_backend){
 				backend->key, backend->avoid_until - now};
 	}
-	return count > 0 && is_cut_off(fleet, now) ? 0 : count;
+	return count > 0 && is_likely_partitioned(fleet, now) ? 0 : count;
 }
 
 void fleet_merge_unreachable(struct fleet *fleet, uint64_t peer,
--- a/forward/forward.c
+++ b/forward/forward.c
@@ -24,8 +24,8 @@
 /* Demand for an engine service, and the measured rates of its engines. */
 struct demand {
 	uint64_t service;
-	double tokens; /* decayed to at */
-	int64_t at;
+	double tokens; /* decayed sum, as of updated_at */
+	int64_t updated_at;
 	struct engine_rates rates;
 };
 
@@ -167,7 +167,7 @@
 static double demand_decayed(const struct demand *demand, int64_t now)
 {
 	return demand->tokens *
-	       exp(-(double)(now - demand->at) / (double)DEMAND_USEC);
+	       exp(-(double)(now - demand->updated_at) / (double)DEMAND_USEC);
 }
 
 static struct demand *demand_get(struct forward *forward, uint64_t service)
@@ -178,7 +178,7 @@
 		return demand;
 	demand = g_new0(struct demand, 1);
 	demand->service = service;
-	demand->at = clock_now(forward->parts.clock);
+	demand->updated_at = clock_now(forward->parts.clock);
 	median_init(&demand->rates.prefill, PREFILL_RATE_START);
 	g_hash_table_insert(forward->demand, &demand->service, demand);
 	return demand;
@@ -195,7 +195,7 @@
 	int64_t now = clock_now(forward->parts.clock);
 
 	demand->tokens = demand_decayed(demand, now) + tokens;
-	demand->at = now;
+	demand->updated_at = now;
 }
 
 /* Time that the decayed sum covers, in seconds. It is shorter than DEMAND_USEC
--- a/forward/node_health.c
+++ b/forward/node_health.c
@@ -5,12 +5,12 @@
 
 /* With this many requests waiting for memory at an instance of a partitioned
  * data centre, callers are better served by another data centre. */
-#define STRANDED_WAITING 6u
+#define DEGRADED_WAITING_MIN 6u
 
 /* While partitioned from other data centres, an instance serves callers with
  * the servers it reaches. If it reaches none of a service, or too many requests
  * wait, its health check fails, so callers go to another data centre. */
-static bool is_stranded(const struct node *node)
+static bool is_degraded(const struct node *node)
 {
 	const struct catalog *catalog = forward_catalog(node->forward);
 	GHashTableIter iter;
@@ -18,7 +18,7 @@
 
 	if (!gossip_partitioned(node->gossip))
 		return false;
-	if (forward_waiting(node->forward) >= STRANDED_WAITING)
+	if (forward_waiting(node->forward) >= DEGRADED_WAITING_MIN)
 		return true;
 	g_hash_table_iter_init(&iter, catalog->services);
 	while (g_hash_table_iter_next(&iter, (gpointer *)&id, NULL))
@@ -30,7 +30,7 @@
 static bool is_ready(const struct node *node)
 {
 	return !node->draining && forward_catalog(node->forward) &&
-	       fleet_all(node->fleet)->len > 0 && !is_stranded(node);
+	       fleet_all(node->fleet)->len > 0 && !is_degraded(node);
 }
 
 void node_health(void *ctx, struct web_request *request)
--- a/forward/plain.c
+++ b/forward/plain.c
@@ -44,8 +44,8 @@
 /* A request that a server answered with an error mostly fails at other servers
  * too, so its retry only takes a free slot and never delays waiting requests.
  */
-static bool worth_retry(const struct request *request,
-			const struct backend *backend)
+static bool should_retry(const struct request *request,
+			 const struct backend *backend)
 {
 	return !answer_may_pass(&request->answer) ||
 	       place_has_free_slot(backend);
@@ -64,7 +64,7 @@
 
 		if (request_quarantine(request))
 			return;
-		if (backend && worth_retry(request, backend) &&
+		if (backend && should_retry(request, backend) &&
 		    request_may_send(request)) {
 			plain_send(request, backend);
 			return;
@@ -84,7 +84,7 @@
 	const struct backend_head *head = &request->answer.head;
 	int64_t now = request_now(request);
 
-	request_survived(request);
+	request_record_success(request);
 	if (head->status >= 500 || !answer_may_pass(&request->answer)) {
 		log_event(LOG_INFO, "send_failed",
 			  LOG_S("request", request->caller.id),
--- a/forward/reader.c
+++ b/forward/reader.c
@@ -58,8 +58,8 @@
 
 /* Fraction in [0, 1) of the wait of an instance that does not know its rank.
  * The number of instances whose wait is over grows exponentially with time. */
-static double random_part(const struct reader_state *state,
-			  const struct reader_place *place)
+static double random_fraction(const struct reader_state *state,
+			      const struct reader_place *place)
 {
 	double scale = log((double)place->instances + 1.0) + 1.0;
 	uint64_t hash = id_mix(state->seed, (uint64_t)state->synced_at);
@@ -69,7 +69,7 @@
 }
 
 /* The same fraction by rank, once the peers are known. */
-static double rank_part(const struct reader_place *place)
+static double rank_fraction(const struct reader_place *place)
 {
 	double all = log(MAX(place->peers + 1, 2u));
 
@@ -87,9 +87,10 @@
 
 	if (!state->peers_listed)
 		return START_RANK_MAX * READER_RANK_STALENESS_USEC +
-		       (int64_t)((double)widest * random_part(state, place));
+		       (int64_t)((double)widest *
+				 random_fraction(state, place));
 	return READER_RANK_STALENESS_USEC +
-	       (int64_t)((double)widest * rank_part(place));
+	       (int64_t)((double)widest * rank_fraction(place));
 }
 
 int64_t reader_staleness_bound(const struct reader_state *state,
--- a/forward/request.h
+++ b/forward/request.h
@@ -158,7 +158,7 @@
  * may send it again. */
 bool request_is_suspect(const struct request *request);
 /* Records that a server answered the request without a crash. */
-void request_survived(struct request *request);
+void request_record_success(struct request *request);
 /* Ends the request if its fingerprint is in quarantine; true when it did.
  * Called before each send. */
 bool request_quarantine(struct request *request);
--- a/forward/roles.c
+++ b/forward/roles.c
@@ -456,7 +456,7 @@
 }
 
 uint32_t roles_pending_changes(const struct roles *roles,
-			       struct backend_change *moves, uint32_t most)
+			       struct backend_change *changes, uint32_t max)
 {
 	int64_t now = clock_now(roles->parts.clock);
 	const struct move *move;
@@ -464,7 +464,7 @@
 	uint32_t count = 0;
 
 	g_hash_table_iter_init(&iter, roles->moves);
-	while (count < most &&
+	while (count < max &&
 	       g_hash_table_iter_next(&iter, NULL, (gpointer *)&move)) {
 		const struct backend *backend =
 			fleet_find(roles->parts.fleet, move->key);
@@ -472,8 +472,8 @@
 		if (!backend || backend->info.stage == move->stage ||
 		    now >= move->until)
 			continue;
-		moves[count++] = (struct backend_change){move->key, move->stage,
-							 move->until - now};
+		changes[count++] = (struct backend_change){
+			move->key, move->stage, move->until - now};
 	}
 	return count;
 }
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -174,7 +174,7 @@
 	    request->cutter.rest->len == 0 && request->replied) {
 		if (backend)
 			backend_succeeded(backend, now);
-		request_survived(request);
+		request_record_success(request);
 		request_finish(request);
 		return;
 	}
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -120,7 +120,7 @@
 				  &request_identify(request)->fingerprint);
 }
 
-void request_survived(struct request *request)
+void request_record_success(struct request *request)
 {
 	struct quarantine *quarantine = request->forward->parts.quarantine;
 
--- a/include/forward/roles.h
+++ b/include/forward/roles.h
@@ -56,11 +56,11 @@
 struct roles *roles_create(const struct roles_parts *parts);
 void roles_destroy(struct roles *roles);
 
-/* Copies up to most servers that this instance has ordered to change their
+/* Copies up to max servers that this instance has ordered to change their
  * role and that the list does not yet show in the new one. Returns their
  * number. */
 uint32_t roles_pending_changes(const struct roles *roles,
-			       struct backend_change *moves, uint32_t most);
+			       struct backend_change *changes, uint32_t max);
 /* Number of prefill runners beyond those that are needed; negative when that
  * many are missing. rate is the demand and capacity what one runner prefills,
  * both in prompt tokens a second. A rate of 0 means that the demand is not
