--- a/forward/events.c
+++ b/forward/events.c
@@ -79,7 +79,7 @@
 	return 0;
 }
 
-size_t event_cutter_whole(struct event_cutter *cutter)
+size_t event_cutter_complete_bytes(struct event_cutter *cutter)
 {
 	const char *text = (const char *)cutter->rest->data;
 	uint64_t last_id = cutter->last_id;
--- a/forward/node_permits.c
+++ b/forward/node_permits.c
@@ -63,8 +63,8 @@
 {
 	const struct node *node = ctx;
 
-	forward_permit(node->forward, answer->id, answer->server,
-		       answer->granted, answer->retry_usec);
+	forward_permit_answered(node->forward, answer->id, answer->server,
+				answer->granted, answer->retry_usec);
 }
 
 void node_fact_received(void *ctx, const struct backpressure_fact *fact)
@@ -73,7 +73,7 @@
 	struct backpressure_fact received = *fact;
 
 	received.age_usec += TRANSIT_USEC;
-	forward_fact(node->forward, &received);
+	forward_merge_fact(node->forward, &received);
 }
 
 uint32_t node_facts(void *ctx, struct backpressure_fact *facts, uint32_t max)
--- a/forward/permit.c
+++ b/forward/permit.c
@@ -98,7 +98,8 @@
 	cold_apply(forward, server, signals->cold_usec);
 }
 
-void forward_fact(struct forward *forward, const struct backpressure_fact *fact)
+void forward_merge_fact(struct forward *forward,
+			const struct backpressure_fact *fact)
 {
 	const struct forward_parts *parts = &forward->parts;
 	double before = backpressure_limit(parts->backpressure, fact->server);
@@ -215,8 +216,8 @@
 	permit_settle(request, false);
 }
 
-void forward_permit(struct forward *forward, uint64_t id, uint64_t server,
-		    bool granted, int64_t retry_usec)
+void forward_permit_answered(struct forward *forward, uint64_t id,
+			     uint64_t server, bool granted, int64_t retry_usec)
 {
 	struct request *request = table_get(forward->requests, id);
 	struct backend *backend = fleet_find(forward->parts.fleet, server);
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -68,7 +68,7 @@
 		request->answer.too_large = true;
 		return;
 	}
-	whole = event_cutter_whole(cutter);
+	whole = event_cutter_complete_bytes(cutter);
 	if (whole == 0)
 		return;
 	if (!request->replied) {
--- a/include/forward/events.h
+++ b/include/forward/events.h
@@ -34,7 +34,7 @@
 bool event_cutter_feed(struct event_cutter *cutter, const void *data,
 		       size_t size);
 /* Bytes of complete events at the start of rest; 0 when there are none. */
-size_t event_cutter_whole(struct event_cutter *cutter);
+size_t event_cutter_complete_bytes(struct event_cutter *cutter);
 /* Removes that many bytes, which have been relayed. */
 void event_cutter_consume(struct event_cutter *cutter, size_t size);
 /* Drops an incomplete event whose stream has ended. */
--- a/include/forward/forward.h
+++ b/include/forward/forward.h
@@ -72,7 +72,8 @@
 enum permit {
 	PERMIT_GRANTED,
 	PERMIT_DENIED,	/* retry_usec: when to request again */
-	PERMIT_PENDING, /* forward_permit() is called with the answer */
+	PERMIT_PENDING, /* forward_permit_answered() is called with the answer
+			 */
 };
 typedef enum permit (*forward_permit_fn)(void *ctx,
 					 const struct backend *backend,
@@ -117,11 +118,11 @@
 /* A web_handler_fn with the forward as context. */
 void forward_handle_request(void *ctx, struct web_request *request);
 /* Merges a fact received from another instance. */
-void forward_fact(struct forward *forward,
-		  const struct backpressure_fact *fact);
+void forward_merge_fact(struct forward *forward,
+			const struct backpressure_fact *fact);
 /* The answer to the permit request with that id; late answers are ignored. */
-void forward_permit(struct forward *forward, uint64_t id, uint64_t server,
-		    bool granted, int64_t retry_usec);
+void forward_permit_answered(struct forward *forward, uint64_t id,
+			     uint64_t server, bool granted, int64_t retry_usec);
 /* Requests in progress. */
 uint32_t forward_pending(const struct forward *forward);
 /* The number of these that wait for decode memory. */
--- a/tests/forward/paths_world.c
+++ b/tests/forward/paths_world.c
@@ -734,8 +734,9 @@
 {
 	bool granted = strcmp(options, "granted") == 0;
 
-	forward_permit(world.forward, world.permit_id, world.permit_server,
-		       granted, atoi(options) * USEC_PER_MSEC);
+	forward_permit_answered(world.forward, world.permit_id,
+				world.permit_server, granted,
+				atoi(options) * USEC_PER_MSEC);
 }
 
 static void crowd_step(const char *options)
--- a/tests/forward/test_parts.c
+++ b/tests/forward/test_parts.c
@@ -108,7 +108,7 @@
 
 			g_assert_true(
 				event_cutter_feed(&cutter, text + at, size));
-			n = event_cutter_whole(&cutter);
+			n = event_cutter_complete_bytes(&cutter);
 			g_string_append_len(out,
 					    (const char *)cutter.rest->data,
 					    (gssize)n);
