--- a/forward/gossip_codec.h
+++ b/forward/gossip_codec.h
@@ -71,8 +71,9 @@
 
 /* Candidate of a group for gossip_is_lowest(). */
 struct gossip_candidate {
-	char name[BACKEND_TEXT_MAX]; /* lowest that reaches the store, if any */
-	bool store_unreachable;	     /* none reaches it */
+	char name[BACKEND_TEXT_MAX]; /* lowest name, of the instances that reach
+					the store if any does */
+	bool store_unreachable;	     /* no instance reaches the store */
 };
 
 struct gossip_address {
--- a/forward/gossip_peers.c
+++ b/forward/gossip_peers.c
@@ -219,7 +219,7 @@
 			continue;
 		}
 		g_ptr_array_add(gossip->remote, peer);
-		/* The summary of its own group has its load now. */
+		/* Its load is now part of the summary of its own group. */
 		loads_remove(gossip, peer->loads);
 		g_free(peer->summary);
 		peer->summary = NULL;
--- a/forward/node_quarantine.c
+++ b/forward/node_quarantine.c
@@ -18,9 +18,9 @@
 
 #include "common/log.h"
 
-/* Requests in quarantine, and suspects. A request is quarantined after three
- * crashes, so 12,000 crashes are needed to displace one; a crash adds at most
- * 64 suspects. 2 MiB in total. */
+/* Maximum numbers of requests in quarantine and of suspects, 2 MiB in total. A
+ * request is quarantined after three crashes, so 12,000 crashes are needed to
+ * displace one. A crash adds at most 64 suspects. */
 #define HELD_MAX 4096u
 #define SUSPECTS_MAX 4096u
 /* Delay before a failed write is retried. */
--- a/forward/reader.c
+++ b/forward/reader.c
@@ -20,14 +20,14 @@
  * at least this long per known instance. The store answers thousands of reads a
  * second. */
 #define PER_INSTANCE_USEC (2 * USEC_PER_MSEC)
-/* From this number of unreachable instances in the local data centre on, they
- * retry one after another, SLOT_USEC apart. */
+/* If at least this many instances of the local data centre do not reach the
+ * store, they retry one after another, SLOT_USEC apart. */
 #define UNREACHABLE_MIN 2u
 #define SLOT_USEC (300 * USEC_PER_MSEC)
 /* An instance without a copy cannot serve, so it waits for fewer slots. */
 #define SLOTS_WITHOUT_COPY 4u
-/* All instances read the list of instances at a start. Failed reads are retried
- * this far apart. */
+/* All instances read the list of instances at a start. Retries of failed reads,
+ * by all instances together, are this far apart. */
 #define LIST_SLOT_USEC (20 * USEC_PER_MSEC)
 /* How often an instance that the store refuses, but that has a current copy
  * from a peer, probes the store. */
--- a/forward/roles.c
+++ b/forward/roles.c
@@ -280,8 +280,8 @@
 		       mean_demand(roles);
 }
 
-/* Positive: number of runners to become decode runners. Negative: to become
- * prefill runners. */
+/* Number of runners that should become decode runners; if negative, that many
+ * should become prefill runners. */
 static int32_t change_wanted(struct roles *roles, struct stages stages)
 {
 	double rate = roles->parts.ops.demand(roles->parts.ctx);
