--- a/forward/crash_detector.c
+++ b/forward/crash_detector.c
@@ -3,7 +3,7 @@
 #include "common/log.h"
 
 /* Retry interval of a check without a result. */
-#define RETRY_USEC (500 * USEC_PER_MSEC)
+#define CHECK_RETRY_USEC (500 * USEC_PER_MSEC)
 /* Incarnations tracked at a time; a failure domain of a large site has fewer
  * servers. */
 #define CHECKS_MAX 256u
@@ -135,7 +135,7 @@
 			 CRASH_WATCH_USEC)
 		check_drop(check);
 	else
-		timer_start(&check->timer, RETRY_USEC);
+		timer_start(&check->timer, CHECK_RETRY_USEC);
 }
 
 /* Sends the check, after the end of the server's backoff. */
--- a/forward/feed.c
+++ b/forward/feed.c
@@ -7,7 +7,7 @@
 /* First and longest pause after a failed read; it doubles with each failure. An
  * instance follows the end of an outage within RETRY_MAX_USEC, well inside the
  * two seconds within which a change must be in force. */
-#define RETRY_USEC (100 * USEC_PER_MSEC)
+#define RETRY_BASE_USEC (100 * USEC_PER_MSEC)
 #define RETRY_MAX_USEC (800 * USEC_PER_MSEC)
 
 /* A call to the store. It outlives a destroyed feed until its answer arrives.
@@ -74,7 +74,7 @@
 {
 	uint32_t doubled = MIN(MAX(feed->failures, 1u) - 1, 3u);
 
-	return MIN(RETRY_USEC << doubled, RETRY_MAX_USEC);
+	return MIN(RETRY_BASE_USEC << doubled, RETRY_MAX_USEC);
 }
 
 static void feed_failed(struct feed *feed)
--- a/forward/fleet.c
+++ b/forward/fleet.c
@@ -24,7 +24,7 @@
 #define AVOID_MAX_USEC (2 * USEC_PER_SEC)
 
 /* Time-out of a half-open probe, longer than BACKEND_CONNECT_USEC. */
-#define PROBE_USEC (200 * USEC_PER_MSEC)
+#define PROBE_TIMEOUT_USEC (200 * USEC_PER_MSEC)
 
 /* Backoff after a refused reservation, doubled once: a server frees memory for
  * a request about every 100 ms, and many instances compete for it. */
@@ -736,7 +736,7 @@
 void backend_claim_probe(struct backend *backend, int64_t now)
 {
 	if (backend->connect_failures > 0)
-		backend->avoid_until = now + PROBE_USEC;
+		backend->avoid_until = now + PROBE_TIMEOUT_USEC;
 	if (backend_refusing(backend))
 		backend->changing_until = now + REFUSED_PAUSE_USEC;
 }
@@ -804,7 +804,7 @@
 	backend_failed(backend, now);
 	/* Requests that fail together count as one failed connection. */
 	if (backend->connect_failures > 0 && now < backend->avoid_until &&
-	    backend->avoid_until - now > PROBE_USEC)
+	    backend->avoid_until - now > PROBE_TIMEOUT_USEC)
 		return;
 	backend->connect_failures++;
 	if (!backend->avoid_listed)
--- a/forward/node.c
+++ b/forward/node.c
@@ -12,7 +12,7 @@
  * lower the former. Callers keep idle connections for four fifths of the
  * timeout. */
 #define BODY_BYTES_MAX (4u << 20)
-#define IDLE_USEC (20 * USEC_PER_SEC)
+#define IDLE_TIMEOUT_USEC (20 * USEC_PER_SEC)
 #define HEALTH_CONNECTIONS 64u
 /* All instances of a data centre may fetch a mirror at once. */
 #define PEER_CONNECTIONS 256u
@@ -20,7 +20,7 @@
 #define STALL_USEC (1 * USEC_PER_SEC)
 /* Least time between refreshes of the configuration. A slow store answers after
  * about 240 ms, and a refresh abandons the pending read. */
-#define REFRESH_USEC (600 * USEC_PER_MSEC)
+#define REFRESH_INTERVAL_USEC (600 * USEC_PER_MSEC)
 /* With port 0, the port that the kernel assigns for TCP may be in use for UDP.
  */
 #define PEER_PORT_TRIES 8
@@ -118,7 +118,8 @@
 	for (uint32_t i = 0; i < summary->changing_count; i++)
 		fleet_set_changing(node->fleet, &summary->changing[i]);
 	if (summary->version <= (catalog ? catalog->version : 0) ||
-	    clock_now(node->clock) - node->refreshed_at < REFRESH_USEC ||
+	    clock_now(node->clock) - node->refreshed_at <
+		    REFRESH_INTERVAL_USEC ||
 	    gossip_rank(node->gossip) > 0)
 		return;
 	node->refreshed_at = clock_now(node->clock);
@@ -179,8 +180,8 @@
 	struct web_limits limits = {
 		.body_bytes = BODY_BYTES_MAX,
 		.connections = connections,
-		.idle_usec = IDLE_USEC,
-		.request_usec = IDLE_USEC,
+		.idle_usec = IDLE_TIMEOUT_USEC,
+		.request_usec = IDLE_TIMEOUT_USEC,
 	};
 	struct web_server *server =
 		web_server_create(node->loop, address, &limits, err);
--- a/forward/node_drain.c
+++ b/forward/node_drain.c
@@ -10,8 +10,8 @@
 #define ACCEPT_USEC (2800 * USEC_PER_MSEC)
 /* Time before the end of the grace period at which remaining streams are
  * aborted. */
-#define RESERVE_SEC 0.6
-#define CHECK_USEC (100 * USEC_PER_MSEC)
+#define ABORT_MARGIN_SEC 0.6
+#define CHECK_INTERVAL_USEC (100 * USEC_PER_MSEC)
 /* Time for the last answers to leave the sockets. */
 #define LINGER_USEC (100 * USEC_PER_MSEC)
 
@@ -19,8 +19,9 @@
 {
 	struct node *node = ctx;
 	int64_t since = clock_now(node->clock) - node->drain_started_at;
-	int64_t longest = (int64_t)((node->settings.grace_sec - RESERVE_SEC) *
-				    (double)USEC_PER_SEC);
+	int64_t longest =
+		(int64_t)((node->settings.grace_sec - ABORT_MARGIN_SEC) *
+			  (double)USEC_PER_SEC);
 	uint32_t pending = forward_pending(node->forward) +
 			   web_server_pending(node->callers);
 
@@ -35,7 +36,7 @@
 		loop_stop(node->loop);
 		return;
 	}
-	timer_start(timer, CHECK_USEC);
+	timer_start(timer, CHECK_INTERVAL_USEC);
 }
 
 void node_drain(struct node *node)
@@ -49,7 +50,7 @@
 	web_server_announce_shutdown(node->callers);
 	node_unregister(node);
 	timer_init(&node->drain_timer, node->clock, on_check, node);
-	timer_start(&node->drain_timer, CHECK_USEC);
+	timer_start(&node->drain_timer, CHECK_INTERVAL_USEC);
 }
 
 void node_drain_stop(struct node *node)
--- a/forward/node_feeds.c
+++ b/forward/node_feeds.c
@@ -20,10 +20,10 @@
 #define TICK_USEC (100 * USEC_PER_MSEC)
 /* Timeout of a fetch of changes from a peer, which takes about a round trip,
  * and of connecting. */
-#define FETCH_USEC (300 * USEC_PER_MSEC)
+#define FETCH_TIMEOUT_USEC (300 * USEC_PER_MSEC)
 /* Timeout of a fetch of a whole mirror: a large list takes a small instance
  * longer to compress and to send. */
-#define FETCH_WHOLE_USEC (3 * USEC_PER_SEC)
+#define FETCH_WHOLE_TIMEOUT_USEC (3 * USEC_PER_SEC)
 #define MIRROR_BYTES_MAX (8u << 20)
 /* Smaller mirrors are sent uncompressed. */
 #define COMPRESS_BYTES_MIN (4u << 10)
@@ -252,7 +252,8 @@
 	struct node_mirror *mirror = ctx;
 	struct node *node = mirror->node;
 	uint64_t from = mirror_position(mirror->mirror);
-	int64_t limit = from > 0 ? FETCH_USEC : FETCH_WHOLE_USEC;
+	int64_t limit =
+		from > 0 ? FETCH_TIMEOUT_USEC : FETCH_WHOLE_TIMEOUT_USEC;
 	g_autofree char *path =
 		g_strdup_printf(MIRROR_PATH "%d?from=%" PRIu64,
 				(int)(mirror - node->mirrors), from);
@@ -260,7 +261,7 @@
 		.address = mirror->from,
 		.method = "GET",
 		.path = path,
-		.connect_usec = FETCH_USEC,
+		.connect_usec = FETCH_TIMEOUT_USEC,
 		.head_usec = limit,
 		.idle_usec = limit,
 	};
--- a/forward/node_permits.c
+++ b/forward/node_permits.c
@@ -8,7 +8,7 @@
 #define WRONG_HOME_USEC (100 * USEC_PER_MSEC)
 /* Least transit time of a message, added to the age of its facts. */
 #define TRANSIT_USEC (1 * USEC_PER_MSEC)
-#define PRUNE_USEC (1 * USEC_PER_SEC)
+#define PRUNE_INTERVAL_USEC (1 * USEC_PER_SEC)
 
 /* A draining instance is not the home of any server. */
 static bool may_be_home(const struct node *node)
@@ -95,7 +95,7 @@
 {
 	int64_t now = clock_now(node->clock);
 
-	if (now - node->pruned_at < PRUNE_USEC)
+	if (now - node->pruned_at < PRUNE_INTERVAL_USEC)
 		return;
 	node->pruned_at = now;
 	backpressure_prune(node->backpressure, now, server_exists, node);
--- a/forward/plain.c
+++ b/forward/plain.c
@@ -12,10 +12,10 @@
 
 /* Timeout of the answer's head for a repeatable request, in multiples of the
  * route's target, and its lower bound. */
-#define HEAD_TARGETS 2
-#define HEAD_MIN_USEC (150 * USEC_PER_MSEC)
+#define HEAD_TIMEOUT_TARGETS 2
+#define HEAD_TIMEOUT_MIN_USEC (150 * USEC_PER_MSEC)
 /* Retry-After: a server becomes free within about one call (15 ms). */
-#define RETRY_USEC (40 * USEC_PER_MSEC)
+#define RETRY_AFTER_USEC (40 * USEC_PER_MSEC)
 /* Requests at a server, in multiples of its slots, above which a further one
  * would be late or refused. */
 #define QUEUE_SLOTS 5u
@@ -76,7 +76,7 @@
 	else if (request->runs > 0)
 		request_fail(request, code, why);
 	else
-		request_refuse(request, code, RETRY_USEC);
+		request_refuse(request, code, RETRY_AFTER_USEC);
 }
 
 static void plain_answered(struct request *request, struct backend *backend)
@@ -178,7 +178,8 @@
 {
 	int64_t left = request_time_left(request);
 	int64_t head_usec =
-		MAX(request->route->target_usec * HEAD_TARGETS, HEAD_MIN_USEC);
+		MAX(request->route->target_usec * HEAD_TIMEOUT_TARGETS,
+		    HEAD_TIMEOUT_MIN_USEC);
 
 	if (!request_repeatable(request) ||
 	    request->runs + 1 >= request->route->attempts)
@@ -221,7 +222,7 @@
 	if (available_at > 0)
 		request_refuse_until(request, available_at);
 	else
-		request_refuse(request, RESULT_NO_BACKEND, RETRY_USEC);
+		request_refuse(request, RESULT_NO_BACKEND, RETRY_AFTER_USEC);
 }
 
 void plain_start(struct request *request)
@@ -239,7 +240,8 @@
 		}
 		if (backend_requests(backend) >
 		    backend->info.slots * QUEUE_SLOTS) {
-			request_refuse(request, RESULT_QUEUE_FULL, RETRY_USEC);
+			request_refuse(request, RESULT_QUEUE_FULL,
+				       RETRY_AFTER_USEC);
 			return;
 		}
 		permit = request_permit(request, backend, PERMIT_STEP_CALL);
--- a/forward/reader.c
+++ b/forward/reader.c
@@ -31,7 +31,7 @@
 #define LIST_SLOT_USEC (20 * USEC_PER_MSEC)
 /* How often an instance that the store refuses, but that has a current copy
  * from a peer, probes the store. */
-#define PROBE_USEC (5 * USEC_PER_SEC)
+#define PROBE_INTERVAL_USEC (5 * USEC_PER_SEC)
 
 /* Until peers announce themselves the rank is unknown. All instances may have
  * started at the same moment, so the highest rank is assumed. */
@@ -145,7 +145,7 @@
 	if (since < state->backoff)
 		return false;
 	if (state->has_copy && !is_stale)
-		return since >= pause_jittered(state, PROBE_USEC);
+		return since >= pause_jittered(state, PROBE_INTERVAL_USEC);
 	if (state->has_copy && is_first_retry)
 		return true;
 	if (place->store_unreachable < UNREACHABLE_MIN)
--- a/forward/stream.c
+++ b/forward/stream.c
@@ -18,13 +18,13 @@
 #include "common/log.h"
 
 /* Lifetime of a reservation: covers a prefill in a long queue. */
-#define RESERVE_USEC (2 * USEC_PER_SEC)
+#define RESERVATION_TTL_USEC (2 * USEC_PER_SEC)
 /* A prefill result this close to its expiry may expire before it is fetched. */
 #define RESULT_MARGIN_USEC (100 * USEC_PER_MSEC)
 /* Timeout of a prefill: a base, and a time for each prompt token queued ahead
  * (runners prefill about 30 tokens per millisecond). */
-#define PREFILL_USEC (1200 * USEC_PER_MSEC)
-#define PREFILL_TOKEN_USEC 100
+#define PREFILL_TIMEOUT_USEC (1200 * USEC_PER_MSEC)
+#define PREFILL_TIMEOUT_PER_TOKEN_USEC 100
 /* Fractions of the maximum output for which memory is charged to the server and
  * reserved there. The maximum is limited to twice the caller's estimate. Other
  * requests end and free memory during the run, so not all of it is needed at
@@ -39,9 +39,9 @@
 /* Reservations that one request may be granted. */
 #define RESERVATIONS_MAX 4u
 /* Retry-After when memory is short: some is freed within about this time. */
-#define RETRY_USEC (300 * USEC_PER_MSEC)
+#define RETRY_AFTER_USEC (300 * USEC_PER_MSEC)
 /* Retry-After while draining: another instance can take the request at once. */
-#define DRAIN_RETRY_USEC (20 * USEC_PER_MSEC)
+#define DRAIN_RETRY_AFTER_USEC (20 * USEC_PER_MSEC)
 
 static void prefill_place(struct request *request);
 
@@ -109,7 +109,7 @@
 	else if (request->runs > 0)
 		request_fail(request, code, why);
 	else
-		request_refuse(request, code, RETRY_USEC);
+		request_refuse(request, code, RETRY_AFTER_USEC);
 }
 
 void stream_failed_log(const struct request *request, const char *step,
@@ -240,9 +240,9 @@
 static int64_t prefill_timeout(const struct request *request,
 			       const struct backend *backend)
 {
-	int64_t limit =
-		PREFILL_USEC +
-		(int64_t)backend_prefill_tokens(backend) * PREFILL_TOKEN_USEC;
+	int64_t limit = PREFILL_TIMEOUT_USEC +
+			(int64_t)backend_prefill_tokens(backend) *
+				PREFILL_TIMEOUT_PER_TOKEN_USEC;
 
 	return MIN(limit, request_time_left(request));
 }
@@ -275,7 +275,7 @@
 		.to = &request->target,
 		.left_usec = request_time_left(request),
 		.connect_usec = BACKEND_CONNECT_USEC,
-		.idle_usec = PREFILL_USEC,
+		.idle_usec = PREFILL_TIMEOUT_USEC,
 	};
 
 	if (request_quarantine(request))
@@ -334,7 +334,7 @@
 
 int64_t stream_reserve_usec(const struct request *request)
 {
-	return MIN(RESERVE_USEC, request->service->engine.reserve_usec);
+	return MIN(RESERVATION_TTL_USEC, request->service->engine.reserve_usec);
 }
 
 /* A server that has restarted has lost its earlier results. */
@@ -527,14 +527,15 @@
 		   request->caller.prompt_tokens);
 	stream_weigh(request);
 	if (forward->draining || stream_waiting_full(forward)) {
-		request_refuse(
-			request,
-			forward->draining ? RESULT_DRAINING : RESULT_QUEUE_FULL,
-			forward->draining ? DRAIN_RETRY_USEC : RETRY_USEC);
+		request_refuse(request,
+			       forward->draining ? RESULT_DRAINING
+						 : RESULT_QUEUE_FULL,
+			       forward->draining ? DRAIN_RETRY_AFTER_USEC
+						 : RETRY_AFTER_USEC);
 		return;
 	}
 	if (regions_unserved(request)) {
-		request_refuse(request, RESULT_NO_BACKEND, RETRY_USEC);
+		request_refuse(request, RESULT_NO_BACKEND, RETRY_AFTER_USEC);
 		return;
 	}
 	if (!stream_reserve(request, 1))
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -7,8 +7,8 @@
 
 /* Idle timeout of a resumable stream's server, in multiples of the route's gap
  * between events, and its lower bound. */
-#define IDLE_GAPS 4
-#define IDLE_MIN_USEC (1200 * USEC_PER_MSEC)
+#define IDLE_TIMEOUT_GAPS 4
+#define IDLE_TIMEOUT_MIN_USEC (1200 * USEC_PER_MSEC)
 /* Weight of a new sample in the mean time from reservation to first event. */
 #define FIRST_EVENT_WEIGHT 0.1
 
@@ -227,8 +227,8 @@
 	if (!request_repeatable(request) ||
 	    request->runs + 1 >= request->route->attempts)
 		return left;
-	return MIN(left,
-		   MAX(IDLE_GAPS * request->route->gap_usec, IDLE_MIN_USEC));
+	return MIN(left, MAX(IDLE_TIMEOUT_GAPS * request->route->gap_usec,
+			     IDLE_TIMEOUT_MIN_USEC));
 }
 
 void stream_run(struct request *request)
--- a/forward/waiting.c
+++ b/forward/waiting.c
@@ -6,7 +6,7 @@
 
 /* Interval between attempts to place waiting requests. A runner frees memory
  * every few tens of milliseconds. */
-#define PUMP_USEC (15 * USEC_PER_MSEC)
+#define PUMP_INTERVAL_USEC (15 * USEC_PER_MSEC)
 /* Maximum number of requests that wait at an instance. */
 #define WAITING_MAX 512u
 /* A caller gives up a stream without events after the longest of
@@ -22,7 +22,7 @@
 #define LATE_ROOM_FACTOR 3u
 /* Retry time sent to the caller of a request that expired while waiting: memory
  * is freed within this time. */
-#define RETRY_USEC (300 * USEC_PER_MSEC)
+#define RETRY_AFTER_USEC (300 * USEC_PER_MSEC)
 
 void stream_dequeue(struct request *request)
 {
@@ -171,7 +171,8 @@
 		if (request->replied)
 			request_abort(request, "no decode memory to continue");
 		else
-			request_refuse(request, RESULT_DEADLINE, RETRY_USEC);
+			request_refuse(request, RESULT_DEADLINE,
+				       RETRY_AFTER_USEC);
 	}
 }
 
@@ -181,5 +182,5 @@
 	waiting_place(forward, true);
 	waiting_place(forward, false);
 	if (forward->waiting.length > 0)
-		timer_start(&forward->pump, PUMP_USEC);
+		timer_start(&forward->pump, PUMP_INTERVAL_USEC);
 }
--- a/web/call.c
+++ b/web/call.c
@@ -7,9 +7,9 @@
 #include "keepalive.h"
 
 #define HEADERS_MAX 100
-#define CONNECT_USEC (3 * USEC_PER_SEC)
-#define HEAD_USEC (30 * USEC_PER_SEC)
-#define IDLE_USEC (30 * USEC_PER_SEC)
+#define CONNECT_TIMEOUT_DEFAULT_USEC (3 * USEC_PER_SEC)
+#define HEAD_TIMEOUT_DEFAULT_USEC (30 * USEC_PER_SEC)
+#define IDLE_TIMEOUT_DEFAULT_USEC (30 * USEC_PER_SEC)
 
 static void call_destroy(struct web_call *call)
 {
@@ -292,10 +292,13 @@
 	g_queue_push_tail_link(&client->calls, &call->link);
 	call->ops = *ops;
 	call->ctx = ctx;
-	call->connect_usec =
-		spec->connect_usec > 0 ? spec->connect_usec : CONNECT_USEC;
-	call->head_usec = spec->head_usec > 0 ? spec->head_usec : HEAD_USEC;
-	call->idle_usec = spec->idle_usec > 0 ? spec->idle_usec : IDLE_USEC;
+	call->connect_usec = spec->connect_usec > 0
+				     ? spec->connect_usec
+				     : CONNECT_TIMEOUT_DEFAULT_USEC;
+	call->head_usec = spec->head_usec > 0 ? spec->head_usec
+					      : HEAD_TIMEOUT_DEFAULT_USEC;
+	call->idle_usec = spec->idle_usec > 0 ? spec->idle_usec
+					      : IDLE_TIMEOUT_DEFAULT_USEC;
 	call->is_head = g_strcmp0(spec->method, "HEAD") == 0;
 	call->fresh = spec->fresh;
 	timer_init(&call->timer, loop_clock(client->loop), on_timer, call);
--- a/web/server.c
+++ b/web/server.c
@@ -15,7 +15,7 @@
 #endif
 
 #define ACCEPTS_PER_ITERATION 64
-#define SWEEP_USEC USEC_PER_SEC
+#define SWEEP_INTERVAL_USEC USEC_PER_SEC
 /* Loop iterations in which web_server_destroy() lets connections close. */
 #define CLOSE_ITERATIONS 1000
 #define STREAMS_MAX 256
@@ -146,7 +146,7 @@
 		next = link->next;
 		request_sweep(link->data, server->limits.idle_usec);
 	}
-	timer_start(timer, SWEEP_USEC);
+	timer_start(timer, SWEEP_INTERVAL_USEC);
 }
 
 static int listen_on(const char *address, struct sockaddr_storage *bound,
@@ -226,7 +226,7 @@
 	server->listener->data = server;
 	h2o_socket_read_start(server->listener, on_accept);
 	timer_init(&server->sweep, loop_clock(loop), on_sweep, server);
-	timer_start(&server->sweep, SWEEP_USEC);
+	timer_start(&server->sweep, SWEEP_INTERVAL_USEC);
 	return server;
 }
 
