--- a/forward/feed.c
+++ b/forward/feed.c
@@ -7,7 +7,7 @@
 /* First and longest pause after a failed read; it doubles with each failure. An
  * instance follows the end of an outage within RETRY_MAX_USEC, well inside the
  * two seconds within which a change must be in force. */
-#define RETRY_USEC (100 * USEC_PER_MSEC)
+#define RETRY_BASE_USEC (100 * USEC_PER_MSEC)
 #define RETRY_MAX_USEC (800 * USEC_PER_MSEC)
 
 /* A call to the store. It outlives a destroyed feed until its answer arrives.
@@ -74,7 +74,7 @@
 {
 	uint32_t doubled = MIN(MAX(feed->failures, 1u) - 1, 3u);
 
-	return MIN(RETRY_USEC << doubled, RETRY_MAX_USEC);
+	return MIN(RETRY_BASE_USEC << doubled, RETRY_MAX_USEC);
 }
 
 static void feed_failed(struct feed *feed)
@@ -141,10 +141,11 @@
 	feed->after = NULL;
 }
 
-/* The time as of which the store reported the end of the stream. A long poll
- * without records ends no sooner than its wait after it was sent, so it counts
- * as of then; else copies would look older than they are, and every instance
- * that has them would read the store as well. */
+/* The time at which the answer of the store shows the known records to be
+ * complete: when the read was sent, or wait_usec later for a long poll that
+ * returned no records. If such a poll counted from its sending, copies would
+ * look older than they are, and every instance that has one would read the
+ * store as well. */
 static int64_t end_seen_at(const struct feed *feed,
 			   const struct feed_page *page)
 {
--- a/forward/fleet.c
+++ b/forward/fleet.c
@@ -24,7 +24,7 @@
 #define AVOID_MAX_USEC (2 * USEC_PER_SEC)
 
 /* Time-out of a half-open probe, longer than BACKEND_CONNECT_USEC. */
-#define PROBE_USEC (200 * USEC_PER_MSEC)
+#define PROBE_TIMEOUT_USEC (200 * USEC_PER_MSEC)
 
 /* Backoff after a refused reservation, doubled once: a server frees memory for
  * a request about every 100 ms, and many instances compete for it. */
@@ -32,13 +32,14 @@
 
 /* A server that is changing its role, or whose results expire at once, still
  * grants reservations and prefills, and refuses only the run. After this many
- * refusals in a row it is avoided, then probed by one request. An instance that
- * has just started does not know of role changes ordered earlier. */
+ * refusals in a row it is avoided, then probed by one request. This also covers
+ * an instance that has just started and does not know of role changes ordered
+ * earlier. */
 #define REFUSALS_MAX 2u
 #define REFUSED_PAUSE_USEC (1 * USEC_PER_SEC)
 
-/* Reports that a server is cold arrive by several paths; their ends differ by
- * up to this. */
+/* Largest difference between the ends of one cold start as given by reports
+ * that arrive by different paths. */
 #define COLD_SKEW_USEC (300 * USEC_PER_MSEC)
 
 struct fleet {
@@ -595,8 +596,9 @@
 	       !backend_leaving(backend);
 }
 
-/* Whether at least half of the local servers are unreachable. */
-static bool is_cut_off(const struct fleet *fleet, int64_t now)
+/* Whether at least half of the local servers are unreachable. Then this
+ * instance is more likely partitioned than the servers down. */
+static bool is_likely_partitioned(const struct fleet *fleet, int64_t now)
 {
 	uint32_t unreachable = 0;
 
@@ -635,7 +637,7 @@
 			unreachable[count++] = (struct unreachable_backend){
 				backend->key, backend->avoid_until - now};
 	}
-	return count > 0 && is_cut_off(fleet, now) ? 0 : count;
+	return count > 0 && is_likely_partitioned(fleet, now) ? 0 : count;
 }
 
 void fleet_merge_unreachable(struct fleet *fleet, uint64_t peer,
@@ -734,7 +736,7 @@
 void backend_claim_probe(struct backend *backend, int64_t now)
 {
 	if (backend->connect_failures > 0)
-		backend->avoid_until = now + PROBE_USEC;
+		backend->avoid_until = now + PROBE_TIMEOUT_USEC;
 	if (backend_refusing(backend))
 		backend->changing_until = now + REFUSED_PAUSE_USEC;
 }
@@ -802,7 +804,7 @@
 	backend_failed(backend, now);
 	/* Requests that fail together count as one failed connection. */
 	if (backend->connect_failures > 0 && now < backend->avoid_until &&
-	    backend->avoid_until - now > PROBE_USEC)
+	    backend->avoid_until - now > PROBE_TIMEOUT_USEC)
 		return;
 	backend->connect_failures++;
 	if (!backend->avoid_listed)
--- a/forward/forward.c
+++ b/forward/forward.c
@@ -10,21 +10,22 @@
 /* Averaging time of demand: longer than ordinary load swings of a few seconds,
  * shorter than the time in which a role change pays off. */
 #define DEMAND_USEC (8 * USEC_PER_SEC)
-/* Lower bound of the process's age, as a fraction of DEMAND_USEC (1 s): demand
- * of a shorter time is taken as that of one second. */
+/* Lower bound of the process's age in the computation of demand, as a fraction
+ * of DEMAND_USEC (1 s). A process younger than that is taken to be one second
+ * old. */
 #define DEMAND_AGE_MIN 0.125
 
 /* Initial mean time from reservation to first event. */
 #define FIRST_EVENT_USEC (250.0 * (double)USEC_PER_MSEC)
 
-/* A rate is unknown with fewer samples. */
+/* Number of samples from which on a rate counts as known. */
 #define RATE_SAMPLES 5u
 
 /* Demand for an engine service, and the measured rates of its engines. */
 struct demand {
 	uint64_t service;
-	double tokens; /* decayed to at */
-	int64_t at;
+	double tokens; /* decayed sum, as of updated_at */
+	int64_t updated_at;
 	struct engine_rates rates;
 };
 
@@ -166,7 +167,7 @@
 static double demand_decayed(const struct demand *demand, int64_t now)
 {
 	return demand->tokens *
-	       exp(-(double)(now - demand->at) / (double)DEMAND_USEC);
+	       exp(-(double)(now - demand->updated_at) / (double)DEMAND_USEC);
 }
 
 static struct demand *demand_get(struct forward *forward, uint64_t service)
@@ -177,7 +178,7 @@
 		return demand;
 	demand = g_new0(struct demand, 1);
 	demand->service = service;
-	demand->at = clock_now(forward->parts.clock);
+	demand->updated_at = clock_now(forward->parts.clock);
 	median_init(&demand->rates.prefill, PREFILL_RATE_START);
 	g_hash_table_insert(forward->demand, &demand->service, demand);
 	return demand;
@@ -194,10 +195,11 @@
 	int64_t now = clock_now(forward->parts.clock);
 
 	demand->tokens = demand_decayed(demand, now) + tokens;
-	demand->at = now;
+	demand->updated_at = now;
 }
 
-/* The time covered by the decayed sum: shorter soon after the start. */
+/* Time that the decayed sum covers, in seconds. It is shorter than DEMAND_USEC
+ * soon after the start. */
 static double demand_sec(const struct forward *forward, int64_t now)
 {
 	double age = (double)(now - forward->started_at) / (double)DEMAND_USEC;
--- a/forward/node.c
+++ b/forward/node.c
@@ -12,7 +12,7 @@
  * lower the former. Callers keep idle connections for four fifths of the
  * timeout. */
 #define BODY_BYTES_MAX (4u << 20)
-#define IDLE_USEC (20 * USEC_PER_SEC)
+#define IDLE_TIMEOUT_USEC (20 * USEC_PER_SEC)
 #define HEALTH_CONNECTIONS 64u
 /* All instances of a data centre may fetch a mirror at once. */
 #define PEER_CONNECTIONS 256u
@@ -20,7 +20,7 @@
 #define STALL_USEC (1 * USEC_PER_SEC)
 /* Least time between refreshes of the configuration. A slow store answers after
  * about 240 ms, and a refresh abandons the pending read. */
-#define REFRESH_USEC (600 * USEC_PER_MSEC)
+#define REFRESH_INTERVAL_USEC (600 * USEC_PER_MSEC)
 /* With port 0, the port that the kernel assigns for TCP may be in use for UDP.
  */
 #define PEER_PORT_TRIES 8
@@ -99,8 +99,10 @@
 			node->roles, summary->changing, GOSSIP_CHANGING_MAX);
 }
 
-/* The first instance of a data centre reads the store itself. If others know a
- * later version, the answer to its waiting read may have been lost. */
+/* Merges the summary of a peer. If a peer knows a later version of the
+ * configuration than the first instance of the data centre, which reads the
+ * store itself, the answer to that instance's waiting read may have been lost,
+ * so it reads again. */
 static void on_summary(void *ctx, const char *address, bool local,
 		       const struct gossip_summary *summary)
 {
@@ -108,15 +110,16 @@
 	const struct catalog *catalog = forward_catalog(node->forward);
 
 	node_mirrors_merge(node, address, summary);
-	/* Reachability from a remote data centre says little about the local
-	 * one. */
+	/* A server that a remote instance cannot reach may be reachable from
+	 * here, so only local reports are merged. */
 	for (uint32_t i = 0; local && i < summary->unreachable_count; i++)
 		fleet_merge_unreachable(node->fleet, id_of(address),
 					&summary->unreachable[i]);
 	for (uint32_t i = 0; i < summary->changing_count; i++)
 		fleet_set_changing(node->fleet, &summary->changing[i]);
 	if (summary->version <= (catalog ? catalog->version : 0) ||
-	    clock_now(node->clock) - node->refreshed_at < REFRESH_USEC ||
+	    clock_now(node->clock) - node->refreshed_at <
+		    REFRESH_INTERVAL_USEC ||
 	    gossip_rank(node->gossip) > 0)
 		return;
 	node->refreshed_at = clock_now(node->clock);
@@ -177,8 +180,8 @@
 	struct web_limits limits = {
 		.body_bytes = BODY_BYTES_MAX,
 		.connections = connections,
-		.idle_usec = IDLE_USEC,
-		.request_usec = IDLE_USEC,
+		.idle_usec = IDLE_TIMEOUT_USEC,
+		.request_usec = IDLE_TIMEOUT_USEC,
 	};
 	struct web_server *server =
 		web_server_create(node->loop, address, &limits, err);
--- a/forward/node_permits.c
+++ b/forward/node_permits.c
@@ -8,9 +8,9 @@
 #define WRONG_HOME_USEC (100 * USEC_PER_MSEC)
 /* Least transit time of a message, added to the age of its facts. */
 #define TRANSIT_USEC (1 * USEC_PER_MSEC)
-#define PRUNE_USEC (1 * USEC_PER_SEC)
+#define PRUNE_INTERVAL_USEC (1 * USEC_PER_SEC)
 
-/* A draining instance leaves its homes to others. */
+/* A draining instance is not the home of any server. */
 static bool may_be_home(const struct node *node)
 {
 	return !node->draining;
@@ -63,8 +63,8 @@
 {
 	const struct node *node = ctx;
 
-	forward_permit(node->forward, answer->id, answer->server,
-		       answer->granted, answer->retry_usec);
+	forward_permit_answered(node->forward, answer->id, answer->server,
+				answer->granted, answer->retry_usec);
 }
 
 void node_fact_received(void *ctx, const struct backpressure_fact *fact)
@@ -73,7 +73,7 @@
 	struct backpressure_fact received = *fact;
 
 	received.age_usec += TRANSIT_USEC;
-	forward_fact(node->forward, &received);
+	forward_merge_fact(node->forward, &received);
 }
 
 uint32_t node_facts(void *ctx, struct backpressure_fact *facts, uint32_t max)
@@ -95,7 +95,7 @@
 {
 	int64_t now = clock_now(node->clock);
 
-	if (now - node->pruned_at < PRUNE_USEC)
+	if (now - node->pruned_at < PRUNE_INTERVAL_USEC)
 		return;
 	node->pruned_at = now;
 	backpressure_prune(node->backpressure, now, server_exists, node);
--- a/forward/reader.c
+++ b/forward/reader.c
@@ -20,18 +20,18 @@
  * at least this long per known instance. The store answers thousands of reads a
  * second. */
 #define PER_INSTANCE_USEC (2 * USEC_PER_MSEC)
-/* From this number of unreachable instances in the local data centre on, they
- * retry one after another, SLOT_USEC apart. */
+/* If at least this many instances of the local data centre do not reach the
+ * store, they retry one after another, SLOT_USEC apart. */
 #define UNREACHABLE_MIN 2u
 #define SLOT_USEC (300 * USEC_PER_MSEC)
 /* An instance without a copy cannot serve, so it waits for fewer slots. */
 #define SLOTS_WITHOUT_COPY 4u
-/* All instances read the list of instances at a start. Failed reads are retried
- * this far apart. */
+/* All instances read the list of instances at a start. Retries of failed reads,
+ * by all instances together, are this far apart. */
 #define LIST_SLOT_USEC (20 * USEC_PER_MSEC)
 /* How often an instance that the store refuses, but that has a current copy
  * from a peer, probes the store. */
-#define PROBE_USEC (5 * USEC_PER_SEC)
+#define PROBE_INTERVAL_USEC (5 * USEC_PER_SEC)
 
 /* Until peers announce themselves the rank is unknown. All instances may have
  * started at the same moment, so the highest rank is assumed. */
@@ -58,8 +58,8 @@
 
 /* Fraction in [0, 1) of the wait of an instance that does not know its rank.
  * The number of instances whose wait is over grows exponentially with time. */
-static double random_part(const struct reader_state *state,
-			  const struct reader_place *place)
+static double random_fraction(const struct reader_state *state,
+			      const struct reader_place *place)
 {
 	double scale = log((double)place->instances + 1.0) + 1.0;
 	uint64_t hash = id_mix(state->seed, (uint64_t)state->synced_at);
@@ -69,7 +69,7 @@
 }
 
 /* The same fraction by rank, once the peers are known. */
-static double rank_part(const struct reader_place *place)
+static double rank_fraction(const struct reader_place *place)
 {
 	double all = log(MAX(place->peers + 1, 2u));
 
@@ -87,9 +87,10 @@
 
 	if (!state->peers_listed)
 		return START_RANK_MAX * READER_RANK_STALENESS_USEC +
-		       (int64_t)((double)widest * random_part(state, place));
+		       (int64_t)((double)widest *
+				 random_fraction(state, place));
 	return READER_RANK_STALENESS_USEC +
-	       (int64_t)((double)widest * rank_part(place));
+	       (int64_t)((double)widest * rank_fraction(place));
 }
 
 int64_t reader_staleness_bound(const struct reader_state *state,
@@ -97,8 +98,9 @@
 {
 	if (!state->has_copy)
 		return start_staleness_bound(state, place, now);
-	/* The rank is uncertain before the peers are known. A copy from a
-	 * reader is up to two answer times old. */
+	/* The rank is uncertain before the peers are known. The copy of an
+	 * instance that reads the store may be as old as two answer times of
+	 * the store. */
 	if (place->rank > 0 || (!state->peers_listed && place->instances > 1))
 		return READER_STALENESS_USEC + place->delay_usec +
 		       rank_staleness(state, place) + 2 * state->latency;
@@ -143,7 +145,7 @@
 	if (since < state->backoff)
 		return false;
 	if (state->has_copy && !is_stale)
-		return since >= pause_jittered(state, PROBE_USEC);
+		return since >= pause_jittered(state, PROBE_INTERVAL_USEC);
 	if (state->has_copy && is_first_retry)
 		return true;
 	if (place->store_unreachable < UNREACHABLE_MIN)
--- a/forward/roles.c
+++ b/forward/roles.c
@@ -30,14 +30,15 @@
  * the list for two seconds after the store was unreachable. */
 #define OVERLOAD_DELAY_USEC (3 * USEC_PER_SEC)
 /* The service is overloaded when the mean demand exceeds the prefill capacity
- * by this factor. On a site with enough capacity, the mean of a few seconds
- * with a burst among them exceeds 1.0. */
+ * by this factor. With 1.0, a few seconds with a burst among them would count
+ * as an overload on a site with enough capacity. */
 #define OVERLOAD_RATIO 1.1
-/* Averaging time of the mean demand, which is unknown before. A burst of twice
- * the demand for five seconds raises the mean by a sixth. */
+/* Averaging time of the mean demand, which is unknown until traffic has lasted
+ * this long. A burst of twice the demand for five seconds raises the mean by a
+ * sixth. */
 #define MEAN_USEC (30 * USEC_PER_SEC)
-/* Demand in tokens a second below which there is no traffic: the demand of the
- * first seconds is not known yet. */
+/* Demand in tokens a second below which there is taken to be no traffic, as in
+ * the first seconds, when the demand is not known yet. */
 #define DEMAND_MIN 1000.0
 /* Added to the time that a change takes, before its runner may be ordered
  * again. Covers orders that are carried out seconds late. */
@@ -48,10 +49,11 @@
 #define ORDER_TIMEOUT_USEC (2500 * USEC_PER_MSEC)
 /* Term of the lease. A failed holder is replaced after the term, the safety
  * margin and the time of an order, 7.7 s in all. With the library's default
- * term this took 24 s, half a minute with one prefill runner too few. Orders of
- * two holders stay at least 3 s apart. */
+ * term it would be 24 s, and a service could lack a prefill runner for half a
+ * minute. Orders of two holders stay at least 3 s apart. */
 #define ROLES_TERM_USEC (3 * USEC_PER_SEC)
-/* The list of runners may be incomplete right after the start. */
+/* Time after the start before any change is ordered, since the list of runners
+ * may still be incomplete. */
 #define SETTLE_USEC (1200 * USEC_PER_MSEC)
 
 struct move {
@@ -278,8 +280,8 @@
 		       mean_demand(roles);
 }
 
-/* Positive: number of runners to become decode runners. Negative: to become
- * prefill runners. */
+/* Number of runners that should become decode runners; if negative, that many
+ * should become prefill runners. */
 static int32_t change_wanted(struct roles *roles, struct stages stages)
 {
 	double rate = roles->parts.ops.demand(roles->parts.ctx);
@@ -448,13 +450,13 @@
 	lease_drop(roles);
 	g_hash_table_destroy(roles->moves);
 	roles->destroyed = true;
-	/* The answer of the pending order frees it. */
+	/* While an order is pending, on_ordered() frees roles later. */
 	if (!roles->ordering)
 		g_free(roles);
 }
 
 uint32_t roles_pending_changes(const struct roles *roles,
-			       struct backend_change *moves, uint32_t most)
+			       struct backend_change *changes, uint32_t max)
 {
 	int64_t now = clock_now(roles->parts.clock);
 	const struct move *move;
@@ -462,7 +464,7 @@
 	uint32_t count = 0;
 
 	g_hash_table_iter_init(&iter, roles->moves);
-	while (count < most &&
+	while (count < max &&
 	       g_hash_table_iter_next(&iter, NULL, (gpointer *)&move)) {
 		const struct backend *backend =
 			fleet_find(roles->parts.fleet, move->key);
@@ -470,8 +472,8 @@
 		if (!backend || backend->info.stage == move->stage ||
 		    now >= move->until)
 			continue;
-		moves[count++] = (struct backend_change){move->key, move->stage,
-							 move->until - now};
+		changes[count++] = (struct backend_change){
+			move->key, move->stage, move->until - now};
 	}
 	return count;
 }
--- a/forward/stream_run.c
+++ b/forward/stream_run.c
@@ -7,8 +7,8 @@
 
 /* Idle timeout of a resumable stream's server, in multiples of the route's gap
  * between events, and its lower bound. */
-#define IDLE_GAPS 4
-#define IDLE_MIN_USEC (1200 * USEC_PER_MSEC)
+#define IDLE_TIMEOUT_GAPS 4
+#define IDLE_TIMEOUT_MIN_USEC (1200 * USEC_PER_MSEC)
 /* Weight of a new sample in the mean time from reservation to first event. */
 #define FIRST_EVENT_WEIGHT 0.1
 
@@ -68,7 +68,7 @@
 		request->answer.too_large = true;
 		return;
 	}
-	whole = event_cutter_whole(cutter);
+	whole = event_cutter_complete_bytes(cutter);
 	if (whole == 0)
 		return;
 	if (!request->replied) {
@@ -134,8 +134,9 @@
 }
 
 /* A run with reserved memory is refused if the decode server changes its role
- * or the prefill result is gone. Which of the two failed shows in later runs,
- * so both servers are recorded, unless one of them already refuses runs. */
+ * or the prefill result is gone. Which of the two it was becomes clear only
+ * from later runs, so the refusal is recorded for both servers, unless one of
+ * them is already known to refuse runs. */
 static void run_record_refusal(struct request *request, struct backend *decode)
 {
 	struct backend *source = result_source(request);
@@ -173,7 +174,7 @@
 	    request->cutter.rest->len == 0 && request->replied) {
 		if (backend)
 			backend_succeeded(backend, now);
-		request_survived(request);
+		request_record_success(request);
 		request_finish(request);
 		return;
 	}
@@ -226,8 +227,8 @@
 	if (!request_repeatable(request) ||
 	    request->runs + 1 >= request->route->attempts)
 		return left;
-	return MIN(left,
-		   MAX(IDLE_GAPS * request->route->gap_usec, IDLE_MIN_USEC));
+	return MIN(left, MAX(IDLE_TIMEOUT_GAPS * request->route->gap_usec,
+			     IDLE_TIMEOUT_MIN_USEC));
 }
 
 void stream_run(struct request *request)
--- a/forward/suspect.c
+++ b/forward/suspect.c
@@ -120,7 +120,7 @@
 				  &request_identify(request)->fingerprint);
 }
 
-void request_survived(struct request *request)
+void request_record_success(struct request *request)
 {
 	struct quarantine *quarantine = request->forward->parts.quarantine;
 
@@ -139,7 +139,8 @@
 	    !quarantine_holds(parts->quarantine,
 			      &request_identify(request)->fingerprint))
 		return false;
-	/* Held by instances that did not see it succeed here. */
+	/* The entry comes from instances that do not know that the request has
+	 * succeeded here. */
 	if (quarantine_has_succeeded(parts->quarantine,
 				     request->identity.keyed_hash,
 				     request_now(request))) {
